--- a/lanelift/__main__.py
+++ b/lanelift/__main__.py
@@ -90,9 +90,20 @@
     inherited = environ.get("BALANCER_FD")
     if inherited is not None and not inherited.isdecimal():
         raise Malformed(f"BALANCER_FD is {inherited!r}, and must be the number of a descriptor")
-    return Config(listen, discovery, seed, sockets, read_settings(need(raw, "settings", dict)), known,
-                  address("peer_listen"), peers, address("peers_all"), None, address("operator"),
-                  int(inherited) if inherited else None)
+    return Config(
+        listen,
+        discovery,
+        seed,
+        sockets,
+        read_settings(need(raw, "settings", dict)),
+        known,
+        address("peer_listen"),
+        peers,
+        address("peers_all"),
+        None,
+        address("operator"),
+        int(inherited) if inherited else None,
+    )
 
 
 def places(sockets: int, processes: int) -> tuple[int, int]:
@@ -149,8 +160,9 @@
                 logging.error("configuration not reloaded: %s", error)
 
     def _apply(self, new: Config) -> None:
-        changed = {f.name for f in dataclasses.fields(Config)
-                   if getattr(new, f.name) != getattr(self.config, f.name)} - self.AT_START
+        changed = {
+            f.name for f in dataclasses.fields(Config) if getattr(new, f.name) != getattr(self.config, f.name)
+        } - self.AT_START
         applied = changed & self.APPLIED
         if type(new.discovery) is not type(self.config.discovery):
             applied -= {"discovery"}  # a listed fleet and a watched one are two different parts
@@ -165,12 +177,17 @@
             self.tenants.move(new.tenants)
             self.config = dataclasses.replace(self.config, tenants=new.tenants)
         at = self.config.discovery
-        logging.info("configuration reloaded: %s",
-                     f"discovery at {at[0]}:{at[1]}" if isinstance(at, tuple) else at)
+        logging.info(
+            "configuration reloaded: %s", f"discovery at {at[0]}:{at[1]}" if isinstance(at, tuple) else at
+        )
 
 
-async def serve(config: Config, listener: socket.socket, read: Callable[[], Config],
-                operators: socket.socket | None = None) -> None:
+async def serve(
+    config: Config,
+    listener: socket.socket,
+    read: Callable[[], Config],
+    operators: socket.socket | None = None,
+) -> None:
     """Balance until SIGTERM has come and nothing is open. `read` gives the configuration anew, at SIGHUP.
     Both sockets are bound: `listener` is for clients, `operators` for operators' calls."""
     loop = asyncio.get_running_loop()
@@ -184,8 +201,9 @@
     if config.peer_listen is not None and settings.limits.peers:
         driver.peers = Peers(driver, config.peer_listen, config.peers, config.peers_all)
     source = config.discovery
-    discovery = driver.discovery = (Discovery(driver, source, config.seed) if isinstance(source, tuple)
-                                    else source.attach(driver))
+    discovery = driver.discovery = (
+        Discovery(driver, source, config.seed) if isinstance(source, tuple) else source.attach(driver)
+    )
     discovery.start(config.known)
     tenants = config.tenants.attach(driver) if config.tenants is not None else None
     if tenants is not None:
@@ -241,8 +259,11 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         config = read()
-        listener = (listening_socket(config.listen) if config.inherited is None
-                    else inherited_socket(config.inherited))
+        listener = (
+            listening_socket(config.listen)
+            if config.inherited is None
+            else inherited_socket(config.inherited)
+        )
         operators = listening_socket(config.operator) if config.operator is not None else None
     except (Malformed, OSError) as error:
         print(f"lanelift: {error}", file=sys.stderr)
--- a/lanelift/decide/balancer.py
+++ b/lanelift/decide/balancer.py
@@ -53,10 +53,17 @@
         self.look_ns = int(max(LOOK_NS[0], min(LOOK_NS[1], LOOK_PART * self.patience_ns)))
         self.crowding.each = min(self.crowding.each, EACH_PART * self.patience_ns)
         self.on: dict[type[api.Event], Callable[[Any, int], None]] = {
-            api.Arrival: self._arrival, api.BodyCame: self._came, api.ClientGone: self._gone,
-            api.AnswerBegun: self._begun, api.Outcome: self._outcome, api.ProbeResult: self.fleet.probed,
-            api.PeerMessage: self.fleet.told, api.ListUpdate: self._list, api.TenantsUpdate: self._tenants,
-            api.Wake: self._rang}
+            api.Arrival: self._arrival,
+            api.BodyCame: self._came,
+            api.ClientGone: self._gone,
+            api.AnswerBegun: self._begun,
+            api.Outcome: self._outcome,
+            api.ProbeResult: self.fleet.probed,
+            api.PeerMessage: self.fleet.told,
+            api.ListUpdate: self._list,
+            api.TenantsUpdate: self._tenants,
+            api.Wake: self._rang,
+        }
         self.failures = 0
         self.subscribed = settings.discovery_push
         if not self.subscribed:
@@ -105,12 +112,17 @@
         aim = min(asked + cls.aim_ns, e.deadline_ns)
         pool = self.fleet.pool(cls)
         hint = min(e.cost_hint_ns, cls.deadline_ns)  # a wild guess must not keep its timers for years
-        r = Request(e.request, cls, e.tenant, throttle, pool, e.deadline_ns, aim, hint, e.retry,
-                    coming=e.coming)
+        r = Request(
+            e.request, cls, e.tenant, throttle, pool, e.deadline_ns, aim, hint, e.retry, coming=e.coming
+        )
         self.requests[r.id] = r
         expected = self._work(r)
-        if (self.fleet.tells and self.crowding.guess.seen >= EVIDENCE and not (cls.stream or e.coming)
-                and expected > HOPELESS * (e.deadline_ns - now)):
+        if (
+            self.fleet.tells
+            and self.crowding.guess.seen >= EVIDENCE
+            and not (cls.stream or e.coming)
+            and expected > HOPELESS * (e.deadline_ns - now)
+        ):
             return self._refuse(r, now)  # all that its upstream does would be in vain, and hold up others
         if expected < cls.aim_ns < now - asked + expected and not (cls.late_worth or cls.stream):
             # It waited unseen for so long, the proxy being late itself, that its answer would come too late.
@@ -222,7 +234,7 @@
 
     def _look_on(self, r: Request, busy: list[Server], now: int) -> bool:
         """All who were asked have work: before it waits behind that, a few others are asked, once."""
-        others = [s for s in r.pool.order[:r.pool.width] if s not in busy and self.fleet.fit(s, now)]
+        others = [s for s in r.pool.order[: r.pool.width] if s not in busy and self.fleet.fit(s, now)]
         if not others:
             return False
         r.busy = busy
@@ -315,8 +327,11 @@
 
     def _again(self, r: Request, now: int) -> None:
         """Nothing is out and nothing was served: another attempt, or the final answer."""
-        if r.attempts and any(r.may_send(s, now, self.settings.limits)
-                              for s in r.choices() or r.pool.order[:1]) and now < r.give_up_ns:
+        if (
+            r.attempts
+            and any(r.may_send(s, now, self.settings.limits) for s in r.choices() or r.pool.order[:1])
+            and now < r.give_up_ns
+        ):
             r.pool.line.appendleft(r)
             self._look_around(r, now)
         else:
@@ -346,8 +361,9 @@
 
     def _call_off(self, r: Request, but: Attempt | None = None) -> None:
         if self.settings.limits.may_cancel:
-            self.actions += [api.Cancel(r.id, i) for i, a in enumerate(r.attempts)
-                             if a.result is None and a is not but]
+            self.actions += [
+                api.Cancel(r.id, i) for i, a in enumerate(r.attempts) if a.result is None and a is not but
+            ]
 
     def _list(self, e: api.ListUpdate, now: int) -> None:
         if e.kind is api.ListKind.FAILED:
@@ -420,8 +436,13 @@
             choices = r.choices() if r.attempts else None
             fresh = [s for s in r.asked if s.heard_ns >= r.asked_ns and fleet.fit(s, now)]
             quick = 4 * (now - r.asked_ns) < self.look_ns  # else time is short here, and questions cost some
-            if (quick and fresh and not r.busy and all(s.ahead(now, 0.0) > 0 for s in fresh)
-                    and self._look_on(r, fresh, now)):
+            if (
+                quick
+                and fresh
+                and not r.busy
+                and all(s.ahead(now, 0.0) > 0 for s in fresh)
+                and self._look_on(r, fresh, now)
+            ):
                 break
             fresh += [s for s in r.busy if fleet.fit(s, now)]
             r.asked = []
--- a/lanelift/decide/fleet.py
+++ b/lanelift/decide/fleet.py
@@ -96,7 +96,7 @@
     def reach(self, now: int) -> None:
         """Others take the places of those that can't be reached, as when their zone is cut off; and one more
         is taken in while the line waits. Not those of crowded ones: beyond its home a proxy draws blindly."""
-        away = sum(s.unreached and now < s.barred_ns + SECOND for s in self.order[:self.width])
+        away = sum(s.unreached and now < s.barred_ns + SECOND for s in self.order[: self.width])
         wanted = min(len(self.order), self.home + away)
         if self.blocked_ns or self.width < wanted:
             self.width = min(len(self.order), max(self.width + 1, wanted))
@@ -124,7 +124,7 @@
 
     def able(self, now: int) -> int:
         """How many within reach are not left alone: what the dead had must not all move to the rest."""
-        return sum(s.barred_ns <= now for s in self.order[:self.width])
+        return sum(s.barred_ns <= now for s in self.order[: self.width])
 
     def pick(self, now: int, allowed: Iterable[Server] | None = None) -> Server | None:
         """The one that will be free first, of two draws and the previous winner; of a few more, where others
@@ -146,8 +146,11 @@
         self.crowding = crowding
         self.rng = rng
         self.servers: dict[int, Server] = {}
-        self.looks = (settings.limits.probes and "inflight" in settings.report_columns
-                      and settings.prices.probe * (LOOKS + 1) <= LOOK_PRICE)
+        self.looks = (
+            settings.limits.probes
+            and "inflight" in settings.report_columns
+            and settings.prices.probe * (LOOKS + 1) <= LOOK_PRICE
+        )
         self.tells = False  # sends are told to those who share their upstream
         self.borne = 0.0  # own attempts a second that a warm upstream is seen to bear
         self.errors = 0.0  # the part of all answers that were errors lately
@@ -179,14 +182,20 @@
                 s.barred_ns = now + int(self.rng.random() * self.cold_gap_ns(s, now))
         for s in list(self.servers.values()):
             self.forget(s)
-        ready = sorted((s for s in self.servers.values() if s.entry.state is api.State.READY),
-                       key=lambda s: (s.rank, s.id))
+        ready = sorted(
+            (s for s in self.servers.values() if s.entry.state is api.State.READY),
+            key=lambda s: (s.rank, s.id),
+        )
         proxies = max(1, self.settings.replicas_of_me)
         for pool in self.pools.values():
             pool.arrange(ready, proxies)
         told = self.main.sharers - 1
-        self.tells = (self.settings.limits.peers and not self.looks and 0 < told <= MOST_TOLD
-                      and self.settings.prices.peer * told * TOLD.size / FULL_MESSAGE <= TOLD_PRICE)
+        self.tells = (
+            self.settings.limits.peers
+            and not self.looks
+            and 0 < told <= MOST_TOLD
+            and self.settings.prices.peer * told * TOLD.size / FULL_MESSAGE <= TOLD_PRICE
+        )
         own = max(1.0, START_WINDOW * len(ready) / proxies)
         self.crowding.begin(own / max(1, self.main.home))
 
@@ -213,8 +222,11 @@
 
     def avoided(self, now: int) -> int:
         """How many listed upstreams get nothing now: they drain, or failed and are left alone for a while."""
-        return sum(s.entry.state is api.State.DRAINING or s.barred_ns > max(now, s.struck_ns + AWAY_NS)
-                   for s in self.servers.values() if s.entry.state is not api.State.GONE)
+        return sum(
+            s.entry.state is api.State.DRAINING or s.barred_ns > max(now, s.struck_ns + AWAY_NS)
+            for s in self.servers.values()
+            if s.entry.state is not api.State.GONE
+        )
 
     def forget(self, s: Server) -> None:
         """What has gone and holds no attempt of ours any more is of no use: in time ids are ever new."""
@@ -276,7 +288,7 @@
             return
         s.strikes += 1
         s.struck_ns = now
-        reach = self.main.order[:self.main.width]
+        reach = self.main.order[: self.main.width]
         if sum(o.barred_ns > now for o in reach) < 0.7 * len(reach):
             length = min(base * 2 ** min(s.strikes - 1, 5), BAR_MAX)
             s.barred_ns = now + int(length * self.rng.uniform(0.75, 1.25))
--- a/lanelift/decide/request.py
+++ b/lanelift/decide/request.py
@@ -62,8 +62,9 @@
 
     def may_refuse(self) -> bool:
         everywhere = self.cls.effect is api.Effect.KEYED and self.cls.scope is api.Scope.ALL
-        return (self.cls.effect is api.Effect.SAFE or everywhere
-                or not any(a.may_have_run for a in self.attempts))
+        return (
+            self.cls.effect is api.Effect.SAFE or everywhere or not any(a.may_have_run for a in self.attempts)
+        )
 
     def choices(self) -> list[Server] | None:
         """Where one that may have run may go again; None: anywhere."""
--- a/lanelift/interface.py
+++ b/lanelift/interface.py
@@ -240,8 +240,18 @@
     name: str
 
 
-Event = (ListUpdate | TenantsUpdate | Arrival | BodyCame | Outcome | AnswerBegun | ClientGone | ProbeResult
-         | PeerMessage | Wake)
+Event = (
+    ListUpdate
+    | TenantsUpdate
+    | Arrival
+    | BodyCame
+    | Outcome
+    | AnswerBegun
+    | ClientGone
+    | ProbeResult
+    | PeerMessage
+    | Wake
+)
 
 # ---- actions -------------------------------------------------------------------------------------------
 
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -79,9 +79,19 @@
         raise Malformed("weight or started_ms is out of range")
     started_ms = int(started_ms)
     started_ns = started_ms * MS + UNIX_TO_MONOTONIC_NS if started_ms else 0
-    return Endpoint(api.Upstream(
-        number_of(need(row, "id", str)), state, maybe(row, "zone", str, ""), maybe(row, "cell", int, 0),
-        weight, started_ns, maybe(row, "kind", str, "")), host, port)
+    return Endpoint(
+        api.Upstream(
+            number_of(need(row, "id", str)),
+            state,
+            maybe(row, "zone", str, ""),
+            maybe(row, "cell", int, 0),
+            weight,
+            started_ns,
+            maybe(row, "kind", str, ""),
+        ),
+        host,
+        port,
+    )
 
 
 def read_list(raw: Any) -> tuple[int, bool, list[Endpoint]]:
@@ -160,8 +170,9 @@
                 begun = True
                 while True:
                     await asyncio.sleep(PACE_S)
-                    await self._call(b"%b?from=%d&hold_ms=%d" % (WHOLE, self.version, hold_ms),
-                                     hold_ms / 1000 + answer_s)
+                    await self._call(
+                        b"%b?from=%d&hold_ms=%d" % (WHOLE, self.version, hold_ms), hold_ms / 1000 + answer_s
+                    )
                     answered = True
             except Exception as error:
                 # The old list stands.
@@ -184,7 +195,8 @@
                 again_s = loop.time() + self.rng.uniform(0.5, 1.0) * AGAIN_S
                 while calls and loop.time() < again_s:
                     done, _ = await asyncio.wait(
-                        calls, timeout=again_s - loop.time(), return_when=asyncio.FIRST_COMPLETED)
+                        calls, timeout=again_s - loop.time(), return_when=asyncio.FIRST_COMPLETED
+                    )
                     for call in done:
                         error = call.exception()
                         calls.remove(call)
@@ -263,7 +275,8 @@
 
     async def _get(self, connection: Connection, target: bytes, wait_s: float) -> Response:
         answer: asyncio.Future[tuple[api.Result, Response | None]] = (
-            asyncio.get_running_loop().create_future())
+            asyncio.get_running_loop().create_future()
+        )
 
         def ended(result: api.Result, response: Response | None) -> None:
             if not answer.done():
--- a/lanelift/net/driver.py
+++ b/lanelift/net/driver.py
@@ -130,8 +130,11 @@
     @property
     def ready(self) -> bool:
         """Can the module serve? It can once a list has named an upstream that is ready."""
-        return not self.tenants_awaited and self.list_awaited is None and any(
-            t.endpoint.entry.state is api.State.READY for t in self.upstreams.targets.values())
+        return (
+            not self.tenants_awaited
+            and self.list_awaited is None
+            and any(t.endpoint.entry.state is api.State.READY for t in self.upstreams.targets.values())
+        )
 
     @property
     def tenants(self) -> Mapping[str, api.Tenant]:
@@ -142,9 +145,13 @@
     def telemetry(self) -> str:
         """The figures, as text."""
         now = time.monotonic_ns()
-        return self.figures.text({
-            "open_requests": self.open, "registry_entries": len(self.upstreams.targets),
-            "out_of_rotation": self.balancer.fleet.avoided(now)})
+        return self.figures.text(
+            {
+                "open_requests": self.open,
+                "registry_entries": len(self.upstreams.targets),
+                "out_of_rotation": self.balancer.fleet.avoided(now),
+            }
+        )
 
     def tenants_awaited_no_more(self) -> None:
         """Nothing is waited for any more: directories have told of tenants, or have taken too long."""
@@ -293,8 +300,8 @@
             case api.Refuse():
                 request = self.requests.get(action.request)
                 if request is not None and self._answer(
-                        request, THROTTLED,
-                        lambda client: client.refused(action.retry_after_ns, action.limited)):
+                    request, THROTTLED, lambda client: client.refused(action.retry_after_ns, action.limited)
+                ):
                     self._forget(action.request)
             case api.Fail():
                 request = self.requests.get(action.request)
@@ -336,8 +343,12 @@
         request.sent += 1
         limits = self.settings.limits
         left = request.arrival.deadline_ns - now
-        legal = (not request.over and left > 0 and number < limits.max_attempts
-                 and request.sent <= (2 if limits.second_copies else 1))
+        legal = (
+            not request.over
+            and left > 0
+            and number < limits.max_attempts
+            and request.sent <= (2 if limits.second_copies else 1)
+        )
 
         attempt = Attempt(self, request, number, action.upstream, now)
         if legal and action.timeout_ns < 0:
@@ -346,11 +357,18 @@
         if legal:
             wait = min(action.timeout_ns or left, left)
             try:
-                outgoing = attempt_request(request.method, request.target, request.headers, request.body,
-                                           max(1, wait // 1_000_000), request.upload)
+                outgoing = attempt_request(
+                    request.method,
+                    request.target,
+                    request.headers,
+                    request.body,
+                    max(1, wait // 1_000_000),
+                    request.upload,
+                )
                 wait_s = None if request.arrival.coming else wait / 1e9
                 request.attempts[number] = self.upstreams.send(
-                    action.upstream, outgoing, wait_s, attempt.ended, self._relayed, attempt, request.upload)
+                    action.upstream, outgoing, wait_s, attempt.ended, self._relayed, attempt, request.upload
+                )
             except Exception:  # it still has its one outcome, below
                 self._blame("an attempt could not start", [action])
         if request.attempts[number] is None:
@@ -381,8 +399,9 @@
             log.exception("request %s: its answer failed", name)
             request.client.abort()
 
-    def attempt_ended(self, attempt: Attempt, result: api.Result, response: Response | None,
-                      report: Report) -> None:
+    def attempt_ended(
+        self, attempt: Attempt, result: api.Result, response: Response | None, report: Report
+    ) -> None:
         request, number, took_ns = attempt.request, attempt.number, attempt.took_ns()
         request.attempts[number] = None
         request.sent -= 1
--- a/lanelift/net/figures.py
+++ b/lanelift/net/figures.py
@@ -24,8 +24,10 @@
         rows = [f"# TYPE {PREFIX}operations_total counter"]
         for name, counts in self.ended.items():
             label = name.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
-            rows += [f'{PREFIX}operations_total{{priority="{label}",status="{status}"}} {count}'
-                     for status, count in counts.items()]
+            rows += [
+                f'{PREFIX}operations_total{{priority="{label}",status="{status}"}} {count}'
+                for status, count in counts.items()
+            ]
         rows += [f"# TYPE {PREFIX}relayed_total counter", f"{PREFIX}relayed_total {self.relayed}"]
         for name, value in gauges.items():
             rows += [f"# TYPE {PREFIX}{name} gauge", f"{PREFIX}{name} {value}"]
--- a/lanelift/net/frontend.py
+++ b/lanelift/net/frontend.py
@@ -67,8 +67,9 @@
 class Frontend:
     """The listening socket and its connections, kept under a cap."""
 
-    def __init__(self, driver: Driver, listener: socket.socket, max_clients: int,
-                 lifecycle: Lifecycle | None = None) -> None:
+    def __init__(
+        self, driver: Driver, listener: socket.socket, max_clients: int, lifecycle: Lifecycle | None = None
+    ) -> None:
         self.driver = driver
         self.lifecycle = lifecycle or Lifecycle()
         self.emptying: asyncio.TimerHandle | None = None  # when connections at rest are ended
@@ -99,8 +100,12 @@
     def _listen(self) -> None:
         if self.stopping:
             self.loop.call_soon(self._stop)  # there may be a place for who still waits
-        elif (not self.listening and not self.closed and self.driver.list_awaited is None
-                and self.lifecycle.takes(self.driver.ready)):
+        elif (
+            not self.listening
+            and not self.closed
+            and self.driver.list_awaited is None
+            and self.lifecycle.takes(self.driver.ready)
+        ):
             self.listening = True
             self.loop.add_reader(self.listener, self._accept)
 
@@ -499,8 +504,9 @@
             self.frontend.busy(self)
         self.driver.arrive(request)
 
-    def _arrival(self, head: Request, headers: Mapping[bytes, bytes], path: str, query: str,
-                 coming: bool) -> api.Arrival:
+    def _arrival(
+        self, head: Request, headers: Mapping[bytes, bytes], path: str, query: str, coming: bool
+    ) -> api.Arrival:
         settings = self.driver.settings
         first = unquote(path.strip("/").partition("/")[0])
         name = text(headers[b"x-class"]) if b"x-class" in headers else first
@@ -529,9 +535,16 @@
             deadline = min(deadline, time.monotonic_ns() + int(left_s * 1e9))
         key = parse_qs(query).get("obj", [""])[0] if "obj=" in query else ""
         return api.Arrival(
-            request, name, self.driver.tenant_name(text(headers.get(b"x-tenant", b""))),
-            deadline, _whole_number(headers, b"x-cost-hint", 0) * US, key,
-            headers.get(b"x-retry") == b"1", self.asked_ns, coming)
+            request,
+            name,
+            self.driver.tenant_name(text(headers.get(b"x-tenant", b""))),
+            deadline,
+            _whole_number(headers, b"x-cost-hint", 0) * US,
+            key,
+            headers.get(b"x-retry") == b"1",
+            self.asked_ns,
+            coming,
+        )
 
     # ---- out ---------------------------------------------------------------------------------------------
 
@@ -597,8 +610,12 @@
 
     def _head(self, status: int, rows: Headers, last: bool, served: bool, body: bytes = b"") -> None:
         """Write an answer's head, and say in it whether it is the last one here."""
-        self.last = (last or not self.keep_alive or self.frontend.lifecycle.last
-                     or self.frontend.crowded(FULL if served else CROWDED))
+        self.last = (
+            last
+            or not self.keep_alive
+            or self.frontend.lifecycle.last
+            or self.frontend.crowded(FULL if served else CROWDED)
+        )
         if self.last:
             rows = [*rows, (b"Connection", b"close")]
         self._write(message(status_line(status), rows, body))
--- a/lanelift/net/http.py
+++ b/lanelift/net/http.py
@@ -15,9 +15,21 @@
 from lanelift.net.kernel import bound_buffers, end, received
 from lanelift.net.parse import MAX_BODY, Response, ResponseReader
 
-HOP_BY_HOP = frozenset({b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization",
-                        b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-                        b"content-length", b"expect"})
+HOP_BY_HOP = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+    }
+)
 READ = memoryview(bytearray(64 * 1024))  # one read; shared, as each is taken in before the next
 HELD_S = 0.02  # an answer that does not tell its length is held for so long: a short one is whole by then
 # While an answer is passed on: an upstream that says nothing for so long has gone (the longest standstill
@@ -34,8 +46,9 @@
 def end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
     """The headers that a proxy passes on: not those of the connection, nor of the body's framing."""
     rows = list(headers)
-    named = {token.strip().lower()
-             for name, value in rows if name == b"connection" for token in value.split(b",")}
+    named = {
+        token.strip().lower() for name, value in rows if name == b"connection" for token in value.split(b",")
+    }
     return [(name, value) for name, value in rows if name not in HOP_BY_HOP and name not in named]
 
 
@@ -97,13 +110,35 @@
     but `SILENT_S` and `UNREAD_S`, and OK comes with a response that has no body.
     """
 
-    __slots__ = ("request", "max_body", "done", "written", "connection", "timer", "unread_ns", "left",
-                 "passing", "upload", "begun", "held", "moved_s", "owed_s", "size", "mark",
-                 "doubtful_s")
-
-    def __init__(self, request: bytes, done: Callable[[Result, Response | None], None],
-                 max_body: int = MAX_BODY, left: Callable[[], None] | None = None,
-                 passing: Passing | None = None, upload: Upload | None = None) -> None:
+    __slots__ = (
+        "request",
+        "max_body",
+        "done",
+        "written",
+        "connection",
+        "timer",
+        "unread_ns",
+        "left",
+        "passing",
+        "upload",
+        "begun",
+        "held",
+        "moved_s",
+        "owed_s",
+        "size",
+        "mark",
+        "doubtful_s",
+    )
+
+    def __init__(
+        self,
+        request: bytes,
+        done: Callable[[Result, Response | None], None],
+        max_body: int = MAX_BODY,
+        left: Callable[[], None] | None = None,
+        passing: Passing | None = None,
+        upload: Upload | None = None,
+    ) -> None:
         self.request = request
         self.upload = upload  # its body, where that is not part of `request`
         self.left = left  # told once, when its last byte has left
--- a/lanelift/net/operator.py
+++ b/lanelift/net/operator.py
@@ -50,8 +50,11 @@
         self.callers: dict[Caller, None] = {}  # the longest first
         self.server: asyncio.Server | None = None
         self.calls: dict[bytes, tuple[bytes, Callable[[], Answer]]] = {
-            b"/api/ready": (b"GET", self._ready), b"/api/telemetry": (b"GET", self._telemetry),
-            b"/api/evacuate": (b"POST", self._evacuate), b"/api/rejoin": (b"POST", self._rejoin)}
+            b"/api/ready": (b"GET", self._ready),
+            b"/api/telemetry": (b"GET", self._telemetry),
+            b"/api/evacuate": (b"POST", self._evacuate),
+            b"/api/rejoin": (b"POST", self._rejoin),
+        }
         if fleet is not None:
             self.calls[b"/api/leases"] = b"GET", self._leases
 
--- a/lanelift/net/parse.py
+++ b/lanelift/net/parse.py
@@ -22,8 +22,20 @@
 Headers = Sequence[tuple[bytes, bytes]]
 
 # Of these one decides and the other might be believed further on: a request that repeats one is ambiguous.
-SINGLE = frozenset({b"host", b"content-length", b"transfer-encoding", b"idempotency-key", b"x-request-id",
-                    b"x-class", b"x-tenant", b"x-deadline-ms", b"x-retry", b"x-cost-hint"})
+SINGLE = frozenset(
+    {
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"idempotency-key",
+        b"x-request-id",
+        b"x-class",
+        b"x-tenant",
+        b"x-deadline-ms",
+        b"x-retry",
+        b"x-cost-hint",
+    }
+)
 
 
 class Unacceptable(Exception):
@@ -283,8 +295,13 @@
     def untold(self) -> bool:
         """A whole head is there, of an answer whose length can't be known before its end."""
         head = self.head
-        return (head is not None and head.complete and self.fault is None and self.passing is None
-                and not any(name == b"content-length" for name, _ in head.headers))
+        return (
+            head is not None
+            and head.complete
+            and self.fault is None
+            and self.passing is None
+            and not any(name == b"content-length" for name, _ in head.headers)
+        )
 
     def end(self) -> None:
         """The connection has ended: with it an answer that is told no other way."""
--- a/lanelift/net/peers.py
+++ b/lanelift/net/peers.py
@@ -20,8 +20,9 @@
     """The socket is read and written as it is: a datagram transport takes 256 KiB for each message it reads,
     and where each request tells a few others of itself, that was a third of what the messages cost."""
 
-    def __init__(self, driver: Driver, own: Address, peers: Sequence[Address],
-                 everyone: Address | None) -> None:
+    def __init__(
+        self, driver: Driver, own: Address, peers: Sequence[Address], everyone: Address | None
+    ) -> None:
         self.driver = driver
         self.peers = peers
         self.everyone = everyone
--- a/lanelift/net/upstream.py
+++ b/lanelift/net/upstream.py
@@ -128,9 +128,16 @@
 
     # ---- attempts and probes -----------------------------------------------------------------------------
 
-    def send(self, number: int, request: bytes, timeout_s: float | None, done: Done,
-             left: Callable[[], None] | None = None, passing: Passing | None = None,
-             upload: Upload | None = None) -> Exchange | None:
+    def send(
+        self,
+        number: int,
+        request: bytes,
+        timeout_s: float | None,
+        done: Done,
+        left: Callable[[], None] | None = None,
+        passing: Passing | None = None,
+        upload: Upload | None = None,
+    ) -> Exchange | None:
         """Start one attempt; None if there is no such upstream. The outcome never comes within this call.
         `left` hears when its last byte was written, `passing` takes an answer that is too long to be held,
         and a body that is brings its own `upload`. `timeout_s` None: no time-out runs yet."""
@@ -229,8 +236,7 @@
         target.coming.add(exchange)
         try:
             async with asyncio.timeout(self.connect_timeout):
-                await loop.create_connection(
-                    lambda: connection, target.endpoint.host, target.endpoint.port)
+                await loop.create_connection(lambda: connection, target.endpoint.host, target.endpoint.port)
         except Exception as error:  # OSError, and whatever an address that is none may raise
             if connection.transport is None:
                 self.connections -= 1
@@ -267,8 +273,9 @@
 
     def _watch_idle(self, target: Target) -> None:
         """One timer for each upstream that has idle connections, set for the oldest of them."""
-        target.timer = asyncio.get_running_loop().call_at(target.idle[0].idle_since + self.idle_s,
-                                                          self._sweep, target)
+        target.timer = asyncio.get_running_loop().call_at(
+            target.idle[0].idle_since + self.idle_s, self._sweep, target
+        )
 
     def _sweep(self, target: Target) -> None:
         # A request written to a connection that the upstream is just closing ends as a reset, and may have
@@ -297,8 +304,9 @@
 
     def _make_room(self) -> bool:
         """At the cap: close the connection that has been idle longest."""
-        oldest = min((t.idle[0] for t in self.targets.values() if t.idle),
-                     key=lambda c: c.idle_since, default=None)
+        oldest = min(
+            (t.idle[0] for t in self.targets.values() if t.idle), key=lambda c: c.idle_since, default=None
+        )
         if oldest is None:
             return False
         oldest.abort()
@@ -354,13 +362,17 @@
     return report or None
 
 
-def attempt_request(method: bytes, target: bytes, headers: Headers, body: bytes, wait_ms: int,
-                    upload: Upload | None = None) -> bytes:
+def attempt_request(
+    method: bytes, target: bytes, headers: Headers, body: bytes, wait_ms: int, upload: Upload | None = None
+) -> bytes:
     """The client's request as it goes on: with its own length, and how long this balancer will wait."""
     rows = [*headers, (b"X-Deadline-Ms", b"%d" % wait_ms)]
     if upload is not None:
-        rows.append((b"Transfer-Encoding", b"chunked") if upload.length is None
-                    else (b"Content-Length", b"%d" % upload.length))
+        rows.append(
+            (b"Transfer-Encoding", b"chunked")
+            if upload.length is None
+            else (b"Content-Length", b"%d" % upload.length)
+        )
     elif body or method not in (b"GET", b"HEAD"):
         rows.append((b"Content-Length", b"%d" % len(body)))
     return message(b"%b %b HTTP/1.1" % (method, target), rows, body)
--- a/lanelift/wirehost.py
+++ b/lanelift/wirehost.py
@@ -18,9 +18,16 @@
 from lanelift.decide import Balancer
 from lanelift.settings import Json, Malformed, maybe, need, read_settings, typed, word
 
-RESULTS = {"delivered": api.Result.OK, "app_error": api.Result.ERROR, "shed": api.Result.FULL,
-           "expired": api.Result.TIMEOUT, "dial_failed": api.Result.CONNECT_FAILED,
-           "dropped": api.Result.RESET, "revoked": api.Result.CANCELLED, "unused": api.Result.MOOT}
+RESULTS = {
+    "delivered": api.Result.OK,
+    "app_error": api.Result.ERROR,
+    "shed": api.Result.FULL,
+    "expired": api.Result.TIMEOUT,
+    "dial_failed": api.Result.CONNECT_FAILED,
+    "dropped": api.Result.RESET,
+    "revoked": api.Result.CANCELLED,
+    "unused": api.Result.MOOT,
+}
 STATES = {0: api.State.GONE, 1: api.State.READY, 2: api.State.DRAINING}
 LISTS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
 
@@ -28,16 +35,27 @@
 def read_upstream(row: Any) -> api.Upstream:
     row = typed(row, "rows_in", dict)
     return api.Upstream(
-        need(row, "upstream", int), word(row, "availability", STATES, 1), maybe(row, "locality", str, ""),
-        maybe(row, "cohort", int, 0), maybe(row, "scale", float, 1.0), maybe(row, "up_since_ns", int, 0),
-        maybe(row, "class_of_host", str, ""))
+        need(row, "upstream", int),
+        word(row, "availability", STATES, 1),
+        maybe(row, "locality", str, ""),
+        maybe(row, "cohort", int, 0),
+        maybe(row, "scale", float, 1.0),
+        maybe(row, "up_since_ns", int, 0),
+        maybe(row, "class_of_host", str, ""),
+    )
 
 
 def _arrival(e: Json) -> api.Event:
     group = e.get("user_group") or ""  # a site with no tenants may send 0
-    return api.Arrival(need(e, "ticket", str), need(e, "kind", str), typed(group, "user_group", str),
-                       need(e, "deadline_ns", int), maybe(e, "cost_guess_ns", int, 0),
-                       maybe(e, "entity", str, ""), maybe(e, "resent", bool, False))
+    return api.Arrival(
+        need(e, "ticket", str),
+        need(e, "kind", str),
+        typed(group, "user_group", str),
+        need(e, "deadline_ns", int),
+        maybe(e, "cost_guess_ns", int, 0),
+        maybe(e, "entity", str, ""),
+        maybe(e, "resent", bool, False),
+    )
 
 
 def _report(e: Json) -> Mapping[str, float] | None:
@@ -46,19 +64,27 @@
 
 
 def _outcome(e: Json) -> api.Event:
-    return api.Outcome(need(e, "ticket", str), need(e, "attempt", int), need(e, "upstream", int),
-                       word(e, "result", RESULTS), maybe(e, "took_ns", int, 0),
-                       maybe(e, "complete", bool, False), _report(e))
+    return api.Outcome(
+        need(e, "ticket", str),
+        need(e, "attempt", int),
+        need(e, "upstream", int),
+        word(e, "result", RESULTS),
+        maybe(e, "took_ns", int, 0),
+        maybe(e, "complete", bool, False),
+        _report(e),
+    )
 
 
 def _begun(e: Json) -> api.Event:
-    return api.AnswerBegun(need(e, "ticket", str), need(e, "attempt", int), need(e, "upstream", int),
-                           maybe(e, "took_ns", int, 0))
+    return api.AnswerBegun(
+        need(e, "ticket", str), need(e, "attempt", int), need(e, "upstream", int), maybe(e, "took_ns", int, 0)
+    )
 
 
 def _probed(e: Json) -> api.Event:
-    return api.ProbeResult(need(e, "upstream", int), word(e, "result", RESULTS),
-                           maybe(e, "took_ns", int, 0), _report(e))
+    return api.ProbeResult(
+        need(e, "upstream", int), word(e, "result", RESULTS), maybe(e, "took_ns", int, 0), _report(e)
+    )
 
 
 def _message(e: Json) -> api.Event:
@@ -79,8 +105,12 @@
     "message": _message,
 }
 WRITE: dict[type, Callable[[Any], Json]] = {
-    api.Send: lambda a: {"t": "submit_to", "ticket": a.request, "upstream": a.upstream,
-                         "timeout_ns": a.timeout_ns},
+    api.Send: lambda a: {
+        "t": "submit_to",
+        "ticket": a.request,
+        "upstream": a.upstream,
+        "timeout_ns": a.timeout_ns,
+    },
     api.Refuse: lambda a: {"t": "push_back", "ticket": a.request, "backoff_ns": a.retry_after_ns},
     api.Fail: lambda a: {"t": "finish_error", "ticket": a.request},
     api.Cancel: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
--- a/tests/decide/book.py
+++ b/tests/decide/book.py
@@ -19,8 +19,9 @@
 PAY = api.RequestClass("pay", api.Effect.UNSAFE, aim_ns=300 * MS)
 CELL = api.RequestClass("cell", api.Effect.KEYED, api.Scope.CELL, window_ns=400 * MS, aim_ns=300 * MS)
 ANY = api.RequestClass("any", api.Effect.KEYED, api.Scope.ALL, window_ns=400 * MS, aim_ns=300 * MS)
-ROW = api.RequestClass("row", api.Effect.KEYED, api.Scope.CELL, window_ns=400 * MS, aim_ns=300 * MS,
-                       in_order=True)
+ROW = api.RequestClass(
+    "row", api.Effect.KEYED, api.Scope.CELL, window_ns=400 * MS, aim_ns=300 * MS, in_order=True
+)
 WEST = api.RequestClass("west", api.Effect.SAFE, aim_ns=300 * MS, zones=frozenset({"west"}))
 BIG = api.RequestClass("big", api.Effect.UNSAFE, aim_ns=300 * MS, kinds=frozenset({"big"}))
 MAY_STILL_RUN = (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED)
@@ -43,12 +44,21 @@
 
 def places(count: int) -> list[api.Upstream]:
     """Upstreams in two zones and of two kinds, by turns."""
-    return [u._replace(zone=("east", "west")[u.id % 2], kind=("big", "small")[u.id // 2 % 2])
-            for u in upstreams(count)]
-
-
-def arrival(number: int | str, now: int, cls: api.RequestClass = READ, tenant: str = "ash",
-            wait_ns: int = 500 * MS, retry: bool = False, key: str = "") -> api.Arrival:
+    return [
+        u._replace(zone=("east", "west")[u.id % 2], kind=("big", "small")[u.id // 2 % 2])
+        for u in upstreams(count)
+    ]
+
+
+def arrival(
+    number: int | str,
+    now: int,
+    cls: api.RequestClass = READ,
+    tenant: str = "ash",
+    wait_ns: int = 500 * MS,
+    retry: bool = False,
+    key: str = "",
+) -> api.Arrival:
     return api.Arrival(f"r{number}", cls.name, tenant, now + wait_ns, key=key, retry=retry)
 
 
@@ -59,10 +69,11 @@
         if age >= rules.cold_ns:
             continue
         part = rules.cold_from + (1 - rules.cold_from) * age / rules.cold_ns
-        count = sum(last - rules.overload_for_ns < t <= last for t in sends[:i + 1])
+        count = sum(last - rules.overload_for_ns < t <= last for t in sends[: i + 1])
         most = rules.fall_multiple * part * warm_per_s * rules.overload_for_ns / SECOND + 2
         assert count <= most, f"{count} sends to a cold upstream, {most:.1f} at most"
 
+
 FOREVER = 1 << 62
 
 
@@ -121,8 +132,9 @@
         return seen
 
     def out(self) -> list[tuple[str, int]]:
-        return [(r, i) for r, sent in self.sends.items() for i in range(len(sent))
-                if (r, i) not in self.results]
+        return [
+            (r, i) for r, sent in self.sends.items() for i in range(len(sent)) if (r, i) not in self.results
+        ]
 
     def uploads(self, request: str) -> bool:
         return request in self.coming and any(r == request for r, _ in self.out())
@@ -177,16 +189,22 @@
             self.list |= {u.id: u for u in e.upstreams}
 
     def _risky(self, request: str) -> list[tuple[api.Upstream, int]]:
-        return [s for i, s in enumerate(self.sends.get(request, []))
-                if self.results.get((request, i)) not in api.NEVER_RAN]
+        return [
+            s
+            for i, s in enumerate(self.sends.get(request, []))
+            if self.results.get((request, i)) not in api.NEVER_RAN
+        ]
 
     def _action(self, a: api.Action) -> None:
         if isinstance(a, api.Send):
             self._send(a)
         elif isinstance(a, api.Refuse):
             cls, risky = self.cls[a.request], self._risky(a.request)
-            harmless = cls.effect is api.Effect.SAFE or not risky or (
-                cls.effect is api.Effect.KEYED and cls.scope is api.Scope.ALL)
+            harmless = (
+                cls.effect is api.Effect.SAFE
+                or not risky
+                or (cls.effect is api.Effect.KEYED and cls.scope is api.Scope.ALL)
+            )
             assert harmless, f"{a.request} refused though it may have run"
             self._final(a.request, "refused")
             assert 0 <= a.retry_after_ns <= self.config.limits.max_retry_after_ns
@@ -204,7 +222,7 @@
 
     def _turn(self, request: str) -> None:
         for row in self.rows.values():
-            for earlier in row[:row.index(request)] if request in row else ():
+            for earlier in row[: row.index(request)] if request in row else ():
                 over = earlier in self.answer or earlier in self.told_over
                 assert over, f"{request} sent before {earlier}, taken earlier, is over"
                 assert earlier not in {r for r, _ in self.out()}, f"{request} sent while {earlier} is out"
--- a/tests/decide/day.py
+++ b/tests/decide/day.py
@@ -161,9 +161,7 @@
                 case api.Tell():
                     self.messages += 1
                     if self.rng.random() >= self.lost:
-                        self.at(
-                            self.now + PEER_NS, "heard", (action.peer, api.PeerMessage(me, action.data))
-                        )
+                        self.at(self.now + PEER_NS, "heard", (action.peer, api.PeerMessage(me, action.data)))
                 case api.Refuse() | api.Fail():
                     assert action.request not in self.over, f"{action.request} answered twice"
                     self.over.add(action.request)
@@ -173,4 +171,3 @@
     def share(self, tenant: str) -> float:
         """Served of what the tenant asked."""
         return self.answers[tenant, "served"] / max(1, self.answers[tenant, "asked"])
-
--- a/tests/decide/test_module.py
+++ b/tests/decide/test_module.py
@@ -36,8 +36,11 @@
 def test_reads_no_clock_and_no_unseeded_chance() -> None:
     text = "\n".join(LINES)
     assert "import time" not in text and "from time" not in text
-    assert not [line for line in LINES if "random." in line and "random.Random" not in line
-                and "rng.random" not in line]
+    assert not [
+        line
+        for line in LINES
+        if "random." in line and "random.Random" not in line and "rng.random" not in line
+    ]
 
 
 def test_the_example_of_the_readme_runs(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/decide/test_rules.py
+++ b/tests/decide/test_rules.py
@@ -51,8 +51,9 @@
 
 def test_all_draining_is_refused_in_time() -> None:
     desk = Desk()
-    desk.give(api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING)
-                                                  for u in upstreams(6)]))
+    desk.give(
+        api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING) for u in upstreams(6)])
+    )
     desk.give(arrival(1, desk.now, PAY))
     desk.advance(600 * MS)
     assert desk.answer["r1"] == "refused" and "r1" not in desk.sends
@@ -117,8 +118,9 @@
 
 def test_drained_upstream_gets_nothing_new() -> None:
     desk = Desk()
-    desk.give(api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING)
-                                                  for u in upstreams(5)]))
+    desk.give(
+        api.ListUpdate(api.ListKind.DELTA, [u._replace(state=api.State.DRAINING) for u in upstreams(5)])
+    )
     for i in range(20):
         desk.give(arrival(i, desk.now))
         desk.advance(20 * MS)
@@ -289,7 +291,7 @@
 def home_of(me: int, proxies: int, listed: list[api.Upstream]) -> set[int]:
     b = Balancer(settings(me=me, replicas_of_me=proxies), 1, START)
     b.handle(START, [api.ListUpdate(api.ListKind.FULL, listed)])
-    return {s.id for s in b.fleet.main.order[:b.fleet.main.home]}
+    return {s.id for s in b.fleet.main.order[: b.fleet.main.home]}
 
 
 def test_every_upstream_is_in_some_home() -> None:
@@ -404,8 +406,9 @@
 def test_a_tenant_over_its_share_is_found_out() -> None:
     desk = Desk(settings(replicas_of_me=20), servers=1)
     for i in range(600):
-        desk.give(*(arrival(f"{i}-{j}", desk.now, tenant="birch" if i % 10 == j == 0 else "ash")
-                    for j in range(3)))
+        desk.give(
+            *(arrival(f"{i}-{j}", desk.now, tenant="birch" if i % 10 == j == 0 else "ash") for j in range(3))
+        )
         desk.advance(5 * MS)
         for request, number in desk.out():
             if desk.now - desk.sends[request][number][1] >= 50 * MS:
@@ -457,7 +460,8 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "bad"), [(api.Result.RESET, 1), (api.Result.TIMEOUT, 1), (api.Result.CANCELLED, 0)])
+    ("result", "bad"), [(api.Result.RESET, 1), (api.Result.TIMEOUT, 1), (api.Result.CANCELLED, 0)]
+)
 def test_a_break_behind_the_beginning_is_not_sent_again(result: api.Result, bad: int) -> None:
     desk = Desk(settings(limits=api.Limits(max_attempts=3)), servers=4)
     desk.give(arrival(1, desk.now))
@@ -548,8 +552,13 @@
     desk.give(arrival(1, desk.now, tenant=""))
     desk.finish("r1")
     b = Balancer(api.Settings(), 1, START)
-    b.handle(START, [api.ListUpdate(api.ListKind.FULL, upstreams(2)),
-                     api.Arrival("x", "never-named", "nobody", START + SECOND)])
+    b.handle(
+        START,
+        [
+            api.ListUpdate(api.ListKind.FULL, upstreams(2)),
+            api.Arrival("x", "never-named", "nobody", START + SECOND),
+        ],
+    )
 
 
 def test_retry_after_is_jittered() -> None:
@@ -567,19 +576,32 @@
 @given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
 def test_random_days_keep_the_rules(seed: int, copies: bool, push: bool, servers: int) -> None:
     rng = random.Random(seed)
-    limits = api.Limits(max_attempts=rng.choice([1, 2, 3, 5]), second_copies=copies,
-                        may_cancel=rng.random() < 0.7, retry_after=True, probes=True, peers=True)
-    desk = Desk(settings(limits=limits, discovery_push=push, replicas_of_me=rng.choice([1, 3, 40])),
-                seed, servers)
+    limits = api.Limits(
+        max_attempts=rng.choice([1, 2, 3, 5]),
+        second_copies=copies,
+        may_cancel=rng.random() < 0.7,
+        retry_after=True,
+        probes=True,
+        peers=True,
+    )
+    desk = Desk(
+        settings(limits=limits, discovery_push=push, replicas_of_me=rng.choice([1, 3, 40])), seed, servers
+    )
     pool = places(servers)
     desk.give(api.ListUpdate(api.ListKind.FULL, pool))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
             cls = rng.choice([READ, PAY, CELL, ANY, ROW, ROW, WEST, BIG])
             ident = f"{number}-{rng.random()}"
-            came = arrival(ident, desk.now, cls, rng.choice(["ash", "birch"]),
-                           rng.choice([2, 40, 300, 900]) * MS, rng.random() < 0.2,
-                           rng.choice(["", "k1", "k2"]))
+            came = arrival(
+                ident,
+                desk.now,
+                cls,
+                rng.choice(["ash", "birch"]),
+                rng.choice([2, 40, 300, 900]) * MS,
+                rng.random() < 0.2,
+                rng.choice(["", "k1", "k2"]),
+            )
             desk.give(came._replace(coming=rng.random() < 0.2))
         for request, attempt in desk.out():
             if rng.random() < 0.1 and request not in desk.answer and request not in desk.begun:
@@ -655,8 +677,12 @@
 
 def test_one_key_runs_one_at_a_time_and_other_keys_go_on() -> None:
     desk = Desk()
-    desk.give(arrival(1, desk.now, ROW, key="k"), arrival(2, desk.now, ROW, key="k"),
-              arrival(3, desk.now, ROW, key="other"), arrival(4, desk.now, ROW))
+    desk.give(
+        arrival(1, desk.now, ROW, key="k"),
+        arrival(2, desk.now, ROW, key="k"),
+        arrival(3, desk.now, ROW, key="other"),
+        arrival(4, desk.now, ROW),
+    )
     for number in (1, 3, 4):
         desk.advance(10 * MS)
         desk.finish(f"r{number}")
@@ -664,8 +690,10 @@
     assert list(desk.sends) == ["r1", "r3", "r4", "r2"] or list(desk.sends) == ["r1", "r3", "r2", "r4"]
 
 
-@pytest.mark.parametrize(("result", "rests"), [
-    (api.Result.OK, False), (api.Result.ERROR, False), (api.Result.RESET, True), (api.Result.TIMEOUT, True)])
+@pytest.mark.parametrize(
+    ("result", "rests"),
+    [(api.Result.OK, False), (api.Result.ERROR, False), (api.Result.RESET, True), (api.Result.TIMEOUT, True)],
+)
 def test_a_key_rests_only_after_what_may_still_run(result: api.Result, rests: bool) -> None:
     limits = api.Limits(max_attempts=1)
     desk = Desk(settings(limits=limits))
@@ -898,7 +926,7 @@
 def test_what_was_out_when_an_upstream_stood_still_is_one_strike_and_the_next_attempt_another() -> None:
     desk = Desk(servers=1)
     fleet = desk.balancer.fleet
-    server, = fleet.servers.values()
+    (server,) = fleet.servers.values()
     sent = desk.now
     for late_ms in (100, 300, 500):  # each after the time for which the one before it had it left alone
         fleet.bar(Attempt(server, sent, 1.0, 1.0), sent + late_ms * MS, 10 * MS)
@@ -919,7 +947,8 @@
 
 @pytest.mark.parametrize(("stress", "kept"), [(0.1, True), (0.9, False)])
 def test_a_rush_that_was_turned_away_brings_the_rate_down_only_where_upstreams_are_slow(
-        stress: float, kept: bool) -> None:
+    stress: float, kept: bool
+) -> None:
     # A start in which nearly all were refused left R at what little was sent, for seconds.
     desk = Desk()
     rate = desk.balancer.rate
--- a/tests/decide/test_side_by_side.py
+++ b/tests/decide/test_side_by_side.py
@@ -31,8 +31,14 @@
     while now < 4:
         now += rng.expovariate(150)
         who = rng.choice(("ash", "elm", "nobody"))
-        made.arrive(int(now * SECOND), who, int(rng.lognormvariate(3.5, 0.6) * MS), "quote", 400 * MS,
-                    rng.randrange(config.replicas_of_me))
+        made.arrive(
+            int(now * SECOND),
+            who,
+            int(rng.lognormvariate(3.5, 0.6) * MS),
+            "quote",
+            400 * MS,
+            rng.randrange(config.replicas_of_me),
+        )
     return made
 
 
--- a/tests/decide/test_throttle.py
+++ b/tests/decide/test_throttle.py
@@ -72,8 +72,9 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.integers(2, 8), st.data(), STEPS)
-def test_overflow_depends_on_the_sum_of_the_capacities_only(total: int, data: st.DataObject,
-                                                             steps: list[int]) -> None:
+def test_overflow_depends_on_the_sum_of_the_capacities_only(
+    total: int, data: st.DataObject, steps: list[int]
+) -> None:
     a, b = (data.draw(st.integers(1, total)) for _ in "ab")
     u = data.draw(st.integers(max(a, b), total))
     assert play(throttle(total - a, a, u), steps)[:2] == play(throttle(total - b, b, u), steps)[:2]
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -28,10 +28,13 @@
 TEST_S = 60.0
 CLASSES = {
     "quote": api.RequestClass("quote", api.Effect.SAFE, aim_ns=2 * SECOND, deadline_ns=3 * SECOND),
-    "pay": api.RequestClass("pay", api.Effect.UNSAFE, aim_ns=2 * SECOND, deadline_ns=3 * SECOND)}
+    "pay": api.RequestClass("pay", api.Effect.UNSAFE, aim_ns=2 * SECOND, deadline_ns=3 * SECOND),
+}
 SETTINGS = api.Settings(
-    classes=CLASSES, tenants={"ash": api.Tenant("ash")},
-    limits=api.Limits(max_attempts=1, may_cancel=True, retry_after=True, peers=True))
+    classes=CLASSES,
+    tenants={"ash": api.Tenant("ash")},
+    limits=api.Limits(max_attempts=1, may_cancel=True, retry_after=True, peers=True),
+)
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
@@ -117,8 +120,12 @@
 
     def requested(self, request: http.Request) -> None:
         link = request.connection
-        message = Message([request.method, request.target, "HTTP/1.1"], request.headers, request.body,
-                          self.links.index(link) + 1)
+        message = Message(
+            [request.method, request.target, "HTTP/1.1"],
+            request.headers,
+            request.body,
+            self.links.index(link) + 1,
+        )
         self.seen.append(message)
         self.poke()
         task = asyncio.create_task(self._answer(message, link))
@@ -157,8 +164,17 @@
         return reply
 
     def row(self, state: str = "Ready", started_ms: int = 0) -> Json:
-        return {"id": self.name, "addr": f"127.0.0.1:{self.port}", "zone": "east", "kind": "m", "cell": 1,
-                "state": state, "weight": 1.0, "started_ms": started_ms, "later": {"unknown": 1}}
+        return {
+            "id": self.name,
+            "addr": f"127.0.0.1:{self.port}",
+            "zone": "east",
+            "kind": "m",
+            "cell": 1,
+            "state": state,
+            "weight": 1.0,
+            "started_ms": started_ms,
+            "later": {"unknown": 1},
+        }
 
 
 class FakeDiscovery(Scripted):
@@ -204,10 +220,23 @@
     async def to(cls, address: tuple[str, int]) -> Client:
         return cls(*await asyncio.open_connection(*address))
 
-    def send(self, name: str, kind: str = "quote", method: str = "GET", body: bytes = b"", path: str = "",
-             **headers: object) -> None:
-        rows = {"Host": "origin.svc", "X-Request-Id": name, "X-Class": kind, "X-Tenant": "ash",
-                "X-Deadline-Ms": 3000, **{key.replace("_", "-"): value for key, value in headers.items()}}
+    def send(
+        self,
+        name: str,
+        kind: str = "quote",
+        method: str = "GET",
+        body: bytes = b"",
+        path: str = "",
+        **headers: object,
+    ) -> None:
+        rows = {
+            "Host": "origin.svc",
+            "X-Request-Id": name,
+            "X-Class": kind,
+            "X-Tenant": "ash",
+            "X-Deadline-Ms": 3000,
+            **{key.replace("_", "-"): value for key, value in headers.items()},
+        }
         if body:
             rows["Content-Length"] = len(body)
         lines = "".join(f"{key}: {value}\r\n" for key, value in rows.items() if value is not None)
@@ -274,8 +303,9 @@
         return [action for event in events for action in type(self).acts(event)]
 
 
-def puppet(monkeypatch: pytest.MonkeyPatch, heard: Heard,
-           acts: Callable[[api.Event, int], list[api.Action]]) -> None:
+def puppet(
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, acts: Callable[[api.Event, int], list[api.Action]]
+) -> None:
     """Have `acts` decide: it gets the event and the number of the first upstream listed."""
     known: list[int] = []
 
@@ -327,8 +357,13 @@
 
 
 @asynccontextmanager
-async def world(count: int = 1, settings: api.Settings = SETTINGS, sockets: int = 1024,
-                operators: socket.socket | None = None, **config: Any) -> AsyncIterator[World]:
+async def world(
+    count: int = 1,
+    settings: api.Settings = SETTINGS,
+    sockets: int = 1024,
+    operators: socket.socket | None = None,
+    **config: Any,
+) -> AsyncIterator[World]:
     upstreams = [FakeUpstream(f"s-{i}") for i in range(count)]
     for upstream in upstreams:
         await upstream.start()
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -49,8 +49,10 @@
 
 
 def test_who_waits_in_the_backlog_at_sigterm_with_all_places_taken_is_answered(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """They wait there for as long as requests are open; closing the listener would reset them."""
+
     async def test() -> None:
         async with ending(monkeypatch, sockets=TWO_PLACES) as (w, stopped):
             go_on = asyncio.Event()
@@ -81,7 +83,8 @@
 
 
 def test_who_waits_at_a_shared_address_at_sigterm_is_left_to_the_next_process(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     listeners: list[socket.socket] = []
     fronts: list[Frontend] = []
     made = Frontend.__init__
@@ -120,7 +123,8 @@
 
 
 def test_who_waits_in_the_backlog_at_sigterm_behind_some_that_have_left_is_answered(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """They are as many as there are places, so all of these are free, and no end of a client is to come."""
     monkeypatch.setattr(discovery, "START_S", 2 * TEST_S)
 
@@ -142,7 +146,8 @@
 
 @pytest.mark.parametrize("rest", [True, False])
 def test_who_waits_in_the_backlog_at_sigterm_is_answered_though_the_places_are_taken_by_who_says_nothing(
-        monkeypatch: pytest.MonkeyPatch, rest: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, rest: bool
+) -> None:
     monkeypatch.setattr(frontend, "ROOM", ((Phase.IDLE, 2 * TEST_S), (Phase.NEW, 2 * TEST_S)))
     for phase in Phase:
         monkeypatch.setitem(frontend.LIMIT_S, phase, 2 * TEST_S)
@@ -164,7 +169,8 @@
 
 
 def test_who_waits_in_the_backlog_at_sigterm_for_want_of_descriptors_is_answered(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         async with ending(monkeypatch) as (w, stopped):
             accept = socket.socket.accept
@@ -190,7 +196,8 @@
 
 @pytest.mark.parametrize("when", ["before", "behind"])
 def test_bytes_that_come_as_a_connection_is_ended_do_not_take_its_last_answer_along(
-        monkeypatch: pytest.MonkeyPatch, when: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, when: str
+) -> None:
     """A close over unread bytes resets the connection. They come before the end is begun, or behind that."""
     leave = ClientConnection._leave
     peers: list[socket.socket] = []
@@ -219,7 +226,8 @@
 
 
 def test_a_client_that_does_not_close_behind_its_last_answer_is_closed(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setitem(frontend.LIMIT_S, Phase.LEAVING, 0.0)
 
     async def test() -> None:
@@ -238,7 +246,8 @@
 
 @pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 70_000])
 def test_what_would_wait_beyond_the_end_is_told_before_it(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard, begun: bytes) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, begun: bytes
+) -> None:
     """SIGKILL takes a deadline for 3 s where it is longer, and so must the end."""
     monkeypatch.setattr(frontend, "LEAVE_S", 0.1 - LONGEST_S)
     quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
@@ -262,7 +271,8 @@
 
 @pytest.mark.usefixtures("settled")
 def test_a_connection_whose_answer_ends_after_the_balancer_was_emptied_is_not_kept(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     """Its head was written before, and did not say that it is the last."""
     monkeypatch.setattr(frontend, "NEWCOMERS_S", 0.0)
     monkeypatch.setitem(frontend.LIMIT_S, Phase.IDLE, 2 * TEST_S)
@@ -323,6 +333,7 @@
 
 def test_sigterm_as_the_listener_opens_loses_nobody(tmp_path: Path) -> None:
     """Before a handler stood, the signal ended the process by itself, over whoever had connected."""
+
     async def test() -> None:
         async with world() as w:
             path = tmp_path / "config.json"
@@ -330,8 +341,12 @@
             while code == 2:  # somebody else took the port meanwhile
                 path.write_text(config_text(f"127.0.0.1:{free_port()}", w))
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, "-c", SIGTERM_AT_THE_LISTENER, stdout=asyncio.subprocess.PIPE,
-                    env={**os.environ, "BALANCER_CONFIG": str(path)})
+                    sys.executable,
+                    "-c",
+                    SIGTERM_AT_THE_LISTENER,
+                    stdout=asyncio.subprocess.PIPE,
+                    env={**os.environ, "BALANCER_CONFIG": str(path)},
+                )
                 said, _ = await process.communicate()
                 assert process.returncode is not None
                 code = process.returncode
@@ -341,5 +356,11 @@
 
 
 def config_text(listen: str, w: World) -> str:
-    return json.dumps({"listen": listen, "discovery": f"127.0.0.1:{w.discovery.port}", "seed": "7",
-                       "settings": {"profiles": [{"name": "quote", "repeat": "read_like"}]}})
+    return json.dumps(
+        {
+            "listen": listen,
+            "discovery": f"127.0.0.1:{w.discovery.port}",
+            "seed": "7",
+            "settings": {"profiles": [{"name": "quote", "repeat": "read_like"}]},
+        }
+    )
--- a/tests/net/test_frontend.py
+++ b/tests/net/test_frontend.py
@@ -46,10 +46,13 @@
         async with world() as w:
             other = await w.client()
             other.send("r0")
-            for junk, status in [(b"\x00\x01\r\n\r\n", 400),
-                                 (b"GET /quote HTTP/1.1\r\nno colon\r\n\r\n", 400),
-                                 (b"GET /quote HTTP/1.1\r\n\r\n", 400), (b"GET /" + b"x" * 70_000, 431),
-                                 (raw_request("Content-Length: -4"), 400)]:
+            for junk, status in [
+                (b"\x00\x01\r\n\r\n", 400),
+                (b"GET /quote HTTP/1.1\r\nno colon\r\n\r\n", 400),
+                (b"GET /quote HTTP/1.1\r\n\r\n", 400),
+                (b"GET /" + b"x" * 70_000, 431),
+                (raw_request("Content-Length: -4"), 400),
+            ]:
                 bad = await w.client()
                 assert (await bad.raw(junk)).status == status, junk[:40]
                 await bad.ended()
@@ -133,7 +136,8 @@
 
 
 def test_at_the_cap_idle_clients_make_room_and_busy_ones_are_kept(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     monkeypatch.setattr(frontend, "ROOM", ((Phase.IDLE, 0.0),))
 
     async def test() -> None:
@@ -193,7 +197,7 @@
 
 def test_with_all_places_taken_an_answer_ends_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     # Idle connections are left their 2 s: with more clients than places, each newcomer waited for that.
-    leaving, = (row for row in frontend.ROOM if row[0] is Phase.LEAVING)
+    (leaving,) = (row for row in frontend.ROOM if row[0] is Phase.LEAVING)
     monkeypatch.setattr(frontend, "ROOM", (leaving, (Phase.IDLE, 1000.0)))
 
     async def test() -> None:
@@ -247,12 +251,19 @@
     run(test())
 
 
-@pytest.mark.parametrize(("part", "status"), [
-    (b"", None), (b"GET /quote HTT", 408), (b"GET /quote HTTP/1.1\r\nHost: h\r\n", 408),
-    (b"POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf", 408)])
+@pytest.mark.parametrize(
+    ("part", "status"),
+    [
+        (b"", None),
+        (b"GET /quote HTT", 408),
+        (b"GET /quote HTTP/1.1\r\nHost: h\r\n", 408),
+        (b"POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf", 408),
+    ],
+)
 @pytest.mark.parametrize("used", [False, True])
 def test_a_request_that_does_not_come_in_time_ends_its_connection(
-        monkeypatch: pytest.MonkeyPatch, part: bytes, status: int | None, used: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, part: bytes, status: int | None, used: bool
+) -> None:
     monkeypatch.setitem(frontend.LIMIT_S, Phase.NEW, 0.2)
     monkeypatch.setitem(frontend.LIMIT_S, Phase.IDLE, 0.3)
 
@@ -274,18 +285,29 @@
     return "\r\n".join([start, *rows, "", ""]).encode() + body
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    # What stands behind the chunk without length would be read as a request by whoever goes by the coding.
-    (raw_request("Content-Length: 60", "Transfer-Encoding: chunked",
-                 body=b"0\r\n\r\nGET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n"), 400),
-    (raw_request("Content-Length: 4", "Content-Length: 5", body=b"body!"), 400),
-    (raw_request("Content-Length: 60000000"), 413),
-    (raw_request("Content-Length: -4", body=b"body"), 400),
-    (raw_request("X-Request-Id: r2"), 400),
-    (raw_request("X-Class: quote"), 400),
-    (raw_request("X-Deadline-Ms: 10", "X-Deadline-Ms: 3000"), 400),
-    (raw_request(start="CONNECT /pay HTTP/1.1"), 405),
-    (raw_request("X-Pad: " + "p" * 20_000), 431)])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        # What stands behind the chunk without length would be read as a request by whoever goes by the
+        # coding.
+        (
+            raw_request(
+                "Content-Length: 60",
+                "Transfer-Encoding: chunked",
+                body=b"0\r\n\r\nGET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n",
+            ),
+            400,
+        ),
+        (raw_request("Content-Length: 4", "Content-Length: 5", body=b"body!"), 400),
+        (raw_request("Content-Length: 60000000"), 413),
+        (raw_request("Content-Length: -4", body=b"body"), 400),
+        (raw_request("X-Request-Id: r2"), 400),
+        (raw_request("X-Class: quote"), 400),
+        (raw_request("X-Deadline-Ms: 10", "X-Deadline-Ms: 3000"), 400),
+        (raw_request(start="CONNECT /pay HTTP/1.1"), 405),
+        (raw_request("X-Pad: " + "p" * 20_000), 431),
+    ],
+)
 def test_a_request_that_could_be_read_in_two_ways_is_turned_away(data: bytes, status: int) -> None:
     async def test() -> None:
         async with world() as w:
@@ -303,19 +325,24 @@
 def test_names_of_any_characters(heard: Heard, coding: str, named: bool) -> None:
     """Classes and tenants are called what the settings say: headers carry that as bytes, paths quoted."""
     kind, tenant = "prix d'\u00e9t\u00e9/1", "Zo\u00eb & fils"
-    settings = replace(SETTINGS, classes={kind: replace(SETTINGS.classes["quote"], name=kind)},
-                       tenants={tenant: api.Tenant(tenant)})
+    settings = replace(
+        SETTINGS,
+        classes={kind: replace(SETTINGS.classes["quote"], name=kind)},
+        tenants={tenant: api.Tenant(tenant)},
+    )
 
     async def test() -> None:
         async with world(settings=settings) as w:
             client = await w.client()
             path = quote(kind, safe="")
             given = f"X-Class: {kind}\r\n" if named else ""
-            got = await client.raw(f"GET /{path}?obj=1 HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\n{given}"
-                                   f"X-Tenant: {tenant}\r\n\r\n".encode(coding))
+            got = await client.raw(
+                f"GET /{path}?obj=1 HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\n{given}"
+                f"X-Tenant: {tenant}\r\n\r\n".encode(coding)
+            )
             assert got.status == 200
             assert w.upstreams[0].seen[0].start[1] == f"/{path}?obj=1"
-            arrived, = heard.of(api.Arrival)
+            (arrived,) = heard.of(api.Arrival)
             assert (arrived.class_name, arrived.tenant) == (kind, tenant)
 
     run(test())
@@ -335,7 +362,8 @@
 
 
 def test_a_client_that_does_not_read_gets_no_more_answers_piled_up(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     monkeypatch.setitem(frontend.LIMIT_S, Phase.IDLE, 0.5)
 
     async def test() -> None:
--- a/tests/net/test_outcomes.py
+++ b/tests/net/test_outcomes.py
@@ -38,50 +38,65 @@
             body = bytes(range(256)) * 256  # 64 KiB
             load = "X-Load: inflight=7,util=0.5"
             w.upstreams[0].script = [answer(200, body[::-1], "Content-Type: text/x", load)]
-            got = await w.ask("r1", "pay", "POST", body, "/pay/a%20b?x=1&obj=7f&y=", Idempotency_Key="k1",
-                              X_Cost_Hint=12000, X_Retry=1)
+            got = await w.ask(
+                "r1",
+                "pay",
+                "POST",
+                body,
+                "/pay/a%20b?x=1&obj=7f&y=",
+                Idempotency_Key="k1",
+                X_Cost_Hint=12000,
+                X_Retry=1,
+            )
             assert (got.status, got.body, got.headers["content-type"]) == (200, body[::-1], "text/x")
             seen = w.upstreams[0].seen[-1]
             assert seen.start[:2] == ["POST", "/pay/a%20b?x=1&obj=7f&y="] and seen.body == body
             assert seen.headers["x-request-id"] == "r1" and seen.headers["idempotency-key"] == "k1"
             assert 0 < int(seen.headers["x-deadline-ms"]) <= 3000
-            arrived, = heard.of(api.Arrival)
+            (arrived,) = heard.of(api.Arrival)
             assert (arrived.cost_hint_ns, arrived.key, arrived.retry) == (12_000_000, "7f", True)
             await heard.until(lambda: heard.of(api.Outcome))
-            outcome, = heard.of(api.Outcome)
+            (outcome,) = heard.of(api.Outcome)
             assert (outcome.result, outcome.complete) == (R.OK, True)
             assert outcome.report == {"inflight": 7.0, "util": 0.5}
 
     run(test())
 
 
-@pytest.mark.parametrize(("reply", "result"), [
-    (answer(500), R.ERROR),
-    (answer(503, b"", "X-Not-Run: 1"), R.FULL),
-    (answer(504, b"", "X-Not-Run: 1"), R.FULL),
-    (answer(503), R.ERROR),
-    (None, R.RESET),
-    (answer(200, b"whole")[:-2], R.TIMEOUT),  # begun, and silent from then on
-    (b"not HTTP at all\r\n\r\n", R.ERROR),  # it has run, and no connection broke
-    (OK + b"\r\nbody", R.ERROR),  # no length: whether it is whole can't be known
-    (OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
-    (OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", R.ERROR),
-    (OK + b"Content-Length: 3000000000\r\n\r\nbody", R.ERROR),
-    (OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nzz\r\nbody\r\n0\r\n\r\n", R.ERROR),
-    (OK + b"X-Pad: p\r\n" * 10_000, R.ERROR),  # a head without end
-    (OK + b"no colon here\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
-    (b"HTTP/1.1 102 Processing\r\n\r\n" * 100, R.ERROR),
-    (never, R.TIMEOUT),
-])
+@pytest.mark.parametrize(
+    ("reply", "result"),
+    [
+        (answer(500), R.ERROR),
+        (answer(503, b"", "X-Not-Run: 1"), R.FULL),
+        (answer(504, b"", "X-Not-Run: 1"), R.FULL),
+        (answer(503), R.ERROR),
+        (None, R.RESET),
+        (answer(200, b"whole")[:-2], R.TIMEOUT),  # begun, and silent from then on
+        (b"not HTTP at all\r\n\r\n", R.ERROR),  # it has run, and no connection broke
+        (OK + b"\r\nbody", R.ERROR),  # no length: whether it is whole can't be known
+        (OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
+        (OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", R.ERROR),
+        (OK + b"Content-Length: 3000000000\r\n\r\nbody", R.ERROR),
+        (OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nzz\r\nbody\r\n0\r\n\r\n", R.ERROR),
+        (OK + b"X-Pad: p\r\n" * 10_000, R.ERROR),  # a head without end
+        (OK + b"no colon here\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
+        (b"HTTP/1.1 102 Processing\r\n\r\n" * 100, R.ERROR),
+        (never, R.TIMEOUT),
+    ],
+)
 @pytest.mark.parametrize("kind", ["quote", "pay"])
 def test_outcomes(heard: Heard, reply: Any, result: api.Result, kind: str) -> None:
     async def test() -> None:
         async with world() as w:
             w.upstreams[0].script = [reply]
-            got = await w.ask("r1", kind, "GET" if kind == "quote" else "POST",
-                              X_Deadline_Ms=400 if result is R.TIMEOUT else 3000)
+            got = await w.ask(
+                "r1",
+                kind,
+                "GET" if kind == "quote" else "POST",
+                X_Deadline_Ms=400 if result is R.TIMEOUT else 3000,
+            )
             await heard.until(lambda: heard.of(api.Outcome))
-            outcome, = heard.of(api.Outcome)
+            (outcome,) = heard.of(api.Outcome)
             assert (outcome.request, outcome.attempt, outcome.result) == ("r1", 0, result)
             assert not outcome.complete
             if kind == "quote" or result is R.FULL:
@@ -129,10 +144,19 @@
     run(test())
 
 
-@pytest.mark.parametrize(("text", "report"), [
-    (b"inflight=7,queue=2", {"inflight": 7.0, "queue": 2.0}), (b'{"', None), (b"", None), (None, None),
-    (b"inflight=nan,queue=inf", None), (b"inflight=-1,queue=1e999", None),
-    (b"inflight=3,other=1,=2,queue", {"inflight": 3.0}), (b"\xff\xfe=1", None)])
+@pytest.mark.parametrize(
+    ("text", "report"),
+    [
+        (b"inflight=7,queue=2", {"inflight": 7.0, "queue": 2.0}),
+        (b'{"', None),
+        (b"", None),
+        (None, None),
+        (b"inflight=nan,queue=inf", None),
+        (b"inflight=-1,queue=1e999", None),
+        (b"inflight=3,other=1,=2,queue", {"inflight": 3.0}),
+        (b"\xff\xfe=1", None),
+    ],
+)
 def test_a_load_report_is_believed_as_far_as_it_can_be(text: bytes | None, report: Any) -> None:
     assert read_report(text, ("inflight", "queue")) == report
 
@@ -189,7 +213,7 @@
             got = await w.ask("r1", X_Deadline_Ms=300)
             assert got.status == 503
             assert int(w.upstreams[0].seen[-1].headers["x-deadline-ms"]) < 300
-            outcome, = heard.of(api.Outcome)
+            (outcome,) = heard.of(api.Outcome)
             assert outcome.result is R.TIMEOUT and outcome.took_ns < AIM_NS
             # Giving up an attempt closes its connection: the upstream knows, and a late answer hits nobody.
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
@@ -215,7 +239,7 @@
             client = await w.held("r1")
             client.close()
             await heard.until(lambda: heard.of(api.ClientGone) and heard.of(api.Outcome))
-            outcome, = heard.of(api.Outcome)
+            (outcome,) = heard.of(api.Outcome)
             assert (outcome.result, outcome.complete) == (R.CANCELLED, True)
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
@@ -244,7 +268,8 @@
 
 
 def test_a_failing_module_fails_the_request_and_is_logged(
-        monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     def acts(event: api.Event, upstream: int) -> list[api.Action]:
         if isinstance(event, api.Arrival) and event.request == "bad":
             raise RuntimeError("out of its mind")
@@ -256,14 +281,15 @@
         async with world() as w:
             assert (await w.ask("bad")).status == 502
             assert (await w.ask("good")).status == 200
-        record, = [r for r in caplog.records if r.exc_info]
+        (record,) = [r for r in caplog.records if r.exc_info]
         assert "bad" in record.getMessage()
 
     run(test())
 
 
 def test_a_module_that_forgets_a_request(
-        monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     heard = Heard()
     puppet(monkeypatch, heard, lambda event, upstream: [])
 
@@ -278,8 +304,9 @@
 
 def test_each_probe_has_one_result(heard: Heard) -> None:
     async def test() -> None:
-        settings = replace(SETTINGS, limits=replace(SETTINGS.limits, probes=True),
-                           report_columns=("inflight", "queue"))
+        settings = replace(
+            SETTINGS, limits=replace(SETTINGS.limits, probes=True), report_columns=("inflight", "queue")
+        )
         async with world(settings=settings) as w:
             assert (await w.ask("r1")).status == 200
             probes = [m for m in w.upstreams[0].seen if m.start[1] == "/status/load"]
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -99,8 +99,10 @@
 
 
 def test_a_client_that_leaves_while_it_is_held_back_is_noticed_before_its_request_is_sent(
-        heard: Heard) -> None:
+    heard: Heard,
+) -> None:
     """Nothing is read of a client that is held back, and so its leaving is not either."""
+
     async def test() -> None:
         async with world(settings=PATIENT) as w:
             gate = Gate(w.upstreams[0])
@@ -119,6 +121,7 @@
 
 def test_a_request_of_a_client_that_reset_its_connection_is_not_begun(heard: Heard) -> None:
     """It is read in the same turn as a reset that came behind it: the kernel knows of both."""
+
     async def test() -> None:
         async with world() as w:
             assert (await w.ask("r0")).status == 200
@@ -138,6 +141,7 @@
 @pytest.mark.parametrize("how", LEAVES)
 def test_a_request_whose_client_leaves_the_backlog_is_not_begun(heard: Heard, how: str) -> None:
     """All places are taken; it is accepted when one is free, and its client has left by then."""
+
     async def test() -> None:
         async with world(settings=PATIENT, sockets=RESERVE + 2 * 2) as w:  # two clients
             go_on = asyncio.Event()
@@ -165,6 +169,7 @@
 @pytest.mark.parametrize("how", LEAVES)
 def test_what_a_client_sent_ahead_is_not_begun_once_it_has_left(heard: Heard, how: str) -> None:
     """Nothing may be called off: the first goes on at its upstream, and its end must not begin the second."""
+
     async def test() -> None:
         async with world(settings=PATIENT) as w:
             go_on = asyncio.Event()
@@ -189,7 +194,8 @@
 
 
 def test_a_request_whose_client_leaves_while_its_upstream_takes_no_more_never_gets_there_whole(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     """Its last byte has not been written: it never ran, so ending it calls nothing off."""
     made = Connection.connection_made
 
@@ -229,7 +235,8 @@
 
 @pytest.mark.parametrize("state", ["Terminating", "Gone"])
 def test_a_request_that_waits_for_a_connection_to_what_drains_goes_elsewhere(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard, state: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, state: str
+) -> None:
     to_first_then_second(monkeypatch, heard)
 
     async def test() -> None:
@@ -249,11 +256,14 @@
 
 # ---- connections that end while they are taken ------------------------------------------------------------
 
+
 @pytest.mark.usefixtures("settled")
 @pytest.mark.parametrize("comes", ["end", "noise"])
 def test_a_connection_to_which_something_came_in_the_turn_in_which_it_is_taken_is_not_used(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard, comes: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, comes: str
+) -> None:
     """The loop has not read it yet. A request written there is lost, and may not be sent again."""
+
     async def test() -> None:
         async with world(settings=PATIENT) as w:
             box = w.upstreams[0]
@@ -281,6 +291,7 @@
 
 def test_a_request_of_which_no_byte_could_be_written_never_ran() -> None:
     """The connection was reset after it was looked at, and before the write: that fails at once."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         ended: asyncio.Future[api.Result] = loop.create_future()
@@ -300,10 +311,17 @@
 
 
 @pytest.mark.usefixtures("settled")
-@pytest.mark.parametrize("spoilt", [b"\x00noise", b"HTTP/1.1 500 X\r\nContent-Length: 900000\r\n\r\n",
-                                    b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n"])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"\x00noise",
+        b"HTTP/1.1 500 X\r\nContent-Length: 900000\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
+    ],
+)
 def test_an_attempt_has_ended_at_its_upstream_before_the_next_one_leaves(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard, spoilt: bytes) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, spoilt: bytes
+) -> None:
     """What was given up may run as long as its connection is open: two would be out at once."""
     to_first_then_second(monkeypatch, heard)
     ended: list[bool] = []
@@ -329,12 +347,17 @@
     run(test())
 
 
-@pytest.mark.parametrize(("slow", "kind", "method", "links"), [
-    (True, "quote", "GET", [1, 1, 2]),  # used at once, as another answer can be asked for
-    (False, "quote", "GET", [1, 2]), (True, "pay", "POST", [1, 2])])
+@pytest.mark.parametrize(
+    ("slow", "kind", "method", "links"),
+    [
+        (True, "quote", "GET", [1, 1, 2]),  # used at once, as another answer can be asked for
+        (False, "quote", "GET", [1, 2]),
+        (True, "pay", "POST", [1, 2]),
+    ],
+)
 def test_a_second_answer_that_comes_late_answers_no_other_request(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard, slow: bool, kind: str, method: str,
-        links: list[int]) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, slow: bool, kind: str, method: str, links: list[int]
+) -> None:
     """It comes when the next request is under way already: only time tells it from that one's."""
     assert upstream.SETTLE_S >= 0.01  # some milliseconds, with room
     monkeypatch.setattr(upstream, "SETTLE_S", TEST_S)  # however slow the machine is
@@ -370,10 +393,12 @@
 
 
 @pytest.mark.parametrize(
-    "begins", [CHUNKED + b"3\r\none\r\n", CHUNKED, CLOSES + b"one", CHUNKED + b"7d0\r\n" + b"x" * 2000])
+    "begins", [CHUNKED + b"3\r\none\r\n", CHUNKED, CLOSES + b"one", CHUNKED + b"7d0\r\n" + b"x" * 2000]
+)
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_an_answer_that_never_ends_is_cut_when_it_is_owed(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard, begins: bytes, may_cancel: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, begins: bytes, may_cancel: bool
+) -> None:
     """It does not tell its length, and is passed on as a long one would be."""
     monkeypatch.setattr(http, "SILENT_S", 2 * TEST_S)
     assert 2 * http.OWED_S < 0.5  # in which an answer that is late still counts as one
@@ -394,9 +419,13 @@
 
 
 def test_an_answer_that_dribbles_is_cut_and_one_that_goes_on_is_not(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
-    puppet(monkeypatch, heard, lambda event, to: (
-        [api.Send(event.request, to)] if isinstance(event, api.Arrival) else []))
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
+    puppet(
+        monkeypatch,
+        heard,
+        lambda event, to: [api.Send(event.request, to)] if isinstance(event, api.Arrival) else [],
+    )
 
     async def test() -> None:
         async with world() as w:
@@ -426,6 +455,7 @@
 
 def test_an_answer_that_tells_a_great_length_is_not_cut_when_its_time_is_over(heard: Heard) -> None:
     """Its first bytes are timed; an upstream may stand still for a quarter of a second and go on."""
+
     async def test() -> None:
         async with world() as w:
             w.upstreams[0].script = [b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\none"]
@@ -443,6 +473,7 @@
 
 def test_an_answer_that_was_held_back_beyond_its_time_is_not_cut_for_having_brought_nothing() -> None:
     """Nothing is read of it while its client takes nothing: what lies there has yet to go on."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         ended: list[api.Result] = []
@@ -477,6 +508,7 @@
 
 def test_a_client_that_leaves_an_answer_that_never_ends_leaves_nothing_behind(heard: Heard) -> None:
     """Also where nothing may be called off: the connection to the upstream is of use to nobody."""
+
     async def test() -> None:
         async with world(settings=PATIENT) as w:
             w.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
@@ -503,8 +535,10 @@
 
 
 def test_a_request_that_comes_long_after_sigterm_is_answered_before_the_end(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     """Its time would go on for longer than its balancer: half of it came before SIGTERM."""
+
     async def test() -> None:
         async with leaving(monkeypatch, -2.0) as w:
             w.upstreams[0].script = [never]
@@ -521,8 +555,10 @@
 
 @pytest.mark.usefixtures("settled")
 def test_a_connection_whose_last_answer_began_before_sigterm_is_not_kept(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     """The head of that answer did not say so, and its end comes when those at rest have been closed."""
+
     async def test() -> None:
         monkeypatch.setitem(frontend.LIMIT_S, frontend.Phase.IDLE, 2 * TEST_S)
         async with leaving(monkeypatch, 2 * TEST_S) as w:
--- a/tests/net/test_repeats.py
+++ b/tests/net/test_repeats.py
@@ -22,8 +22,12 @@
 from tests.fakes import MS, SECOND, SETTINGS, FakeUpstream, Message, World, answer, never, run, world
 
 SAFE, KEYED, UNSAFE = api.Effect
-CLASSES = {effect.value: api.RequestClass(effect.value, effect, window_ns=60 * SECOND, aim_ns=2 * SECOND,
-                                          deadline_ns=3 * SECOND) for effect in api.Effect}
+CLASSES = {
+    effect.value: api.RequestClass(
+        effect.value, effect, window_ns=60 * SECOND, aim_ns=2 * SECOND, deadline_ns=3 * SECOND
+    )
+    for effect in api.Effect
+}
 LIMITS = replace(SETTINGS.limits, max_attempts=3, may_cancel=False, connect_timeout_ns=SECOND)
 WHOLE = answer(200, b"late")
 NEVER, MAY = True, False  # has it surely never run?
@@ -52,10 +56,14 @@
     "end before its answer": (ends, MAY),
     "reset in its head": (lambda link: cut(link, WHOLE[:20]), MAY),
     "reset in its body": (lambda link: cut(link, WHOLE[:-1]), MAY),
-    "reset in a chunk": (lambda link: cut(
-        link, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nla"), MAY),
-    "reset of what ends with it": (lambda link: cut(
-        link, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nlate"), MAY),
+    "reset in a chunk": (
+        lambda link: cut(link, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nla"),
+        MAY,
+    ),
+    "reset of what ends with it": (
+        lambda link: cut(link, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nlate"),
+        MAY,
+    ),
     "noise": (b"\x00\xff" * 100, MAY),
     "two lengths": (b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\nlate", MAY),
     "no length": (b"HTTP/1.1 200 OK\r\n\r\nlate", MAY),
@@ -114,6 +122,7 @@
 def test_what_timed_out_is_not_sent_again_and_what_is_refused_never_ran(effect: api.Effect) -> None:
     """An attempt runs as long as its client waits: a time-out is the end of both. A refusal says that trying
     again is harmless, so an unsafe request that may have run is answered as failed."""
+
     async def test() -> None:
         async with world(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
             judge = Judge(w, lambda link: None)
@@ -127,7 +136,8 @@
 
 @pytest.mark.parametrize("effect", api.Effect)
 def test_an_attempt_that_found_nobody_is_made_again_elsewhere(
-        monkeypatch: pytest.MonkeyPatch, effect: api.Effect) -> None:
+    monkeypatch: pytest.MonkeyPatch, effect: api.Effect
+) -> None:
     monkeypatch.setattr(upstream, "HANDSHAKE_S", 1.0)  # on a busy machine a good one may need more than 30 ms
 
     async def test() -> None:
@@ -146,6 +156,7 @@
 
 def test_an_answer_that_lies_here_when_its_time_is_over_is_served() -> None:
     """Both in one turn of the loop, which was late: what was read goes before what is due."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with world(settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
--- a/tests/net/test_upstreams.py
+++ b/tests/net/test_upstreams.py
@@ -72,8 +72,11 @@
             upstream, other = w.upstreams
             while not upstream.seen:  # the module picks at random
                 assert (await w.ask(f"r{len(other.seen)}")).status == 200
-            row = {"drain": upstream.row("Terminating"), "gone": upstream.row("Gone"),
-                   "restart": upstream.row("Ready", int(time.time() * 1000))}[change]
+            row = {
+                "drain": upstream.row("Terminating"),
+                "gone": upstream.row("Gone"),
+                "restart": upstream.row("Ready", int(time.time() * 1000)),
+            }[change]
             await w.tell(row)
             await upstream.until(lambda: upstream.ended == len(upstream.links))
             count = len(upstream.seen)
@@ -105,7 +108,8 @@
 
 
 def test_a_watch_that_fell_silent_is_given_up_before_its_changes_count_as_told(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     for hold_ms, answer_s in (discovery.PUSHED, discovery.ASKED):
         assert hold_ms / 1000 + answer_s < 5  # and a second to open it anew
     monkeypatch.setattr(discovery, "PUSHED", (100, 0.1))
@@ -125,6 +129,7 @@
 def test_a_start_without_discovery_serves_from_the_list_as_last_known(how: str, heard: Heard) -> None:
     async def test() -> None:
         async with world(2) as w:
+
             async def reply(message: object) -> bytes | None:
                 if how == "silent":
                     return await never()
@@ -152,8 +157,9 @@
 
         for seed in range(40):
             waits.append([])
-            watcher = discovery.Discovery(Driver(SETTINGS, 1, Upstreams(SETTINGS.limits, 1, ())),
-                                          ("127.0.0.1", 1), seed)
+            watcher = discovery.Discovery(
+                Driver(SETTINGS, 1, Upstreams(SETTINGS.limits, 1, ())), ("127.0.0.1", 1), seed
+            )
             watcher._ask_anew = fails  # type: ignore[method-assign, assignment]
             with pytest.MonkeyPatch.context() as patch, suppress(asyncio.CancelledError):
                 patch.setattr(asyncio, "sleep", sleeps)
@@ -170,6 +176,7 @@
 
 def test_a_call_that_came_while_discovery_was_down_is_not_waited_for_at_its_return(heard: Heard) -> None:
     """What came in an outage is never answered. Calls made after the return are, and at once."""
+
     async def test() -> None:
         async with world(2) as w:
             await w.watching()
@@ -187,15 +194,19 @@
             w.discovery.change(w.upstreams[0].row("Terminating"))
             back = True
             back_s = asyncio.get_running_loop().time()
-            await heard.until(lambda: any(
-                u.state is api.State.DRAINING for e in heard.of(api.ListUpdate) for u in e.upstreams))
+            await heard.until(
+                lambda: any(
+                    u.state is api.State.DRAINING for e in heard.of(api.ListUpdate) for u in e.upstreams
+                )
+            )
             assert asyncio.get_running_loop().time() - back_s < 0.5  # the least grace of a drain
 
     run(test())
 
 
 def test_calls_to_a_silent_agent_are_few_at_once_and_one_that_is_answered_late_counts(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     monkeypatch.setattr(discovery, "AGAIN_S", 0.02)
 
     async def test() -> None:
@@ -220,7 +231,8 @@
 
 
 def test_a_start_sends_nothing_by_an_old_list_that_its_agent_knows_better(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """What the agent has counts as told from a process's first moment on, whatever versions it counts."""
     monkeypatch.setattr(discovery, "START_S", TEST_S)
 
@@ -284,7 +296,8 @@
 
 
 def test_a_watch_that_fell_silent_where_discovery_is_asked_is_opened_anew_at_once(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     """The module would wait for up to 1.5 s, as for discovery that is down, and the change count by then."""
     hold_ms, answer_s = discovery.ASKED
     assert hold_ms / 1000 + answer_s + discovery.AGAIN_S + 1.25 <= 6
@@ -303,7 +316,8 @@
 
 
 def test_discovery_that_has_moved_is_asked_at_once_though_the_old_one_was_given_up(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     """The module waits for seconds before it asks one that is down: not for the new one."""
     obeying_nobody(monkeypatch, heard)
     watchers: list[discovery.Discovery] = []
@@ -324,16 +338,22 @@
             new = FakeDiscovery([w.upstreams[0].row("Terminating")])
             await new.start()
             watchers[0].move(new.where)
-            await heard.until(lambda: heard.of(api.ListUpdate)[-1].kind is api.ListKind.FULL
-                              and heard.of(api.ListUpdate)[-1].upstreams[0].state is api.State.DRAINING)
+            await heard.until(
+                lambda: (
+                    heard.of(api.ListUpdate)[-1].kind is api.ListKind.FULL
+                    and heard.of(api.ListUpdate)[-1].upstreams[0].state is api.State.DRAINING
+                )
+            )
             new.stop()
 
     run(test())
 
 
 def test_a_watch_of_an_agent_that_is_reset_is_opened_anew_at_once(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     """What the agent has counts as told, whether or not a watch is open."""
+
     async def test() -> None:
         async with world() as w:
             await w.watching()
@@ -341,14 +361,18 @@
             await w.tell(w.upstreams[0].row())  # the watch has been answered once
             w.discovery.close_links()
             w.discovery.change(w.upstreams[0].row("Terminating"))
-            await heard.until(lambda: any(
-                u.state is api.State.DRAINING for e in heard.of(api.ListUpdate) for u in e.upstreams))
+            await heard.until(
+                lambda: any(
+                    u.state is api.State.DRAINING for e in heard.of(api.ListUpdate) for u in e.upstreams
+                )
+            )
 
     run(test())
 
 
 def test_a_watch_whose_connection_to_its_agent_does_not_come_up_is_opened_anew(
-        monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
     """The agent ends its connection behind an answer, and the next one hangs."""
     monkeypatch.setattr(discovery, "CALL_S", 2 * TEST_S)
 
@@ -377,8 +401,11 @@
             w.discovery.close_links()  # the watch that is out would be answered as before
             await w.discovery.until(lambda: w.discovery.reply == tell)
             w.discovery.change(w.upstreams[0].row("Terminating"))
-            await heard.until(lambda: any(
-                u.state is api.State.DRAINING for e in heard.of(api.ListUpdate) for u in e.upstreams))
+            await heard.until(
+                lambda: any(
+                    u.state is api.State.DRAINING for e in heard.of(api.ListUpdate) for u in e.upstreams
+                )
+            )
             assert not hangs[0]
 
     run(test())
@@ -396,15 +423,22 @@
     assert number_of("s-5be2a07c") == first.entry.id == 9587356208999800076
     odd = [{**row, key: value} for key in ("started_ms", "weight") for value in (float("inf"), float("nan"))]
     addresses = [{**row, "addr": text} for text in ("nowhere", "a.host:80", "127.0.0.1:99999")]
-    for bad in (*odd, *addresses, {**row, "started_ms": -1}, {**row, "state": "Odd"},
-                {"addr": "127.0.0.1:1"}, 7):
+    for bad in (
+        *odd,
+        *addresses,
+        {**row, "started_ms": -1},
+        {**row, "state": "Odd"},
+        {"addr": "127.0.0.1:1"},
+        7,
+    ):
         with pytest.raises(Malformed):
             read_endpoint(bad)
     assert split_address("[::1]:80") == ("::1", 80)
 
 
 def test_a_list_with_entries_that_cannot_be_read_is_one_line_and_the_rest_is_used(
-        heard: Heard, caplog: pytest.LogCaptureFixture) -> None:
+    heard: Heard, caplog: pytest.LogCaptureFixture
+) -> None:
     async def test() -> None:
         async with world() as w:
             good = w.upstreams[0].row()
@@ -424,8 +458,9 @@
     run(test())
 
 
-def _only(first: bytes, then: Callable[[Message], Awaitable[bytes | None]]) -> Callable[
-        [Message], Awaitable[bytes | None]]:
+def _only(
+    first: bytes, then: Callable[[Message], Awaitable[bytes | None]]
+) -> Callable[[Message], Awaitable[bytes | None]]:
     """Answers once with this, and then as before."""
     left = [first]
 
@@ -437,15 +472,19 @@
 
 def test_peers(heard: Heard) -> None:
     async def test() -> None:
-        with socket.socket(type=socket.SOCK_DGRAM) as peer, socket.socket(type=socket.SOCK_DGRAM) as odd, \
-                socket.socket(type=socket.SOCK_DGRAM) as own:
+        with (
+            socket.socket(type=socket.SOCK_DGRAM) as peer,
+            socket.socket(type=socket.SOCK_DGRAM) as odd,
+            socket.socket(type=socket.SOCK_DGRAM) as own,
+        ):
             for sock in (peer, odd, own):
                 sock.bind(("127.0.0.1", 0))
                 sock.setblocking(False)
             address = own.getsockname()
             own.close()
-            async with world(peer_listen=address, peers=[address, peer.getsockname()],
-                             peers_all=peer.getsockname()):
+            async with world(
+                peer_listen=address, peers=[address, peer.getsockname()], peers_all=peer.getsockname()
+            ):
                 await heard.until(lambda: heard.of(api.ListUpdate))
                 odd.sendto(b"from nobody", address)
                 peer.sendto(b"x" * 300, address)
@@ -469,8 +508,9 @@
             for sock in (peer, everyone):
                 sock.bind(("127.0.0.1", 0))
                 sock.setblocking(False)
-            async with world(peer_listen=("127.0.0.1", 0), peers=[peer.getsockname()],
-                             peers_all=everyone.getsockname()):
+            async with world(
+                peer_listen=("127.0.0.1", 0), peers=[peer.getsockname()], peers_all=everyone.getsockname()
+            ):
                 assert await loop.sock_recv(peer, 300) == b"one"
                 assert await loop.sock_recv(everyone, 300) == b"all"
 
@@ -478,7 +518,8 @@
 
 
 def test_an_answer_of_discovery_that_nobody_foresaw_does_not_end_the_watch(
-        monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     async def test() -> None:
         async with world(2) as w:
             await w.watching()
@@ -513,7 +554,7 @@
                 assert (await w.ask(f"r{number}", obj=number)).status == 200
                 before, upstream.name = upstream.row("Gone"), f"new-{number}"
                 await w.tell(before, upstream.row())
-            balancer, = built
+            (balancer,) = built
             await upstream.until(lambda: upstream.ended >= 30)
             assert (await w.ask("last")).status == 200
             assert len(balancer.upstreams.targets) == len(balancer.balancer.fleet.servers) == 1
@@ -533,8 +574,7 @@
         ended: asyncio.Queue[api.Result] = asyncio.Queue()
         request = message(b"GET /quote HTTP/1.1", [(b"Host", b"h")])
         for seconds in (0.3, 5.0):
-            upstreams.send(number_of("s-0"), request, seconds,
-                           lambda result, *rest: ended.put_nowait(result))
+            upstreams.send(number_of("s-0"), request, seconds, lambda result, *rest: ended.put_nowait(result))
         assert [await ended.get(), await ended.get()] == [api.Result.MOOT, api.Result.TIMEOUT]
         upstreams.close()
         upstream.stop()
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -18,33 +18,63 @@
 
 from tests.fakes import Client, FakeDiscovery, FakeUpstream, Message, free_port, read_message, run
 
-SETTINGS = {"profiles": [{"name": "quote", "repeat": "read_like", "aim_ns": 2_000_000_000,
-                          "hard_limit_ns": 2_500_000_000}]}
+SETTINGS = {
+    "profiles": [
+        {"name": "quote", "repeat": "read_like", "aim_ns": 2_000_000_000, "hard_limit_ns": 2_500_000_000}
+    ]
+}
 
 
 def config(**changes: Any) -> dict[str, Any]:
-    return {"listen": f"127.0.0.1:{free_port()}", "discovery": f"127.0.0.1:{free_port()}", "seed": "8c1f",
-            "settings": SETTINGS, **changes}
-
-
-@pytest.mark.parametrize("text", [
-    None, "{not json", "[]", json.dumps(config(listen="nowhere")), json.dumps(config(seed="not hex")),
-    json.dumps(config(settings={"profiles": [{"name": 3}]})), json.dumps(config(settings=None)),
-    json.dumps(config(limits={"sockets": 3})), json.dumps(config(known={"version": 1}))])
+    return {
+        "listen": f"127.0.0.1:{free_port()}",
+        "discovery": f"127.0.0.1:{free_port()}",
+        "seed": "8c1f",
+        "settings": SETTINGS,
+        **changes,
+    }
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        None,
+        "{not json",
+        "[]",
+        json.dumps(config(listen="nowhere")),
+        json.dumps(config(seed="not hex")),
+        json.dumps(config(settings={"profiles": [{"name": 3}]})),
+        json.dumps(config(settings=None)),
+        json.dumps(config(limits={"sockets": 3})),
+        json.dumps(config(known={"version": 1})),
+    ],
+)
 def test_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run([sys.executable, "-m", "lanelift"], capture_output=True, text=True, timeout=60,
-                          env={**os.environ, "BALANCER_CONFIG": str(path)}, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "lanelift"],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env={**os.environ, "BALANCER_CONFIG": str(path)},
+        check=False,
+    )
     assert done.returncode == 2
     assert done.stderr.startswith("lanelift: ") and done.stderr.count("\n") == 1
 
 
 def test_no_configuration() -> None:
     environ = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
-    done = subprocess.run([sys.executable, "-m", "lanelift"], capture_output=True, text=True, timeout=60,
-                          env=environ, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "lanelift"],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env=environ,
+        check=False,
+    )
     assert (done.returncode, done.stderr) == (2, "lanelift: BALANCER_CONFIG is not set\n")
 
 
@@ -56,11 +86,13 @@
 
 
 @asynccontextmanager
-async def started(*command: str | Path, fds: Sequence[int] = (),
-                  **environ: str) -> AsyncIterator[asyncio.subprocess.Process]:
+async def started(
+    *command: str | Path, fds: Sequence[int] = (), **environ: str
+) -> AsyncIterator[asyncio.subprocess.Process]:
     """A process that does not outlive the test. It inherits the descriptors `fds`."""
     process = await asyncio.create_subprocess_exec(
-        *command, stderr=asyncio.subprocess.PIPE, pass_fds=fds, env={**os.environ, **environ})
+        *command, stderr=asyncio.subprocess.PIPE, pass_fds=fds, env={**os.environ, **environ}
+    )
     try:
         yield process
     finally:
@@ -163,10 +195,19 @@
     with socket.socket(type=socket.SOCK_DGRAM) as datagrams:
         number = datagrams.fileno()
         done = subprocess.run(
-            [sys.executable, "-m", "lanelift"], capture_output=True, text=True, timeout=60, check=False,
-            pass_fds=[number], stdin=subprocess.DEVNULL,
-            env={**os.environ, "BALANCER_CONFIG": str(path),
-                 "BALANCER_FD": str(number) if descriptor == "datagrams" else descriptor})
+            [sys.executable, "-m", "lanelift"],
+            capture_output=True,
+            text=True,
+            timeout=60,
+            check=False,
+            pass_fds=[number],
+            stdin=subprocess.DEVNULL,
+            env={
+                **os.environ,
+                "BALANCER_CONFIG": str(path),
+                "BALANCER_FD": str(number) if descriptor == "datagrams" else descriptor,
+            },
+        )
     assert done.returncode == 2
     assert done.stderr.startswith("lanelift: BALANCER_FD") and done.stderr.count("\n") == 1
 
@@ -174,6 +215,7 @@
 def test_an_upgrade_loses_no_request(tmp_path: Path) -> None:
     """Two processes on one inherited socket. The second takes nothing until it can serve; the first is told
     to go while clients ask on and on, on connections of both and on new ones."""
+
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         await upstream.start()
@@ -216,8 +258,10 @@
                 await upstream.until(lambda: len(upstream.seen) > 20)
                 discovery.silent = True  # the new one can't serve yet
                 async with started(*command, fds=[fd], **told(tmp_path / "new.json")) as new:
-                    operators = "127.0.0.1", int(json.loads(
-                        (tmp_path / "new.json").read_text())["operator"].rpartition(":")[2])
+                    operators = (
+                        "127.0.0.1",
+                        int(json.loads((tmp_path / "new.json").read_text())["operator"].rpartition(":")[2]),
+                    )
                     assert await ready(operators) == 503
                     for _ in range(20):  # all of them are the old one's: the new one would refuse
                         fresh = await Client.to(address)
--- a/tests/sim/test_wirehost.py
+++ b/tests/sim/test_wirehost.py
@@ -17,21 +17,32 @@
 
 Json = dict[str, Any]
 SETTINGS: Json = {
-    "me": 0, "replicas_of_me": 2, "locality": "north", "unknown_key": {"deep": 1}, "registry_mode": "ask",
+    "me": 0,
+    "replicas_of_me": 2,
+    "locality": "north",
+    "unknown_key": {"deep": 1},
+    "registry_mode": "ask",
     "profiles": [{"name": "look", "repeat": "read_like", "aim_ns": 300_000_000}],
     "realms": [{"name": "elm", "share": 0.6}, {"name": "fir", "share": 0.4}],
     "limits": {"send_cap": 3, "may_cancel": True, "second_copies": True, "retry_after": True},
     "rules": {"ask_within_ns": 10_000_000_000, "cold_from": 0.3, "cold_ns": 5_000_000_000},
-    "load_report": {"columns": ["util", "strange"], "how": "answers"}}
-ROWS = [{"upstream": i, "locality": "north", "cohort": 1, "availability": 1, "extra": 3}
-        for i in (11, 12, 13)]
+    "load_report": {"columns": ["util", "strange"], "how": "answers"},
+}
+ROWS = [
+    {"upstream": i, "locality": "north", "cohort": 1, "availability": 1, "extra": 3} for i in (11, 12, 13)
+]
 
 
 def run(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "lanelift.wirehost"],
-                          input="".join(f"{x}\n" for x in lines), capture_output=True, text=True,
-                          timeout=60, check=False,
-                          env={**os.environ, "PYTHONHASHSEED": hash_seed})
+    return subprocess.run(
+        [sys.executable, "-m", "lanelift.wirehost"],
+        input="".join(f"{x}\n" for x in lines),
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+        env={**os.environ, "PYTHONHASHSEED": hash_seed},
+    )
 
 
 def batch(number: int, now: int, *happened: Any) -> str:
@@ -39,14 +50,22 @@
 
 
 def start(balancer: int = 0) -> list[Json]:
-    return [{"t": "new_instance", "balancer": balancer, "seed": 5, "settings": SETTINGS},
-            {"t": "directory", "buffer": 0, "rows_in": ROWS},
-            {"t": "membership", "balancer": balancer, "form": 2, "stamp": 1, "buffer": 0}]
+    return [
+        {"t": "new_instance", "balancer": balancer, "seed": 5, "settings": SETTINGS},
+        {"t": "directory", "buffer": 0, "rows_in": ROWS},
+        {"t": "membership", "balancer": balancer, "form": 2, "stamp": 1, "buffer": 0},
+    ]
 
 
 def submit(ticket: str, now: int, balancer: int = 0) -> Json:
-    return {"t": "submit", "balancer": balancer, "ticket": ticket, "kind": "look", "user_group": "elm",
-            "deadline_ns": now + 400_000_000}
+    return {
+        "t": "submit",
+        "balancer": balancer,
+        "ticket": ticket,
+        "kind": "look",
+        "user_group": "elm",
+        "deadline_ns": now + 400_000_000,
+    }
 
 
 def day() -> list[str]:
@@ -59,10 +78,26 @@
 
 def test_round_trip() -> None:
     now = 2 * 10**9
-    done = run([batch(1, now, *start(), submit("t1", now)),
-                batch(2, now + 10**7, {"t": "returned", "balancer": 0, "ticket": "t1", "attempt": 0,
-                                       "upstream": 11, "result": "delivered", "took_ns": 10**7,
-                                       "complete": True, "metrics": {"util": 0.2, "strange": 1}})])
+    done = run(
+        [
+            batch(1, now, *start(), submit("t1", now)),
+            batch(
+                2,
+                now + 10**7,
+                {
+                    "t": "returned",
+                    "balancer": 0,
+                    "ticket": "t1",
+                    "attempt": 0,
+                    "upstream": 11,
+                    "result": "delivered",
+                    "took_ns": 10**7,
+                    "complete": True,
+                    "metrics": {"util": 0.2, "strange": 1},
+                },
+            ),
+        ]
+    )
     assert done.returncode == 0 and not done.stderr
     first, second = (json.loads(line) for line in done.stdout.splitlines())
     sends = [c for c in first["cmds"] if c["t"] == "submit_to"]
@@ -76,36 +111,87 @@
 
 def test_power_off_forgets_the_balancer() -> None:
     now = 2 * 10**9
-    done = run([batch(1, now, *start(), submit("t1", now)),
-                batch(2, now + 1, {"t": "power_off", "balancer": 0}),
-                batch(3, now + 2, {"t": "timer", "balancer": 0, "name": "1"})])
+    done = run(
+        [
+            batch(1, now, *start(), submit("t1", now)),
+            batch(2, now + 1, {"t": "power_off", "balancer": 0}),
+            batch(3, now + 2, {"t": "timer", "balancer": 0, "name": "1"}),
+        ]
+    )
     assert done.returncode == 2 and "not started" in done.stderr
 
 
-@pytest.mark.parametrize(("line", "says"), [
-    ("{", "not JSON"), ("[]", "must be an object"), ('{"round":1,"happened":[]}', "sim_time_ns"),
-    ('{"sim_time_ns":1,"happened":[]}', "round"), ('{"sim_time_ns":1,"round":1}', "happened"),
-    (batch(1, 1, {"t": "strange", "balancer": 0}), "not started"),
-    (batch(1, 1, {"balancer": 0}), "lacks t"), (batch(1, 1, 7), "event must be an object"),
-    (batch(1, 1, *start(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
-    (batch(1, 1, *start(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "submit lacks kind"),
-    (batch(1, 1, *start(), {**submit("t1", 1), "deadline_ns": "soon"}), "deadline_ns must be a whole number"),
-    (batch(1, 1, *start(), {**submit("t1", 1), "deadline_ns": True}), "deadline_ns must be a whole number"),
-    (batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 7, "buffer": 0}), "unknown form 7"),
-    (batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 1, "buffer": 9}), "unknown buffer 9"),
-    (batch(1, 1, *start(), {"t": "returned", "balancer": 0, "ticket": "t1", "attempt": 0, "upstream": 11,
-                            "result": "great"}), "unknown result"),
-    (batch(1, 1, *start(), {"t": "message", "balancer": 0, "origin_peer": 1, "blob": "?"}), "not base64"),
-    (batch(1, 1, {"t": "new_instance", "balancer": 0, "seed": 5,
-                  "settings": {"rules": {"ask_within_ns": "soon"}}}), "ask_within_ns must be a whole")])
+@pytest.mark.parametrize(
+    ("line", "says"),
+    [
+        ("{", "not JSON"),
+        ("[]", "must be an object"),
+        ('{"round":1,"happened":[]}', "sim_time_ns"),
+        ('{"sim_time_ns":1,"happened":[]}', "round"),
+        ('{"sim_time_ns":1,"round":1}', "happened"),
+        (batch(1, 1, {"t": "strange", "balancer": 0}), "not started"),
+        (batch(1, 1, {"balancer": 0}), "lacks t"),
+        (batch(1, 1, 7), "event must be an object"),
+        (batch(1, 1, *start(), {"t": "strange", "balancer": 0}), "unknown event 'strange'"),
+        (batch(1, 1, *start(), {"t": "submit", "balancer": 0, "ticket": "t1"}), "submit lacks kind"),
+        (
+            batch(1, 1, *start(), {**submit("t1", 1), "deadline_ns": "soon"}),
+            "deadline_ns must be a whole number",
+        ),
+        (
+            batch(1, 1, *start(), {**submit("t1", 1), "deadline_ns": True}),
+            "deadline_ns must be a whole number",
+        ),
+        (batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 7, "buffer": 0}), "unknown form 7"),
+        (
+            batch(1, 1, *start(), {"t": "membership", "balancer": 0, "form": 1, "buffer": 9}),
+            "unknown buffer 9",
+        ),
+        (
+            batch(
+                1,
+                1,
+                *start(),
+                {
+                    "t": "returned",
+                    "balancer": 0,
+                    "ticket": "t1",
+                    "attempt": 0,
+                    "upstream": 11,
+                    "result": "great",
+                },
+            ),
+            "unknown result",
+        ),
+        (batch(1, 1, *start(), {"t": "message", "balancer": 0, "origin_peer": 1, "blob": "?"}), "not base64"),
+        (
+            batch(
+                1,
+                1,
+                {
+                    "t": "new_instance",
+                    "balancer": 0,
+                    "seed": 5,
+                    "settings": {"rules": {"ask_within_ns": "soon"}},
+                },
+            ),
+            "ask_within_ns must be a whole",
+        ),
+    ],
+)
 def test_malformed_input_stops_with_a_plain_message(line: str, says: str) -> None:
     done = run([line])
     assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr
 
 
 def test_bad_utf_8_is_malformed() -> None:
-    done = subprocess.run([sys.executable, "-m", "lanelift.wirehost"], input=b'{"round": "\xff"}\n',
-                          capture_output=True, timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "lanelift.wirehost"],
+        input=b'{"round": "\xff"}\n',
+        capture_output=True,
+        timeout=60,
+        check=False,
+    )
     assert done.returncode == 2 and b"line 1: not JSON" in done.stderr and b"Traceback" not in done.stderr
 
 
@@ -123,8 +209,15 @@
 
 
 def test_settings_reach_the_module() -> None:
-    row = {"name": "order", "repeat": "idempotency_key", "dedup_scope": "cell", "fifo_by_key": True,
-           "runs_in": ["north"], "allowed_on": ["big"], "window_ns": 5}
+    row = {
+        "name": "order",
+        "repeat": "idempotency_key",
+        "dedup_scope": "cell",
+        "fifo_by_key": True,
+        "runs_in": ["north"],
+        "allowed_on": ["big"],
+        "window_ns": 5,
+    }
     read = read_settings({"profiles": [row], "rules": {"turn_gap_ns": 7}})
     cls = read.classes["order"]
     assert cls.in_order and cls.zones == {"north"} and cls.kinds == {"big"} and cls.scope is api.Scope.CELL
@@ -135,8 +228,14 @@
 def test_events_of_what_is_over_are_ignored() -> None:
     now = 2 * 10**9
     gone = {"t": "dropped", "balancer": 0, "ticket": "t1"}
-    late = {"t": "returned", "balancer": 0, "ticket": "t1", "attempt": 0, "upstream": 99,
-            "result": "delivered"}
+    late = {
+        "t": "returned",
+        "balancer": 0,
+        "ticket": "t1",
+        "attempt": 0,
+        "upstream": 99,
+        "result": "delivered",
+    }
     stale = {"t": "timer", "balancer": 0, "name": "77"}
     done = run([batch(1, now, *start(), submit("t1", now)), batch(2, now + 1, gone, gone, late, stale)])
     assert done.returncode == 0 and not done.stderr
