--- a/lanelift/net/driver.py
+++ b/lanelift/net/driver.py
@@ -167,7 +167,7 @@
     @property
     def tenants(self) -> Mapping[str, Tenant]:
         """As the module has them."""
-        known = self.balancer.tenancy.known
+        known = self.balancer.known_tenants
         return self.settings.tenants if known is None else known
 
     def telemetry(self) -> str:
@@ -177,7 +177,7 @@
             {
                 "open_requests": self.open,
                 "registry_entries": len(self.upstreams.targets),
-                "out_of_rotation": self.balancer.fleet.avoided(now),
+                "out_of_rotation": self.balancer.endpoints_out_of_rotation(now),
             }
         )
 
--- a/lanelift/policy/balancer.py
+++ b/lanelift/policy/balancer.py
@@ -7,7 +7,7 @@
 
 import heapq
 import random
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
 from lanelift.policy.actions import (
@@ -39,7 +39,7 @@
 from lanelift.policy.fleet import LOOKS, Fleet, Pool
 from lanelift.policy.learned import Attempt, Crowding, Server
 from lanelift.policy.request import Request, Turn
-from lanelift.policy.settings import Idempotency, RequestClass, Settings
+from lanelift.policy.settings import Idempotency, RequestClass, Settings, Tenant
 from lanelift.policy.tenancy import Tenancy
 from lanelift.policy.throttle import EVIDENCE, FEEDBACK_NS, SECOND, Throttle
 
@@ -96,6 +96,15 @@
                 now + int(self.rng.random() * settings.rules.notification_deadline_ns / 4), self._subscribe
             )
 
+    @property
+    def known_tenants(self) -> Mapping[str, Tenant] | None:
+        """All tenants by name, once a directory has named some; None before that."""
+        return self.tenancy.known
+
+    def endpoints_out_of_rotation(self, now: int) -> int:
+        """How many listed upstreams get no requests now: they drain, or are ejected for a while."""
+        return self.fleet.avoided(now)
+
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         self.actions = []
         for e in events:
