--- a/lanelift/faults/beats.py
+++ b/lanelift/faults/beats.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import itertools
 import os
 import signal
 import sys
@@ -58,7 +59,7 @@
 
 def falls(stays: list[Stay]) -> list[tuple[Stay, Stay]]:
     """Neighbours whose tokens did not rise."""
-    return [(a, b) for a, b in zip(stays, stays[1:], strict=False) if b.token <= a.token]
+    return [(a, b) for a, b in itertools.pairwise(stays) if b.token <= a.token]
 
 
 def main(path: str, lasts_s: float = 3600.0, stubborn: bool = False) -> int:
--- a/lanelift/rehearsal/judge.py
+++ b/lanelift/rehearsal/judge.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import itertools
 from bisect import bisect_right
 from collections import defaultdict
 from collections.abc import Iterable, Mapping, Sequence
@@ -476,7 +477,7 @@
         # A process that was started anew counts from 0 again.
         cpu[number] = sum(
             max(0.0, b.cpu_s - a.cpu_s) if b.cpu_s >= a.cpu_s else b.cpu_s
-            for a, b in zip(used, used[1:], strict=False)
+            for a, b in itertools.pairwise(used)
         )
     return {
         "cpu_s": {str(n): round(s, 2) for n, s in sorted(cpu.items())},
--- a/lanelift/routes/table.py
+++ b/lanelift/routes/table.py
@@ -160,7 +160,7 @@
 class Paths:
     """The rules of one host pattern, by path."""
 
-    __slots__ = ("exact", "prefix", "longest")
+    __slots__ = ("exact", "longest", "prefix")
 
     def __init__(self) -> None:
         self.exact: dict[tuple[str, ...], Beside] = {}
--- a/lanelift/standins/quotebox.py
+++ b/lanelift/standins/quotebox.py
@@ -196,7 +196,7 @@
         if not connection.open:
             return
         for key in [k for k, (request, _, _) in self.open.items() if request.connection is connection]:
-            request, life, work = self.open[key]
+            request, life, _work = self.open[key]
             if self.box.drop(key, request.gone_ns):
                 del self.open[key]
                 self._row(request, "dropped", request.gone_ns, False, 0, life)
@@ -216,7 +216,7 @@
         for done in self.box.advance(now):
             if self.vanished:
                 continue
-            request, life, work = self.open[done.job]
+            request, life, _work = self.open[done.job]
             failed = unit(self.seed, "error", done.job.partition("/")[0], life) < self.sockets.error_part
             self._end(done.job, "error" if failed else "served", time.monotonic_ns())
             if not request.gone_ns:
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -12,7 +12,6 @@
 import socket
 import subprocess
 import sys
-from collections.abc import Iterator
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -175,7 +174,7 @@
 
 
 @pytest.fixture(scope="module")
-def runs(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, Run]]:
+def runs(tmp_path_factory: pytest.TempPathFactory) -> dict[str, Run]:
     """All of them, a few at a time."""
     folder = tmp_path_factory.mktemp("rehearsals")
 
@@ -188,7 +187,7 @@
 
         return dict(await asyncio.gather(*(one(name) for name in RUNS)))
 
-    yield asyncio.run(all_of_them())
+    return asyncio.run(all_of_them())
 
 
 def test_a_calm_day_with_the_daemon(runs: dict[str, Run]) -> None:
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -88,7 +88,7 @@
 
 def test_changes_are_checked_with_the_file() -> None:
     assert read_scenario("calm", {"load.rate": 50.0, "seed": 9}).load.rate == 50
-    with pytest.raises(Mistakes, match="fleet.boxes: found 0"):
+    with pytest.raises(Mistakes, match=r"fleet\.boxes: found 0"):
         read_scenario("calm", {"fleet.boxes": 0})
     with pytest.raises(Mistakes, match="no such scenario; shipped: back-to-school, calm"):
         read_scenario("clam")
--- a/tests/standins/test_ldap.py
+++ b/tests/standins/test_ldap.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    "name,secret,code",
+    ("name", "secret", "code"),
     [
         (READER, SECRET, Code.SUCCESS),
         (READER.upper(), SECRET, Code.SUCCESS),
@@ -120,7 +120,7 @@
     assert results(Session(town(), {}).receive(bind(version=2))) == [(ldap.BIND_DONE, Code.PROTOCOL_ERROR)]
 
 
-@pytest.mark.parametrize("tag,answer", sorted(ldap.REFUSED.items()))
+@pytest.mark.parametrize(("tag", "answer"), sorted(ldap.REFUSED.items()))
 def test_it_is_read_only(tag: int, answer: int) -> None:
     request = ber.sequence(ber.integer(7), ber.element(tag, b""))
     assert results(Session(town(), {}).receive(request)) == [(answer, Code.UNWILLING)]
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize(
-    "manners,code,count",
+    ("manners", "code", "count"),
     [
         (Manners(Code.BUSY), Code.BUSY, 0),
         (Manners(Code.TIME_LIMIT, after=2), Code.TIME_LIMIT, 2),
--- a/tests/tenants/test_client.py
+++ b/tests/tenants/test_client.py
@@ -60,7 +60,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("tls,context", [("ldaps", True), ("starttls", True), ("starttls", False)])
+@pytest.mark.parametrize(("tls", "context"), [("ldaps", True), ("starttls", True), ("starttls", False)])
 def test_tls_is_verified(tls: str, context: bool, tmp_path: Path) -> None:
     async def test() -> None:
         for name, works in (("127.0.0.1", True), ("elsewhere.example", False)):
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize(
-    "manners,count,words",
+    ("manners", "count", "words"),
     [
         (Manners(Code.BUSY), 0, "busy"),
         (Manners(Code.UNAVAILABLE), 0, "unavailable"),
--- a/tests/tenants/test_entries.py
+++ b/tests/tenants/test_entries.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    "attribute,value,words",
+    ("attribute", "value", "words"),
     [
         ("cn", None, "a name"),
         ("cn", ["ash", "elm"], "one name"),
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize(
-    "text,seconds",
+    ("text", "seconds"),
     [
         ("20261201093000Z", 0.0),
         ("202612010930Z", 0.0),
@@ -182,7 +182,7 @@
 ]
 
 
-@pytest.mark.parametrize("one,other", ALIKE)
+@pytest.mark.parametrize(("one", "other"), ALIKE)
 def test_names_that_are_one(one: str, other: str) -> None:
     assert folded(one) == folded(other)
     assert folded(said(one.encode())) == folded(other)
