--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -37,7 +37,7 @@
         self.heard = dict.fromkeys((n for n in range(len(world.zones)) if n != me), now)
         self.silent: set[int] = set()
 
-    def hear(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Said:
         self.heard[int(source)] = now
         self.silent.discard(int(source))
         return []
--- a/lanelift/faults/simulated.py
+++ b/lanelift/faults/simulated.py
@@ -27,7 +27,7 @@
     @property
     def due_ns(self) -> int | None: ...
 
-    def hear(self, message: Any, source: str, now: int) -> Said: ...
+    def receive(self, message: Any, source: str, now: int) -> Said: ...
 
     def tick(self, now: int) -> Said: ...
 
@@ -144,7 +144,7 @@
                 place.inbox.append((who, message))
             return
         self.note(f"{who} -> {whom} {message}")
-        self.say(whom, place.node.hear(message, who, self.local(whom)))
+        self.say(whom, place.node.receive(message, who, self.local(whom)))
 
     def _due(self, name: str) -> None:
         place = self.places[name]
--- a/lanelift/leases/rehearsed.py
+++ b/lanelift/leases/rehearsed.py
@@ -55,7 +55,7 @@
     def due_ns(self) -> int | None:
         return self.booth.due_ns
 
-    def hear(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Said:
         digest, message = message
         if digest != self.plan.digest:
             return []
@@ -77,7 +77,7 @@
 
     due_ns = None
 
-    def hear(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Said:
         return []
 
     def tick(self, now: int) -> Said:
@@ -118,7 +118,7 @@
             due.append(self.act_ns)
         return min(due, default=None)
 
-    def hear(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Said:
         digest, message = message
         if digest != self.plan.digest or not isinstance(message, Answer):
             return []
--- a/lanelift/membership/rehearsed.py
+++ b/lanelift/membership/rehearsed.py
@@ -32,7 +32,7 @@
     def due_ns(self) -> int | None:
         return self.detector.due_ns
 
-    def hear(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Said:
         return [(str(to), data) for to, data in self.detector.hear(message, now)]
 
     def tick(self, now: int) -> Said:
