--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -32,24 +32,25 @@
 from lanelift.faults.explore import explore
 from lanelift.faults.processes import Processes, Times
 from lanelift.faults.schedule import Schedule, Step, Unplayable, drawn, from_json, shrunk
-from lanelift.fleet.plan import MS, Timing
-from lanelift.fleet.wire import encode
-from lanelift.leases.booth import Booth
-from lanelift.leases.contender import Contender
-from lanelift.leases.model import EVEN, FAST, SLOW, Bounds, Model
-from lanelift.leases.rehearsed import Leases, Seeks, played
-from lanelift.leases.seeker import State
-
-TIMING = Timing(lease_ns=1000 * MS, answer_ns=60 * MS, margin_ns=200 * MS, drift=0.01)
+from lanelift.fleet.cluster import MS, LeaseTiming
+from lanelift.fleet.codec import encode
+from lanelift.leases.client import ClientState
+from lanelift.leases.member import VotingMember
+from lanelift.leases.model import Model
+from lanelift.leases.model_nodes import EVEN, FAST, SLOW, Bounds
+from lanelift.leases.proposer import Proposer
+from lanelift.leases.simulation import HolderNode, LeaseSimulation, simulate
+
+TIMING = LeaseTiming(lease_ns=1000 * MS, response_timeout_ns=60 * MS, stop_margin_ns=200 * MS, drift=0.01)
 UNTIL_MS = 15_000
-RENEWS = Bounds(ticks=3, restarts=0, asks=(1, 2), takes=(2, 1))
+RENEWS = Bounds(ticks=3, restarts=0, prepares=(1, 2), accepts=(2, 1))
 BOUNDS = {
-    "a restart, a second try": Bounds(ticks=3, restarts=1, asks=(1, 2)),
+    "a restart, a second try": Bounds(ticks=3, restarts=1, prepares=(1, 2)),
     "a release": Bounds(ticks=2, restarts=0, releases=(1, 0)),
     "a renewal": RENEWS,
-    "each voter hears both": Bounds(ticks=2, restarts=0, hears=((0, 1, 2), (0, 1, 2))),
+    "each voter hears both": Bounds(ticks=2, restarts=0, reached=((0, 1, 2), (0, 1, 2))),
     "clocks apart the other way": Bounds(
-        ticks=4, restarts=0, voter_rates=(SLOW, EVEN, FAST), contender_rates=(SLOW, FAST)
+        ticks=4, restarts=0, voter_rates=(SLOW, EVEN, FAST), proposer_rates=(SLOW, FAST)
     ),
 }
 
@@ -71,13 +72,16 @@
 
 def mistakes() -> int:
     """Each planted mistake's shortest story in the model."""
-    from tests.leases.mistakes import BOOTHS, CONTENDERS
+    from tests.leases.mistakes import MEMBERS, PROPOSERS
     from tests.leases.test_model import HOLDS, NOT_HERE, WHERE
 
     missed = 0
-    for name in (*BOOTHS, *CONTENDERS):
+    for name in (*MEMBERS, *PROPOSERS):
         bounds = RENEWS if name in NOT_HERE else WHERE.get(name, HOLDS)
-        planted = {"booth_class": BOOTHS.get(name, Booth), "contender_class": CONTENDERS.get(name, Contender)}
+        planted = {
+            "member_class": MEMBERS.get(name, VotingMember),
+            "proposer_class": PROPOSERS.get(name, Proposer),
+        }
         small = type("Planted", (Model,), planted)(bounds)
         found = explore(small.begin(), small.follow, small.wrong, 4_000_000)
         print(
@@ -95,7 +99,7 @@
 
 
 def one(seed: int) -> tuple[int, list[str], int, int, int, int, int, float]:
-    world = Leases(schedule(seed), TIMING)
+    world = LeaseSimulation(schedule(seed), TIMING)
     world.play()
     found = world.found
     return (
@@ -110,19 +114,22 @@
     )
 
 
-class Waiting(Leases):
+class Waiting(LeaseSimulation):
     """All wait, and the holder is killed once the others do; nothing else is wrong."""
 
-    patiences = (None,)
+    wait_timeouts = (None,)
     killed_ns = 0
 
     def after(self) -> None:
         super().after()
-        if self.killed_ns or not self.holders or self.now < 4_000 * MS:
+        if self.killed_ns or not self.held_tokens or self.now < 4_000 * MS:
             return
-        (holder,) = self.holders
+        (holder,) = self.held_tokens
         others = [self.places[name].node for name in self.schedule.contenders if name != holder]
-        if all(isinstance(n, Seeks) and n.seeker.state is State.SEEKING and n.seeker.tries for n in others):
+        if all(
+            isinstance(n, HolderNode) and n.client.state is ClientState.ACQUIRING and n.client.attempts
+            for n in others
+        ):
             self.killed_ns = self.now
             self._step(Step(self.now // MS, "kill", holder))
 
@@ -135,10 +142,10 @@
     return after[0] - world.killed_ns if world.killed_ns and after else None
 
 
-class Held(Leases):
+class Held(LeaseSimulation):
     """One holder, for ever, and nothing wrong: what holding costs."""
 
-    patiences = (None,)
+    wait_timeouts = (None,)
     task = (1e6, 1e6)
     bytes = 0
 
@@ -147,7 +154,7 @@
         super()._send(who, whom, message)
 
 
-def holding(voters: int, timing: Timing) -> tuple[float, float]:
+def holding(voters: int, timing: LeaseTiming) -> tuple[float, float]:
     """Messages and bytes a second, of all together, while one holds."""
     lease_s = timing.lease_ns / 1e9
     world = Held(Schedule(1, tuple("abcdefghi"[:voters]), ("p1",), int(40_000 * lease_s)), timing)
@@ -165,7 +172,7 @@
         rows = pool.map(one, range(count), chunksize=20)
         waits = sorted(w for w in pool.map(death, range(min(count, 2000)), chunksize=20) if w is not None)
     for voters in (3, 5):
-        messages, size = holding(voters, Timing())
+        messages, size = holding(voters, LeaseTiming())
         print(
             f"holding, {voters} voters, a lease of 10 s: {messages:.2f} messages, {size:.0f} bytes a second"
         )
@@ -184,10 +191,10 @@
         print(
             f"without holder after {len(waits)} deaths: p50 {statistics.median(waits) / MS:.0f}, p99 "
             f"{waits[int(0.99 * (len(waits) - 1))] / MS:.0f}, most {waits[-1] / MS:.0f} ms; bound "
-            f"{TIMING.bound_ns / MS:.0f} ms"
+            f"{TIMING.failover_bound_ns / MS:.0f} ms"
         )
     for row in breached[:3]:
-        print(shrunk(schedule(row[0]), lambda s: bool(played(s, TIMING).breaches)).story(), row[1][:2])
+        print(shrunk(schedule(row[0]), lambda s: bool(simulate(s, TIMING).breaches)).story(), row[1][:2])
     return int(bool(breached))
 
 
@@ -284,7 +291,7 @@
     """One schedule, which is read from a file, in one of the two worlds."""
     told = from_json(file.read_bytes())
     if world == "simulated":
-        leases = Leases(told, TIMING, keep_trace=True)
+        leases = LeaseSimulation(told, TIMING, keep_trace=True)
         leases.play()
         print("\n".join(leases.trace or []))
         print(leases.found.breaches or "no breach")
--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -15,12 +15,13 @@
 from lanelift.cli.main import CONFIG, FELL_SHORT, refuse
 from lanelift.config.checked import Mistakes
 from lanelift.config.operator import read_operator_file
-from lanelift.fleet.events import logger
-from lanelift.fleet.messages import MAX_NAME, NAME, Seen, View
-from lanelift.fleet.plan import majority
+from lanelift.fleet.cluster import majority
+from lanelift.fleet.log import logger
+from lanelift.fleet.messages import MAX_NAME, NAME, LeaseList, LeaseStatus
+from lanelift.leases.holder import LeaseHolder
+from lanelift.leases.listing import list_leases
 from lanelift.leases.node import FleetSource
-from lanelift.leases.run import Runner, views
-from lanelift.leases.warden import NOT_HELD
+from lanelift.leases.watchdog import NOT_HELD
 from lanelift.settings import Malformed
 
 
@@ -34,24 +35,15 @@
 def list_(path: Path) -> None:
     """Every lease that is held or waited for, as most voters see it. Exit code 1: no majority answered."""
     source = _source(path)
-    found = asyncio.run(views(source.plan))
-    names = sorted({s.lease for pages in found.values() for page in pages for s in page.leases})
+    found = asyncio.run(list_leases(source.cluster))
+    statuses = [status for pages in found.values() for page in pages for status in page.leases]
+    names = sorted({status.lease for status in statuses})
     for name in names:
-        seen = [s for pages in found.values() for page in pages for s in page.leases if s.lease == name]
-        held = [s for s in seen if s.who]
-        waiting = max(s.waiting for s in seen)
-        best = max(held, key=lambda s: s.token, default=None)
-        agree = sum(s.token == best.token for s in held) if best else 0
-        need = majority(len(source.plan.voters))
-        what = (
-            f"held by {best.who} under token {best.token}, {agree} of {len(source.plan.voters)} votes"
-            if best and agree >= need
-            else "free, or nobody has a majority"
-        )
-        click.echo(f"{name}: {what}; {waiting} waiting")
+        of_name = [status for status in statuses if status.lease == name]
+        click.echo(_summary(name, of_name, len(source.cluster.voters)))
     if not names:
         click.echo("no lease is held or waited for")
-    _enough(source, found)
+    _require_majority(source, found)
 
 
 @lease.command()
@@ -60,11 +52,11 @@
 def show(name: str, path: Path) -> None:
     """What each voter says of lease NAME. Exit code 1: no majority answered."""
     source = _source(path)
-    found = asyncio.run(views(source.plan))
-    for voter in source.plan.voters:
+    found = asyncio.run(list_leases(source.cluster))
+    for voter in source.cluster.voters:
         pages = found.get(voter)
-        click.echo(f"{voter}: {_said(pages, name)}")
-    _enough(source, found)
+        click.echo(f"{voter}: {_described(pages, name)}")
+    _require_majority(source, found)
 
 
 @lease.command(context_settings={"ignore_unknown_options": True})
@@ -95,20 +87,21 @@
         if len(text) > MAX_NAME or not re.fullmatch(NAME, text) or (not text and what != "--hand-to"):
             refuse(f"{what}: found {text!r}; allowed: 1 to {MAX_NAME} printable ASCII characters, no spaces")
     source = _source(path)
-    patience = None if wait_s is None else int(wait_s * 1e9)
+    wait_timeout_ns = None if wait_s is None else int(wait_s * 1e9)
 
-    async def whole() -> int:
-        shown = logger(log, fleet=source.plan.name)
-        runner = Runner(source.plan, source.clock, name, who, shown, patience, hand_to)
+    async def run_while_held() -> int:
+        bound_log = logger(log, fleet=source.cluster.name)
+        holder = LeaseHolder(source.cluster, source.clock, name, who, bound_log, wait_timeout_ns, hand_to)
         for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, runner.stop, number)
-        async with runner:
-            return await runner.command(command) if await runner.hold() else NOT_HELD
+            asyncio.get_running_loop().add_signal_handler(number, holder.stop, number)
+        async with holder:
+            return await holder.run_command(command) if await holder.acquire() else NOT_HELD
 
-    sys.exit(asyncio.run(whole()))
+    sys.exit(asyncio.run(run_while_held()))
 
 
 def _source(path: Path) -> FleetSource:
+    """Returns the fleet of the operator's file; ends the program with its mistakes, if it has any."""
     try:
         source: FleetSource | None = read_operator_file(path).fleet_source()
     except (Mistakes, Malformed) as error:
@@ -118,21 +111,41 @@
     return source
 
 
-def _said(pages: list[View] | None, name: str) -> str:
+def _summary(name: str, statuses: list[LeaseStatus], voters: int) -> str:
+    """Returns one line on a lease, by what each voter that knows it responded."""
+    held = [status for status in statuses if status.holder]
+    waiters = max(status.waiters for status in statuses)
+    latest = max(held, key=lambda status: status.token, default=None)
+    votes = sum(status.token == latest.token for status in held) if latest else 0
+    state = (
+        f"held by {latest.holder} under token {latest.token}, {votes} of {voters} votes"
+        if latest and votes >= majority(voters)
+        else "free, or nobody has a majority"
+    )
+    return f"{name}: {state}; {waiters} waiting"
+
+
+def _described(pages: list[LeaseList] | None, name: str) -> str:
+    """Returns what one voter responded on a lease."""
     if pages is None:
         return "no answer"
-    if pages[0].silent_ns:
-        return f"silent for {pages[0].silent_ns / 1e9:.1f} s more, or without a seat"
-    seen: Seen | None = next((s for page in pages for s in page.leases if s.lease == name), None)
-    if seen is None:
+    if pages[0].quiet_ns:
+        return f"silent for {pages[0].quiet_ns / 1e9:.1f} s more, or without a seat"
+    statuses = (status for page in pages for status in page.leases)
+    status = next((status for status in statuses if status.lease == name), None)
+    if status is None:
         return "free"
     held = (
-        f"bound to {seen.who} under token {seen.token} for {seen.left_ns / 1e9:.1f} s" if seen.who else "free"
+        f"bound to {status.holder} under token {status.token} for {status.remaining_ns / 1e9:.1f} s"
+        if status.holder
+        else "free"
     )
-    return f"{held}; {seen.waiting} waiting"
+    return f"{held}; {status.waiters} waiting"
 
 
-def _enough(source: FleetSource, found: dict[str, list[View]]) -> None:
-    if len(found) < majority(len(source.plan.voters)):
-        click.echo(f"{len(found)} of {len(source.plan.voters)} voters answered: no majority", err=True)
+def _require_majority(source: FleetSource, found: dict[str, list[LeaseList]]) -> None:
+    """Ends the program with exit code 1 if no majority of the voters responded."""
+    voters = len(source.cluster.voters)
+    if len(found) < majority(voters):
+        click.echo(f"{len(found)} of {voters} voters answered: no majority", err=True)
         sys.exit(FELL_SHORT)
--- a/lanelift/config/fleet.py
+++ b/lanelift/config/fleet.py
@@ -17,7 +17,9 @@
     from lanelift.leases.node import FleetSource
 
 MS = 1_000_000
-MOST_MEMBERS = 256  # `lanelift.fleet.plan.MAX_MEMBERS`: not imported, as that is only where the fleet is on
+MOST_MEMBERS = (
+    256  # `lanelift.fleet.cluster.MAX_MEMBERS`: not imported, as that is only where the fleet is on
+)
 
 
 def _bare(text: str) -> str:
@@ -90,14 +92,14 @@
 
     @classmethod
     def _timings(cls, raw: dict[str, Any]) -> Iterable[Mistake]:
-        from lanelift.fleet.plan import Timing
+        from lanelift.fleet.cluster import LeaseTiming
 
         keys = ("lease_ms", "answer_ms", "margin_ms", "drift_ppm")
         values = [number(raw, key, cls.model_fields[key].get_default()) for key in keys]
         if any(value != value for value in values):
             return  # what is no number is told by itself
         lease, answer, margin, drift = values
-        for key, found, allowed in Timing(_ns(lease), _ns(answer), _ns(margin), drift / 1e6).problems():
+        for key, found, allowed in LeaseTiming(_ns(lease), _ns(answer), _ns(margin), drift / 1e6).problems():
             yield Mistake(f"fleet.{key}", found, allowed)
 
     @property
@@ -115,33 +117,34 @@
 
     def told(self) -> str:
         """What the fleet would do, in a line."""
-        from lanelift.fleet.plan import majority
+        from lanelift.fleet.cluster import majority
 
         timing = self._timing()
         return (
             f"Fleet {self.name}: {len(self.members)} members, {self.voters} vote, "
-            f"{majority(self.voters)} decide; a lease is held for {timing.held_ns / 1e9:g} s, renewed every "
-            f"{timing.renew_ns / 1e9:g} s, and given to another within {timing.bound_ns / 1e9:.3g} s of its "
-            "holder's death."
+            f"{majority(self.voters)} decide; a lease is held for {timing.validity_ns / 1e9:g} s, "
+            f"renewed every {timing.renewal_interval_ns / 1e9:g} s, and given to another within "
+            f"{timing.failover_bound_ns / 1e9:.3g} s of its holder's death."
         )
 
     def source(self) -> FleetSource:
         """What the daemon attaches. The fleet's own modules are imported here: only where this is set."""
         from lanelift.fleet.clocks import Clock
-        from lanelift.fleet.plan import Member, Plan
+        from lanelift.fleet.cluster import ClusterConfiguration, Member
         from lanelift.leases.node import FleetSource
-        from lanelift.leases.tasks import FleetTask as Task
+        from lanelift.leases.supervisor import FleetTask as Task
 
         members = tuple(Member(m.id, split_address(m.address), m.zone, m.votes) for m in self.members)
         clock = Clock(_ns(self.clock_ahead_ms), 1 + self.clock_ppm / 1e6)
         state = Path(self.state) if self.state else None
         tasks = tuple(Task(t.name, tuple(t.command), t.every_s) for t in self.tasks)
-        return FleetSource(Plan(self.name, members, self._timing()), self.me, state, clock, self.log, tasks)
+        cluster = ClusterConfiguration(self.name, members, self._timing())
+        return FleetSource(cluster, self.me, state, clock, self.log, tasks)
 
     def _timing(self) -> Any:
-        from lanelift.fleet.plan import Timing
+        from lanelift.fleet.cluster import LeaseTiming
 
-        return Timing(_ns(self.lease_ms), _ns(self.answer_ms), _ns(self.margin_ms), self.drift_ppm / 1e6)
+        return LeaseTiming(_ns(self.lease_ms), _ns(self.answer_ms), _ns(self.margin_ms), self.drift_ppm / 1e6)
 
 
 def _ns(ms: float) -> int:
--- a/lanelift/fleet/clocks.py
+++ b/lanelift/fleet/clocks.py
@@ -1,4 +1,4 @@
-"""A member's clock: time since the machine was started, also while it slept, and never set by anybody."""
+"""A member's clock: nanoseconds since the machine was started, including the time while it slept."""
 
 from __future__ import annotations
 
@@ -6,22 +6,31 @@
 from dataclasses import dataclass
 
 
-def raw_ns() -> int:
-    """Not CLOCK_MONOTONIC: that stands still while a machine sleeps, and the others' votes do not."""
+def boottime_ns() -> int:
+    """Returns CLOCK_BOOTTIME in nanoseconds.
+
+    Not CLOCK_MONOTONIC: that one stands still while the machine sleeps, and the votes of the other members
+    do not.
+    """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """`ahead_ns` and `rate` are for rehearsals on one machine: a clock that began elsewhere and goes
-    wrong."""
+    """A clock which nobody sets.
+
+    Attributes:
+        ahead_ns: Offset from CLOCK_BOOTTIME, for rehearsals on one machine: a clock that began elsewhere.
+        rate: Its rate relative to CLOCK_BOOTTIME, for rehearsals: a clock that goes wrong.
+    """
 
     ahead_ns: int = 0
     rate: float = 1.0
 
     def __call__(self) -> int:
-        return int(raw_ns() * self.rate) + self.ahead_ns
+        """Returns this clock's time in nanoseconds."""
+        return int(boottime_ns() * self.rate) + self.ahead_ns
 
-    def raw(self, own_ns: int) -> int:
-        """The machine's time at a time of this clock."""
+    def to_boottime_ns(self, own_ns: int) -> int:
+        """Returns the CLOCK_BOOTTIME (ns) at which this clock shows `own_ns`."""
         return int((own_ns - self.ahead_ns) / self.rate)
--- a/lanelift/fleet/messages.py
+++ b/lanelift/fleet/messages.py
@@ -1,116 +1,205 @@
-"""What members say to each other about seats and leases. Data only: `wire.py` has the bytes.
+"""Messages between members about voting and leases. Data only: `codec.py` turns them into bytes.
 
-Each kind is an array that begins with its tag: a later release may add fields at its end, and kinds; this one
-skips what it does not know.
+The lease messages are those of PaxosLease (Trencseni, Gazso, Reinhardt, 2012): a proposer sends `Prepare`,
+then `Accept`; an acceptor (a voting member) answers either with a `Response`. The nonce of a message names
+one run of a proposer, so that two proposers with the same name are told apart.
+
+Wire format: each message is an array that begins with its tag. The tags, and the order of the fields, are
+what is on the wire; names of classes and fields are not. A later release may add kinds, and fields at the
+end of a kind; this release skips what it does not know.
 """
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Annotated
 
 from msgspec import Meta, Struct
 
-MAX_NAME = 64  # characters of a lease's name, and of a contender's
-MOST_SHOWN = 6  # leases in one `View`: as many as fit a datagram, with names at their longest
+MAX_NAME = 64  # characters of the name of a lease, of a voter and of a proposer
+MAX_LISTED = 6  # leases in one `LeaseList`: as many as fit a datagram with names at their longest
+MAX_VOTERS = 64  # voters in one of the `former_voter_sets`
+MAX_VOTER_SETS = 16  # `former_voter_sets` in one message
 
-NAME = r"^[!-~]*\Z"  # printable ASCII without spaces: in a log, a shell and a datagram it is what it seems
+NAME = r"^[!-~]*\Z"  # printable ASCII without spaces: the same in a log, a shell and a datagram
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME, pattern=NAME)]
-Text = Annotated[str, Meta(max_length=MAX_NAME, pattern=NAME)]
-Count = Annotated[int, Meta(ge=0, lt=2**62)]  # ballots, times, numbers
+OptionalName = Annotated[str, Meta(max_length=MAX_NAME, pattern=NAME)]  # empty for none
+Count = Annotated[int, Meta(ge=0, lt=2**62)]  # ballots, times, identifiers
+
+
+class Verdict(StrEnum):
+    """What a voter says in a `Response`. The values are on the wire and stay as they are."""
+
+    PROMISED = "promised"  # Paxos' promise: no lower ballot from now on
+    ACCEPTED = "taken"  # Paxos' accepted: the voter is bound to this proposer
+    RELEASED = "released"  # the voter is no longer bound
+    HELD = "held"  # rejected: bound to another proposer
+    QUEUED = "turn"  # rejected: others come first
+    STALE_BALLOT = "behind"  # rejected: the ballot is not above what was promised
+    RECOVERING = "silent"  # rejected: this voter may have forgotten votes, or may not vote yet
+    AT_CAPACITY = "full"  # rejected: too many leases, or too many waiters
+    FREE = "free"  # no response to a request: the lease was released, and the first waiter is notified
 
 
-class Ask(Struct, frozen=True, array_like=True, tag="ask"):
-    """A contender: will you hear me under this ballot? `waited_ns`: how long it has been waiting."""
+class Prepare(Struct, frozen=True, array_like=True, tag="ask"):
+    """Paxos' prepare (phase 1a): a proposer asks for a promise under this ballot.
+
+    Attributes:
+        lease: Name of the lease.
+        ballot: Ballot to be promised.
+        nonce: The proposer's run.
+        proposer: The proposer's name.
+        request_id: Repeated in the response.
+        waited_ns: How long the proposer has been waiting for the lease.
+        wants_queue: Whether it wants a position in the queue if it can't have the lease now.
+    """
 
     lease: Name
     ballot: Count
     nonce: Count
-    who: Name
-    number: Count
+    proposer: Name
+    request_id: Count
     waited_ns: Count = 0
-    waits: bool = False
+    wants_queue: bool = False
+
+
+class Accept(Struct, frozen=True, array_like=True, tag="take"):
+    """Paxos' accept (phase 2a): a proposer that was promised a majority asks to be accepted.
 
+    The voter is bound from its receipt on. Renewals of a held lease are the same message.
 
-class Take(Struct, frozen=True, array_like=True, tag="take"):
-    """A contender that was promised a majority: bind yourself to me from now on. Renewals are the same."""
+    Attributes:
+        lease: Name of the lease.
+        ballot: Ballot that was promised.
+        nonce: The proposer's run.
+        proposer: The proposer's name.
+        request_id: Repeated in the response.
+    """
 
     lease: Name
     ballot: Count
     nonce: Count
-    who: Name
-    number: Count
+    proposer: Name
+    request_id: Count
 
 
 class Release(Struct, frozen=True, array_like=True, tag="release"):
-    """The holder has stopped: the lease is free, or for a while `to` alone."""
+    """The holder has stopped: the lease is free, or reserved for `successor` for a while.
+
+    Attributes:
+        lease: Name of the lease.
+        ballot: Ballot under which it was held.
+        nonce: The proposer's run.
+        request_id: Repeated in the response.
+        successor: Who alone may have it next; empty for anybody.
+    """
 
     lease: Name
     ballot: Count
     nonce: Count
-    number: Count
-    to: Text = ""
-
-
-class Answer(Struct, frozen=True, array_like=True, tag="answer"):
-    """A voter's answer to any of these. `verdict` is one of the words below; what is not told is 0 or
-    empty."""
+    request_id: Count
+    successor: OptionalName = ""
+
+
+class Response(Struct, frozen=True, array_like=True, tag="answer"):
+    """A voter's response to `Prepare`, `Accept` or `Release`. What does not apply is 0 or empty.
+
+    Attributes:
+        lease: Name of the lease.
+        nonce: Of the request.
+        request_id: Of the request.
+        voter: Who responds.
+        verdict: A `Verdict`. It is typed as a plain string, since a later release may send further words;
+            these are ignored.
+        ballot: What was promised or accepted; for STALE_BALLOT that which must be passed.
+        holder: Name of the present holder.
+        token: Its token.
+        remaining_ns: Time until it may be worth while to try again.
+        queue_position: Position in the queue, from 1.
+    """
 
     lease: Name
     nonce: Count
-    number: Count  # of what is answered
+    request_id: Count
     voter: Name
     verdict: str
-    ballot: Count = 0  # what was promised or taken; for BEHIND, that which must be passed
-    who: Text = ""  # the holder
-    token: Count = 0  # and its token
-    left_ns: Count = 0  # until it may be worth while to ask again
-    place: Count = 0  # in line, from 1
+    ballot: Count = 0
+    holder: OptionalName = ""
+    token: Count = 0
+    remaining_ns: Count = 0
+    queue_position: Count = 0
 
 
-PROMISED, TAKEN, RELEASED = "promised", "taken", "released"
-HELD = "held"  # by another
-TURN = "turn"  # others come first
-BEHIND = "behind"  # the ballot is not above what was promised
-SILENT = "silent"  # this voter may have forgotten votes, or has no seat yet
-FULL = "full"  # too many leases, or too many wait
-FREE = "free"  # not an answer: the lease was released, and the first in line is told
+class ListLeases(Struct, frozen=True, array_like=True, tag="look"):
+    """Asks a voter which leases it knows.
 
+    Attributes:
+        request_id: Repeated in the `LeaseList`.
+        after: Only leases whose names come after this one.
+    """
 
-class Look(Struct, frozen=True, array_like=True, tag="look"):
-    """Whoever wants to see: which leases do you know, from this name on?"""
+    request_id: Count
+    after: OptionalName = ""
 
-    number: Count
-    after: Text = ""
 
+class LeaseStatus(Struct, frozen=True, array_like=True, tag="seen"):
+    """One lease as one voter sees it.
 
-class Seen(Struct, frozen=True, array_like=True, tag="seen"):
-    """One lease as one voter sees it. `left_ns`: how long its vote still binds it."""
+    Attributes:
+        lease: Name of the lease.
+        holder: Whom this voter is bound to; empty for nobody.
+        token: The ballot under which it is bound.
+        remaining_ns: For how long it still is.
+        waiters: How many wait for the lease.
+    """
 
     lease: Name
-    who: Text
+    holder: OptionalName
     token: Count
-    left_ns: Count
-    waiting: Count
+    remaining_ns: Count
+    waiters: Count
+
 
+class LeaseList(Struct, frozen=True, array_like=True, tag="view"):
+    """One page of the leases that a voter knows, in order of their names.
 
-class View(Struct, frozen=True, array_like=True, tag="view"):
-    number: Count
+    Attributes:
+        request_id: Of the `ListLeases`.
+        voter: Who responds.
+        quiet_ns: How long this voter will not vote yet; 0 if it votes.
+        leases: At most `MAX_LISTED`.
+        more: Whether there is another page.
+    """
+
+    request_id: Count
     voter: Name
-    silent_ns: Count
-    leases: Annotated[list[Seen], Meta(max_length=MOST_SHOWN)]
+    quiet_ns: Count
+    leases: Annotated[list[LeaseStatus], Meta(max_length=MAX_LISTED)]
     more: bool = False
 
 
-class Hello(Struct, frozen=True, array_like=True, tag="hello"):
-    """A voter that has no seat yet, or answers one: where it stands (`seat.py`)."""
+class VoterStatus(Struct, frozen=True, array_like=True, tag="hello"):
+    """A recovering voter's status, or another voter's reply to one (`recovery.py`).
+
+    Attributes:
+        voter: Whose status it is.
+        nonce: Of the start of the voter that asked.
+        may_vote: Whether it has finished its recovery.
+        lost_state: Whether it has no state from an earlier start.
+        ballot_floor: It has promised no ballot above this.
+        is_reply: A reply is not replied to.
+        former_voter_sets: `PersistentState.former_voter_sets`.
+    """
 
     voter: Name
-    nonce: Count  # of the start that asked
-    seated: bool
-    blank: bool  # it has no state of its own
-    floor: Count
-    answer: bool = False  # an answer is not answered
-    left: Annotated[list[Annotated[list[Name], Meta(max_length=64)]], Meta(max_length=16)] = []  # `Kept.left`
+    nonce: Count
+    may_vote: bool
+    lost_state: bool
+    ballot_floor: Count
+    is_reply: bool = False
+    former_voter_sets: Annotated[
+        list[Annotated[list[Name], Meta(max_length=MAX_VOTERS)]], Meta(max_length=MAX_VOTER_SETS)
+    ] = []
 
 
-Message = Ask | Take | Release | Answer | Look | View | Hello
+Message = Prepare | Accept | Release | Response | ListLeases | LeaseList | VoterStatus
--- /dev/null
+++ b/lanelift/leases/acceptor.py
@@ -0,0 +1,320 @@
+"""The acceptor of Paxos, for leases: to whom one voter is bound, and for how long. Pure.
+
+Times are nanoseconds of the voter's own clock. These are the rules that the proof in docs/design/leases.md
+rests on, each marked where it stands:
+
+1. It promises a ballot to one proposer, and only above all that it promised before, also before a restart.
+2. It promises nothing while it is bound to another proposer.
+3. It accepts only under the ballot that it promised last, and only whom it promised that.
+4. It is bound for `lease_ns` from when it accepted, and no release of another ballot ends that.
+
+The queue, the reservations and the promise's own time only say who comes first: nothing rests on them but
+fairness.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Hashable
+from dataclasses import dataclass, field
+
+from lanelift.fleet.cluster import LeaseTiming
+from lanelift.fleet.messages import (
+    MAX_LISTED,
+    Accept,
+    LeaseList,
+    LeaseStatus,
+    Prepare,
+    Release,
+    Response,
+    Verdict,
+)
+
+MAX_LEASES = 1024  # names that a voter knows at a time; each takes about a kilobyte
+MAX_WAITERS = 64  # in the queue of one lease
+Source = Hashable  # where a response goes: whatever the caller makes of it
+
+
+@dataclass(slots=True)
+class Waiter:
+    """A proposer in the queue of a lease.
+
+    Attributes:
+        nonce: The proposer's run.
+        source: Where a message to it goes.
+        waiting_since_ns: By how long it said that it had been waiting.
+        last_request_ns: When its last request was received.
+    """
+
+    nonce: int
+    source: Source
+    waiting_since_ns: int
+    last_request_ns: int
+
+
+@dataclass(slots=True)
+class Vote:
+    """What an acceptor has accepted, and is bound by.
+
+    Attributes:
+        ballot: The ballot; it is the holder's token, or above that.
+        nonce: The holder's run.
+        holder: The holder's name.
+        until_ns: When the vote ends.
+        since_ns: Since when it has been bound to this holder.
+    """
+
+    ballot: int
+    nonce: int
+    holder: str
+    until_ns: int
+    since_ns: int
+
+
+@dataclass(slots=True)
+class LeaseRecord:
+    """What an acceptor knows of one lease.
+
+    Attributes:
+        free_since_ns: When it became free.
+        promised_ballot: The last ballot that was promised.
+        promised_nonce: To whom; 0 for nobody any more.
+        promise_until_ns: Others are not promised anything before this.
+        vote: What binds it; None for nothing.
+        queue: Who waits, the longest first.
+        reserved_for: Who alone may have it; empty for anybody.
+        reserved_until_ns: Until when it is reserved.
+        counted_nonce: The holder that the metrics have counted last.
+    """
+
+    free_since_ns: int
+    promised_ballot: int = 0
+    promised_nonce: int = 0
+    promise_until_ns: int = 0
+    vote: Vote | None = None
+    queue: list[Waiter] = field(default_factory=list)
+    reserved_for: str = ""
+    reserved_until_ns: int = 0
+    counted_nonce: int = 0
+
+
+class Acceptor:
+    """One voter's votes on all leases.
+
+    Attributes:
+        ballot_floor: No ballot up to this is promised.
+        ballot_ceiling: No ballot above this is promised, until `raise_ceiling` moves it.
+        highest_promised: The highest ballot promised for any lease: what a proposer must pass after a
+            restart.
+        requested_ballot: A ballot above the ceiling that was asked for; 0 for none.
+        leases: What it knows, by name.
+    """
+
+    def __init__(
+        self, voter: str, timing: LeaseTiming, ballot_floor: int, ballot_ceiling: int, now: int
+    ) -> None:
+        """Creates the acceptor of a voter that may vote.
+
+        Args:
+            voter: Its id.
+            timing: The cluster's timings.
+            ballot_floor: See the class.
+            ballot_ceiling: See the class; it is persisted.
+            now: Its time in nanoseconds.
+        """
+        self.voter, self.timing = voter, timing
+        self.ballot_floor, self.ballot_ceiling = ballot_floor, ballot_ceiling
+        self.highest_promised = ballot_floor
+        self.requested_ballot = 0
+        self.started_ns = now
+        self.leases: dict[str, LeaseRecord] = {}
+
+    def raise_ceiling(self, ballot_ceiling: int) -> None:
+        """Allows ballots up to this, which is persisted."""
+        self.ballot_ceiling, self.requested_ballot = ballot_ceiling, 0
+
+    def prepare(self, message: Prepare, source: Source, now: int) -> Response | None:
+        """Promises the ballot, or says why not.
+
+        Returns:
+            None where the ballot is above the ceiling: it may not promise, and has no reason to reject. The
+            proposer will ask again.
+        """
+        record = self._record(message.lease, now)
+        if record is None:
+            return self._reject(message, Verdict.AT_CAPACITY)
+        position = self._queue_position(record, message, source, now)
+        if record.vote is not None and record.vote.nonce != message.nonce:  # rule 2
+            return self._reject_as_held(message, record.vote, position, now)
+        if position == 0 and message.wants_queue:
+            return self._reject(message, Verdict.AT_CAPACITY)
+        wait_ns = self._wait_for_others_ns(record, message, position, now)
+        if wait_ns is not None:
+            return self._reject(message, Verdict.QUEUED, remaining_ns=wait_ns, queue_position=position)
+        to_pass = max(record.promised_ballot, self.ballot_floor)
+        if message.ballot <= to_pass:  # rule 1
+            ballot = max(to_pass, self.highest_promised)
+            return self._reject(message, Verdict.STALE_BALLOT, ballot, queue_position=position)
+        if (
+            message.ballot > self.ballot_ceiling
+        ):  # rule 1: what is promised above it would not outlive a restart
+            self.requested_ballot = max(self.requested_ballot, message.ballot)
+            return None
+        record.promised_ballot, record.promised_nonce = message.ballot, message.nonce
+        record.promise_until_ns = now + self.timing.response_timeout_ns
+        self.highest_promised = max(self.highest_promised, message.ballot)
+        return Response(
+            message.lease,
+            message.nonce,
+            message.request_id,
+            self.voter,
+            Verdict.PROMISED,
+            message.ballot,
+            queue_position=position,
+        )
+
+    def accept(self, message: Accept, now: int) -> Response:
+        """Accepts a proposer that it promised this ballot: binds itself, or renews that."""
+        record = self._record(message.lease, now)
+        if record is None:
+            return self._reject(message, Verdict.AT_CAPACITY)
+        if (record.promised_ballot, record.promised_nonce) != (message.ballot, message.nonce):  # rule 3
+            return self._reject(message, Verdict.STALE_BALLOT, max(record.promised_ballot, self.ballot_floor))
+        renewed = record.vote is not None and record.vote.nonce == message.nonce
+        since_ns = record.vote.since_ns if renewed and record.vote is not None else now
+        until_ns = now + self.timing.lease_ns
+        record.vote = Vote(message.ballot, message.nonce, message.proposer, until_ns, since_ns)  # rule 4
+        record.queue = [waiter for waiter in record.queue if waiter.nonce != message.nonce]
+        record.reserved_for = ""
+        return Response(
+            message.lease, message.nonce, message.request_id, self.voter, Verdict.ACCEPTED, message.ballot
+        )
+
+    def release(self, message: Release, now: int) -> list[tuple[Source | None, Response]]:
+        """Ends the vote for a holder that has stopped.
+
+        Returns:
+            Responses, and where each goes; None: to whom released it.
+        """
+        record = self._record(message.lease, now)
+        if record is not None:
+            record.queue = [waiter for waiter in record.queue if waiter.nonce != message.nonce]
+        if record is None or (record.promised_ballot, record.promised_nonce) != (
+            message.ballot,
+            message.nonce,
+        ):  # rule 4
+            return [(None, self._reject(message, Verdict.STALE_BALLOT))]
+        # A late message under this ballot binds it no more: rule 3.
+        record.promised_nonce, record.promise_until_ns = 0, 0
+        if record.vote is not None:
+            record.vote, record.free_since_ns = None, now
+        if message.successor:
+            record.reserved_for = message.successor
+            record.reserved_until_ns = now + self.timing.queue_head_window_ns
+        released = Response(message.lease, message.nonce, message.request_id, self.voter, Verdict.RELEASED)
+        responses: list[tuple[Source | None, Response]] = [(None, released)]
+        for first in record.queue[:1]:
+            free = Response(message.lease, first.nonce, 0, self.voter, Verdict.FREE)
+            responses.append((first.source, free))
+        return responses
+
+    def lease_statuses(self, now: int) -> list[LeaseStatus]:
+        """Returns the leases that it is bound for, or that are waited for, in order of their names."""
+        statuses = []
+        for name in sorted(self.leases):
+            record = self._record(name, now)
+            if record is not None and (record.vote is not None or record.queue):
+                vote = record.vote or Vote(0, 0, "", now, now)
+                statuses.append(
+                    LeaseStatus(name, vote.holder, vote.ballot, vote.until_ns - now, len(record.queue))
+                )
+        return statuses
+
+    def list_leases(self, after: str, request_id: int, now: int) -> LeaseList:
+        """Returns one page of `lease_statuses`: as many after this name as one message holds."""
+        statuses = [status for status in self.lease_statuses(now) if status.lease > after]
+        return LeaseList(request_id, self.voter, 0, statuses[:MAX_LISTED], len(statuses) > MAX_LISTED)
+
+    def _record(self, name: str, now: int) -> LeaseRecord | None:
+        """Returns what is known of a lease, as it is now; None: there is no capacity for it."""
+        record = self.leases.get(name)
+        if record is None:
+            if len(self.leases) >= MAX_LEASES and not self._forget_idle(now):
+                return None
+            record = self.leases[name] = LeaseRecord(self.started_ns)
+        if record.vote is not None and now >= record.vote.until_ns:
+            record.free_since_ns, record.vote = record.vote.until_ns, None
+        if record.reserved_for and now >= record.reserved_until_ns:
+            record.reserved_for = ""
+        if record.queue:
+            expiry_ns = self.timing.waiter_expiry_ns
+            record.queue = [waiter for waiter in record.queue if now < waiter.last_request_ns + expiry_ns]
+        return record
+
+    def _forget_idle(self, now: int) -> bool:
+        """Makes room by forgetting idle leases; no ballot up to theirs is promised again (rule 1).
+
+        Returns:
+            Whether there is room now.
+        """
+        idle = [
+            name
+            for name in list(self.leases)
+            if (record := self._record(name, now))
+            and not record.vote
+            and not record.queue
+            and now >= record.promise_until_ns
+        ]
+        for name in idle:
+            self.ballot_floor = max(self.ballot_floor, self.leases.pop(name).promised_ballot)
+        return bool(idle)
+
+    def _queue_position(self, record: LeaseRecord, message: Prepare, source: Source, now: int) -> int:
+        """Returns the proposer's position, from 1, by how long it has waited; 0 for none."""
+        own = next((waiter for waiter in record.queue if waiter.nonce == message.nonce), None)
+        if own is None:
+            if not message.wants_queue or len(record.queue) >= MAX_WAITERS:
+                return 0
+            own = Waiter(message.nonce, source, now - message.waited_ns, now)
+            record.queue.append(own)
+            record.queue.sort(key=lambda waiter: (waiter.waiting_since_ns, waiter.nonce))
+        own.last_request_ns, own.source = now, source
+        return record.queue.index(own) + 1
+
+    def _wait_for_others_ns(
+        self, record: LeaseRecord, message: Prepare, position: int, now: int
+    ) -> int | None:
+        """Returns how long others come first; None where it is this proposer's turn."""
+        if record.reserved_for and record.reserved_for != message.proposer:
+            return record.reserved_until_ns - now
+        if record.promised_nonce not in (0, message.nonce) and now < record.promise_until_ns:
+            return record.promise_until_ns - now
+        first = position == 1 or not record.queue or record.reserved_for == message.proposer
+        if not first and now < record.free_since_ns + self.timing.queue_head_window_ns:
+            return self.timing.poll_interval_ns
+        return None
+
+    def _reject_as_held(self, message: Prepare, vote: Vote, position: int, now: int) -> Response:
+        return self._reject(message, Verdict.HELD, 0, vote.holder, vote.ballot, vote.until_ns - now, position)
+
+    def _reject(
+        self,
+        message: Prepare | Accept | Release,
+        verdict: Verdict,
+        ballot: int = 0,
+        holder: str = "",
+        token: int = 0,
+        remaining_ns: int = 0,
+        queue_position: int = 0,
+    ) -> Response:
+        return Response(
+            message.lease,
+            message.nonce,
+            message.request_id,
+            self.voter,
+            verdict,
+            ballot,
+            holder,
+            token,
+            remaining_ns,
+            queue_position,
+        )
--- /dev/null
+++ b/lanelift/leases/client.py
@@ -0,0 +1,206 @@
+"""When a proposer sends, retries, waits in the queue, renews and gives up. Pure.
+
+Nothing here can make two hold at once, only nobody: safety is that of `proposer.py` and `acceptor.py` alone.
+"""
+
+from __future__ import annotations
+
+import random
+from enum import Enum
+
+from lanelift.fleet.cluster import LeaseTiming, majority
+from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
+from lanelift.leases.proposer import Phase, Proposer
+
+JITTER = (0.5, 1.5)  # factor of a pause: two proposers that collided must not collide again
+MAX_ATTEMPTS = 8  # of a client that does not wait, without a clear response
+Outgoing = tuple[str | None, Prepare | Accept]  # to which voter; None: to each
+REJECTIONS = (Verdict.HELD, Verdict.QUEUED, Verdict.STALE_BALLOT, Verdict.AT_CAPACITY)
+
+
+class ClientState(Enum):
+    """What has become of a client's wish for the lease."""
+
+    ACQUIRING = "seeking"
+    HOLDING = "holds"
+    REJECTED = "refused"  # it does not wait, and another holds it or it found no majority
+    LOST = "lost"  # it held, and could not renew in time
+    RELEASED = "released"
+
+
+class LeaseClient:
+    """Acquires one lease, and renews it.
+
+    The caller calls `tick` at `due_ns` and `receive` for each response, and sends what they return.
+
+    Attributes:
+        proposer: Its proposer.
+        state: What has become of it.
+        due_ns: When `tick` is due, on its clock; None for never.
+        started_ns: Since when it has been waiting.
+        attempts: Ballots tried so far.
+        rejections: The rejections of the present attempt, by voter.
+        reason: Why it does not hold, in words for the log.
+        next_ballot_after_ns: No higher ballot is prepared while it holds before this time.
+    """
+
+    def __init__(
+        self,
+        lease: str,
+        name: str,
+        nonce: int,
+        timing: LeaseTiming,
+        voters: int,
+        rng: random.Random,
+        now: int,
+        wait_timeout_ns: int | None = None,
+    ) -> None:
+        """Creates a client whose first attempt is due now.
+
+        Args:
+            lease: Name of the lease.
+            name: As whom it is held.
+            nonce: New for each client; above 0.
+            timing: The cluster's timings.
+            voters: How many voters there are.
+            rng: For jitter.
+            now: Its time in nanoseconds.
+            wait_timeout_ns: How long it waits for the lease; 0: not at all; None: for ever.
+        """
+        self.proposer = Proposer(lease, name, nonce, timing, voters)
+        self.timing, self.voters, self.rng = timing, voters, rng
+        self.started_ns, self.wait_timeout_ns = now, wait_timeout_ns
+        self.state = ClientState.ACQUIRING
+        self.due_ns: int | None = now
+        self.attempts = 0
+        self.rejections: dict[str, Response] = {}
+        self.reason = "no majority of the voters answered"
+        self.next_ballot_after_ns = 0
+
+    def holds(self, now: int) -> bool:
+        """Returns whether it holds the lease at this time of its clock."""
+        return self.proposer.holds(now)
+
+    def tick(self, now: int) -> list[Outgoing]:
+        """Returns what is to be sent now: a renewal, an attempt, or nothing."""
+        active = self.state in (ClientState.ACQUIRING, ClientState.HOLDING)
+        if active and self.proposer.has_expired(now):
+            self._end(ClientState.LOST, "it could not be renewed in time")
+        if self.state is ClientState.HOLDING:
+            self._schedule_renewal(now)
+            return [(None, self.proposer.accept(now))]
+        if self.state is not ClientState.ACQUIRING or (self.due_ns is not None and now < self.due_ns):
+            return []
+        waited_ns = now - self.started_ns
+        if self._has_waited_enough(waited_ns):
+            self._end(ClientState.REJECTED, self.reason)
+            return []
+        self.attempts += 1
+        self.rejections = {}
+        self.due_ns = now + self._jittered(self.timing.response_timeout_ns)
+        return [(None, self.proposer.prepare(now, max(0, waited_ns), self.wait_timeout_ns != 0))]
+
+    def receive(self, response: Response, now: int) -> list[Outgoing]:
+        """Takes a voter's response; returns what is to be sent for it."""
+        proposer = self.proposer
+        former_phase, former_ballot = proposer.phase, proposer.ballot
+        proposer.receive(response, now)
+        if response.nonce != proposer.nonce:
+            return []
+        if self.state is ClientState.HOLDING:
+            return self._bind_remaining_voters(response, former_ballot, now)
+        if self.state is not ClientState.ACQUIRING:
+            return []
+        if former_phase is Phase.PREPARING and proposer.phase is Phase.ACCEPTING:
+            self.due_ns = now + self._jittered(2 * self.timing.response_timeout_ns)
+            return [(None, proposer.accept(now))]
+        if proposer.phase is Phase.HOLDING:
+            self.state = ClientState.HOLDING
+            self._schedule_renewal(now)
+            return []
+        # Every voter notifies the first waiter, and one attempt for all of them is enough.
+        if response.verdict == Verdict.FREE and self._attempt_has_failed:
+            self.due_ns = now
+            return self.tick(now)
+        if response.request_id in proposer.sent_ns and response.verdict in REJECTIONS:
+            self.rejections[response.voter] = response
+            if self._attempt_has_failed:
+                self._schedule_retry(now)
+        return []
+
+    def release(self, successor: str = "") -> Release:
+        """Gives the lease back: its holder has stopped.
+
+        Args:
+            successor: Who alone may have it next, for a while; empty for anybody.
+        """
+        self._end(ClientState.RELEASED, "released")
+        return self.proposer.release(successor)
+
+    @property
+    def _attempt_has_failed(self) -> bool:
+        """Whether so many voters have rejected this attempt that no majority remains for it."""
+        return len(self.rejections) > self.voters - majority(self.voters)
+
+    def _has_waited_enough(self, waited_ns: int) -> bool:
+        min_attempts = 1 if self.wait_timeout_ns else MAX_ATTEMPTS
+        return (
+            self.wait_timeout_ns is not None
+            and waited_ns > self.wait_timeout_ns
+            and self.attempts >= min_attempts
+        )
+
+    def _bind_remaining_voters(self, response: Response, former_ballot: int, now: int) -> list[Outgoing]:
+        """While it holds: returns what makes the other voters accept it as well.
+
+        All voters shall accept it, so that any majority of them will do for a renewal. A voter that promised
+        nothing yet is asked to; past one that is ahead, as it was restarted, a higher ballot is prepared.
+        """
+        proposer = self.proposer
+        if proposer.phase is not Phase.HOLDING:
+            return []
+        if proposer.ballot != former_ballot:  # a majority has promised the higher one
+            return [(None, proposer.accept(now))]
+        promised = response.verdict == Verdict.PROMISED and response.ballot == proposer.ballot
+        if promised and response.voter not in proposer.accepted_ns:
+            return [(response.voter, proposer.accept(now))]
+        if response.verdict != Verdict.STALE_BALLOT:
+            return []
+        if response.ballot < proposer.ballot:
+            return [(response.voter, proposer.prepare_present_ballot(now))]
+        if now < self.next_ballot_after_ns:
+            return []
+        self.next_ballot_after_ns = now + self._jittered(self.timing.renewal_interval_ns)
+        return [(None, proposer.prepare_next_ballot(now))]
+
+    def _schedule_renewal(self, now: int) -> None:
+        self.due_ns = min(now + self.timing.renewal_interval_ns, self.proposer.until_ns)
+
+    def _schedule_retry(self, now: int) -> None:
+        """Sets when the next attempt is due, or ends, after the present attempt has failed."""
+        responses = list(self.rejections.values())
+        held = [response for response in responses if response.verdict == Verdict.HELD]
+        queued = [
+            response for response in responses if response.verdict in (Verdict.QUEUED, Verdict.AT_CAPACITY)
+        ]
+        if held:
+            self.reason = f"held by {held[0].holder} under token {held[0].token}"
+        elif queued:
+            self.reason = "others come first"
+        jitter_range_ns = max(1, self.timing.response_timeout_ns // 4)
+        if self.wait_timeout_ns == 0 and len(held) > self.voters - majority(self.voters):
+            self._end(ClientState.REJECTED, self.reason)
+        elif held or queued:
+            # A holder may renew: a waiter asks now and then, and just when the votes would end.
+            remaining_ns = (response.remaining_ns for response in held + queued if response.remaining_ns)
+            soon_ns = min(remaining_ns, default=self.timing.poll_interval_ns)
+            pause_ns = min(soon_ns, self.timing.poll_interval_ns) + self.rng.randrange(jitter_range_ns)
+            self.due_ns = now + max(pause_ns, self.timing.response_timeout_ns // 4)
+        else:  # its ballot was stale, and nothing else: at once
+            self.due_ns = now + self.rng.randrange(jitter_range_ns)
+
+    def _jittered(self, pause_ns: int) -> int:
+        return int(pause_ns * self.rng.uniform(*JITTER))
+
+    def _end(self, state: ClientState, reason: str) -> None:
+        self.state, self.reason, self.due_ns = state, reason, None
--- /dev/null
+++ b/lanelift/leases/listing.py
@@ -0,0 +1,51 @@
+"""Asks each voter for the leases that it knows."""
+
+from __future__ import annotations
+
+import asyncio
+from contextlib import suppress
+
+from lanelift.fleet.cluster import ClusterConfiguration
+from lanelift.fleet.messages import LeaseList, ListLeases, Message
+from lanelift.fleet.transport import Address, DatagramTransport
+
+RESPONSE_TIMEOUTS = 4  # of `response_timeout_ns`, for all pages together
+
+
+async def list_leases(cluster: ClusterConfiguration, after: str = "") -> dict[str, list[LeaseList]]:
+    """Returns the pages of each voter, by voter; one that does not respond in time is missing.
+
+    Args:
+        cluster: The fleet.
+        after: Only leases whose names come after this one.
+
+    Raises:
+        OSError: There is no socket to be had.
+    """
+    found: dict[str, list[LeaseList]] = {}
+    changed = asyncio.Event()
+    voter_ids = {member.address: member.id for member in cluster.members if member.votes}
+
+    def receive(message: Message, source: Address) -> None:
+        if not isinstance(message, LeaseList) or voter_ids.get(source) != message.voter:
+            return
+        pages = found.setdefault(message.voter, [])
+        if message.request_id == len(pages):  # the next page, and not one that is received twice
+            pages.append(message)
+            if message.more:
+                transport.send(ListLeases(len(pages), message.leases[-1].lease), source)
+        changed.set()
+
+    transport = DatagramTransport(cluster.digest, receive)
+    await transport.open(("0.0.0.0", 0))
+    try:
+        with suppress(TimeoutError):
+            async with asyncio.timeout(RESPONSE_TIMEOUTS * cluster.timing.response_timeout_ns / 1e9):
+                for address in voter_ids:
+                    transport.send(ListLeases(0, after), address)
+                while len(found) < len(voter_ids) or any(pages[-1].more for pages in found.values()):
+                    changed.clear()
+                    await changed.wait()
+    finally:
+        transport.close()
+    return found
--- /dev/null
+++ b/lanelift/leases/metrics.py
@@ -0,0 +1,64 @@
+"""The leases of one voting member as metrics, in Prometheus' text exposition format.
+
+Names of metrics and labels are read by operators (docs/operating/leases.md): they stay as they are.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from lanelift.leases.acceptor import LeaseRecord
+from lanelift.leases.member import VotingMember
+
+MAX_LEASES_IN_METRICS = 64  # leases with metrics of their own: a scrape must stay small; `lease list` has all
+
+
+def render(
+    member: VotingMember | None,
+    changes: int,
+    rejections: int,
+    datagrams: Mapping[str, int],
+    now: int,
+) -> str:
+    """Returns the metrics.
+
+    Args:
+        member: The voting member; None for a member that does not vote.
+        changes: How often this voter saw the holder of a lease change.
+        rejections: Requests that it rejected.
+        datagrams: `DatagramTransport.counts`.
+        now: This member's time in nanoseconds.
+    """
+    acceptor = member.acceptor if member is not None else None
+    records = sorted(acceptor.leases.items()) if acceptor is not None else []
+    held = [(name, record) for name, record in records if record.vote is not None]
+    totals = {
+        "lanelift_fleet_seated": int(member is not None and member.recovery.may_vote),
+        "lanelift_lease_votes": len(held),
+        "lanelift_lease_changes_total": changes,
+        "lanelift_lease_refused_total": rejections,
+    }
+    lines = [f"{name} {value}" for name, value in totals.items()]
+    for name, record in held[:MAX_LEASES_IN_METRICS]:
+        lines += _lease_lines(name, record, now)
+    lines += [
+        f'lanelift_fleet_messages_total{{what="{what}"}} {count}' for what, count in sorted(datagrams.items())
+    ]
+    return "\n".join(lines) + "\n"
+
+
+def _lease_lines(name: str, record: LeaseRecord, now: int) -> list[str]:
+    vote = record.vote
+    assert vote is not None
+    label = f'{{lease="{_escaped(name)}",holder="{_escaped(vote.holder)}"}}'
+    return [
+        f"lanelift_lease_token{label} {vote.ballot}",
+        f"lanelift_lease_held_seconds{label} {(now - vote.since_ns) / 1e9:.3f}",
+        f"lanelift_lease_left_seconds{label} {max(0, vote.until_ns - now) / 1e9:.3f}",
+        f"lanelift_lease_waiting{label} {len(record.queue)}",
+    ]
+
+
+def _escaped(text: str) -> str:
+    """Returns a label's value as the text format has it."""
+    return text.replace("\\", "\\\\").replace('"', '\\"')
--- a/lanelift/leases/node.py
+++ b/lanelift/leases/node.py
@@ -1,213 +1,246 @@
-"""A voting member as a part of `lanelift serve`: sockets, disk and timers round `leases/booth.py`."""
+"""A member as a part of `lanelift serve`: socket, state file and timers around `member.py`."""
 
 from __future__ import annotations
 
 import asyncio
 import secrets
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
-from lanelift.fleet.clocks import Clock
-from lanelift.fleet.disk import Disk, to_json
-from lanelift.fleet.events import logger
-from lanelift.fleet.messages import Answer, Hello, Message
-from lanelift.fleet.plan import Plan
-from lanelift.fleet.port import Address, Port
-from lanelift.fleet.seat import Refused
-from lanelift.leases.booth import Booth
-from lanelift.leases.tasks import FleetTask, Tasks
+import msgspec
 
-MOST_SCRAPED = 64  # leases with figures of their own: a scrape must stay small; `lease list` has all
-AGAIN_S = 1.0  # until a write that failed is tried again: a full disk is emptied by people
+from lanelift.fleet.clocks import Clock
+from lanelift.fleet.cluster import ClusterConfiguration
+from lanelift.fleet.log import logger
+from lanelift.fleet.messages import LeaseStatus, Message, Response, Verdict, VoterStatus
+from lanelift.fleet.recovery import VoterStateError
+from lanelift.fleet.state_file import StateFile
+from lanelift.fleet.transport import Address, DatagramTransport
+from lanelift.leases.member import VotingMember
+from lanelift.leases.metrics import render
+from lanelift.leases.supervisor import FleetTask, TaskSupervisor
+
+WRITE_RETRY_S = 1.0  # until a write that failed is tried again: it takes people to empty a full disk
+MIN_TIMER_S = 0.001
+# Verdicts that are no rejection of a request.
+NOT_REJECTED = (Verdict.ACCEPTED, Verdict.PROMISED, Verdict.RELEASED, Verdict.FREE)
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSource:
-    """Stands in a configuration; `attach` puts it to work. Raises `seat.Refused`, also for what is on
-    disk."""
-
-    plan: Plan
-    me: str
-    state: Path | None
-    clock: Clock = Clock()
-    log: str = "console"
+    """What a member is made of; it stands in a configuration, and `attach` makes the member.
+
+    Attributes:
+        cluster: The fleet.
+        member_id: Which of its members this is.
+        state_folder: Where a voter has its state file; None for a member that does not vote.
+        clock: This member's clock.
+        log_format: "console" or "json".
+        tasks: Tasks of the fleet.
+    """
+
+    cluster: ClusterConfiguration
+    member_id: str
+    state_folder: Path | None
+    clock: Clock = field(default_factory=Clock)
+    log_format: str = "console"
     tasks: tuple[FleetTask, ...] = ()
 
     def attach(self, driver: Any) -> FleetNode:
+        """Returns the member, which is to be started.
+
+        Raises:
+            VoterStateError: Its state can't be used, or another process runs as this member.
+        """
         return FleetNode(self)
 
 
 class FleetNode:
-    """Answers the fleet, if it votes. What it does not manage costs the others its vote, and requests
-    nothing."""
+    """One member: responds to the fleet, if it votes, and runs the tasks of the fleet.
+
+    What fails here costs the other members its vote, and the balancer's requests nothing.
+
+    Attributes:
+        transport: Its socket.
+        state_file: Its state file; None for a member that does not vote.
+        member: The voting member; None for one that does not vote.
+        supervisor: Its tasks of the fleet.
+        holder_changes: How often this voter saw the holder of a lease change.
+        rejections: Requests that it rejected.
+    """
 
     def __init__(self, source: FleetSource) -> None:
-        self.plan, self.me, self.clock = source.plan, source.me, source.clock
-        self.log = logger(source.log, fleet=source.plan.name, member=source.me)
-        self.port = Port(self.plan.digest, self._hear, self._stranger)
-        self.disk: Disk | None = None
-        self.booth: Booth | None = None
-        self.tasks = Tasks(source.plan, source.me, source.clock, self.port, source.tasks, self.log)
-        self.timer: asyncio.TimerHandle | None = None
-        self.writing = False
-        self.task: asyncio.Task[None] | None = None  # that writes
-        self.changes = 0  # of holders, as this voter saw them
-        self.refused = 0
-        member = self.plan.member(self.me)
-        assert member is not None
-        self.address = member.address
-        if member.votes:
-            assert source.state is not None
-            self.disk = Disk(source.state, self.me)
-            self.booth = Booth(self.plan, self.me, secrets.randbits(60), self.disk.read(), self.clock())
+        """Creates a member that is not started yet, and reads its state.
+
+        Raises:
+            VoterStateError: Its state can't be used, or another process runs as this member.
+        """
+        self.cluster, self.member_id, self.clock = source.cluster, source.member_id, source.clock
+        self.log = logger(source.log_format, fleet=source.cluster.name, member=source.member_id)
+        self.transport = DatagramTransport(self.cluster.digest, self._receive, self._foreign_cluster)
+        self.state_file: StateFile | None = None
+        self.member: VotingMember | None = None
+        self.supervisor = TaskSupervisor(
+            source.cluster, source.member_id, source.clock, self.transport, source.tasks, self.log
+        )
+        self.holder_changes = 0
+        self.rejections = 0
+        self._timer: asyncio.TimerHandle | None = None  # of `member.due_ns`
+        self._writing = False
+        self._writer: asyncio.Task[None] | None = None
+        configured = self.cluster.member(self.member_id)
+        assert configured is not None
+        self.address = configured.address
+        if configured.votes:
+            assert source.state_folder is not None
+            self.state_file = StateFile(source.state_folder, self.member_id)
+            persisted, nonce = self.state_file.read(), secrets.randbits(60)
+            self.member = VotingMember(self.cluster, self.member_id, nonce, persisted, self.clock())
 
     async def start(self) -> None:
-        """Raises Refused where its address can't be had."""
-        if self.booth is not None or self.tasks.tasks:
+        """Opens the socket, and starts the tasks and the voter's recovery.
+
+        Raises:
+            VoterStateError: The address can't be had.
+        """
+        if self.member is not None or self.supervisor.tasks:
             try:
-                await self.port.open(self.address)
+                await self.transport.open(self.address)
             except OSError as error:
                 host, port = self.address
-                raise Refused(f"fleet member {self.me} at {host}:{port}: {error.strerror}") from None
-        self.tasks.start()
-        if self.booth is None:
+                raise VoterStateError(
+                    f"fleet member {self.member_id} at {host}:{port}: {error.strerror}", self.address
+                ) from error
+        self.supervisor.start()
+        if self.member is None:
             return
-        self.log.info("fleet_started", voters=len(self.plan.voters), plan=self.plan.digest.hex())
-        self._write()
+        self.log.info("fleet_started", voters=len(self.cluster.voters), plan=self.cluster.digest.hex())
+        self._write_state()
         self._tick()
 
     async def close(self) -> None:
-        await self.tasks.close()
-        if self.task is not None:
-            self.task.cancel()
-        if self.timer is not None:
-            self.timer.cancel()
-        self.port.close()
-        await asyncio.sleep(0)  # the socket itself is closed on the loop's next turn
-        if self.disk is not None:
-            self.disk.close()
+        """Ends the tasks, and closes socket and state file."""
+        await self.supervisor.close()
+        if self._writer is not None:
+            self._writer.cancel()
+        if self._timer is not None:
+            self._timer.cancel()
+        self.transport.close()
+        await asyncio.sleep(0)  # the socket itself is closed in the loop's next iteration
+        if self.state_file is not None:
+            self.state_file.close()
 
     def view(self) -> bytes:
-        """What this member knows, for `GET /api/leases`."""
-        if self.booth is None:
-            return to_json({"member": self.me, "votes": False})
-        now, voter = self.clock(), self.booth.voter
-        rows = [
+        """Returns what this member knows, as the JSON of `GET /api/leases`; its keys stay as they are."""
+        if self.member is None:
+            return msgspec.json.encode({"member": self.member_id, "votes": False})
+        now, acceptor = self.clock(), self.member.acceptor
+        statuses = acceptor.lease_statuses(now) if acceptor is not None else []
+        quiet_ns = self.member.remaining_quiet_ns(now)
+        return msgspec.json.encode(
             {
-                "lease": s.lease,
-                "holder": s.who,
-                "token": s.token,
-                "left_ms": s.left_ns / 1e6,
-                "waiting": s.waiting,
-            }
-            for s in (voter.seen(now) if voter is not None else [])
-        ]
-        silent = self.booth.silent_ns(now)
-        return to_json(
-            {
-                "member": self.me,
+                "member": self.member_id,
                 "votes": True,
-                "seated": self.booth.seat.seated,
-                "silent_ms": None if silent is None else silent / 1e6,
-                "plan": self.plan.digest.hex(),
-                "leases": rows,
+                "seated": self.member.recovery.may_vote,
+                "silent_ms": None if quiet_ns is None else quiet_ns / 1e6,
+                "plan": self.cluster.digest.hex(),
+                "leases": [_row(status) for status in statuses],
             }
         )
 
-    def figures(self) -> str:
-        """In Prometheus' text form, for the scrape."""
-        voter = self.booth.voter if self.booth is not None else None
-        held = sum(lease.vote is not None for lease in voter.leases.values()) if voter else 0
-        rows = {
-            "lanelift_fleet_seated": int(self.booth is not None and self.booth.seat.seated),
-            "lanelift_lease_votes": held,
-            "lanelift_lease_changes_total": self.changes,
-            "lanelift_lease_refused_total": self.refused,
-        }
-        lines = [f"{name} {value}" for name, value in rows.items()]
-        now = self.clock()
-        leases = sorted(voter.leases.items()) if voter else []
-        for name, lease in [(n, x) for n, x in leases if x.vote is not None][:MOST_SCRAPED]:
-            vote = lease.vote
-            assert vote is not None
-            label = f'{{lease="{_quoted(name)}",holder="{_quoted(vote.who)}"}}'
-            lines += [
-                f"lanelift_lease_token{label} {vote.ballot}",
-                f"lanelift_lease_held_seconds{label} {(now - vote.since_ns) / 1e9:.3f}",
-                f"lanelift_lease_left_seconds{label} {max(0, vote.until_ns - now) / 1e9:.3f}",
-                f"lanelift_lease_waiting{label} {len(lease.line)}",
-            ]
-        lines += [
-            f'lanelift_fleet_messages_total{{what="{what}"}} {count}'
-            for what, count in sorted(self.port.counts.items())
-        ]
-        return "\n".join(lines) + "\n"
-
-    def _hear(self, message: Message, source: Address) -> None:
-        if isinstance(message, Answer):
-            self.tasks.hear(message, source)
+    def metrics(self) -> str:
+        """Returns the metrics of the leases, for the scrape."""
+        counts, now = self.transport.counts, self.clock()
+        return render(self.member, self.holder_changes, self.rejections, counts, now)
+
+    figures = metrics  # the admin API calls it by this name
+
+    def _receive(self, message: Message, source: Address) -> None:
+        if isinstance(message, Response):
+            self.supervisor.receive(message, source)
             return
-        if self.booth is None:
+        if self.member is None:
             return
-        if isinstance(message, Hello):
-            known = self.plan.member(message.voter)
-            if known is None or known.address != source:
-                self.port.counts["dropped_source"] += 1  # a second process under that id, or a wrong address
-                return
-        for to, answer in self.booth.hear(message, source, self.clock()):
-            if isinstance(answer, Answer):
-                self._count(answer)
+        if isinstance(message, VoterStatus) and not self._is_from_its_voter(message, source):
+            self.transport.counts["dropped_source"] += 1
+            return
+        for to, response in self.member.receive(message, source, self.clock()):
+            if isinstance(response, Response):
+                self._count(response)
             assert isinstance(to, tuple)
-            self.port.send(answer, to)
-        self._write()
-
-    def _count(self, answer: Answer) -> None:
-        if answer.verdict == "taken" and self.booth is not None and self.booth.voter is not None:
-            lease = self.booth.voter.leases[answer.lease]
-            if lease.vote is not None and lease.counted != lease.vote.nonce:
-                lease.counted = lease.vote.nonce
-                self.changes += 1
-                self.log.info("lease_given", lease=answer.lease, holder=lease.vote.who, token=answer.ballot)
-        elif answer.verdict not in ("taken", "promised", "released", "free"):
-            self.refused += 1
-
-    def _stranger(self, source: Address) -> None:
-        self.log.warning("fleet_other_plan", source=f"{source[0]}:{source[1]}", plan=self.plan.digest.hex())
+            self.transport.send(response, to)
+        self._write_state()
+
+    def _is_from_its_voter(self, status: VoterStatus, source: Address) -> bool:
+        """Guards against a second process under a voter's id, and against a wrong address."""
+        voter = self.cluster.member(status.voter)
+        return voter is not None and voter.address == source
+
+    def _count(self, response: Response) -> None:
+        """Counts a response in the metrics, and logs a new holder."""
+        accepted = response.verdict == Verdict.ACCEPTED
+        if accepted and self.member is not None and self.member.acceptor is not None:
+            record = self.member.acceptor.leases[response.lease]
+            if record.vote is not None and record.counted_nonce != record.vote.nonce:
+                record.counted_nonce = record.vote.nonce
+                self.holder_changes += 1
+                holder = record.vote.holder
+                self.log.info("lease_given", lease=response.lease, holder=holder, token=response.ballot)
+        elif response.verdict not in NOT_REJECTED:
+            self.rejections += 1
+
+    def _foreign_cluster(self, source: Address) -> None:
+        digest = self.cluster.digest.hex()
+        self.log.warning("fleet_other_plan", source=f"{source[0]}:{source[1]}", plan=digest)
 
     def _tick(self) -> None:
-        assert self.booth is not None
-        for voter, hello in self.booth.tick(self.clock()):
-            member = self.plan.member(voter)
-            assert member is not None
-            self.port.send(hello, member.address)
-        if self.booth.due_ns is not None:
-            wait_s = max(0, self.booth.due_ns - self.clock()) / 1e9
-            self.timer = asyncio.get_running_loop().call_later(max(wait_s, 0.001), self._tick)
-
-    def _write(self) -> None:
-        if self.booth is not None and self.booth.store is not None and not self.writing:
-            self.writing = True
-            self.task = asyncio.get_running_loop().create_task(self._written())
-
-    async def _written(self) -> None:
-        """Off the loop: a disk may take its time, and requests must not."""
-        assert self.booth is not None and self.disk is not None
-        while (kept := self.booth.store) is not None:
+        """Sends the statuses that are due, and sets the timer."""
+        assert self.member is not None
+        for voter, status in self.member.tick(self.clock()):
+            configured = self.cluster.member(voter)
+            assert configured is not None
+            self.transport.send(status, configured.address)
+        if self.member.due_ns is not None:
+            wait_s = max(0, self.member.due_ns - self.clock()) / 1e9
+            loop = asyncio.get_running_loop()
+            self._timer = loop.call_later(max(wait_s, MIN_TIMER_S), self._tick)
+
+    def _write_state(self) -> None:
+        """Begins to write a pending state, unless a write is under way."""
+        if self.member is not None and self.member.pending_state is not None and not self._writing:
+            self._writing = True
+            self._writer = asyncio.get_running_loop().create_task(self._write_pending())
+
+    async def _write_pending(self) -> None:
+        """Writes until nothing is pending.
+
+        In a thread: a disk may take its time, and the balancer's requests must not wait for it.
+        """
+        assert self.member is not None and self.state_file is not None
+        while (state := self.member.pending_state) is not None:
             try:
-                await asyncio.to_thread(self.disk.write, kept)
+                await asyncio.to_thread(self.state_file.write, state)
             except OSError as error:
-                self.log.error("fleet_state_not_written", path=str(self.disk.path), error=str(error))
-                await asyncio.sleep(AGAIN_S)
+                path = str(self.state_file.path)
+                self.log.error("fleet_state_not_written", path=path, error=str(error))
+                await asyncio.sleep(WRITE_RETRY_S)
                 continue
-            was = self.booth.seat.seated
-            self.booth.stored(kept, self.clock())
-            if self.booth.seat.seated and not was:
-                silent = self.booth.silent_ns(self.clock()) or 0
-                self.log.info("fleet_seated", silent_ms=silent // 1_000_000, floor=self.booth.seat.base)
-        self.writing = False
-
-
-def _quoted(text: str) -> str:
-    """A label's value, as Prometheus' text form has it."""
-    return text.replace("\\", "\\\\").replace('"', '\\"')
+            recovery = self.member.recovery
+            could_vote = recovery.may_vote
+            self.member.state_written(state, self.clock())
+            if recovery.may_vote and not could_vote:
+                quiet_ns = self.member.remaining_quiet_ns(self.clock()) or 0
+                self.log.info("fleet_seated", silent_ms=quiet_ns // 1_000_000, floor=recovery.ballot_floor)
+        self._writing = False
+
+
+def _row(status: LeaseStatus) -> dict[str, object]:
+    """Returns one lease of `GET /api/leases`."""
+    return {
+        "lease": status.lease,
+        "holder": status.holder,
+        "token": status.token,
+        "left_ms": status.remaining_ns / 1e6,
+        "waiting": status.waiters,
+    }
--- /dev/null
+++ b/lanelift/leases/watchdog.py
@@ -0,0 +1,163 @@
+"""Ends a command before its lease ends, in a process of its own:
+
+    python -m lanelift.leases.watchdog TERM_NS KILL_NS COMMAND...
+
+TERM_NS and KILL_NS are times of the machine's CLOCK_BOOTTIME in nanoseconds. At the first the command's
+process group is sent SIGTERM, at the second SIGKILL, whether the lease holder runs, is stopped or is gone.
+The holder writes later deadlines to standard input, one line `TERM_NS KILL_NS` for each renewal. Both are
+there from the start since a holder may be stopped before it can write any. The end of standard input is
+SIGTERM at once. The command's process id is written to standard output. Whoever kills the watchdog kills
+the command with it (PR_SET_PDEATHSIG).
+
+What it can't do: a process that the command moved to another session is not ended with the group. Such a
+task needs the token.
+
+Exit code: the command's own, 128 and the signal's number for a command that a signal ended, and 75
+(EX_TEMPFAIL) where the watchdog ended it.
+"""
+
+from __future__ import annotations
+
+import ctypes
+import os
+import select
+import signal
+import subprocess
+import sys
+import time
+from contextlib import suppress
+
+NOT_HELD = 75  # EX_TEMPFAIL of sysexits.h: try again
+NO_COMMAND = 127  # as shells say it
+SIGNAL_EXIT_CODE = 128  # and the signal's number, as shells say it
+PR_SET_PDEATHSIG = 1  # prctl(2)
+POLL_S = 0.05  # at the command, where no event wakes us: a waiting child can't be selected on
+MAX_READ_BYTES = 4096  # of standard input at a time
+STDIN = 0
+
+
+def main(term_ns: int, kill_ns: int, command: list[str]) -> int:
+    """Runs a command under deadlines; returns the exit code of this process.
+
+    Args:
+        term_ns: When SIGTERM is sent, as CLOCK_BOOTTIME.
+        kill_ns: When SIGKILL is sent.
+        command: Program and arguments.
+    """
+    if time.clock_gettime_ns(time.CLOCK_BOOTTIME) >= term_ns:
+        return NOT_HELD
+    libc = ctypes.CDLL(None, use_errno=True)  # before the fork: nothing may be loaded after it
+    watchdog_pid = os.getpid()
+
+    def die_with_watchdog() -> None:
+        libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
+        if os.getppid() != watchdog_pid:  # it died between the fork and the call
+            os._exit(NOT_HELD)
+
+    try:
+        child = subprocess.Popen(
+            command, stdin=subprocess.DEVNULL, start_new_session=True, preexec_fn=die_with_watchdog
+        )
+    except OSError as error:
+        print(f"{command[0]}: {error.strerror}", file=sys.stderr)
+        return NO_COMMAND
+    sys.stdout.write(f"{child.pid}\n")
+    sys.stdout.flush()
+    sys.stdout.close()
+    return Watchdog(child, term_ns, kill_ns).run()
+
+
+def run_from_arguments() -> int:
+    """Runs `main` with the arguments of this process; returns its exit code."""
+    return main(int(sys.argv[1]), int(sys.argv[2]), sys.argv[3:])
+
+
+class Watchdog:
+    """Enforces the deadlines of one running command.
+
+    Attributes:
+        term_ns: When SIGTERM is sent, as CLOCK_BOOTTIME; None once it was.
+        kill_ns: When SIGKILL is sent; None once it was.
+        ended_command: Whether this watchdog has begun to end the command.
+    """
+
+    def __init__(self, child: subprocess.Popen[bytes], term_ns: int, kill_ns: int) -> None:
+        """Takes over the signals of this process.
+
+        Args:
+            child: The command, leader of its process group.
+            term_ns: See the class.
+            kill_ns: See the class.
+        """
+        self.child = child
+        self.term_ns: int | None = term_ns
+        self.kill_ns: int | None = kill_ns
+        self.ended_command = False
+        self._stdin_open = True
+        self._partial_input = b""
+        self._wakeup, wakeup_writer = os.pipe()  # any signal makes `select` return
+        os.set_blocking(wakeup_writer, False)
+        signal.set_wakeup_fd(wakeup_writer)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(number, lambda number, frame: self._signal_group(number))
+        signal.signal(signal.SIGCHLD, lambda number, frame: None)
+
+    def run(self) -> int:
+        """Waits for the command's end, and enforces the deadlines; returns the exit code."""
+        while True:
+            code = self.child.poll()
+            if code is not None:
+                self._signal_group(signal.SIGKILL)  # what is left of its group must not outlive the lease
+                return self._exit_code(code)
+            self._enforce(time.clock_gettime_ns(time.CLOCK_BOOTTIME))
+            files = [self._wakeup] + ([STDIN] if self._stdin_open else [])
+            ready, _, _ = select.select(files, [], [], self._wait_s())
+            if self._wakeup in ready:
+                os.read(self._wakeup, 64)
+            if STDIN in ready:
+                self._receive(os.read(STDIN, MAX_READ_BYTES))
+
+    def _exit_code(self, code: int) -> int:
+        if self.ended_command:
+            return NOT_HELD
+        return SIGNAL_EXIT_CODE - code if code < 0 else code
+
+    def _wait_s(self) -> float:
+        """Returns how long to wait for an event: until the next deadline, or the next poll."""
+        due = [at for at in (self.term_ns, self.kill_ns) if at is not None]
+        if not due:
+            return POLL_S
+        return min(POLL_S, max(0.0, (min(due) - time.clock_gettime_ns(time.CLOCK_BOOTTIME)) / 1e9))
+
+    def _receive(self, data: bytes) -> None:
+        """Takes what the holder wrote: later deadlines, or the end of the input."""
+        if not data:
+            self._stdin_open = False
+            if not self.ended_command:
+                self._end_command()
+            return
+        *lines, self._partial_input = (self._partial_input + data).split(b"\n")
+        for line in lines:
+            if not self.ended_command:  # a command that was told to end is not given more time
+                self.term_ns, self.kill_ns = map(int, line.split())
+
+    def _enforce(self, now: int) -> None:
+        """Sends what is due."""
+        if self.term_ns is not None and now >= self.term_ns:
+            self._end_command()
+        if self.kill_ns is not None and now >= self.kill_ns:
+            self.kill_ns = None
+            self._signal_group(signal.SIGKILL)
+
+    def _end_command(self) -> None:
+        self.ended_command, self.term_ns = True, None
+        self._signal_group(signal.SIGTERM)
+        self._signal_group(signal.SIGCONT)  # a stopped process can't act on SIGTERM
+
+    def _signal_group(self, number: int) -> None:
+        with suppress(ProcessLookupError, PermissionError):
+            os.killpg(self.child.pid, number)
+
+
+if __name__ == "__main__":
+    sys.exit(run_from_arguments())
--- a/tests/config/test_fleet.py
+++ b/tests/config/test_fleet.py
@@ -8,7 +8,7 @@
 
 from lanelift.config.checked import Mistakes
 from lanelift.config.operator import OperatorFile, read_operator_file
-from lanelift.fleet.plan import MS
+from lanelift.fleet.cluster import MS
 
 HEAD = """
 [serve]
@@ -47,8 +47,8 @@
 
 def test_what_the_daemon_is_told(tmp_path: Path) -> None:
     source = read(tmp_path, FLEET + "lease_ms = 6000\nmargin_ms = 500" + ABC).fleet_source()
-    assert source.plan.voters == ("a", "b", "c") and source.me == "a"
-    assert source.plan.timing.lease_ns == 6000 * MS and source.state == Path("/var/lib/lanelift")
+    assert source.cluster.voters == ("a", "b", "c") and source.member_id == "a"
+    assert source.cluster.timing.lease_ns == 6000 * MS and source.state_folder == Path("/var/lib/lanelift")
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_codec.py
@@ -9,18 +9,37 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lanelift.fleet.messages import MOST_SHOWN, Answer, Ask, Hello, Look, Message, Release, Seen, Take, View
-from lanelift.fleet.wire import HEAD, MAGIC, MAX_DATAGRAM, Garbage, Unknown, decode, encode
+from lanelift.fleet.codec import (
+    HEADER,
+    MAGIC,
+    MAX_DATAGRAM_BYTES,
+    MessageDecodeError,
+    UnknownMessageError,
+    decode,
+    encode,
+)
+from lanelift.fleet.messages import (
+    MAX_LISTED,
+    Accept,
+    LeaseList,
+    LeaseStatus,
+    ListLeases,
+    Message,
+    Prepare,
+    Release,
+    Response,
+    VoterStatus,
+)
 
 DIGEST = b"12345678"
 MESSAGES: list[Message] = [
-    Ask("nightly", 7, 8, "p1", 9, 10, True),
-    Take("nightly", 7, 8, "p1", 9),
+    Prepare("nightly", 7, 8, "p1", 9, 10, True),
+    Accept("nightly", 7, 8, "p1", 9),
     Release("nightly", 7, 8, 9, "p2"),
-    Answer("nightly", 8, 9, "a", "held", 0, "p2", 6, 5, 4),
-    Look(1, "m"),
-    View(1, "a", 0, [Seen("nightly", "p1", 7, 8, 9)], True),
-    Hello("a", 1, True, False, 65_536, True),
+    Response("nightly", 8, 9, "a", "held", 0, "p2", 6, 5, 4),
+    ListLeases(1, "m"),
+    LeaseList(1, "a", 0, [LeaseStatus("nightly", "p1", 7, 8, 9)], True),
+    VoterStatus("a", 1, True, False, 65_536, True),
 ]
 
 
@@ -31,15 +50,15 @@
 
 def test_the_largest_fits_a_datagram() -> None:
     name, most = "x" * 64, 2**62 - 1
-    seen = [Seen(name, name, most, most, 64) for _ in range(MOST_SHOWN)]
-    assert len(encode(DIGEST, View(most, name, most, seen, True))) > MAX_DATAGRAM // 2
+    seen = [LeaseStatus(name, name, most, most, 64) for _ in range(MAX_LISTED)]
+    assert len(encode(DIGEST, LeaseList(most, name, most, seen, True))) > MAX_DATAGRAM_BYTES // 2
     with pytest.raises(ValueError, match="do not fit"):
-        encode(DIGEST, View(most, name, most, seen * 2, True))
+        encode(DIGEST, LeaseList(most, name, most, seen * 2, True))
 
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_dropped(data: bytes) -> None:
-    with pytest.raises(Garbage):
+    with pytest.raises(MessageDecodeError):
         decode(data)
 
 
@@ -50,24 +69,24 @@
     data[at] ^= change
     try:
         digest, same = decode(bytes(data))
-    except Garbage:
+    except MessageDecodeError:
         return
     assert digest != DIGEST and same == message  # another plan's: the port drops that
 
 
 def framed(body: bytes, version: int = 1) -> bytes:
-    return HEAD.pack(MAGIC, version, DIGEST, zlib.crc32(body)) + body
+    return HEADER.pack(MAGIC, version, DIGEST, zlib.crc32(body)) + body
 
 
 def test_what_a_later_release_sends_is_skipped() -> None:
     longer = msgspec.msgpack.encode(["look", 5, "m", "more"])
-    assert decode(framed(longer)) == (DIGEST, Look(5, "m"))
+    assert decode(framed(longer)) == (DIGEST, ListLeases(5, "m"))
     for data in (framed(msgspec.msgpack.encode(["rumour", 1])), framed(longer, version=2)):
-        with pytest.raises(Unknown):
+        with pytest.raises(UnknownMessageError):
             decode(data)
 
 
 @pytest.mark.parametrize("row", [["look", -1], ["look", 2**62], ["look", "1"], ["ask", "", 1, 1, "p", 1]])
 def test_values_that_are_out_of_bounds_are_not_heard(row: list[object]) -> None:
-    with pytest.raises(Unknown):
+    with pytest.raises(UnknownMessageError):
         decode(framed(msgspec.msgpack.encode(row)))
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -7,24 +7,28 @@
 import pytest
 
 from lanelift.faults.explore import Explored, explore
-from lanelift.leases.booth import Booth
-from lanelift.leases.contender import Contender
-from lanelift.leases.model import EVEN, FAST, SLOW, Bounds, Model
-from tests.leases.mistakes import BOOTHS, CONTENDERS
+from lanelift.leases.member import VotingMember
+from lanelift.leases.model import Model
+from lanelift.leases.model_nodes import EVEN, FAST, SLOW, Bounds
+from lanelift.leases.proposer import Proposer
+from tests.leases.mistakes import MEMBERS, PROPOSERS
 
 MOST = 1_500_000
-# The second contender's first ballot is behind wherever it meets the first one's: it needs another.
-HOLDS = Bounds(ticks=2, restarts=0, asks=(1, 2))
+# The second proposer's first ballot is behind wherever it meets the first one's: it needs another.
+HOLDS = Bounds(ticks=2, restarts=0, prepares=(1, 2))
 RESTARTS = Bounds(ticks=2, restarts=1)
-RELEASES = Bounds(ticks=1, restarts=0, asks=(1, 2), releases=(1, 0))
-CLIMBS = Bounds(ticks=2, restarts=0, asks=(1, 2), climbs=1)
-AT_ONCE = Bounds(ticks=0, restarts=1, asks=(1, 2))
+RELEASES = Bounds(ticks=1, restarts=0, prepares=(1, 2), releases=(1, 0))
+CLIMBS = Bounds(ticks=2, restarts=0, prepares=(1, 2), next_ballots=1)
+AT_ONCE = Bounds(ticks=0, restarts=1, prepares=(1, 2))
 
 
 def explored(
-    bounds: Bounds, booth: type[Booth] = Booth, contender: type[Contender] = Contender, most: int = MOST
+    bounds: Bounds,
+    member: type[VotingMember] = VotingMember,
+    proposer: type[Proposer] = Proposer,
+    most: int = MOST,
 ) -> Explored:
-    kind = type("Planted", (Model,), {"booth_class": booth, "contender_class": contender})
+    kind = type("Planted", (Model,), {"member_class": member, "proposer_class": proposer})
     model = kind(bounds)
     return explore(model.begin(), model.follow, model.wrong, most)
 
@@ -46,20 +50,20 @@
     "a promise counts as being bound": CLIMBS,
 }
 # One needs a third term (test_schedules.py finds it), the other more states than each run of the tests has
-# time for (benchmarks/leases.py, and test_contender.py by itself).
+# time for (benchmarks/leases.py, and test_proposer.py by itself).
 NOT_HERE = {"any release ends any lease", "any answer counts for the latest question"}
 
 
-@pytest.mark.parametrize("mistake", [m for m in (*BOOTHS, *CONTENDERS) if m not in NOT_HERE])
+@pytest.mark.parametrize("mistake", [m for m in (*MEMBERS, *PROPOSERS) if m not in NOT_HERE])
 def test_a_planted_mistake_is_found(mistake: str) -> None:
     bounds = WHERE.get(mistake, HOLDS)
-    found = explored(bounds, BOOTHS.get(mistake, Booth), CONTENDERS.get(mistake, Contender))
+    found = explored(bounds, MEMBERS.get(mistake, VotingMember), PROPOSERS.get(mistake, Proposer))
     assert found.wrong and found.story
     print(f"\n{mistake}: {found.wrong}, after {found.states} states\n  " + "\n  ".join(found.story))
 
 
 def test_past_its_drift_the_assumption_ends() -> None:
     """A clock slower than the bound is shown to break it: the proof says nothing beyond its assumptions."""
-    lame = replace(HOLDS, contender_rates=(2, EVEN), voter_rates=(FAST, FAST, FAST))
+    lame = replace(HOLDS, proposer_rates=(2, EVEN), voter_rates=(FAST, FAST, FAST))
     assert explored(lame).wrong == "two hold at once"
     assert SLOW < EVEN < FAST
--- a/tests/leases/test_node.py
+++ b/tests/leases/test_node.py
@@ -15,26 +15,29 @@
 
 from lanelift.faults.beats import read
 from lanelift.faults.processes import free_port
-from lanelift.fleet.clocks import Clock, raw_ns
-from lanelift.fleet.disk import Disk
-from lanelift.fleet.events import logger
-from lanelift.fleet.plan import MS, Member, Plan, Timing
-from lanelift.fleet.seat import Kept, Refused
+from lanelift.fleet.clocks import Clock, boottime_ns
+from lanelift.fleet.cluster import MS, ClusterConfiguration, LeaseTiming, Member
+from lanelift.fleet.log import logger
+from lanelift.fleet.recovery import PersistentState, VoterStateError
+from lanelift.fleet.state_file import StateFile
 from lanelift.leases import node as module
+from lanelift.leases.holder import LeaseHolder
+from lanelift.leases.listing import list_leases
 from lanelift.leases.node import FleetNode, FleetSource
-from lanelift.leases.run import Runner, views
 from tests.fakes import run
 
-TIMING = Timing(lease_ns=400 * MS, answer_ns=60 * MS, margin_ns=40 * MS, drift=0.001)
+TIMING = LeaseTiming(lease_ns=400 * MS, response_timeout_ns=60 * MS, stop_margin_ns=40 * MS, drift=0.001)
 
 
-def plan(voters: str = "abc") -> Plan:
+def plan(voters: str = "abc") -> ClusterConfiguration:
     members = tuple(Member(v, ("127.0.0.1", free_port(socket.SOCK_DGRAM))) for v in voters)
-    return Plan("trust", members, TIMING)
+    return ClusterConfiguration("trust", members, TIMING)
 
 
 def with_fleet(
-    tmp_path: Path, story: Callable[[Plan, dict[str, FleetNode]], Awaitable[None]], voters: str = "abc"
+    tmp_path: Path,
+    story: Callable[[ClusterConfiguration, dict[str, FleetNode]], Awaitable[None]],
+    voters: str = "abc",
 ) -> None:
     async def whole() -> None:
         fleet = plan(voters)
@@ -56,24 +59,26 @@
             await asyncio.sleep(0.01)
 
 
-def runner(fleet: Plan, lease: str, who: str) -> Runner:
-    return Runner(fleet, Clock(), lease, who, logger("json"))
+def lease_holder(fleet: ClusterConfiguration, lease: str, who: str) -> LeaseHolder:
+    return LeaseHolder(fleet, Clock(), lease, who, logger("json"))
 
 
 def test_two_hundred_leases_at_once_each_with_one_holder_and_a_token_of_its_own(tmp_path: Path) -> None:
-    async def story(fleet: Plan, nodes: dict[str, FleetNode]) -> None:
-        runners = [runner(fleet, f"lease-{i:03}", f"p{i}") for i in range(200)]
+    async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
+        runners = [lease_holder(fleet, f"lease-{i:03}", f"p{i}") for i in range(200)]
         for r in runners:
             await r.__aenter__()
-        assert all(await asyncio.gather(*(r.hold() for r in runners)))
-        tokens = [r.seeker.contender.token for r in runners]
+        assert all(await asyncio.gather(*(r.acquire() for r in runners)))
+        tokens = [r.client.proposer.token for r in runners]
         assert all(tokens)
-        rows = {v: [s for page in pages for s in page.leases] for v, pages in (await views(fleet)).items()}
+        rows = {
+            v: [s for page in pages for s in page.leases] for v, pages in (await list_leases(fleet)).items()
+        }
         assert set(rows) == set(fleet.voters)
-        seen = {s.lease: s.who for found in rows.values() for s in found if s.who}
+        seen = {s.lease: s.holder for found in rows.values() for s in found if s.holder}
         assert seen == {f"lease-{i:03}": f"p{i}" for i in range(200)}
         await asyncio.gather(*(r.__aexit__() for r in runners))
-        assert not [s for pages in (await views(fleet)).values() for page in pages for s in page.leases]
+        assert not [s for pages in (await list_leases(fleet)).values() for page in pages for s in page.leases]
 
     with_fleet(tmp_path, story)
 
@@ -81,43 +86,43 @@
 def test_a_full_disk_costs_the_others_nothing_but_its_vote(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    full, write = [False], Disk.write
+    full, write = [False], StateFile.write
 
-    def limited(self: Disk, kept: Kept) -> None:
+    def limited(self: StateFile, kept: PersistentState) -> None:
         if full[0] and self.path.stem == "c":
             raise OSError(errno.ENOSPC, "No space left on device")
         write(self, kept)
 
-    monkeypatch.setattr(Disk, "write", limited)
-    monkeypatch.setattr(module, "AGAIN_S", 0.02)
+    monkeypatch.setattr(StateFile, "write", limited)
+    monkeypatch.setattr(module, "WRITE_RETRY_S", 0.02)
 
     def seated(node: FleetNode) -> bool:
-        return node.booth is not None and node.booth.seat.seated
+        return node.member is not None and node.member.recovery.may_vote
 
-    async def story(fleet: Plan, nodes: dict[str, FleetNode]) -> None:
+    async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         await until(lambda: all(map(seated, nodes.values())))
         await nodes["c"].close()
         full[0] = True
         nodes["c"] = FleetNode(FleetSource(fleet, "c", tmp_path, Clock(), "json"))
         await nodes["c"].start()
-        async with runner(fleet, "x", "p1") as r:
-            assert await r.hold()  # by a and b
+        async with lease_holder(fleet, "x", "p1") as r:
+            assert await r.acquire()  # by a and b
             assert not seated(nodes["c"])
             full[0] = False
             await until(lambda: seated(nodes["c"]))
             # And once it votes, it is bound as well: the holder asks it for that, under a higher ballot.
-            await until(lambda: "c" in r.seeker.contender.bound)
+            await until(lambda: "c" in r.client.proposer.accepted_ns)
         assert "No space left on device" in capsys.readouterr().err
 
     with_fleet(tmp_path, story)
 
 
 def test_a_second_process_under_one_id_or_address_is_refused(tmp_path: Path) -> None:
-    async def story(fleet: Plan, nodes: dict[str, FleetNode]) -> None:
-        with pytest.raises(Refused, match="another process runs as a"):
+    async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
+        with pytest.raises(VoterStateError, match="another process runs as a"):
             FleetNode(FleetSource(fleet, "a", tmp_path, Clock(), "json"))
         other = FleetNode(FleetSource(fleet, "a", tmp_path / "other", Clock(), "json"))
-        with pytest.raises(Refused, match="fleet member a at 127.0.0.1"):
+        with pytest.raises(VoterStateError, match="fleet member a at 127.0.0.1"):
             await other.start()
         await other.close()
 
@@ -125,16 +130,16 @@
 
 
 def test_handed_over_it_goes_to_the_named_one_past_who_waited_longer(tmp_path: Path) -> None:
-    async def story(fleet: Plan, nodes: dict[str, FleetNode]) -> None:
-        first = Runner(fleet, Clock(), "x", "p1", logger("json"), hand_to="p3")
+    async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
+        first = LeaseHolder(fleet, Clock(), "x", "p1", logger("json"), successor="p3")
         async with first:
-            assert await first.hold()
-            second, third = runner(fleet, "x", "p2"), runner(fleet, "x", "p3")
+            assert await first.acquire()
+            second, third = lease_holder(fleet, "x", "p2"), lease_holder(fleet, "x", "p3")
             async with second, third:
-                longer = asyncio.create_task(second.hold())
-                await until(lambda: bool(second.seeker.said))
-                named = asyncio.create_task(third.hold())
-                await until(lambda: bool(third.seeker.said))
+                longer = asyncio.create_task(second.acquire())
+                await until(lambda: bool(second.client.rejections))
+                named = asyncio.create_task(third.acquire())
+                await until(lambda: bool(third.client.rejections))
                 await first.__aexit__()
                 assert await named and not longer.done()
                 longer.cancel()
@@ -143,27 +148,27 @@
 
 
 def test_garbage_is_counted_and_costs_nobody_anything(tmp_path: Path) -> None:
-    async def story(fleet: Plan, nodes: dict[str, FleetNode]) -> None:
+    async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for data in (b"", b"x" * 14, b"x" * 1400, b"LF" + bytes(40)):
                 sock.sendto(data, fleet.members[0].address)
         await until(
-            lambda: sum(c for w, c in nodes["a"].port.counts.items() if w.startswith("dropped_")) >= 4
+            lambda: sum(c for w, c in nodes["a"].transport.counts.items() if w.startswith("dropped_")) >= 4
         )
-        async with runner(fleet, "x", "p1") as r:
-            assert await r.hold()
+        async with lease_holder(fleet, "x", "p1") as r:
+            assert await r.acquire()
         assert 'lanelift_fleet_messages_total{what="dropped_size"}' in nodes["a"].figures()
 
     with_fleet(tmp_path, story)
 
 
 def test_a_command_that_is_not_there_and_one_that_fails(tmp_path: Path) -> None:
-    async def story(fleet: Plan, nodes: dict[str, FleetNode]) -> None:
-        async with runner(fleet, "x", "p1") as r:
-            assert await r.hold()
-            assert await r.command([str(tmp_path / "none")]) == 127
-            assert await r.command([sys.executable, "-c", "raise SystemExit(3)"]) == 3
-            assert await r.command(["sh", "-c", "kill -USR1 $$"]) == 128 + 10
+    async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
+        async with lease_holder(fleet, "x", "p1") as r:
+            assert await r.acquire()
+            assert await r.run_command([str(tmp_path / "none")]) == 127
+            assert await r.run_command([sys.executable, "-c", "raise SystemExit(3)"]) == 3
+            assert await r.run_command(["sh", "-c", "kill -USR1 $$"]) == 128 + 10
 
     with_fleet(tmp_path, story, "a")
 
@@ -182,12 +187,14 @@
 def test_what_a_command_leaves_behind_in_its_group_is_ended_with_it(tmp_path: Path) -> None:
     """A child that heeds no SIGTERM and outlives the command must not outlive the lease."""
 
-    async def story(fleet: Plan, nodes: dict[str, FleetNode]) -> None:
+    async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         beats = tmp_path / "child.beats"
         child = f"{sys.executable} -m lanelift.faults.beats {beats} 60 stubborn"
-        async with runner(fleet, "x", "p1") as r:
-            assert await r.hold()
-            code = await r.command(["sh", "-c", f"{child} & while ! test -s {beats}; do sleep 0.01; done"])
+        async with lease_holder(fleet, "x", "p1") as r:
+            assert await r.acquire()
+            code = await r.run_command(
+                ["sh", "-c", f"{child} & while ! test -s {beats}; do sleep 0.01; done"]
+            )
             assert code == 0
         (stay,) = read(tmp_path)
         assert not psutil.pid_exists(stay.pid) or psutil.Process(stay.pid).status() == psutil.STATUS_ZOMBIE
@@ -196,11 +203,11 @@
 
 
 def test_figures_name_the_holder_its_token_and_how_long(tmp_path: Path) -> None:
-    async def story(fleet: Plan, nodes: dict[str, FleetNode]) -> None:
-        async with runner(fleet, 'x"', "p1") as r:
-            assert await r.hold()
+    async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
+        async with lease_holder(fleet, 'x"', "p1") as r:
+            assert await r.acquire()
             figures = nodes["a"].figures()
-            assert f'lanelift_lease_token{{lease="x\\"",holder="p1"}} {r.seeker.contender.token}\n' in figures
+            assert f'lanelift_lease_token{{lease="x\\"",holder="p1"}} {r.client.proposer.token}\n' in figures
             assert "lanelift_lease_changes_total 1" in figures and "lanelift_fleet_seated 1" in figures
             again = nodes["a"].figures()
             await until(lambda: nodes["a"].figures() != again)  # it is held for longer
@@ -213,7 +220,7 @@
     beats = tmp_path / "task.beats"
 
     def warden(term_s: float, kill_s: float) -> int:
-        now = raw_ns()
+        now = boottime_ns()
         ends = [str(now + int(s * 1e9)) for s in (term_s, kill_s)]
         task = [sys.executable, "-m", "lanelift.faults.beats", str(beats), "60", "stubborn"]
         command = [sys.executable, "-m", "lanelift.leases.warden", *ends, *task]
--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -10,13 +10,13 @@
 
 from benchmarks.leases import Waiting
 from lanelift.faults.schedule import Schedule, Step, Unplayable, drawn, from_json, shrunk, to_json
-from lanelift.fleet.plan import MS, Plan, Timing
-from lanelift.fleet.seat import Kept, Seat
-from lanelift.leases import booth
-from lanelift.leases.rehearsed import Leases, played
-from tests.leases.mistakes import BOOTHS, CONTENDERS
+from lanelift.fleet.cluster import MS, ClusterConfiguration, LeaseTiming
+from lanelift.fleet.recovery import PersistentState, VoterRecovery
+from lanelift.leases import member
+from lanelift.leases.simulation import LeaseSimulation, simulate
+from tests.leases.mistakes import MEMBERS, PROPOSERS
 
-TIMING = Timing(lease_ns=1000 * MS, answer_ns=60 * MS, margin_ns=200 * MS, drift=0.01)
+TIMING = LeaseTiming(lease_ns=1000 * MS, response_timeout_ns=60 * MS, stop_margin_ns=200 * MS, drift=0.01)
 UNTIL_MS = 15_000
 SEEDS = 60
 
@@ -33,7 +33,7 @@
 def test_no_two_hold_at_once(long_runs: bool) -> None:
     holdings = late = fenced = 0
     for seed in range(SEEDS * (20 if long_runs else 1)):
-        found = played(schedule(seed), TIMING)
+        found = simulate(schedule(seed), TIMING)
         assert not found.breaches, f"{schedule(seed).story()}\n{found.breaches}"
         holdings += len(found.holdings)
         late, fenced = late + found.late_acts, fenced + found.fenced
@@ -55,34 +55,37 @@
 @pytest.mark.parametrize("mistake", FOUND)
 def test_planted_mistakes_are_found_by_schedules(mistake: str) -> None:
     world = planted(mistake)
-    assert any(played(schedule(seed), TIMING, world).breaches for seed in range(150))
+    assert any(simulate(schedule(seed), TIMING, world).breaches for seed in range(150))
 
 
 def test_no_two_hold_at_once_while_the_list_of_voters_changes(long_runs: bool) -> None:
     holdings = 0
     for seed in range(SEEDS * (20 if long_runs else 1)):
         changing = drawn(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True)
-        found = played(changing, TIMING)
+        found = simulate(changing, TIMING)
         assert not found.breaches, f"{changing.story()}\n{found.breaches}"
         holdings += len(found.holdings)
     assert holdings > SEEDS
 
 
-class Unmoved(Seat):
+class Unmoved(VoterRecovery):
     """A voter votes under another plan without waiting for the former voters to come over."""
 
-    def __init__(self, plan: Plan, me: str, nonce: int, kept: Kept | None) -> None:
-        if kept is not None:
-            kept = replace(kept, digest=plan.digest.hex(), voters=plan.voters, left=())
-        super().__init__(plan, me, nonce, kept)
+    def __init__(
+        self, cluster: ClusterConfiguration, voter: str, nonce: int, persisted: PersistentState | None
+    ) -> None:
+        if persisted is not None:
+            digest, voters = cluster.digest.hex(), cluster.voters
+            persisted = replace(persisted, cluster_digest=digest, voters=voters, former_voter_sets=())
+        super().__init__(cluster, voter, nonce, persisted)
 
 
 def test_a_seat_that_waits_for_nobody_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(booth, "Seat", Unmoved)
+    monkeypatch.setattr(member, "VoterRecovery", Unmoved)
     seeds = (
         drawn(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True) for seed in range(200)
     )
-    assert any(played(changing, TIMING).breaches for changing in seeds)
+    assert any(simulate(changing, TIMING).breaches for changing in seeds)
 
 
 @given(st.integers(0, 10_000))
@@ -116,22 +119,22 @@
         from_json((whole + text[1:] if "steps" in text else text).encode())
 
 
-def planted(mistake: str) -> type[Leases]:
-    from lanelift.leases.seeker import Seeker
+def planted(mistake: str) -> type[LeaseSimulation]:
+    from lanelift.leases.client import LeaseClient
 
-    class Planted(Leases):
+    class Planted(LeaseSimulation):
         pass
 
-    if mistake in BOOTHS:
-        Planted.booth_class = BOOTHS[mistake]
+    if mistake in MEMBERS:
+        Planted.member_class = MEMBERS[mistake]
         return Planted
 
-    class PlantedSeeker(Seeker):
-        def __init__(self, lease, who, nonce, timing, voters, *rest) -> None:  # type: ignore[no-untyped-def]
-            super().__init__(lease, who, nonce, timing, voters, *rest)
-            self.contender = CONTENDERS[mistake](lease, who, nonce, timing, voters)
+    class PlantedClient(LeaseClient):
+        def __init__(self, lease, name, nonce, timing, voters, *rest) -> None:  # type: ignore[no-untyped-def]
+            super().__init__(lease, name, nonce, timing, voters, *rest)
+            self.proposer = PROPOSERS[mistake](lease, name, nonce, timing, voters)
 
-    Planted.seeker_class = PlantedSeeker
+    Planted.client_class = PlantedClient
     return Planted
 
 
@@ -139,7 +142,7 @@
     world = planted("no silence after a start")
 
     def fails(candidate: Schedule) -> bool:
-        return bool(played(candidate, TIMING, world).breaches)
+        return bool(simulate(candidate, TIMING, world).breaches)
 
     seed = next(seed for seed in range(200) if fails(schedule(seed)))
     short = shrunk(schedule(seed), fails)
@@ -150,7 +153,7 @@
 def test_one_seed_gives_one_trace() -> None:
     traces = []
     for _ in range(2):
-        world = Leases(schedule(5), TIMING, keep_trace=True)
+        world = LeaseSimulation(schedule(5), TIMING, keep_trace=True)
         world.play()
         traces.append(world.trace)
     assert traces[0] == traces[1] and traces[0]
@@ -165,12 +168,12 @@
         if world.killed_ns and following:
             waits.append(following[0] - world.killed_ns)
     assert len(waits) > 20
-    assert max(waits) <= TIMING.bound_ns
+    assert max(waits) <= TIMING.failover_bound_ns
 
 
 def test_all_voters_started_anew_at_once_give_no_lower_token() -> None:
     steps = [Step(5_000, "kill", v) for v in "abc"] + [Step(5_050, "start", v) for v in "abc"]
-    found = played(calm(*steps), TIMING)
+    found = simulate(calm(*steps), TIMING)
     assert not found.breaches
     assert [h for h in found.holdings if h[0] < 5_000 * MS] and [
         h for h in found.holdings if h[0] > 6_000 * MS
@@ -179,14 +182,14 @@
 
 def test_a_voter_that_lost_its_disk_is_seated_by_the_others() -> None:
     steps = [Step(4_000, "lose", "a"), Step(4_100, "start", "a"), Step(8_000, "kill", "b")]
-    found = played(calm(*steps), TIMING)
+    found = simulate(calm(*steps), TIMING)
     assert not found.breaches
     assert [h for h in found.holdings if h[0] > 10_000 * MS]  # a and c are a majority again
 
 
 def test_no_majority_no_holder() -> None:
     steps = [Step(4_000, "kill", "a"), Step(4_000, "kill", "b")]
-    found = played(calm(*steps), TIMING)
+    found = simulate(calm(*steps), TIMING)
     assert not [h for h in found.holdings if h[0] > 5_000 * MS]
 
 
@@ -201,19 +204,19 @@
     ]
     world = Keeps(calm(*steps, voters=voters, until_ms=6_000 + 2_000 * voters), TIMING)
     world.play()
-    assert not world.found.breaches and len(world.found.holdings) == 1 and world.holders
+    assert not world.found.breaches and len(world.found.holdings) == 1 and world.held_tokens
 
 
-class Keeps(Leases):
+class Keeps(LeaseSimulation):
     """One holder whose task does not end, and others that wait."""
 
-    patiences = (None,)
+    wait_timeouts = (None,)
     task = (100.0, 100.0)
 
 
 @pytest.mark.parametrize("voters", [1, 2])
 def test_fleets_of_one_and_of_two(voters: int) -> None:
-    found = played(calm(Step(5_000, "kill", "a"), Step(6_000, "start", "a"), voters=voters), TIMING)
+    found = simulate(calm(Step(5_000, "kill", "a"), Step(6_000, "start", "a"), voters=voters), TIMING)
     assert not found.breaches
     assert not [h for h in found.holdings if 6_100 * MS < h[0] < 6_900 * MS]  # a is silent, and needed
     assert [h for h in found.holdings if h[0] > 7_000 * MS]
