--- a/tests/net/test_frontend.py
+++ b/tests/net/test_frontend.py
@@ -246,7 +246,7 @@
                 time.sleep(late)  # the loop stands still
                 await heard.until(lambda: len(heard.of(RequestArrived)) == 3)
             for arrival in heard.of(RequestArrived)[1:]:
-                assert arrival.asked_ns < sent_ns + late / 2 * SECOND
+                assert arrival.received_ns < sent_ns + late / 2 * SECOND
                 assert arrival.deadline_ns < sent_ns + CLASSES["quote"].deadline_ns + late / 2 * SECOND
 
     run(test())
--- a/tests/net/test_outcomes.py
+++ b/tests/net/test_outcomes.py
@@ -65,7 +65,7 @@
             assert (arrived.cost_hint_ns, arrived.key, arrived.retry) == (12_000_000, "7f", True)
             await heard.until(lambda: heard.of(AttemptFinished))
             (outcome,) = heard.of(AttemptFinished)
-            assert (outcome.result, outcome.complete) == (R.OK, True)
+            assert (outcome.result, outcome.request_complete) == (R.OK, True)
             assert outcome.report == {"inflight": 7.0, "util": 0.5}
 
     run(test())
@@ -106,7 +106,7 @@
             await heard.until(lambda: heard.of(AttemptFinished))
             (outcome,) = heard.of(AttemptFinished)
             assert (outcome.request, outcome.attempt, outcome.result) == ("r1", 0, result)
-            assert not outcome.complete
+            assert not outcome.request_complete
             if kind == "quote" or result is R.REJECTED:
                 assert got.status == 503 and 0 < float(got.headers["retry-after"]) <= 1
             else:  # it may have run: no promise
@@ -222,7 +222,7 @@
             assert got.status == 503
             assert int(w.upstreams[0].seen[-1].headers["x-deadline-ms"]) < 300
             (outcome,) = heard.of(AttemptFinished)
-            assert outcome.result is R.TIMEOUT and outcome.took_ns < AIM_NS
+            assert outcome.result is R.TIMEOUT and outcome.duration_ns < AIM_NS
             # Giving up an attempt closes its connection: the upstream knows, and a late answer hits nobody.
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
@@ -248,7 +248,7 @@
             client.close()
             await heard.until(lambda: heard.of(ClientDisconnected) and heard.of(AttemptFinished))
             (outcome,) = heard.of(AttemptFinished)
-            assert (outcome.result, outcome.complete) == (R.CANCELLED, True)
+            assert (outcome.result, outcome.request_complete) == (R.CANCELLED, True)
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
     run(test())
--- a/tests/net/test_passing.py
+++ b/tests/net/test_passing.py
@@ -121,10 +121,10 @@
             assert got == body and "x-trailer" not in headers
             await heard.until(lambda: heard.of(AttemptFinished))
             (outcome,) = heard.of(AttemptFinished)
-            assert (outcome.result, outcome.complete) == (R.OK, True)
+            assert (outcome.result, outcome.request_complete) == (R.OK, True)
             begun = heard.of(ResponseStarted)
             assert len(begun) == (len(body) > MAX_BODY)
-            assert all(e.took_ns <= outcome.took_ns for e in begun)
+            assert all(e.duration_ns <= outcome.duration_ns for e in begun)
             # The connections go on: the client's, and the upstream's unless it ended the answer.
             assert (await client.ask("r2")).body == b"s-0"
             assert len(w.upstreams[0].links) == (2 if framed is untold else 1)
@@ -193,7 +193,7 @@
                 raise AssertionError("it ended as if it were whole")
             await heard.until(lambda: heard.of(AttemptFinished))
             assert heard.results() == [R.ERROR if ending == "noise" else R.RESET]
-            assert heard.of(AttemptFinished)[0].complete  # nothing is sent again
+            assert heard.of(AttemptFinished)[0].request_complete  # nothing is sent again
             assert (await w.ask("r2")).body == b"s-0"
 
     run(test())
--- a/tests/net/test_uploads.py
+++ b/tests/net/test_uploads.py
@@ -76,7 +76,7 @@
             client.writer.write(LONG[100_000:])
             assert (await read_message(client.reader)).status == 200
             (outcome,) = heard.of(AttemptFinished)
-            assert outcome.took_ns < 200_000_000  # not the time that its client took
+            assert outcome.duration_ns < 200_000_000  # not the time that its client took
 
     run(test())
 
@@ -168,7 +168,7 @@
             # The client's own buffer may grow to 4 MB, the deaf server's too; between them stand ours.
             assert sent < 2 * 4_194_304 + 2 * 2 * 2 * BUFFER + 2_000_000
             assert heard.results() == [R.CONNECT_FAILED]  # its last byte was never written: it never ran
-            assert heard.of(AttemptFinished)[0].spent
+            assert heard.of(AttemptFinished)[0].body_consumed
 
     run(test())
 
@@ -182,7 +182,7 @@
                 number += 1
                 got = await w.ask(f"r{number}", "book", "POST", LONG, Idempotency_Key=f"k{number}")
                 assert (got.status, got.body) == (200, b"s-1")
-            assert not any(o.spent for o in heard.of(AttemptFinished) if o.result is R.CONNECT_FAILED)
+            assert not any(o.body_consumed for o in heard.of(AttemptFinished) if o.result is R.CONNECT_FAILED)
             # And one that breaks when some has gone: refused, since it never ran, and not sent again.
             client = await w.client()
             client.writer.write(chunked("last", LONG, "book")[:200_000])
@@ -193,7 +193,9 @@
             next(link for link in links if link.coming is not None).abort()
             got = await read_message(client.reader)
             assert (got.status, got.headers["connection"]) == (503, "close")
-            assert heard.results()[before:] == [R.CONNECT_FAILED] and heard.of(AttemptFinished)[-1].spent
+            assert (
+                heard.results()[before:] == [R.CONNECT_FAILED] and heard.of(AttemptFinished)[-1].body_consumed
+            )
 
     run(test())
 
--- a/tests/net/test_upstreams.py
+++ b/tests/net/test_upstreams.py
@@ -110,7 +110,7 @@
             w.discovery.down = False
             await w.watching()
             last = [e for e in heard.of(EndpointUpdate) if e.kind is EndpointUpdateKind.SNAPSHOT][-1]
-            assert [u.id for u in last.upstreams] == [number_of(stays.name)]
+            assert [u.id for u in last.endpoints] == [number_of(stays.name)]
             assert (await w.ask("r2")).body == stays.name.encode()
 
     run(test())
@@ -128,7 +128,7 @@
             await w.watching()
             gone = w.discovery.rows.pop(0)
             w.discovery.version += 1  # and nobody is told: the watch that is held hears nothing of it
-            await heard.until(lambda: any(len(e.upstreams) == 1 for e in heard.of(EndpointUpdate)))
+            await heard.until(lambda: any(len(e.endpoints) == 1 for e in heard.of(EndpointUpdate)))
             assert (await w.ask("r1")).body != gone["id"].encode()
 
     run(test())
@@ -205,7 +205,7 @@
             back_s = asyncio.get_running_loop().time()
             await heard.until(
                 lambda: any(
-                    u.state is EndpointState.DRAINING for e in heard.of(EndpointUpdate) for u in e.upstreams
+                    u.state is EndpointState.DRAINING for e in heard.of(EndpointUpdate) for u in e.endpoints
                 )
             )
             assert asyncio.get_running_loop().time() - back_s < 0.5  # the least grace of a drain
@@ -318,7 +318,7 @@
             await w.watching()
             w.discovery.rows.pop(0)
             w.discovery.version += 1  # and the watch that is held hears nothing of it
-            await heard.until(lambda: any(len(e.upstreams) == 1 for e in heard.of(EndpointUpdate)))
+            await heard.until(lambda: any(len(e.endpoints) == 1 for e in heard.of(EndpointUpdate)))
             assert all(e.kind is not EndpointUpdateKind.FAILED for e in heard.of(EndpointUpdate))
 
     run(test())
@@ -352,7 +352,7 @@
             await heard.until(
                 lambda: (
                     heard.of(EndpointUpdate)[-1].kind is EndpointUpdateKind.SNAPSHOT
-                    and heard.of(EndpointUpdate)[-1].upstreams[0].state is EndpointState.DRAINING
+                    and heard.of(EndpointUpdate)[-1].endpoints[0].state is EndpointState.DRAINING
                 )
             )
             new.stop()
@@ -374,7 +374,7 @@
             w.discovery.change(w.upstreams[0].row("Terminating"))
             await heard.until(
                 lambda: any(
-                    u.state is EndpointState.DRAINING for e in heard.of(EndpointUpdate) for u in e.upstreams
+                    u.state is EndpointState.DRAINING for e in heard.of(EndpointUpdate) for u in e.endpoints
                 )
             )
 
@@ -414,7 +414,7 @@
             w.discovery.change(w.upstreams[0].row("Terminating"))
             await heard.until(
                 lambda: any(
-                    u.state is EndpointState.DRAINING for e in heard.of(EndpointUpdate) for u in e.upstreams
+                    u.state is EndpointState.DRAINING for e in heard.of(EndpointUpdate) for u in e.endpoints
                 )
             )
             assert not hangs[0]
@@ -461,7 +461,7 @@
             w.discovery.reply = _only(answer(200, json.dumps(told, indent=4).encode()), w.discovery.reply)
             w.discovery.close_links()
             await heard.until(lambda: len(heard.of(EndpointUpdate)) == 3)  # as last known, one, this
-            assert {u.id for u in heard.of(EndpointUpdate)[2].upstreams} == {number_of("s-0")}
+            assert {u.id for u in heard.of(EndpointUpdate)[2].endpoints} == {number_of("s-0")}
             lines = [r.getMessage() for r in caplog.records if "skipped" in r.getMessage()]
             assert lines == ["discovery: entries skipped: 1002; the first: 'nowhere' is not HOST:PORT"]
             assert (await w.ask("r1")).status == 200
