--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -26,8 +26,8 @@
 import psutil
 from rehearsal import out_option, report_of, write
 
-from lanelift.net.driver import Driver
-from lanelift.net.upstream import Upstreams
+from lanelift.net.dispatch import Dispatcher
+from lanelift.net.upstreams import Upstreams
 from lanelift.policy.events import TenantUpdate
 from lanelift.policy.settings import RequestClass, Settings, Tenant, UnknownTenants
 from lanelift.standins.directory import Directory as StandIn
@@ -221,11 +221,11 @@
     port = int(await process.stdout.readline())
     me = psutil.Process()
     settings = Settings(classes={"fee-quote": RequestClass("fee-quote")})
-    driver = Driver(settings, 1, Upstreams(settings.limits, 100, ()))
+    dispatcher = Dispatcher(settings, 1, Upstreams(settings.limits, 100, ()))
     gc.collect()
     gc.freeze()  # as the balancer does at its start
     before = me.memory_info().rss
-    feed = kind(driver, TenantSource(a_job(port), UnknownTenants.DENY, 0.0))
+    feed = kind(dispatcher, TenantSource(a_job(port), UnknownTenants.DENY, 0.0))
     beat = Loop()
     task = asyncio.create_task(beat.beat())
     await asyncio.sleep(IDLE_S)
@@ -256,7 +256,7 @@
     process.stdin.write(b"%d\n" % changed)
     await process.stdout.readline()
     began = time.monotonic()
-    while sum(t.barred != "" for t in driver.tenants.values()) < changed:
+    while sum(t.barred != "" for t in dispatcher.tenants.values()) < changed:
         await asyncio.sleep(0.05)
     found["change_s"] = round(time.monotonic() - began, 2)
     found["change"] = beat.taken()
--- a/lanelift/cli/serve.py
+++ b/lanelift/cli/serve.py
@@ -7,11 +7,12 @@
 
 import click
 
-from lanelift.__main__ import Config, run
+from lanelift.__main__ import run
 from lanelift.cli.main import CONFIG, refuse
 from lanelift.config.checked import Mistakes
 from lanelift.config.operator import read_operator_file
-from lanelift.settings import Malformed
+from lanelift.daemon_config import Config
+from lanelift.settings import SettingsError
 
 
 @click.command()
@@ -29,6 +30,6 @@
 
     try:
         read()
-    except (Mistakes, Malformed) as mistakes:
+    except (Mistakes, SettingsError) as mistakes:
         refuse(mistakes)
     sys.exit(run(read))
--- a/lanelift/config/fields.py
+++ b/lanelift/config/fields.py
@@ -7,15 +7,15 @@
 
 from pydantic import AfterValidator
 
-from lanelift.net.discovery import split_address
-from lanelift.settings import Malformed
+from lanelift.net.addresses import split_address
+from lanelift.settings import SettingsError
 
 
 def _address(text: str) -> str:
     try:
         host, _ = split_address(text)
         ipaddress.ip_address(host)
-    except (Malformed, ValueError):
+    except (SettingsError, ValueError):
         raise ValueError('allowed: "IP:PORT", port 1 to 65535 (no names: nothing is looked up)') from None
     return text
 
--- a/lanelift/config/fleet.py
+++ b/lanelift/config/fleet.py
@@ -11,7 +11,7 @@
 
 from lanelift.config.checked import Mistake, Table, named_twice, number, tables
 from lanelift.config.fields import Address
-from lanelift.net.discovery import split_address
+from lanelift.net.addresses import split_address
 
 if TYPE_CHECKING:
     from lanelift.leases.node import FleetSource
--- a/lanelift/config/operator.py
+++ b/lanelift/config/operator.py
@@ -14,16 +14,17 @@
 
 from pydantic import AfterValidator, Field
 
-from lanelift.__main__ import RESERVE, SOCKETS, Config
 from lanelift.config.checked import Mistake, Table, named_twice, not_above, number, read_file, tables
 from lanelift.config.fields import Address
 from lanelift.config.fleet import Fleet
-from lanelift.net.discovery import number_of, split_address
-from lanelift.net.static import StaticList
-from lanelift.net.upstream import ResolvedEndpoint
+from lanelift.daemon_config import DEFAULT_SOCKETS, RESERVED_SOCKETS, Config
+from lanelift.net.addresses import split_address
+from lanelift.net.endpoint_list import upstream_number
+from lanelift.net.endpoints import ResolvedEndpoint
+from lanelift.net.static_endpoints import StaticEndpoints
 from lanelift.policy import events
 from lanelift.policy import settings as policy
-from lanelift.settings import SCOPES, Malformed
+from lanelift.settings import SCOPES, SettingsError
 from lanelift.tenants.names import folded
 
 MS = 1_000_000
@@ -51,7 +52,7 @@
     """Where it listens and what it may hold."""
 
     listen: Address
-    sockets: Annotated[int, Field(ge=2 * RESERVE, le=1_048_576)] = SOCKETS
+    sockets: Annotated[int, Field(ge=2 * RESERVED_SOCKETS, le=1_048_576)] = DEFAULT_SOCKETS
     seed: Annotated[str, AfterValidator(_hexadecimal)] = "0"
     zone: str = ""
     balancers: Annotated[int, Field(ge=1, le=10_000)] = 1
@@ -222,7 +223,7 @@
     def source(self, known: dict[str, policy.Tenant]) -> Any:
         """What the daemon attaches. The reading's own modules are imported here: only where this is set."""
         if importlib.util.find_spec("ldap3") is None:
-            raise Malformed("[tenants] needs the LDAP client: pip install 'lanelift[tenants]'")
+            raise SettingsError("[tenants] needs the LDAP client: pip install 'lanelift[tenants]'")
         from lanelift.tenants.entries import AttributeMap
         from lanelift.tenants.feed import TenantSource
         from lanelift.tenants.job import Directory, Job, Search
@@ -346,7 +347,7 @@
             found.append(
                 ResolvedEndpoint(
                     events.Endpoint(
-                        number_of(row.name), state, row.zone, row.cell, row.weight, kind=row.kind
+                        upstream_number(row.name), state, row.zone, row.cell, row.weight, kind=row.kind
                     ),
                     host,
                     port,
@@ -357,7 +358,7 @@
     def config(self) -> Config:
         """What the daemon is started and reloaded with."""
         source = (
-            StaticList(tuple(self.endpoints()))
+            StaticEndpoints(tuple(self.endpoints()))
             if self.discovery is None
             else split_address(self.discovery.address)
         )
@@ -383,7 +384,7 @@
         if self.fleet is None:
             return None
         if importlib.util.find_spec("msgspec") is None or importlib.util.find_spec("structlog") is None:
-            raise Malformed("[fleet] needs msgspec and structlog: pip install 'lanelift[fleet]'")
+            raise SettingsError("[fleet] needs msgspec and structlog: pip install 'lanelift[fleet]'")
         return self.fleet.source()
 
 
--- /dev/null
+++ b/lanelift/daemon.py
@@ -0,0 +1,148 @@
+"""One balancer process: its parts, started and closed in order."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import os
+import signal
+import socket
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from lanelift.daemon_config import Config, connection_caps
+from lanelift.lifecycle import Lifecycle
+from lanelift.net.admin import AdminServer
+from lanelift.net.discovery import Discovery
+from lanelift.net.dispatch import Dispatcher
+from lanelift.net.frontend import Frontend
+from lanelift.net.peers import Peers
+from lanelift.net.upstreams import Upstreams
+from lanelift.reload import Reloader
+
+if TYPE_CHECKING:
+    from lanelift.net.hot_restart import HotRestart
+
+HOT_RESTART_FOLDER = "TMPDIR"  # the variable that names where the processes of a hot restart find each other
+
+
+class Daemon:
+    """The parts of one process. A part that is not configured is None."""
+
+    def __init__(self, config: Config, listener: socket.socket) -> None:
+        self._config = config
+        self._listener = listener
+        self._loop = asyncio.get_running_loop()
+        self._max_clients, max_connections = connection_caps(config.sockets, 1)
+        settings = config.settings
+        self._upstreams = Upstreams(settings.limits, max_connections, settings.load_report_fields)
+        self._dispatcher = Dispatcher(settings, config.seed, self._upstreams)
+        self._fleet: Any = None
+        self._discovery: Any = None
+        self._tenants: Any = None
+        self._frontend: Frontend
+        self._hot_restart: HotRestart | None = None
+        self._admin: AdminServer | None = None
+
+    async def start(self, read: Callable[[], Config], admin_socket: socket.socket | None) -> None:
+        """Start all parts: sources first, then clients, then operators and reloads."""
+        await self._start_sources()
+        self._start_frontend()
+        await self._start_hot_restart()
+        if admin_socket is not None:
+            self._admin = AdminServer(self._dispatcher, self._frontend, self._fleet)
+            await self._admin.listen(admin_socket)
+        reloader = Reloader(self._config, self._discovery, self._tenants, read)
+        self._loop.add_signal_handler(signal.SIGHUP, reloader.reload)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
+
+    async def _start_sources(self) -> None:
+        """What the balancer is notified of. The fleet is first: what is wrong with it ends the start."""
+        config, dispatcher = self._config, self._dispatcher
+        self._fleet = config.fleet.attach(dispatcher) if config.fleet is not None else None
+        if self._fleet is not None:
+            await self._fleet.start()
+        if config.peer_listen is not None and config.settings.limits.peer_messages:
+            dispatcher.peers = Peers(dispatcher, config.peer_listen, config.peers, config.peers_all)
+        source = config.discovery
+        self._discovery = dispatcher.discovery = (
+            Discovery(dispatcher, source, config.seed)
+            if isinstance(source, tuple)
+            else source.attach(dispatcher)
+        )
+        self._discovery.start(config.cached_endpoints)
+        self._tenants = config.tenants.attach(dispatcher) if config.tenants is not None else None
+        if self._tenants is not None:
+            self._tenants.start()
+
+    def _start_frontend(self) -> None:
+        """Serve clients. Signal handlers are first: from the frontend's construction on clients wait to be
+        answered, and a signal without a handler would end the process over them.
+        """
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(number, lambda: self._frontend.shutdown.shut_down())
+        lifecycle = Lifecycle(shared_address=self._config.inherited is not None)
+        self._frontend = Frontend(self._dispatcher, self._listener, self._max_clients, lifecycle)
+
+    async def _start_hot_restart(self) -> None:
+        folder = os.environ.get(HOT_RESTART_FOLDER)
+        if self._config.inherited is not None and folder:
+            from lanelift.net.hot_restart import HotRestart  # only where two processes may meet
+
+            self._hot_restart = HotRestart(Path(folder), self._share_sockets)
+            await self._hot_restart.start()
+
+    def _share_sockets(self, processes: int) -> None:
+        max_clients, max_connections = connection_caps(self._config.sockets, processes)
+        self._frontend.set_max_clients(max_clients)
+        self._upstreams.pool.set_max_connections(max_connections)
+
+    async def run(self) -> None:
+        """Serve until SIGTERM has come and no connection is open, or the time for that is over."""
+        shutdown = self._frontend.shutdown
+        try:
+            await shutdown.started.wait()
+            async with asyncio.timeout_at(shutdown.ends_s):
+                await shutdown.finished.wait()
+        except TimeoutError:
+            logging.error("left with %d requests open", self._dispatcher.requests.unanswered)
+        finally:
+            await self._close()
+
+    async def _close(self) -> None:
+        self._frontend.close()
+        if self._admin is not None:
+            self._admin.close()
+        if self._hot_restart is not None:
+            self._hot_restart.close()
+        if self._tenants is not None:
+            self._tenants.close()
+        if self._fleet is not None:
+            await self._fleet.close()
+        if self._dispatcher.peers is not None:
+            self._dispatcher.peers.close()
+        self._discovery.close()
+        self._upstreams.close()
+
+
+async def serve(
+    config: Config,
+    listener: socket.socket,
+    read: Callable[[], Config],
+    admin_socket: socket.socket | None = None,
+) -> None:
+    """Balance until SIGTERM has come and nothing is open.
+
+    Args:
+        config: What to start with.
+        listener: The bound socket for clients.
+        read: Gives the configuration anew, at SIGHUP.
+        admin_socket: The bound socket for operators' calls; None: there is none.
+    """
+    daemon = Daemon(config, listener)
+    await daemon.start(read, admin_socket)
+    gc.collect()
+    gc.freeze()  # what is there now stays: no collection need look at it again
+    await daemon.run()
--- /dev/null
+++ b/lanelift/daemon_config.py
@@ -0,0 +1,126 @@
+"""The daemon's configuration, and how it is read from the file that `BALANCER_CONFIG` names."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+from lanelift.net.addresses import Address, split_address
+from lanelift.net.dispatch import Dispatcher
+from lanelift.net.endpoint_list import read_endpoint_list
+from lanelift.policy.settings import Settings
+from lanelift.settings import Json, SettingsError, check_type, optional, read_settings, require
+
+DEFAULT_SOCKETS = 1024
+# Descriptors kept for the listener, discovery (an old and a new one), peers, the configuration and the
+# interpreter, and for sockets that were closed on this turn of the loop and still count.
+RESERVED_SOCKETS = 32
+CLIENT_PART = 0.55  # of the other descriptors, for clients; the rest is for upstreams
+
+
+class Source(Protocol):
+    """A source of upstreams, tenants or leases, other than discovery at an address."""
+
+    def attach(self, dispatcher: Dispatcher) -> Any:
+        """The part of the daemon that follows it."""
+
+
+@dataclass(frozen=True)
+class Config:
+    """What one process is started and reloaded with. A reload's log line names these fields.
+
+    Attributes:
+        listen: Where clients connect.
+        discovery: Where the endpoint list comes from: an address, or the operator's file itself.
+        seed: Seed of all random choices.
+        sockets: How many descriptors the process may have.
+        settings: What the balancer follows.
+        cached_endpoints: The endpoint list as last known, in discovery's form.
+        peer_listen: Where messages of other replicas come in.
+        peers: The replicas' addresses, by number.
+        peers_all: Where a message to all replicas goes.
+        tenants: Directories that name tenants.
+        operator: Where operators call.
+        inherited: The descriptor of the clients' socket, where that was bound before this process.
+        fleet: Members that agree with each other; never on the platform.
+    """
+
+    listen: Address
+    discovery: Address | Source
+    seed: int
+    sockets: int
+    settings: Settings
+    cached_endpoints: Json | None
+    peer_listen: Address | None
+    peers: list[Address]
+    peers_all: Address | None
+    tenants: Source | None = None
+    operator: Address | None = None
+    inherited: int | None = None
+    fleet: Source | None = None
+
+
+def read_config(environ: Mapping[str, str]) -> Config:
+    """The configuration by the environment's `BALANCER_*` variables and the file that they name.
+
+    Raises:
+        SettingsError: It can't be used.
+    """
+    raw = _read_file(environ.get("BALANCER_CONFIG"))
+
+    def address(key: str) -> Address | None:
+        text = optional(raw, key, str, environ.get(f"BALANCER_{key.upper()}"))
+        return split_address(text) if text else None
+
+    listen, discovery = address("listen"), address("discovery")
+    if listen is None or discovery is None:
+        raise SettingsError(f"{'listen' if listen is None else 'discovery'} is not set")
+    try:
+        seed = int(optional(raw, "seed", str, "0"), 16)
+    except ValueError:
+        raise SettingsError("seed must be hexadecimal") from None
+    cached_endpoints = optional(raw, "known", dict, None)
+    if cached_endpoints is not None:
+        read_endpoint_list(cached_endpoints)
+    peers = [split_address(check_type(peer, "peers", str)) for peer in optional(raw, "peers", list, [])]
+    sockets = optional(optional(raw, "limits", dict, {}), "sockets", int, DEFAULT_SOCKETS)
+    if sockets < 2 * RESERVED_SOCKETS:
+        raise SettingsError(f"limits.sockets must be {2 * RESERVED_SOCKETS} at least")
+    inherited = environ.get("BALANCER_FD")
+    if inherited is not None and not inherited.isdecimal():
+        raise SettingsError(f"BALANCER_FD is {inherited!r}, and must be the number of a descriptor")
+    return Config(
+        listen,
+        discovery,
+        seed,
+        sockets,
+        read_settings(require(raw, "settings", dict)),
+        cached_endpoints,
+        address("peer_listen"),
+        peers,
+        address("peers_all"),
+        None,
+        address("operator"),
+        int(inherited) if inherited else None,
+    )
+
+
+def _read_file(path: str | None) -> Json:
+    if not path:
+        raise SettingsError("BALANCER_CONFIG is not set")
+    try:
+        with open(path, encoding="utf-8") as file:
+            raw = json.load(file)
+    except (OSError, ValueError) as error:
+        raise SettingsError(f"{path}: {error}") from None
+    content: Json = check_type(raw, "configuration", dict)
+    return content
+
+
+def connection_caps(sockets: int, processes: int) -> tuple[int, int]:
+    """How many connections each of so many processes may have to clients, and to upstreams."""
+    available = max(2, sockets // processes - RESERVED_SOCKETS)
+    clients = max(1, int(available * CLIENT_PART))
+    return clients, available - clients
--- a/lanelift/lifecycle.py
+++ b/lanelift/lifecycle.py
@@ -1,10 +1,10 @@
 """Where a balancer is in its life, and what that means for its clients' connections. Pure: no I/O, no clock.
 
-    SERVING  --evacuate-->  EVACUATED  --rejoin-->  SERVING
-    either   --leave-->     LEAVING                            (SIGTERM; there is no way back)
+    SERVING  --drain-->      DRAINING  --rejoin-->  SERVING
+    either   --shut_down-->  SHUTTING_DOWN                     (SIGTERM; there is no way back)
 
-A balancer that is evacuated or leaves answers all that still comes; each answer is the last on its
-connection. Only one that leaves ends when nothing is open.
+A balancer that drains (the operators' call `evacuate`) or shuts down answers all requests that still come;
+each answer is the last on its connection. Only one that shuts down ends when no connection is open.
 """
 
 from __future__ import annotations
@@ -13,56 +13,64 @@
 
 
 class Stage(Enum):
-    SERVING = "serving"
-    EVACUATED = "evacuated"
-    LEAVING = "leaving"
-
+    """Where a balancer is in its life."""
 
-# After the first no, new connections keep coming: the front asks every 0.1 s and deals out for 0.2 to 0.4 s
-# more. Those at rest are ended after that and not before: their clients would come straight back. It is far
-# within the 4 s in which an evacuated balancer must be empty, and the 0.7 s that SIGTERM leaves.
-NEWCOMERS_S = 0.5
-# After SIGTERM the process ends this long over the longest deadline: SIGKILL comes 0.7 s over it, with longer
-# ones counted as 3 s. What would wait beyond the end is answered this long before it.
-LONGEST_S, LEAVE_S, LAST_S = 3.0, 0.6, 0.03
+    SERVING = "serving"
+    DRAINING = "evacuated"
+    SHUTTING_DOWN = "leaving"
 
 
 class Lifecycle:
-    """`shared`: the clients' address outlives this process, and its successor answers there as well."""
+    """The stage of one balancer.
 
-    def __init__(self, shared: bool = False) -> None:
-        self.shared = shared
+    Attributes:
+        shared_address: The clients' address outlives this process, and its successor answers there as well.
+        stage: Where it is.
+    """
+
+    def __init__(self, shared_address: bool = False) -> None:
+        self.shared_address = shared_address
         self.stage = Stage.SERVING
 
-    def evacuate(self) -> bool:
-        """Empty the balancer; False if it was being emptied already."""
+    def drain(self) -> bool:
+        """Take no new clients for now; False if it drained or shut down already."""
         if self.stage is not Stage.SERVING:
             return False
-        self.stage = Stage.EVACUATED
+        self.stage = Stage.DRAINING
         return True
 
     def rejoin(self) -> bool:
-        """The drain ends; False if it leaves, which has no end."""
-        if self.stage is not Stage.LEAVING:
+        """The drain ends; False if it shuts down, which has no end."""
+        if self.stage is not Stage.SHUTTING_DOWN:
             self.stage = Stage.SERVING
         return self.stage is Stage.SERVING
 
-    def leave(self) -> bool:
+    def shut_down(self) -> bool:
         """SIGTERM; False if it has come before."""
-        if self.stage is Stage.LEAVING:
+        if self.stage is Stage.SHUTTING_DOWN:
             return False
-        self.stage = Stage.LEAVING
+        self.stage = Stage.SHUTTING_DOWN
         return True
 
     @property
-    def last(self) -> bool:
-        """An answer is the last on its connection."""
+    def closes_connections(self) -> bool:
+        """Whether an answer is the last on its connection."""
         return self.stage is not Stage.SERVING
 
-    def wanted(self, serves: bool) -> bool:
-        """What `/ready` says: shall the front deal out connections to this address?"""
-        return serves and (self.stage is Stage.SERVING or (self.stage is Stage.LEAVING and self.shared))
+    def reports_ready(self, can_serve: bool) -> bool:
+        """What `/ready` says: whether new connections may be routed to this address.
+
+        Args:
+            can_serve: This process is able to serve requests.
+        """
+        shares_shutdown = self.stage is Stage.SHUTTING_DOWN and self.shared_address
+        return can_serve and (self.stage is Stage.SERVING or shares_shutdown)
+
+    def accepts_connections(self, can_serve: bool) -> bool:
+        """Whether connections are accepted. On a shared address only if they can be served: another process
+        may be able to.
 
-    def takes(self, serves: bool) -> bool:
-        """Are connections accepted? On a shared address only by whoever can serve: another may."""
-        return serves or not self.shared
+        Args:
+            can_serve: This process is able to serve requests.
+        """
+        return can_serve or not self.shared_address
--- /dev/null
+++ b/lanelift/net/attempts.py
@@ -0,0 +1,206 @@
+"""Attempts under way: how they start, and what their outcome does to their request."""
+
+from __future__ import annotations
+
+import logging
+import math
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from lanelift.net.http_messages import Response
+from lanelift.net.load_reports import LoadReport
+from lanelift.net.metrics import FAULTED, FULFILLED, Metrics
+from lanelift.net.requests import OpenRequest, RequestTable
+from lanelift.net.upstreams import Upstreams, encode_attempt
+from lanelift.policy.actions import CancelAttempt, ProbeLoad, StartAttempt
+from lanelift.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    Event,
+    LoadProbeFinished,
+    ResponseStarted,
+)
+from lanelift.policy.settings import Settings
+
+log = logging.getLogger(__name__)
+
+NS_PER_MS, NS_PER_S = 1_000_000, 1e9
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt under way; it takes its exchange's streamed response and outcome.
+
+    Attributes:
+        runner: Who started it.
+        request: Its request.
+        number: Its number among the request's attempts, from 0.
+        upstream: The upstream's number.
+        started_ns: When it was sent (monotonic clock); of a streamed body, when its last byte came.
+    """
+
+    runner: AttemptRunner
+    request: OpenRequest
+    number: int
+    upstream: int
+    started_ns: int
+
+    def duration_ns(self) -> int:
+        """How long it took. While a response lay here unread is this program's time, not its upstream's."""
+        exchange = self.request.attempts[self.number]
+        unread_ns = exchange.unread_ns if exchange is not None else 0
+        return max(0, time.monotonic_ns() - self.started_ns - unread_ns)
+
+    def start_response(self, head: Response) -> None:
+        """Its response is longer than what is buffered: it is streamed, and its request's deadline does not
+        apply any more.
+        """
+        request = self.request
+        exchange = request.attempts[self.number]
+        assert exchange is not None
+        if request.closed or request.streaming_attempt is not None:
+            exchange.give_up(AttemptResult.CANCELLED)
+            return
+        request.streaming_attempt = self.number
+        if request.overdue_timer is not None:
+            request.overdue_timer.cancel()
+        if self.runner.settings.classes[request.arrival.class_name].streaming:
+            exchange.progress_due_s = math.inf  # a stream has no end that could be overdue
+        request_id = request.arrival.request
+        self.runner.post(ResponseStarted(request_id, self.number, self.upstream, self.duration_ns()))
+        try:
+            request.client.start_response(head, exchange)
+        except Exception:
+            log.exception("request %s: its answer failed", request_id)
+            request.client.abort()
+
+    def forward(self, data: bytes) -> None:
+        """A piece of its streamed response."""
+        self.request.client.forward(data)
+
+    def finish(
+        self, result: AttemptResult, response: Response | None = None, report: LoadReport = None
+    ) -> None:
+        """Its outcome: answer its request where it decides that, and notify the balancer."""
+        request, number, duration_ns = self.request, self.number, self.duration_ns()
+        requests = self.runner.requests
+        request.attempts[number] = None
+        request.unfinished_attempts -= 1
+        request.timed_out = result is AttemptResult.TIMEOUT
+        if request.streaming_attempt == number:
+            if result is AttemptResult.OK:
+                requests.answer(request, FULFILLED, lambda client: client.complete())
+            else:
+                requests.answer(request, FAULTED, lambda client: client.abort_response())
+        elif result is AttemptResult.OK and response is not None and request.streaming_attempt is None:
+            requests.answer(request, FULFILLED, lambda client: client.respond(response))
+        body_consumed = request.upload is not None and request.upload.consumed
+        self.runner.post(
+            AttemptFinished(
+                request.arrival.request,
+                number,
+                self.upstream,
+                result,
+                duration_ns,
+                request.closed,
+                report,
+                body_consumed,
+            )
+        )
+
+
+class AttemptRunner:
+    """Starts and cancels attempts and load probes as the balancer's actions say.
+
+    Attributes:
+        settings: What is allowed.
+        requests: The open requests.
+        post: Where outcomes go.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        upstreams: Upstreams,
+        requests: RequestTable,
+        metrics: Metrics,
+        post: Callable[[Event], None],
+    ) -> None:
+        self.settings = settings
+        self.requests = requests
+        self.post = post
+        self._upstreams = upstreams
+        self._metrics = metrics
+
+    def start(self, action: StartAttempt, now_ns: int) -> None:
+        """Start an attempt. It has one outcome in any case: NOT_SENT if it is not allowed or can't start."""
+        request = self.requests.by_id.get(action.request)
+        if request is None:
+            log.error("send for request %s, which is not open", action.request)
+            return
+        number = len(request.attempts)
+        request.attempts.append(None)
+        request.unfinished_attempts += 1
+        left_ns = request.arrival.deadline_ns - now_ns
+        is_allowed = self._is_allowed(request, number, left_ns)
+        attempt = Attempt(self, request, number, action.upstream, now_ns)
+        if is_allowed and action.timeout_ns < 0:
+            attempt.finish(AttemptResult.TIMEOUT)
+            return
+        if is_allowed:
+            try:
+                self._send(attempt, min(action.timeout_ns or left_ns, left_ns))
+            except Exception:  # it still has its one outcome, below
+                self.requests.fail_after_exception("an attempt could not start", [action])
+        if request.attempts[number] is None:
+            attempt.finish(AttemptResult.NOT_SENT)
+
+    def _is_allowed(self, request: OpenRequest, number: int, left_ns: int) -> bool:
+        limits = self.settings.limits
+        return (
+            not request.closed
+            and left_ns > 0
+            and number < limits.max_attempts
+            and request.unfinished_attempts <= (2 if limits.hedging else 1)
+        )
+
+    def _send(self, attempt: Attempt, wait_ns: int) -> None:
+        request = attempt.request
+        message = encode_attempt(
+            request.method,
+            request.target,
+            request.headers,
+            request.body,
+            max(1, wait_ns // NS_PER_MS),
+            request.upload,
+        )
+        timeout_s = None if request.arrival.body_pending else wait_ns / NS_PER_S
+        request.attempts[attempt.number] = self._upstreams.start_attempt(
+            attempt.upstream, message, timeout_s, attempt.finish, self._count_written, attempt, request.upload
+        )
+
+    def _count_written(self) -> None:
+        self._metrics.attempts_written += 1
+
+    def cancel(self, action: CancelAttempt, now_ns: int) -> None:
+        """End an attempt whose response is no longer wanted."""
+        request = self.requests.by_id.get(action.request)
+        exchange = request.attempts[action.attempt] if request is not None else None
+        if exchange is not None:
+            exchange.give_up(AttemptResult.CANCELLED)
+
+    def probe_load(self, action: ProbeLoad, now_ns: int) -> None:
+        """Ask an upstream for its load. There is one result in any case, as the balancer waits for it."""
+        upstream = action.upstream
+
+        def finished(result: AttemptResult, report: LoadReport) -> None:
+            self.post(LoadProbeFinished(upstream, result, time.monotonic_ns() - now_ns, report))
+
+        try:
+            started = self._upstreams.probe_load(upstream, finished)
+        except Exception:
+            self.requests.fail_after_exception("a probe could not start", [])
+            started = False
+        if not started:
+            finished(AttemptResult.CONNECT_FAILED, None)
--- /dev/null
+++ b/lanelift/net/connection_pool.py
@@ -0,0 +1,285 @@
+"""Connections to upstreams: which are open, which are idle, and how an exchange gets one."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import logging
+from bisect import bisect_right
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from lanelift.net.endpoints import ResolvedEndpoint
+from lanelift.net.exchange import Exchange
+from lanelift.net.handshakes import HandshakeEstimator
+from lanelift.net.socket_options import is_quiescent
+from lanelift.net.upstream_connection import UpstreamConnection
+from lanelift.policy.events import AttemptResult, EndpointState
+from lanelift.policy.settings import Limits
+
+log = logging.getLogger(__name__)
+
+# Of the time after which upstreams close idle connections; after this part of it they are closed here.
+IDLE_TIMEOUT_PART = 0.6
+SETTLE_S = 0.01  # a connection has settled this long after its last response
+# Before that it is used for idempotent requests where responses take this many times as long on average.
+MIN_RESPONSE_TO_SETTLE_RATIO = 4
+# A handshake's time-out that fires so late tells of this program's want of time, not of an upstream.
+LATE_TIMER_S = 0.01
+OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
+SHORTAGE_LOG_INTERVAL_S = 5.0
+
+
+@dataclass(slots=True, eq=False)
+class UpstreamTarget:
+    """An upstream's address and what leads there.
+
+    Attributes:
+        endpoint: The upstream as discovery lists it.
+        idle: Its idle connections in the order in which they came free, the newest last.
+        connecting: Exchanges that wait for a new connection to come up.
+        idle_timer: When the oldest idle connection is closed.
+        keeps_idle: Connections that come free are kept.
+    """
+
+    endpoint: ResolvedEndpoint
+    idle: list[UpstreamConnection] = field(default_factory=list)
+    connecting: set[Exchange] = field(default_factory=set)
+    idle_timer: asyncio.TimerHandle | None = None
+    keeps_idle: bool = True
+
+
+class ConnectionPool:
+    """Connections to all upstreams, under one cap.
+
+    Attributes:
+        connect_timeout_s: How long a handshake may take, in seconds.
+        handshakes: How long a request waits for one.
+        idle_timeout_s: After how many seconds without use a connection is closed.
+        max_connections: The cap.
+        targets: The listed upstreams by number.
+        mean_response_s: How long responses take, smoothed, in seconds.
+        open_connections: Those open and those being opened.
+        connect_tasks: Handshakes under way.
+    """
+
+    def __init__(self, limits: Limits, max_connections: int) -> None:
+        self.connect_timeout_s = limits.connect_timeout_ns / 1e9
+        self.handshakes = HandshakeEstimator(self.connect_timeout_s)
+        self.idle_timeout_s = limits.upstream_idle_timeout_ns * IDLE_TIMEOUT_PART / 1e9
+        self.max_connections = max_connections
+        self.targets: dict[int, UpstreamTarget] = {}
+        self.mean_response_s = 0.0
+        self.open_connections = 0
+        self.connect_tasks: set[asyncio.Task[None]] = set()
+        self._shortage_logged_until = 0.0
+
+    # ---- the endpoint list -------------------------------------------------------------------------------
+
+    def update_endpoints(self, endpoints: Iterable[ResolvedEndpoint], is_snapshot: bool) -> None:
+        """Apply an update of the endpoint list.
+
+        Idle connections to what drains, restarted, moved or was removed are closed at once. What waits for a
+        new one goes elsewhere: its handshake would take it past the drain's grace.
+        """
+        listed = set()
+        for new in endpoints:
+            listed.add(new.entry.id)
+            target = self.targets.get(new.entry.id)
+            if new.entry.state is EndpointState.REMOVED:
+                self._remove(new.entry.id)
+                continue
+            if target is None or target.endpoint.process != new.process:
+                # A new target: connections in use that belong to the old one are not kept either.
+                self._remove(new.entry.id)
+                target = self.targets[new.entry.id] = UpstreamTarget(new)
+            target.endpoint = new
+            target.keeps_idle = new.entry.state is EndpointState.READY
+            if not target.keeps_idle:
+                self._drop(target)
+        if is_snapshot:
+            for number in self.targets.keys() - listed:
+                self._remove(number)
+
+    def _remove(self, number: int) -> None:
+        target = self.targets.pop(number, None)
+        if target is not None:
+            target.keeps_idle = False
+            self._drop(target)
+
+    def _drop(self, target: UpstreamTarget) -> None:
+        for connection in list(target.idle):
+            connection.abort()
+        for exchange in list(target.connecting):
+            exchange.give_up(AttemptResult.NOT_SENT)
+        if target.idle_timer is not None:
+            target.idle_timer.cancel()
+            target.idle_timer = None
+
+    # ---- a connection for an exchange --------------------------------------------------------------------
+
+    def start(self, target: UpstreamTarget, exchange: Exchange, is_probe: bool = False) -> None:
+        """Start an exchange on an idle connection or a new one; its outcome never comes within this call."""
+        loop = asyncio.get_running_loop()
+        if _client_left(exchange):
+            loop.call_soon(exchange.give_up, AttemptResult.NOT_SENT)
+            return
+        connection = self._take_idle(target, exchange, is_probe)
+        if connection is not None:
+            connection.start(exchange)
+            return
+        if self.open_connections >= self.max_connections and not self._close_longest_idle():
+            self._log_shortage()
+            loop.call_soon(exchange.give_up, AttemptResult.NOT_SENT)
+            return
+        self.open_connections += 1
+        task = loop.create_task(self._connect(target, exchange))
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
+
+    def _take_idle(
+        self, target: UpstreamTarget, exchange: Exchange, is_probe: bool
+    ) -> UpstreamConnection | None:
+        """The newest idle connection that has settled: the others may come to rest and close.
+
+        Failure guarded against: what a server sends late behind a response, a second copy or noise, would
+        answer the next request on that connection. It comes within milliseconds, so a connection is used
+        only after `SETTLE_S`. Failing a settled one, the oldest serves a request that may be sent again, or
+        a load probe, whose wrong result reaches no client; `distrust_until_s` then marks what comes too soon
+        to be believed.
+        """
+        idle = target.idle
+        settled_s = asyncio.get_running_loop().time() - SETTLE_S
+        # They stand in the order in which they came free: where requests are many, most have not settled.
+        settled = bisect_right(idle, settled_s, key=lambda connection: connection.idle_since)
+        for place in range(settled - 1, -1, -1):
+            if _is_usable(idle[place]):
+                return idle.pop(place)
+        may_repeat = (
+            exchange.request.startswith(b"GET ")
+            and self.mean_response_s >= MIN_RESPONSE_TO_SETTLE_RATIO * SETTLE_S
+        )
+        if idle and not settled and (is_probe or may_repeat) and _is_usable(idle[0]):
+            exchange.distrust_until_s = 0.0 if is_probe else idle[0].idle_since + SETTLE_S
+            return idle.pop(0)
+        return None
+
+    def _log_shortage(self) -> None:
+        """Once in a while, not for each request: when connections are short, every request finds it so."""
+        now = asyncio.get_running_loop().time()
+        if now >= self._shortage_logged_until:
+            self._shortage_logged_until = now + SHORTAGE_LOG_INTERVAL_S
+            log.warning("no connection to spare: %d open", self.open_connections)
+
+    async def _connect(self, target: UpstreamTarget, exchange: Exchange) -> None:
+        connection = UpstreamConnection(
+            lambda connection: self._release(target, connection),
+            lambda connection: self._forget(target, connection),
+        )
+        loop = asyncio.get_running_loop()
+        started_s, timeout_s = loop.time(), self.handshakes.timeout_s
+        timer = loop.call_at(started_s + timeout_s, self._handshake_overdue, exchange, started_s + timeout_s)
+        target.connecting.add(exchange)
+        try:
+            async with asyncio.timeout(self.connect_timeout_s):
+                await loop.create_connection(lambda: connection, target.endpoint.host, target.endpoint.port)
+        except Exception as error:  # OSError, and whatever an address that is none may raise
+            if connection.transport is None:
+                self.open_connections -= 1
+            connection.abort()
+            # No upstream is at fault where descriptors are short here.
+            is_local = isinstance(error, OSError) and error.errno in OUT_OF_DESCRIPTORS
+            exchange.give_up(AttemptResult.NOT_SENT if is_local else AttemptResult.CONNECT_FAILED)
+            return
+        finally:
+            timer.cancel()
+            target.connecting.discard(exchange)
+        self.handshakes.record(loop.time() - started_s)
+        self._connected(target, connection, exchange)
+
+    def _connected(self, target: UpstreamTarget, connection: UpstreamConnection, exchange: Exchange) -> None:
+        """A handshake is done: start its exchange, unless that was given up meanwhile."""
+        if connection.closed:
+            exchange.give_up(AttemptResult.CONNECT_FAILED)
+        elif exchange.on_finished is None or _client_left(exchange):
+            exchange.give_up(AttemptResult.NOT_SENT)
+            self._release(target, connection)  # it serves the next one
+        else:
+            connection.start(exchange)
+
+    def _handshake_overdue(self, exchange: Exchange, due_s: float) -> None:
+        """An exchange waits no longer for its connection. No upstream is at fault where this comes late."""
+        is_late = asyncio.get_running_loop().time() > due_s + LATE_TIMER_S
+        exchange.give_up(AttemptResult.NOT_SENT if is_late else AttemptResult.CONNECT_FAILED)
+
+    # ---- idle connections --------------------------------------------------------------------------------
+
+    def _release(self, target: UpstreamTarget, connection: UpstreamConnection) -> None:
+        if not target.keeps_idle or self.open_connections > self.max_connections:
+            connection.abort()
+            return
+        connection.idle_since = asyncio.get_running_loop().time()
+        target.idle.append(connection)
+        if target.idle_timer is None:
+            self._watch_idle(target)
+
+    def _watch_idle(self, target: UpstreamTarget) -> None:
+        """One timer for each upstream that has idle connections, set for the oldest of them."""
+        target.idle_timer = asyncio.get_running_loop().call_at(
+            target.idle[0].idle_since + self.idle_timeout_s, self._close_expired, target
+        )
+
+    def _close_expired(self, target: UpstreamTarget) -> None:
+        """Close what has been idle for too long.
+
+        Failure guarded against: a request written to a connection that its upstream is just closing ends as
+        a reset, and may have run. So none is used that comes near the upstream's own idle limit.
+        """
+        target.idle_timer = None
+        now = asyncio.get_running_loop().time()
+        for connection in [c for c in target.idle if c.idle_since + self.idle_timeout_s <= now]:
+            connection.abort()
+        if target.idle:
+            self._watch_idle(target)
+
+    def _forget(self, target: UpstreamTarget, connection: UpstreamConnection) -> None:
+        if connection.transport is not None:
+            self.open_connections -= 1
+        if connection in target.idle:
+            target.idle.remove(connection)
+
+    def _close_longest_idle(self) -> bool:
+        """Make room at the cap; False: no connection is idle."""
+        longest_idle = min(
+            (target.idle[0] for target in self.targets.values() if target.idle),
+            key=lambda connection: connection.idle_since,
+            default=None,
+        )
+        if longest_idle is None:
+            return False
+        longest_idle.abort()
+        return True
+
+    def set_max_connections(self, connections: int) -> None:
+        """Change the cap. Idle connections above it are closed at once, those in use when they come free."""
+        self.max_connections = connections
+        while self.open_connections > connections and self._close_longest_idle():
+            pass
+
+    def close(self) -> None:
+        """End handshakes, and close what is idle."""
+        for task in self.connect_tasks:
+            task.cancel()
+        for number in list(self.targets):
+            self._remove(number)
+
+
+def _is_usable(connection: UpstreamConnection) -> bool:
+    """Is it open, as far as the kernel knows, and has nothing come on it?"""
+    transport = connection.transport
+    return transport is not None and not transport.is_closing() and is_quiescent(transport)
+
+
+def _client_left(exchange: Exchange) -> bool:
+    """Has its client disconnected, unnoticed as reading from it was paused?"""
+    return exchange.upload is not None and not exchange.upload.is_client_connected()
--- /dev/null
+++ b/lanelift/net/dispatch.py
@@ -0,0 +1,282 @@
+"""The dispatcher: the one caller of `Balancer.handle`.
+
+Events go in as they came, on the monotonic clock; what one turn of the loop brings is handed over together.
+Actions are carried out in order.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+import time
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from lanelift.net.attempts import Attempt, AttemptRunner
+from lanelift.net.endpoints import ResolvedEndpoint
+from lanelift.net.interfaces import Discovery, PeerChannel
+from lanelift.net.metrics import FAULTED, THROTTLED, Metrics
+from lanelift.net.requests import OpenRequest, RequestTable
+from lanelift.net.upstreams import Upstreams
+from lanelift.policy.actions import (
+    CancelAttempt,
+    Fail,
+    FetchEndpoints,
+    Log,
+    ProbeLoad,
+    Reject,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from lanelift.policy.balancer import Balancer
+from lanelift.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    BodyReceived,
+    ClientDisconnected,
+    EndpointState,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    PeerMessageReceived,
+    TimerFired,
+)
+from lanelift.policy.settings import Settings, Tenant
+
+log = logging.getLogger(__name__)
+
+MAX_PENDING_PEER_MESSAGES = 256  # received, and waiting for an event to be handed over with
+MAX_OVERLOAD_RETRY_AFTER_NS = 1_000_000_000  # of a rejection because too many requests are open
+NS_PER_S = 1e9
+
+
+class Dispatcher:
+    """Hands events to the balancer and carries out its actions.
+
+    Attributes:
+        settings: What the balancer follows.
+        upstreams: Where attempts go.
+        discovery: Where the endpoint list comes from.
+        peers: Carries messages to other replicas; None: there are none.
+        balancer: The decisions.
+        metrics: What is counted.
+        requests: The open requests.
+        attempts: Starts attempts and load probes.
+        on_ready_changed: Called when `ready` may have changed.
+        pending_events: What waits for the next hand-over.
+        pending_peer_messages: Messages of other replicas since the last hand-over.
+        timer: The balancer's one timer.
+        tenant_name: Gives the tenant that an `X-Tenant` header names.
+        awaits_tenants: Nothing is served before a directory has named tenants.
+        endpoint_list_timer: Until when nothing is served before discovery has sent its list; None: no wait.
+    """
+
+    def __init__(self, settings: Settings, seed: int, upstreams: Upstreams) -> None:
+        self.settings = settings
+        self.upstreams = upstreams
+        self.discovery: Discovery | None = None
+        self.peers: PeerChannel | None = None
+        self.loop = asyncio.get_running_loop()
+        self.balancer = Balancer(settings, seed, time.monotonic_ns())
+        self.metrics = Metrics(settings.classes)
+        self.requests = RequestTable(self.metrics, self.post)
+        self.attempts = AttemptRunner(settings, upstreams, self.requests, self.metrics, self.post)
+        self.on_ready_changed: Callable[[], None] = lambda: None
+        self.pending_events: list[Event] = []
+        self.pending_peer_messages: list[Event] = []
+        self.timer: asyncio.TimerHandle | None = None
+        self.tenant_name: Callable[[str], str] = str
+        self.awaits_tenants = False
+        self.endpoint_list_timer: asyncio.TimerHandle | None = None
+        self._random = random.Random(seed)
+        self._executors: Mapping[type, Callable[[Any, int], None]] = {
+            StartAttempt: self.attempts.start,
+            Reject: self._reject,
+            Fail: self._fail,
+            CancelAttempt: self.attempts.cancel,
+            ProbeLoad: self.attempts.probe_load,
+            SetTimer: self._set_timer,
+            SendPeerMessage: self._send_peer_message,
+            Subscribe: self._subscribe,
+            FetchEndpoints: self._fetch_endpoints,
+            Log: self._log,
+        }
+
+    # ---- state that others read --------------------------------------------------------------------------
+
+    @property
+    def ready(self) -> bool:
+        """Whether requests can be served: an upstream is listed as ready, and nothing is awaited."""
+        return (
+            not self.awaits_tenants
+            and self.endpoint_list_timer is None
+            and any(
+                target.endpoint.entry.state is EndpointState.READY
+                for target in self.upstreams.pool.targets.values()
+            )
+        )
+
+    @property
+    def tenants(self) -> Mapping[str, Tenant]:
+        """The tenants as the balancer knows them."""
+        known = self.balancer.known_tenants
+        return self.settings.tenants if known is None else known
+
+    def metrics_text(self) -> str:
+        """The metrics as operators read them."""
+        now = time.monotonic_ns()
+        return self.metrics.text(
+            {
+                "open_requests": self.requests.unanswered,
+                "registry_entries": len(self.upstreams.pool.targets),
+                "out_of_rotation": self.balancer.endpoints_out_of_rotation(now),
+            }
+        )
+
+    # ---- what a start waits for --------------------------------------------------------------------------
+
+    def end_tenant_wait(self) -> None:
+        """Tenants are not awaited any more: directories have named them, or have taken too long."""
+        self.awaits_tenants = False
+        self.on_ready_changed()
+
+    def await_endpoint_list(self, seconds: float) -> None:
+        """Serve nothing before discovery has sent its list, for so many seconds at the most."""
+        self.endpoint_list_timer = self.loop.call_later(seconds, self._end_endpoint_list_wait)
+
+    def _end_endpoint_list_wait(self) -> None:
+        if self.endpoint_list_timer is not None:
+            self.endpoint_list_timer.cancel()
+            self.endpoint_list_timer = None
+            self.on_ready_changed()
+
+    # ---- events ------------------------------------------------------------------------------------------
+
+    def post(self, event: Event) -> None:
+        """Hand an event over on the next turn of the loop, with all others that come until then."""
+        if not self.pending_events:
+            self.loop.call_soon(self._hand_over)
+        self.pending_events.append(event)
+
+    def receive_peer_message(self, sender: int, data: bytes) -> None:
+        """A message of another replica.
+
+        It calls for no decision of its own, and is handed over before the next event that does: a turn of the
+        loop for each would cost more than what messages tell is worth. At the bound they are handed over
+        alone; the comparison is exact, as beyond it a hand-over is under way already.
+        """
+        self.pending_peer_messages.append(PeerMessageReceived(sender, data, time.monotonic_ns()))
+        if len(self.pending_peer_messages) == MAX_PENDING_PEER_MESSAGES and not self.pending_events:
+            self.loop.call_soon(self._hand_over)
+
+    def receive_request(self, request: OpenRequest) -> None:
+        """A client's request. Where too many are open it is rejected here, and the balancer never sees it."""
+        limits = self.settings.limits
+        requests = self.requests
+        if requests.unanswered >= limits.max_open_requests:
+            self.metrics.requests_ended[request.arrival.class_name][THROTTLED] += 1
+            longest_ns = min(limits.max_retry_after_ns, MAX_OVERLOAD_RETRY_AFTER_NS)
+            retry_after_ns = self._random.uniform(0.25, 1.0) * longest_ns
+            request.client.reject(int(retry_after_ns) if limits.retry_after else 0)
+            return
+        requests.by_id[request.arrival.request] = request
+        requests.unanswered += 1
+        if not request.arrival.body_pending:
+            requests.start_deadline(request)
+        self.post(request.arrival)
+
+    def body_received(self, request: OpenRequest, deadline_ns: int) -> None:
+        """The last byte of a streamed body came: the request's time starts to run."""
+        if request.closed or request.upload is None:
+            return
+        request.arrival = request.arrival._replace(deadline_ns=deadline_ns, body_pending=False)
+        left_s = self.requests.start_deadline(request)
+        request.upload.finish()
+        for exchange in request.attempts:
+            if exchange is not None and not exchange.streaming:
+                if isinstance(exchange.sink, Attempt):
+                    exchange.sink.started_ns = time.monotonic_ns()
+                exchange.expire_in(max(0.0, left_s))
+        self.post(BodyReceived(request.arrival.request, deadline_ns))
+
+    def client_disconnected(self, request: OpenRequest) -> None:
+        """A request's client has left. The rest of a streamed response would go to nobody: it is ended."""
+        if self.requests.close(request):
+            self.post(ClientDisconnected(request.arrival.request))
+        for exchange in request.attempts:
+            if exchange is not None and exchange.streaming:
+                exchange.give_up(AttemptResult.CANCELLED)
+
+    def update_endpoints(self, kind: EndpointUpdateKind, endpoints: list[ResolvedEndpoint]) -> None:
+        """An update of the endpoint list."""
+        if kind is not EndpointUpdateKind.FAILED:
+            is_snapshot = kind is not EndpointUpdateKind.DELTA
+            self.upstreams.pool.update_endpoints(endpoints, is_snapshot=is_snapshot)
+        self.post(EndpointUpdate(kind, [endpoint.entry for endpoint in endpoints]))
+        if kind is EndpointUpdateKind.SNAPSHOT:
+            self._end_endpoint_list_wait()
+        self.on_ready_changed()
+
+    def _hand_over(self) -> None:
+        events, self.pending_events, self.pending_peer_messages = (
+            self.pending_peer_messages + self.pending_events,
+            [],
+            [],
+        )
+        now = time.monotonic_ns()
+        try:
+            actions = self.balancer.handle(now, events)
+        except Exception:
+            self.requests.fail_after_exception("the decision module failed", events)
+            actions = []
+        for action in actions:
+            try:
+                self._executors[type(action)](action, now)
+            except Exception:
+                self.requests.fail_after_exception("an action failed", [action])
+        # Only now: the balancer may act for a request until it has been notified of its end.
+        for event in events:
+            if isinstance(event, AttemptFinished | ClientDisconnected):
+                self.requests.forget(event.request)
+
+    # ---- actions -----------------------------------------------------------------------------------------
+
+    def _reject(self, action: Reject, now_ns: int) -> None:
+        requests = self.requests
+        request = requests.by_id.get(action.request)
+        if request is not None and requests.answer(
+            request, THROTTLED, lambda client: client.reject(action.retry_after_ns, action.rate_limited)
+        ):
+            requests.forget(action.request)
+
+    def _fail(self, action: Fail, now_ns: int) -> None:
+        requests = self.requests
+        request = requests.by_id.get(action.request)
+        if request is not None:
+            status = 403 if action.denial_reason else 504 if request.timed_out else 502
+            reason = action.denial_reason or "failed"
+            if requests.answer(request, FAULTED, lambda client: client.fail(status, reason)):
+                requests.forget(action.request)
+
+    def _set_timer(self, action: SetTimer, now_ns: int) -> None:
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer = self.loop.call_later(action.delay_ns / NS_PER_S, self.post, TimerFired(action.name))
+
+    def _send_peer_message(self, action: SendPeerMessage, now_ns: int) -> None:
+        if self.peers is not None:
+            self.peers.send(action.peer, action.data)
+
+    def _subscribe(self, action: Subscribe, now_ns: int) -> None:
+        if self.discovery is not None:
+            self.discovery.subscribe(action.enabled)
+
+    def _fetch_endpoints(self, action: FetchEndpoints, now_ns: int) -> None:
+        if self.discovery is not None:
+            self.discovery.fetch()
+
+    def _log(self, action: Log, now_ns: int) -> None:
+        log.info("%s", action.text)
--- /dev/null
+++ b/lanelift/net/endpoint_list.py
@@ -0,0 +1,101 @@
+"""Endpoint lists as discovery sends them: JSON, with the platform's keys."""
+
+from __future__ import annotations
+
+import hashlib
+import ipaddress
+import logging
+import math
+import time
+from dataclasses import dataclass
+from typing import Any
+
+from lanelift.net.addresses import split_address
+from lanelift.net.endpoints import ResolvedEndpoint
+from lanelift.policy.events import Endpoint, EndpointState
+from lanelift.settings import SettingsError, check_type, choice, optional, require
+
+log = logging.getLogger(__name__)
+
+STATES = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.REMOVED,
+}
+NS_PER_MS = 1_000_000
+MAX_STARTED_MS = 1 << 53
+# Measured once: an upstream's start must not seem to move between two lists.
+UNIX_TO_MONOTONIC_NS = time.monotonic_ns() - time.time_ns()
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointList:
+    """A list as it was read.
+
+    Attributes:
+        version: Its version, which grows.
+        is_snapshot: It names all upstreams; else only those that changed.
+        endpoints: Its entries; those that can't be read are skipped.
+    """
+
+    version: int
+    is_snapshot: bool
+    endpoints: list[ResolvedEndpoint]
+
+
+def upstream_number(name: str) -> int:
+    """An upstream's id as the number that decisions know it by: the same on every replica."""
+    return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
+
+
+def read_endpoint(row: Any) -> ResolvedEndpoint:
+    """One entry of a list. A host name is not accepted: to look it up takes a thread, and may take long.
+
+    Raises:
+        SettingsError: It can't be read.
+    """
+    row = check_type(row, "server", dict)
+    state = choice(row, "state", STATES, "Ready")
+    # What was removed needs no address.
+    host, port = split_address(require(row, "addr", str)) if state is not EndpointState.REMOVED else ("", 0)
+    try:
+        ipaddress.ip_address(host or "::")
+    except ValueError as error:
+        raise SettingsError(f"addr: {error}") from None
+    started_ms = optional(row, "started_ms", float, 0)
+    weight = float(optional(row, "weight", float, 1.0))
+    if not (math.isfinite(weight) and 0 <= started_ms <= MAX_STARTED_MS):
+        raise SettingsError("weight or started_ms is out of range")
+    started_ms = int(started_ms)
+    started_ns = started_ms * NS_PER_MS + UNIX_TO_MONOTONIC_NS if started_ms else 0
+    return ResolvedEndpoint(
+        Endpoint(
+            upstream_number(require(row, "id", str)),
+            state,
+            optional(row, "zone", str, ""),
+            optional(row, "cell", int, 0),
+            weight,
+            started_ns,
+            optional(row, "kind", str, ""),
+        ),
+        host,
+        port,
+    )
+
+
+def read_endpoint_list(raw: Any) -> EndpointList:
+    """A list; entries that can't be read are skipped and logged in one line.
+
+    Raises:
+        SettingsError: It is no list at all.
+    """
+    raw = check_type(raw, "list", dict)
+    endpoints, skipped = [], []
+    for row in require(raw, "servers", list):
+        try:
+            endpoints.append(read_endpoint(row))
+        except SettingsError as error:
+            skipped.append(error)
+    if skipped:
+        log.warning("discovery: entries skipped: %d; the first: %s", len(skipped), skipped[0])
+    return EndpointList(require(raw, "version", int), optional(raw, "full", bool, False), endpoints)
--- /dev/null
+++ b/lanelift/net/headers.py
@@ -0,0 +1,30 @@
+"""Which headers a proxy forwards (RFC 9110, 7.6.1)."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+HOP_BY_HOP = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+    }
+)
+
+
+def end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
+    """The headers that are forwarded: not those of the connection, nor of the body's framing."""
+    rows = list(headers)
+    named = {
+        token.strip().lower() for name, value in rows if name == b"connection" for token in value.split(b",")
+    }
+    return [(name, value) for name, value in rows if name not in HOP_BY_HOP and name not in named]
--- a/lanelift/net/figures.py
+++ b/lanelift/net/metrics.py
@@ -1,34 +1,39 @@
 """What a balancer has done since it started, counted where it happens, and the text that operators read.
 
-Text form: Prometheus exposition format 0.0.4 (`# TYPE` lines, `name{label="value"} figure`).
+Text form: Prometheus exposition format 0.0.4 (`# TYPE` lines, `name{label="value"} number`).
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
-FULFILLED, THROTTLED, FAULTED = "fulfilled", "throttled", "faulted"  # served, refused, failed
+FULFILLED, THROTTLED, FAULTED = "fulfilled", "throttled", "faulted"  # answered, rejected, failed
 PREFIX = "balancer_"
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
-class Figures:
-    """Counters; they only grow. One addition for an event: the text is made when it is asked for."""
+class Metrics:
+    """Counters; they only grow. One addition for an event: the text is made when it is asked for.
+
+    Attributes:
+        requests_ended: By class, then by how they ended (`FULFILLED`, `THROTTLED`, `FAULTED`).
+        attempts_written: Attempts whose last byte was written to an upstream.
+    """
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self.ended = {name: {FULFILLED: 0, THROTTLED: 0, FAULTED: 0} for name in classes}
-        self.relayed = 0  # attempts whose last byte was written to an upstream
+        self.requests_ended = {name: {FULFILLED: 0, THROTTLED: 0, FAULTED: 0} for name in classes}
+        self.attempts_written = 0
 
     def text(self, gauges: Mapping[str, int]) -> str:
-        """All figures, with those that tell of now: name and value."""
+        """All counters, and the gauges given by name and value."""
         rows = [f"# TYPE {PREFIX}operations_total counter"]
-        for name, counts in self.ended.items():
+        for name, counts in self.requests_ended.items():
             label = name.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
             rows += [
                 f'{PREFIX}operations_total{{priority="{label}",status="{status}"}} {count}'
                 for status, count in counts.items()
             ]
-        rows += [f"# TYPE {PREFIX}relayed_total counter", f"{PREFIX}relayed_total {self.relayed}"]
+        rows += [f"# TYPE {PREFIX}relayed_total counter", f"{PREFIX}relayed_total {self.attempts_written}"]
         for name, value in gauges.items():
             rows += [f"# TYPE {PREFIX}{name} gauge", f"{PREFIX}{name} {value}"]
         return "\n".join(rows) + "\n"
--- a/lanelift/net/peers.py
+++ b/lanelift/net/peers.py
@@ -1,4 +1,4 @@
-"""Messages between balancers: UDP datagrams, late or lost as it happens."""
+"""Messages between replicas: UDP datagrams, late or lost as it happens."""
 
 from __future__ import annotations
 
@@ -8,51 +8,60 @@
 import socket
 from collections.abc import Sequence
 
-from lanelift.net.driver import Driver
+from lanelift.net.addresses import Address
+from lanelift.net.dispatch import Dispatcher
 
 log = logging.getLogger(__name__)
 
-MAX_DATAGRAM = 256
-Address = tuple[str, int]
+MAX_DATAGRAM_BYTES = 256
 
 
 class Peers:
-    """The socket is read and written as it is: a datagram transport takes 256 KiB for each message it reads,
-    and where each request tells a few others of itself, that was a third of what the messages cost."""
+    """The socket for messages of replicas.
+
+    It is read and written without a transport: asyncio's datagram transport takes 256 KiB for each message
+    that it reads, and messages are many.
+
+    Attributes:
+        peers: The replicas' addresses, in the order of their numbers.
+        broadcast: Where a message to all goes; None: nowhere.
+    """
 
     def __init__(
-        self, driver: Driver, own: Address, peers: Sequence[Address], everyone: Address | None
+        self, dispatcher: Dispatcher, own: Address, peers: Sequence[Address], broadcast: Address | None
     ) -> None:
-        self.driver = driver
         self.peers = peers
-        self.everyone = everyone
-        self.numbers = {address: number for number, address in enumerate(peers)}
-        self.socket = socket.socket(socket.AF_INET6 if ":" in own[0] else socket.AF_INET, socket.SOCK_DGRAM)
-        # Shared: in an upgrade the next process binds it while this one still runs.
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        self.socket.setblocking(False)
-        self.socket.bind(own)
-        asyncio.get_running_loop().add_reader(self.socket, self._readable)
-
-    def _readable(self) -> None:
+        self.broadcast = broadcast
+        self._dispatcher = dispatcher
+        self._numbers = {address: number for number, address in enumerate(peers)}
+        self._socket = socket.socket(socket.AF_INET6 if ":" in own[0] else socket.AF_INET, socket.SOCK_DGRAM)
+        # Shared: in a hot restart the next process binds it while this one still runs.
+        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        self._socket.setblocking(False)
+        self._socket.bind(own)
+        asyncio.get_running_loop().add_reader(self._socket, self._read)
+
+    def _read(self) -> None:
         try:
-            data, address = self.socket.recvfrom(MAX_DATAGRAM + 1)
+            data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
         except OSError:  # a peer that is down refused the last one sent, or there is nothing after all
             return
-        sender = self.numbers.get(address)
-        if sender is not None and len(data) <= MAX_DATAGRAM:
-            self.driver.hear(sender, data)
+        sender = self._numbers.get(address)
+        if sender is not None and len(data) <= MAX_DATAGRAM_BYTES:
+            self._dispatcher.receive_peer_message(sender, data)
 
-    def tell(self, peer: int, data: bytes) -> None:
-        to = self.everyone
+    def send(self, peer: int, data: bytes) -> None:
+        """Send a message to a replica; -1: to all. It may be lost."""
+        address = self.broadcast
         if peer >= 0:
-            to = self.peers[peer] if peer < len(self.peers) else None
-        if to is None or len(data) > MAX_DATAGRAM:
+            address = self.peers[peer] if peer < len(self.peers) else None
+        if address is None or len(data) > MAX_DATAGRAM_BYTES:
             log.error("message of %d bytes for peer %d can't be sent", len(data), peer)
             return
-        with contextlib.suppress(OSError):  # a datagram may be lost
-            self.socket.sendto(data, to)
+        with contextlib.suppress(OSError):
+            self._socket.sendto(data, address)
 
     def close(self) -> None:
-        asyncio.get_running_loop().remove_reader(self.socket)
-        self.socket.close()
+        """Close the socket."""
+        asyncio.get_running_loop().remove_reader(self._socket)
+        self._socket.close()
--- /dev/null
+++ b/lanelift/net/upstreams.py
@@ -0,0 +1,132 @@
+"""Attempts and load probes at upstreams, and what their responses mean."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Collection
+
+from lanelift.net.connection_pool import ConnectionPool
+from lanelift.net.exchange import Exchange, ResponseSink
+from lanelift.net.http_messages import Headers, Response, encode_message
+from lanelift.net.load_reports import LoadReport, read_load_report
+from lanelift.net.upload import Upload
+from lanelift.policy.events import AttemptResult
+from lanelift.policy.settings import Limits
+
+NOT_RUN_STATUSES = (503, 504)  # with `X-Not-Run: 1` the upstream says that the request never ran
+RESPONSE_TIME_SMOOTHING = 16  # the mean moves by this part of each difference
+AttemptCallback = Callable[[AttemptResult, Response | None, LoadReport], None]
+
+
+class Upstreams:
+    """Starts attempts and load probes at the listed upstreams.
+
+    Attributes:
+        pool: The connections to them.
+        report_fields: Names of the numbers in a load report.
+        probe_path: Where an upstream answers load probes.
+    """
+
+    def __init__(self, limits: Limits, max_connections: int, report_fields: Collection[str]) -> None:
+        self.pool = ConnectionPool(limits, max_connections)
+        self.report_fields = frozenset(report_fields)
+        self.probe_path = b"/status/load" if report_fields else b"/health"
+
+    def start_attempt(
+        self,
+        number: int,
+        request: bytes,
+        timeout_s: float | None,
+        on_finished: AttemptCallback,
+        on_written: Callable[[], None] | None = None,
+        sink: ResponseSink | None = None,
+        upload: Upload | None = None,
+    ) -> Exchange | None:
+        """Start one attempt. Its outcome never comes within this call.
+
+        Args:
+            number: The upstream.
+            request: The bytes to write.
+            timeout_s: How long it may take, in seconds; None: no time-out runs yet.
+            on_finished: Called once with the outcome.
+            on_written: Called when the last byte was written.
+            sink: Takes a response that is too long to be buffered.
+            upload: The request's streamed body.
+
+        Returns:
+            The exchange; None: no such upstream is listed.
+        """
+        pool = self.pool
+        target = pool.targets.get(number)
+        if target is None:
+            return None
+
+        started_s = asyncio.get_running_loop().time()
+
+        def finished(result: AttemptResult, response: Response | None) -> None:
+            report = None
+            if response is not None:
+                report = read_load_report(response.header(b"x-load"), self.report_fields)
+                took_s = asyncio.get_running_loop().time() - started_s
+                pool.mean_response_s += (took_s - pool.mean_response_s) / RESPONSE_TIME_SMOOTHING
+            on_finished(classify_response(result, response), response, report)
+
+        exchange = Exchange(request, finished, on_written=on_written, sink=sink, upload=upload)
+        pool.start(target, exchange)
+        if timeout_s is not None:
+            exchange.expire_in(timeout_s)  # last: what could not start must not come to a second end
+        return exchange
+
+    def probe_load(self, number: int, on_finished: Callable[[AttemptResult, LoadReport], None]) -> bool:
+        """Ask an upstream for its load; False: no such upstream is listed, and no result comes."""
+        target = self.pool.targets.get(number)
+        if target is None:
+            return False
+        host = f"{target.endpoint.host}:{target.endpoint.port}".encode()
+
+        def finished(result: AttemptResult, response: Response | None) -> None:
+            report = None
+            if response is not None:
+                if result is AttemptResult.OK and response.status == 503:
+                    result = AttemptResult.REJECTED
+                else:
+                    result = classify_response(result, response)
+                report = read_load_report(response.header(b"x-load") or response.body, self.report_fields)
+            on_finished(result, report)
+
+        request = encode_message(b"GET %b HTTP/1.1" % self.probe_path, [(b"Host", host)])
+        exchange = Exchange(request, finished)
+        self.pool.start(target, exchange, is_probe=True)
+        exchange.expire_in(self.pool.connect_timeout_s)
+        return True
+
+    def close(self) -> None:
+        """Close connections that are idle or coming up."""
+        self.pool.close()
+
+
+def classify_response(result: AttemptResult, response: Response | None) -> AttemptResult:
+    """What an upstream's response means for the attempt."""
+    if result is not AttemptResult.OK or response is None:
+        return result
+    if response.status == 200:
+        return AttemptResult.OK
+    if response.status in NOT_RUN_STATUSES and response.header(b"x-not-run") == b"1":
+        return AttemptResult.REJECTED
+    return AttemptResult.ERROR
+
+
+def encode_attempt(
+    method: bytes, target: bytes, headers: Headers, body: bytes, wait_ms: int, upload: Upload | None = None
+) -> bytes:
+    """A client's request as it is forwarded: with its own length, and how long this balancer will wait."""
+    rows = [*headers, (b"X-Deadline-Ms", b"%d" % wait_ms)]
+    if upload is not None:
+        rows.append(
+            (b"Transfer-Encoding", b"chunked")
+            if upload.length_bytes is None
+            else (b"Content-Length", b"%d" % upload.length_bytes)
+        )
+    elif body or method not in (b"GET", b"HEAD"):
+        rows.append((b"Content-Length", b"%d" % len(body)))
+    return encode_message(b"%b %b HTTP/1.1" % (method, target), rows, body)
--- a/lanelift/settings.py
+++ b/lanelift/settings.py
@@ -10,6 +10,7 @@
 from collections.abc import Mapping
 from typing import Any
 
+from lanelift.errors import LaneliftError
 from lanelift.policy.settings import (
     DeduplicationScope,
     Idempotency,
@@ -68,7 +69,9 @@
     "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
-KINDS = {
+DISCOVERY_PUSH = {"push": True, "ask": False}
+SHOWN_CHARACTERS = 80  # of a wrong value in a message
+TYPE_NAMES = {
     int: "a whole number",
     float: "a number",
     str: "text",
@@ -79,87 +82,110 @@
 SCOPES = {scope.value: scope for scope in DeduplicationScope}
 
 
-class Malformed(Exception):
-    """The input is not what the wire allows."""
+class SettingsError(LaneliftError):
+    """Input that is not what the wire, or the platform's configuration, allows."""
 
 
-def need(row: Json, key: str, kind: type) -> Any:
-    """A field that must be there, of this type; a whole number is no bool."""
+Malformed = SettingsError  # for modules that still import it under its former name
+
+
+def require(row: Json, key: str, kind: type) -> Any:
+    """A field that must be there, of this type; a whole number is no bool.
+
+    Raises:
+        SettingsError: It is absent or of another type.
+    """
     if key not in row:
-        raise Malformed(f"{row.get('t', 'entry')} lacks {key}")
-    return typed(row[key], key, kind)
+        raise SettingsError(f"{row.get('t', 'entry')} lacks {key}")
+    return check_type(row[key], key, kind)
 
 
-def maybe(row: Json, key: str, kind: type, default: Any) -> Any:
-    """A field that may be absent."""
-    return default if row.get(key) is None else typed(row[key], key, kind)
+def optional(row: Json, key: str, kind: type, default: Any) -> Any:
+    """A field that may be absent or null; then the default.
 
+    Raises:
+        SettingsError: It is of another type.
+    """
+    return default if row.get(key) is None else check_type(row[key], key, kind)
 
-def typed(value: Any, key: str, kind: type) -> Any:
+
+def check_type(value: Any, key: str, kind: type) -> Any:
+    """The value, if it is of this type; `float` takes whole numbers, too.
+
+    Raises:
+        SettingsError: It is of another type; `key` names it in the message.
+    """
     fits = isinstance(value, (int, float) if kind is float else kind)
     if not fits or (isinstance(value, bool) and kind is not bool):
-        raise Malformed(f"{key} must be {KINDS[kind]}, not {json.dumps(value)[:80]}")
+        raise SettingsError(f"{key} must be {TYPE_NAMES[kind]}, not {json.dumps(value)[:SHOWN_CHARACTERS]}")
     return value
 
 
-def word(row: Json, key: str, words: Mapping[Any, Any], default: Any = None) -> Any:
-    """A field whose value is one of a few."""
+def choice(row: Json, key: str, choices: Mapping[Any, Any], default: Any = None) -> Any:
+    """What a field's value, one of a few words or numbers, stands for.
+
+    Raises:
+        SettingsError: The value is not among the choices.
+    """
     value = row.get(key, default)
-    if not isinstance(value, (str, int)) or isinstance(value, bool) or value not in words:
-        raise Malformed(f"{row.get('t', 'entry')} has unknown {key} {json.dumps(value)[:80]}")
-    return words[value]
+    if not isinstance(value, (str, int)) or isinstance(value, bool) or value not in choices:
+        shown = json.dumps(value)[:SHOWN_CHARACTERS]
+        raise SettingsError(f"{row.get('t', 'entry')} has unknown {key} {shown}")
+    return choices[value]
 
 
-def _pick(known: Json, like: type, names: Mapping[str, str]) -> Json:
-    """The known settings among those sent, under the interface's names; the rest keep their defaults."""
+def _read_known(row: Json, like: type, names: Mapping[str, str]) -> Json:
+    """The known settings among those given, under this program's names; the rest keep their defaults."""
     types = {f.name: type(f.default) for f in dataclasses.fields(like)}
     return {
-        ours: typed(known[theirs], theirs, types[ours])
-        for theirs, ours in names.items()
-        if known.get(theirs) is not None
+        own_name: check_type(row[platform_name], platform_name, types[own_name])
+        for platform_name, own_name in names.items()
+        if row.get(platform_name) is not None
     }
 
 
-def _names(row: Json, key: str) -> frozenset[str]:
-    return frozenset(typed(name, key, str) for name in maybe(row, key, list, ()))
+def _read_names(row: Json, key: str) -> frozenset[str]:
+    return frozenset(check_type(name, key, str) for name in optional(row, key, list, ()))
 
 
 def read_class(row: Json) -> RequestClass:
-    """One request class (`profiles`). Raises Malformed."""
-    given = _pick(row, RequestClass, CLASS_FIELDS)
+    """One request class (`profiles`). Raises SettingsError."""
+    given = _read_known(row, RequestClass, CLASS_FIELDS)
     return RequestClass(
-        need(row, "name", str),
-        word(row, "repeat", IDEMPOTENCY, "non_idempotent"),
-        word(row, "dedup_scope", SCOPES, "all"),
-        zones=_names(row, "runs_in"),
-        machine_kinds=_names(row, "allowed_on"),
+        require(row, "name", str),
+        choice(row, "repeat", IDEMPOTENCY, "non_idempotent"),
+        choice(row, "dedup_scope", SCOPES, "all"),
+        zones=_read_names(row, "runs_in"),
+        machine_kinds=_read_names(row, "allowed_on"),
         **given,
     )
 
 
 def read_tenant(row: Json) -> Tenant:
-    """One tenant (`realms`). Raises Malformed."""
-    return Tenant(need(row, "name", str), **_pick(row, Tenant, TENANT_FIELDS))
+    """One tenant (`realms`). Raises SettingsError."""
+    return Tenant(require(row, "name", str), **_read_known(row, Tenant, TENANT_FIELDS))
 
 
 def read_settings(raw: Json) -> Settings:
-    """The settings object as a whole. Raises Malformed."""
-    classes = [read_class(typed(row, "profiles", dict)) for row in maybe(raw, "profiles", list, ())]
-    tenants = [read_tenant(typed(row, "realms", dict)) for row in maybe(raw, "realms", list, ())]
-    limits = _pick(maybe(raw, "limits", dict, {}), Limits, LIMITS_FIELDS)
-    rules = _pick(maybe(raw, "rules", dict, {}), Rules, RULES_FIELDS)
-    prices = _pick(maybe(raw, "prices", dict, {}), Prices, PRICES_FIELDS)
-    reports = maybe(raw, "load_report", dict, {})
+    """The settings object as a whole. Raises SettingsError."""
+    classes = [read_class(check_type(row, "profiles", dict)) for row in optional(raw, "profiles", list, ())]
+    tenants = [read_tenant(check_type(row, "realms", dict)) for row in optional(raw, "realms", list, ())]
+    limits = _read_known(optional(raw, "limits", dict, {}), Limits, LIMITS_FIELDS)
+    rules = _read_known(optional(raw, "rules", dict, {}), Rules, RULES_FIELDS)
+    prices = _read_known(optional(raw, "prices", dict, {}), Prices, PRICES_FIELDS)
+    reports = optional(raw, "load_report", dict, {})
     return Settings(
-        replica=maybe(raw, "me", int, 0),
-        replica_count=maybe(raw, "replicas_of_me", int, 1),
-        zone=maybe(raw, "locality", str, ""),
-        discovery_push=word(raw, "registry_mode", {"push": True, "ask": False}, "push"),
-        classes={c.name: c for c in classes},
-        tenants={t.name: t for t in tenants},
+        replica=optional(raw, "me", int, 0),
+        replica_count=optional(raw, "replicas_of_me", int, 1),
+        zone=optional(raw, "locality", str, ""),
+        discovery_push=choice(raw, "registry_mode", DISCOVERY_PUSH, "push"),
+        classes={request_class.name: request_class for request_class in classes},
+        tenants={tenant.name: tenant for tenant in tenants},
         limits=Limits(**limits),
         rules=Rules(**rules),
         prices=Prices(**prices),
-        load_report_fields=tuple(typed(c, "columns", str) for c in maybe(reports, "columns", list, ())),
+        load_report_fields=tuple(
+            check_type(column, "columns", str) for column in optional(reports, "columns", list, ())
+        ),
         load_reports_in_responses=reports.get("how") == "answers",
     )
--- a/lanelift/tenants/feed.py
+++ b/lanelift/tenants/feed.py
@@ -18,7 +18,7 @@
 from functools import lru_cache
 from typing import Any
 
-from lanelift.net.driver import Driver
+from lanelift.net.dispatch import Dispatcher
 from lanelift.policy.events import TenantUpdate
 from lanelift.policy.settings import Tenant, UnknownTenants
 from lanelift.tenants.job import Job
@@ -41,27 +41,27 @@
     wait_s: float  # that /ready waits for the first reading; 0: not at all
     settings: Mapping[str, Tenant] = field(default_factory=dict)
 
-    def attach(self, driver: Driver) -> Feed:
-        return Feed(driver, self)
+    def attach(self, dispatcher: Dispatcher) -> Feed:
+        return Feed(dispatcher, self)
 
 
 class Feed:
     """Keeps a reader for as long as the balancer lives."""
 
-    def __init__(self, driver: Driver, source: TenantSource) -> None:
-        self.driver = driver
+    def __init__(self, dispatcher: Dispatcher, source: TenantSource) -> None:
+        self.dispatcher = dispatcher
         self.source = source
         self.process: asyncio.subprocess.Process | None = None
         self.task: asyncio.Task[None] | None = None
         self.complete = False
         self.frozen = False
         self.readings = 0  # lines that told of tenants
-        driver.tenant_name = folded
+        dispatcher.tenant_name = folded
 
     def start(self) -> None:
         loop = asyncio.get_running_loop()
         if self.source.wait_s > 0:
-            self.driver.tenants_awaited = True
+            self.dispatcher.awaits_tenants = True
             loop.call_later(self.source.wait_s, self._waited)
         self.task = loop.create_task(self._keep())
 
@@ -70,7 +70,7 @@
         changed = source.strangers is not self.source.strangers
         self.source = source
         if changed and self.complete:
-            self.driver.post(TenantUpdate(unknown_tenants=source.strangers))
+            self.dispatcher.post(TenantUpdate(unknown_tenants=source.strangers))
         if self.process is not None:
             self._tell(self.process, {"job": source.job.to_json()})
 
@@ -82,8 +82,8 @@
                 self.process.kill()
 
     def _waited(self) -> None:
-        if self.driver.tenants_awaited:
-            self.driver.tenants_awaited_no_more()
+        if self.dispatcher.awaits_tenants:
+            self.dispatcher.end_tenant_wait()
             log.warning(
                 "no directory was read within %g s: tenants are those of the settings", self.source.wait_s
             )
@@ -111,7 +111,7 @@
             limit=LONGEST_LINE,
         )
         assert process.stdout is not None
-        seed = [(t.name, t.denial_reason == "suspended", t.share) for t in self.driver.tenants.values()]
+        seed = [(t.name, t.denial_reason == "suspended", t.share) for t in self.dispatcher.tenants.values()]
         self._tell(process, {"job": self.source.job.to_json(), "seed": seed})
         try:
             while line := await process.stdout.readline():
@@ -133,16 +133,16 @@
     def _hear(self, message: dict[str, Any]) -> None:
         if "tenants" in message:
             self.readings += 1
-            self.driver.post(TenantUpdate([tenant(row) for row in message["tenants"]]))
+            self.dispatcher.post(TenantUpdate([tenant(row) for row in message["tenants"]]))
         elif "gone" in message:
             self.readings += 1
-            self.driver.post(TenantUpdate(removed=message["gone"]))
+            self.dispatcher.post(TenantUpdate(removed=message["gone"]))
         elif "complete" in message:
             self.readings += 1
             self.complete = True
-            self.driver.tenants_awaited_no_more()
+            self.dispatcher.end_tenant_wait()
             log.info("tenants read from a directory: %d", message["complete"])
-            self.driver.post(TenantUpdate(unknown_tenants=self.source.strangers))
+            self.dispatcher.post(TenantUpdate(unknown_tenants=self.source.strangers))
             if not self.frozen:
                 # As at the start: what is there now stays, and a collection that walked through 50,000
                 # tenants would stop the loop for 30 ms. Once only: garbage of this moment stays, too.
--- a/lanelift/wirehost.py
+++ b/lanelift/wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: hosts many balancers on the simulator's wire. It translates and decides nothing.
+"""The simulator host: many balancers on the simulator's wire. It translates and decides nothing.
 
     python -m lanelift.wirehost < batches > replies
 
@@ -42,7 +42,7 @@
     ResponseStarted,
     TimerFired,
 )
-from lanelift.settings import Json, Malformed, maybe, need, read_settings, typed, word
+from lanelift.settings import Json, SettingsError, check_type, choice, optional, read_settings, require
 
 RESULTS = {
     "delivered": AttemptResult.OK,
@@ -55,7 +55,7 @@
     "unused": AttemptResult.NOT_SENT,
 }
 STATES = {0: EndpointState.REMOVED, 1: EndpointState.READY, 2: EndpointState.DRAINING}
-LISTS = {
+UPDATE_KINDS = {
     0: EndpointUpdateKind.DELTA,
     1: EndpointUpdateKind.SNAPSHOT,
     2: EndpointUpdateKind.CACHED,
@@ -64,168 +64,205 @@
 
 
 def read_upstream(row: Any) -> Endpoint:
-    row = typed(row, "rows_in", dict)
+    """One entry of an upstream list. Raises SettingsError."""
+    row = check_type(row, "rows_in", dict)
     return Endpoint(
-        need(row, "upstream", int),
-        word(row, "availability", STATES, 1),
-        maybe(row, "locality", str, ""),
-        maybe(row, "cohort", int, 0),
-        maybe(row, "scale", float, 1.0),
-        maybe(row, "up_since_ns", int, 0),
-        maybe(row, "class_of_host", str, ""),
+        require(row, "upstream", int),
+        choice(row, "availability", STATES, 1),
+        optional(row, "locality", str, ""),
+        optional(row, "cohort", int, 0),
+        optional(row, "scale", float, 1.0),
+        optional(row, "up_since_ns", int, 0),
+        optional(row, "class_of_host", str, ""),
     )
 
 
-def _arrival(e: Json) -> Event:
-    group = e.get("user_group") or ""  # a site with no tenants may send 0
+def _read_request(row: Json) -> Event:
+    tenant = row.get("user_group") or ""  # a site with no tenants may send 0
     return RequestArrived(
-        need(e, "ticket", str),
-        need(e, "kind", str),
-        typed(group, "user_group", str),
-        need(e, "deadline_ns", int),
-        maybe(e, "cost_guess_ns", int, 0),
-        maybe(e, "entity", str, ""),
-        maybe(e, "resent", bool, False),
+        require(row, "ticket", str),
+        require(row, "kind", str),
+        check_type(tenant, "user_group", str),
+        require(row, "deadline_ns", int),
+        optional(row, "cost_guess_ns", int, 0),
+        optional(row, "entity", str, ""),
+        optional(row, "resent", bool, False),
     )
 
 
-def _report(e: Json) -> Mapping[str, float] | None:
-    report = maybe(e, "metrics", dict, None)
-    return report and {name: typed(value, "metrics", float) for name, value in report.items()}
+def _read_load_report(row: Json) -> Mapping[str, float] | None:
+    report = optional(row, "metrics", dict, None)
+    return report and {name: check_type(value, "metrics", float) for name, value in report.items()}
 
 
-def _outcome(e: Json) -> Event:
+def _read_outcome(row: Json) -> Event:
     return AttemptFinished(
-        need(e, "ticket", str),
-        need(e, "attempt", int),
-        need(e, "upstream", int),
-        word(e, "result", RESULTS),
-        maybe(e, "took_ns", int, 0),
-        maybe(e, "complete", bool, False),
-        _report(e),
+        require(row, "ticket", str),
+        require(row, "attempt", int),
+        require(row, "upstream", int),
+        choice(row, "result", RESULTS),
+        optional(row, "took_ns", int, 0),
+        optional(row, "complete", bool, False),
+        _read_load_report(row),
     )
 
 
-def _begun(e: Json) -> Event:
+def _read_response_start(row: Json) -> Event:
     return ResponseStarted(
-        need(e, "ticket", str), need(e, "attempt", int), need(e, "upstream", int), maybe(e, "took_ns", int, 0)
+        require(row, "ticket", str),
+        require(row, "attempt", int),
+        require(row, "upstream", int),
+        optional(row, "took_ns", int, 0),
     )
 
 
-def _probed(e: Json) -> Event:
+def _read_probe_outcome(row: Json) -> Event:
     return LoadProbeFinished(
-        need(e, "upstream", int), word(e, "result", RESULTS), maybe(e, "took_ns", int, 0), _report(e)
+        require(row, "upstream", int),
+        choice(row, "result", RESULTS),
+        optional(row, "took_ns", int, 0),
+        _read_load_report(row),
     )
 
 
-def _message(e: Json) -> Event:
+def _read_peer_message(row: Json) -> Event:
     try:
-        data = base64.b64decode(need(e, "blob", str), validate=True)
+        data = base64.b64decode(require(row, "blob", str), validate=True)
     except ValueError:
-        raise Malformed("message with a blob that is not base64") from None
-    return PeerMessageReceived(need(e, "origin_peer", int), data)
-
-
-READ: dict[str, Callable[[Json], Event]] = {
-    "submit": _arrival,
-    "returned": _outcome,
-    "timer": lambda e: TimerFired(need(e, "name", str)),
-    "dropped": lambda e: ClientDisconnected(need(e, "ticket", str)),
-    "accepted": _begun,
-    "probe_result": _probed,
-    "message": _message,
+        raise SettingsError("message with a blob that is not base64") from None
+    return PeerMessageReceived(require(row, "origin_peer", int), data)
+
+
+# The wire's kinds of event, and how each is read.
+READERS: dict[str, Callable[[Json], Event]] = {
+    "submit": _read_request,
+    "returned": _read_outcome,
+    "timer": lambda row: TimerFired(require(row, "name", str)),
+    "dropped": lambda row: ClientDisconnected(require(row, "ticket", str)),
+    "accepted": _read_response_start,
+    "probe_result": _read_probe_outcome,
+    "message": _read_peer_message,
 }
-WRITE: dict[type, Callable[[Any], Json]] = {
-    StartAttempt: lambda a: {
+# How each action is written.
+WRITERS: dict[type, Callable[[Any], Json]] = {
+    StartAttempt: lambda action: {
         "t": "submit_to",
-        "ticket": a.request,
-        "upstream": a.upstream,
-        "timeout_ns": a.timeout_ns,
+        "ticket": action.request,
+        "upstream": action.upstream,
+        "timeout_ns": action.timeout_ns,
     },
-    Reject: lambda a: {"t": "push_back", "ticket": a.request, "backoff_ns": a.retry_after_ns},
-    Fail: lambda a: {"t": "finish_error", "ticket": a.request},
-    CancelAttempt: lambda a: {"t": "retract", "ticket": a.request, "attempt": a.attempt},
-    ProbeLoad: lambda a: {"t": "sample", "upstream": a.upstream},
-    SendPeerMessage: lambda a: {"t": "announce", "dst": a.peer, "blob": base64.b64encode(a.data).decode()},
-    Subscribe: lambda a: {"t": "track", "active": a.on},
-    FetchEndpoints: lambda a: {"t": "fetch"},
-    SetTimer: lambda a: {"t": "schedule", "wait_ns": a.delay_ns, "name": a.name},
-    Log: lambda a: {"t": "write_log", "message": a.text},
+    Reject: lambda action: {"t": "push_back", "ticket": action.request, "backoff_ns": action.retry_after_ns},
+    Fail: lambda action: {"t": "finish_error", "ticket": action.request},
+    CancelAttempt: lambda action: {"t": "retract", "ticket": action.request, "attempt": action.attempt},
+    ProbeLoad: lambda action: {"t": "sample", "upstream": action.upstream},
+    SendPeerMessage: lambda action: {
+        "t": "announce",
+        "dst": action.peer,
+        "blob": base64.b64encode(action.data).decode(),
+    },
+    Subscribe: lambda action: {"t": "track", "active": action.enabled},
+    FetchEndpoints: lambda action: {"t": "fetch"},
+    SetTimer: lambda action: {"t": "schedule", "wait_ns": action.delay_ns, "name": action.name},
+    Log: lambda action: {"t": "write_log", "message": action.text},
 }
 
 
 class Host:
-    """The balancers of one process, and the numbered upstream lists that they share on the wire."""
+    """The balancers of one process, and the numbered upstream lists that they share on the wire.
+
+    Attributes:
+        balancers: By their number on the wire.
+        lists: Upstream lists by their number on the wire.
+    """
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
         self.lists: dict[int, Sequence[Endpoint]] = {}
 
     def batch(self, line: str | bytes) -> str:
-        try:
-            batch = json.loads(line)
-        except ValueError as error:
-            raise Malformed(f"not JSON: {error}") from None
-        if not isinstance(batch, dict):
-            raise Malformed("a batch must be an object")
-        now, number, happened = (batch.get(k) for k in ("sim_time_ns", "round", "happened"))
-        if not isinstance(now, int) or isinstance(now, bool):
-            raise Malformed("batch without a whole-number sim_time_ns")
-        if not isinstance(number, int) or isinstance(number, bool):
-            raise Malformed("batch without a whole-number round")
-        if not isinstance(happened, list):
-            raise Malformed("batch without the array happened")
-        # A balancer's events are gathered and handed over together, so that it sees all that a batch brings.
+        """Carry out one batch.
+
+        A balancer's events are gathered and handed over together, so that it sees all that a batch brings.
+
+        Returns:
+            The reply, as one line without its end.
+
+        Raises:
+            SettingsError: The line is not a batch.
+        """
+        now, number, happened = _read_batch(line)
         waiting: dict[int, list[Event]] = {}
         commands: list[Json] = []
         for event in happened:
-            self._take(typed(event, "event", dict), now, waiting, commands)
-        for number_of, events in waiting.items():
-            self._run(number_of, now, events, commands)
+            self._take(check_type(event, "event", dict), now, waiting, commands)
+        for balancer, events in waiting.items():
+            self._run(balancer, now, events, commands)
         return json.dumps({"round": number, "cmds": commands}, separators=(",", ":"))
 
     def _take(self, event: Json, now: int, waiting: dict[int, list[Event]], commands: list[Json]) -> None:
-        kind = need(event, "t", str)
+        """Carry out an event that concerns the host, or have a balancer's wait."""
+        kind = require(event, "t", str)
         if kind == "directory":
-            rows = need(event, "rows_in", list)
-            self.lists[need(event, "buffer", int)] = [read_upstream(row) for row in rows]
+            rows = require(event, "rows_in", list)
+            self.lists[require(event, "buffer", int)] = [read_upstream(row) for row in rows]
             return
-        number = need(event, "balancer", int)
+        number = require(event, "balancer", int)
         if kind == "new_instance":
             waiting.pop(number, None)
-            settings, seed = read_settings(need(event, "settings", dict)), need(event, "seed", int)
-            try:
-                self.balancers[number] = Balancer(settings, seed, now)
-            except Exception as error:
-                commands.append(_fault(number, error))
+            self._start(event, number, now, commands)
             return
         if kind == "power_off":
             self.balancers.pop(number, None)
             waiting.pop(number, None)
             return
         if number not in self.balancers:
-            raise Malformed(f"event {kind} for balancer {number}, which was not started")
+            raise SettingsError(f"event {kind} for balancer {number}, which was not started")
         if kind == "membership":
-            form = word(event, "form", LISTS)
-            entries = () if form is EndpointUpdateKind.FAILED else word(event, "buffer", self.lists)
+            form = choice(event, "form", UPDATE_KINDS)
+            entries = () if form is EndpointUpdateKind.FAILED else choice(event, "buffer", self.lists)
             waiting.setdefault(number, []).append(EndpointUpdate(form, entries))
-        elif kind in READ:
-            waiting.setdefault(number, []).append(READ[kind](event))
+        elif kind in READERS:
+            waiting.setdefault(number, []).append(READERS[kind](event))
         else:
-            raise Malformed(f"unknown event {kind!r}")
+            raise SettingsError(f"unknown event {kind!r}")
+
+    def _start(self, event: Json, number: int, now: int, commands: list[Json]) -> None:
+        settings, seed = read_settings(require(event, "settings", dict)), require(event, "seed", int)
+        try:
+            self.balancers[number] = Balancer(settings, seed, now)
+        except Exception as error:
+            commands.append(_fault(number, error))
 
     def _run(self, number: int, now: int, events: list[Event], commands: list[Json]) -> None:
         try:
             for action in self.balancers[number].handle(now, events):
-                command = WRITE[type(action)](action)
+                command = WRITERS[type(action)](action)
                 command["balancer"] = number
                 commands.append(command)
         except Exception as error:
             commands.append(_fault(number, error))
 
 
+def _read_batch(line: str | bytes) -> tuple[int, int, list[Any]]:
+    """The batch's time in ns, its number, and its events as they came. Raises SettingsError."""
+    try:
+        batch = json.loads(line)
+    except ValueError as error:
+        raise SettingsError(f"not JSON: {error}") from None
+    if not isinstance(batch, dict):
+        raise SettingsError("a batch must be an object")
+    now, number, happened = (batch.get(key) for key in ("sim_time_ns", "round", "happened"))
+    if not isinstance(now, int) or isinstance(now, bool):
+        raise SettingsError("batch without a whole-number sim_time_ns")
+    if not isinstance(number, int) or isinstance(number, bool):
+        raise SettingsError("batch without a whole-number round")
+    if not isinstance(happened, list):
+        raise SettingsError("batch without the array happened")
+    return now, number, happened
+
+
 def _fault(number: int, error: Exception) -> Json:
-    """A failure of the decision code, told to the simulator with the place where it happened."""
+    """A failure of the decision code as the simulator receives it, with the place where it happened."""
     place = error.__traceback__
     while place is not None and place.tb_next is not None:
         place = place.tb_next
@@ -234,11 +271,12 @@
 
 
 def main() -> int:
+    """Carry out the batches on standard input; the exit status."""
     host = Host()
     for count, line in enumerate(sys.stdin.buffer, 1):  # bytes: bad UTF-8 is bad input, too
         try:
             reply = host.batch(line)
-        except Malformed as error:
+        except SettingsError as error:
             print(f"wirehost: line {count}: {error}", file=sys.stderr)
             return 2
         sys.stdout.write(reply + "\n")
--- a/tests/config/test_checked.py
+++ b/tests/config/test_checked.py
@@ -10,7 +10,7 @@
 
 from lanelift.config.checked import Mistakes, read_text
 from lanelift.config.operator import OperatorFile, read_operator_file
-from lanelift.net.static import StaticList
+from lanelift.net.static_endpoints import StaticEndpoints
 from lanelift.policy.events import EndpointState
 from lanelift.policy.settings import Idempotency
 
@@ -122,7 +122,7 @@
 
 def test_what_the_daemon_is_told() -> None:
     read = read_text(GOOD, OperatorFile, "f.toml").config()
-    assert read.listen == ("127.0.0.1", 8000) and isinstance(read.discovery, StaticList)
+    assert read.listen == ("127.0.0.1", 8000) and isinstance(read.discovery, StaticEndpoints)
     cls = read.settings.classes["quote"]
     assert (cls.idempotency, cls.latency_objective_ns, cls.deadline_ns) == (
         Idempotency.IDEMPOTENT,
--- a/tests/config/test_tenants.py
+++ b/tests/config/test_tenants.py
@@ -10,7 +10,7 @@
 from lanelift.config.checked import Mistakes, read_text
 from lanelift.config.operator import OperatorFile
 from lanelift.policy.settings import UnknownTenants
-from lanelift.settings import Malformed
+from lanelift.settings import SettingsError
 from lanelift.tenants.feed import TenantSource
 from lanelift.tenants.job import Job
 from tests.config.test_checked import only_mistake
@@ -120,7 +120,7 @@
 
 def test_without_the_client_library_that_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(importlib.util, "find_spec", lambda name: None)
-    with pytest.raises(Malformed, match=r"pip install 'lanelift\[tenants\]'"):
+    with pytest.raises(SettingsError, match=r"pip install 'lanelift\[tenants\]'"):
         told(GOOD)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lanelift.net import driver, upstream
+from lanelift.net import connection_pool, dispatch
 from lanelift.policy.balancer import Balancer
 from tests.fakes import Heard
 
@@ -13,14 +13,14 @@
 def heard(monkeypatch: pytest.MonkeyPatch) -> Heard:
     """The events that the module of each balancer started from here on is handed."""
     heard = Heard()
-    monkeypatch.setattr(driver, "Balancer", heard.listen(Balancer))
+    monkeypatch.setattr(dispatch, "Balancer", heard.listen(Balancer))
     return heard
 
 
 @pytest.fixture
 def settled(monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections to upstreams have settled as soon as their answer is there."""
-    monkeypatch.setattr(upstream, "SETTLE_S", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE_S", 0.0)
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -16,8 +16,10 @@
 
 import pytest
 
-from lanelift.__main__ import Config, listening_socket, serve
-from lanelift.net import driver
+from lanelift.__main__ import listening_socket
+from lanelift.daemon import serve
+from lanelift.daemon_config import Config
+from lanelift.net import dispatch
 from lanelift.policy.actions import Action
 from lanelift.policy.balancer import Balancer
 from lanelift.policy.events import AttemptFinished, AttemptResult, EndpointUpdate, Event
@@ -319,7 +321,7 @@
         return acts(event, known[0]) if known else []
 
     monkeypatch.setattr(Puppet, "acts", staticmethod(decide), raising=False)
-    monkeypatch.setattr(driver, "Balancer", heard.listen(Puppet))
+    monkeypatch.setattr(dispatch, "Balancer", heard.listen(Puppet))
 
 
 class World:
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -17,29 +17,31 @@
 
 import pytest
 
-from lanelift.__main__ import RESERVE
-from lanelift.lifecycle import LONGEST_S
-from lanelift.net import discovery, frontend
-from lanelift.net.frontend import ClientConnection, Frontend, Phase
+from lanelift.daemon_config import RESERVED_SOCKETS
+from lanelift.net import client_responses, connection_phases, discovery, shutdown
+from lanelift.net.client_connection import ClientConnection
+from lanelift.net.connection_phases import Phase
+from lanelift.net.frontend import Frontend
+from lanelift.net.shutdown import LONGEST_DEADLINE_S, GracefulShutdown
 from tests.fakes import SECOND, SETTINGS, TEST_S, Heard, World, free_port, run, world
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-TWO_PLACES = RESERVE + 2 * 2  # two clients, two connections to upstreams
+TWO_PLACES = RESERVED_SOCKETS + 2 * 2  # two clients, two connections to upstreams
 
 
 @asynccontextmanager
 async def ending(monkeypatch: pytest.MonkeyPatch, **more: Any) -> AsyncIterator[tuple[World, asyncio.Event]]:
     """A world in which SIGTERM stops the listener at once, and an event that says when that was tried."""
-    monkeypatch.setattr(frontend, "NEWCOMERS_S", 0.0)
-    monkeypatch.setattr(frontend, "LEAVE_S", 2 * TEST_S)
+    monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
+    monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 2 * TEST_S)
     stopped = asyncio.Event()
-    stop = Frontend._stop
+    stop = GracefulShutdown.stop_listening
 
-    def watched(front: Frontend) -> None:
-        stop(front)
+    def watched(ending: GracefulShutdown) -> None:
+        stop(ending)
         stopped.set()
 
-    monkeypatch.setattr(Frontend, "_stop", watched)
+    monkeypatch.setattr(GracefulShutdown, "stop_listening", watched)
     async with world(**more) as w:
         yield w, stopped
 
@@ -103,7 +105,7 @@
             waiting.send("w")
             terminate()
             await stopped.wait()
-            assert fronts[0].closed
+            assert fronts[0].listener.closed
             for client in held:
                 client.close()
             with listeners[0] as shared:
@@ -126,10 +128,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """They are as many as there are places, so all of these are free, and no end of a client is to come."""
-    monkeypatch.setattr(discovery, "START_S", 2 * TEST_S)
+    monkeypatch.setattr(discovery, "START_TIMEOUT_S", 2 * TEST_S)
 
     async def test() -> None:
-        async with ending(monkeypatch, sockets=TWO_PLACES, known=None) as (w, stopped):
+        async with ending(monkeypatch, sockets=TWO_PLACES, cached_endpoints=None) as (w, stopped):
             w.discovery.silent = True
             waiting = [await w.client() for _ in range(3)]
             for number, client in enumerate(waiting):
@@ -148,13 +150,17 @@
 def test_who_waits_in_the_backlog_at_sigterm_is_answered_though_the_places_are_taken_by_who_says_nothing(
     monkeypatch: pytest.MonkeyPatch, rest: bool
 ) -> None:
-    monkeypatch.setattr(frontend, "ROOM", ((Phase.IDLE, 2 * TEST_S), (Phase.NEW, 2 * TEST_S)))
+    monkeypatch.setattr(
+        connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 2 * TEST_S), (Phase.READING_HEAD, 2 * TEST_S))
+    )
     for phase in Phase:
-        monkeypatch.setitem(frontend.LIMIT_S, phase, 2 * TEST_S)
+        monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, phase, 2 * TEST_S)
 
     async def test() -> None:
         async with ending(monkeypatch, sockets=TWO_PLACES) as (w, stopped):
-            monkeypatch.setattr(frontend, "FULL", 9.0)  # answers end no connection for want of places
+            monkeypatch.setattr(
+                client_responses, "MAX_FILL", 9.0
+            )  # answers end no connection for want of places
             silent = [await w.client() for _ in range(2)]
             if rest:
                 for number, client in enumerate(silent):
@@ -199,7 +205,7 @@
     monkeypatch: pytest.MonkeyPatch, when: str
 ) -> None:
     """A close over unread bytes resets the connection. They come before the end is begun, or behind that."""
-    leave = ClientConnection._leave
+    leave = ClientConnection._close_after_response
     peers: list[socket.socket] = []
 
     def crossed(client: ClientConnection) -> None:
@@ -212,7 +218,7 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with world() as w:
-            monkeypatch.setattr(ClientConnection, "_leave", crossed)
+            monkeypatch.setattr(ClientConnection, "_close_after_response", crossed)
             with socket.create_connection(w.address) as sock:
                 peers.append(sock)
                 sock.setblocking(False)
@@ -228,7 +234,7 @@
 def test_a_client_that_does_not_close_behind_its_last_answer_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.LEAVING, 0.0)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.0)
 
     async def test() -> None:
         async with world() as w:
@@ -249,7 +255,7 @@
     monkeypatch: pytest.MonkeyPatch, heard: Heard, begun: bytes
 ) -> None:
     """SIGKILL takes a deadline for 3 s where it is longer, and so must the end."""
-    monkeypatch.setattr(frontend, "LEAVE_S", 0.1 - LONGEST_S)
+    monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 0.1 - LONGEST_DEADLINE_S)
     quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
 
     async def test() -> None:
@@ -274,22 +280,22 @@
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
     """Its head was written before, and did not say that it is the last."""
-    monkeypatch.setattr(frontend, "NEWCOMERS_S", 0.0)
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.IDLE, 2 * TEST_S)
-    emptied: list[Frontend] = []
-    close_idle, fronts = Frontend._close_idle, []
+    monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 2 * TEST_S)
+    emptied: list[GracefulShutdown] = []
+    close_idle, fronts = GracefulShutdown.close_idle, []
     made = Frontend.__init__
 
-    def watched(front: Frontend) -> None:
-        close_idle(front)
-        emptied.append(front)
+    def watched(ending: GracefulShutdown) -> None:
+        close_idle(ending)
+        emptied.append(ending)
         heard.poke()
 
     def seen(front: Frontend, *args: Any, **more: Any) -> None:
         made(front, *args, **more)
         fronts.append(front)
 
-    monkeypatch.setattr(Frontend, "_close_idle", watched)
+    monkeypatch.setattr(GracefulShutdown, "close_idle", watched)
     monkeypatch.setattr(Frontend, "__init__", seen)
 
     async def test() -> None:
@@ -298,12 +304,12 @@
             client = await w.client()
             client.send("r1")
             await client.reader.readuntil(b"one\r\n")
-            fronts[0].evacuate()
+            fronts[0].shutdown.drain()
             await heard.until(lambda: emptied)
             w.upstreams[0].links[0].write(b"0\r\n\r\n")
             assert await client.reader.readuntil(b"0\r\n\r\n") == b"0\r\n\r\n"
             await client.ended()
-            assert fronts[0].rejoin()
+            assert fronts[0].shutdown.rejoin()
             kept = await w.client()
             assert (await kept.ask("r2")).status == 200
             assert (await kept.ask("r3")).status == 200
--- a/tests/net/test_frontend.py
+++ b/tests/net/test_frontend.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from lanelift.__main__ import RESERVE
-from lanelift.net import frontend
-from lanelift.net.frontend import Phase
+from lanelift.daemon_config import RESERVED_SOCKETS
+from lanelift.net import connection_phases
+from lanelift.net.connection_phases import Phase
 from lanelift.policy.events import RequestArrived
 from lanelift.policy.settings import Tenant
 from tests.fakes import (
@@ -33,7 +33,7 @@
 
 def test_ready_once_the_module_can_serve() -> None:
     async def test() -> None:
-        async with world(known=None) as w:
+        async with world(cached_endpoints=None) as w:
             await w.watching()
             assert (await w.ask("r", path="/ready")).status == 200
             await w.tell(w.upstreams[0].row("Terminating"))
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_that_is_too_large(chunked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lanelift.net.parse.MAX_PASSED", 69_000)
+    monkeypatch.setattr("lanelift.net.http_parser.MAX_STREAMED_BODY_BYTES", 69_000)
 
     async def test() -> None:
         async with world() as w:
@@ -139,10 +139,10 @@
 def test_at_the_cap_idle_clients_make_room_and_busy_ones_are_kept(
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    monkeypatch.setattr(frontend, "ROOM", ((Phase.IDLE, 0.0),))
+    monkeypatch.setattr(connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 0.0),))
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:  # two clients, two connections to upstreams
+        async with world(sockets=RESERVED_SOCKETS + 2 * 2) as w:  # two clients, two connections to upstreams
             go_on = asyncio.Event()
             upstream: FakeUpstream = w.upstreams[0]
 
@@ -170,7 +170,7 @@
 
 def test_at_the_cap_silent_clients_make_room_for_one_that_asks() -> None:
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:
+        async with world(sockets=RESERVED_SOCKETS + 2 * 2) as w:
             silent = [await w.client() for _ in range(20)]
             asking = await w.client()
             assert (await asking.ask("r1")).status == 200
@@ -181,11 +181,15 @@
 
 
 def test_at_the_cap_an_idle_client_is_left_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "ROOM", ((Phase.IDLE, 1000.0), (Phase.NEW, 0.0)))
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.NEW, 0.1)  # the last newcomer is driven out by nobody
+    monkeypatch.setattr(
+        connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 1000.0), (Phase.READING_HEAD, 0.0))
+    )
+    monkeypatch.setitem(
+        connection_phases.PHASE_TIMEOUT_S, Phase.READING_HEAD, 0.1
+    )  # the last newcomer is driven out by nobody
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:
+        async with world(sockets=RESERVED_SOCKETS + 2 * 2) as w:
             idle = await w.client()
             assert (await idle.ask("r0")).status == 200
             newcomers = [await w.client() for _ in range(9)]
@@ -198,11 +202,11 @@
 
 def test_with_all_places_taken_an_answer_ends_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     # Idle connections are left their 2 s: with more clients than places, each newcomer waited for that.
-    (leaving,) = (row for row in frontend.ROOM if row[0] is Phase.LEAVING)
-    monkeypatch.setattr(frontend, "ROOM", (leaving, (Phase.IDLE, 1000.0)))
+    (leaving,) = (row for row in connection_phases.EVICTION_ORDER if row[0] is Phase.CLOSING)
+    monkeypatch.setattr(connection_phases, "EVICTION_ORDER", (leaving, (Phase.IDLE, 1000.0)))
 
     async def test() -> None:
-        async with world(sockets=RESERVE + 2 * 2) as w:
+        async with world(sockets=RESERVED_SOCKETS + 2 * 2) as w:
             clients = [await w.client() for _ in range(20)]
             for number, client in enumerate(clients):
                 client.send(f"r{number}")
@@ -265,8 +269,8 @@
 def test_a_request_that_does_not_come_in_time_ends_its_connection(
     monkeypatch: pytest.MonkeyPatch, part: bytes, status: int | None, used: bool
 ) -> None:
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.NEW, 0.2)
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.IDLE, 0.3)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_HEAD, 0.2)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.3)
 
     async def test() -> None:
         async with world() as w:
@@ -365,7 +369,7 @@
 def test_a_client_that_does_not_read_gets_no_more_answers_piled_up(
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.IDLE, 0.5)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.5)
 
     async def test() -> None:
         async with world() as w:
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from lanelift.net.upstream import HANDSHAKE_S, Handshakes, ResolvedEndpoint, Upstreams
+from lanelift.net.endpoints import ResolvedEndpoint
+from lanelift.net.handshakes import MIN_HANDSHAKE_TIMEOUT_S, HandshakeEstimator
+from lanelift.net.upstreams import Upstreams
 from lanelift.policy.events import AttemptResult, Endpoint
 from tests.fakes import SETTINGS, FakeUpstream, deaf, run
 
@@ -16,23 +18,23 @@
 
 
 def test_before_any_came_up_the_limit_holds() -> None:
-    assert Handshakes(LIMIT_S).patience_s == LIMIT_S
+    assert HandshakeEstimator(LIMIT_S).timeout_s == LIMIT_S
 
 
 @pytest.mark.parametrize(("took_s", "least_s", "most_s"), [(0.0005, 0.03, 0.03), (0.1, 0.1, 0.4)])
 def test_patience_follows_what_handshakes_take(took_s: float, least_s: float, most_s: float) -> None:
-    handshakes = Handshakes(LIMIT_S)
+    handshakes = HandshakeEstimator(LIMIT_S)
     for i in range(40):
-        handshakes.took(took_s * (0.9 + 0.2 * (i % 2)))
-    assert least_s <= handshakes.patience_s <= most_s
+        handshakes.record(took_s * (0.9 + 0.2 * (i % 2)))
+    assert least_s <= handshakes.timeout_s <= most_s
 
 
 def test_a_spread_that_grows_is_given_time_up_to_the_limit() -> None:
-    handshakes = Handshakes(0.25)
-    before = handshakes.patience_s
+    handshakes = HandshakeEstimator(0.25)
+    before = handshakes.timeout_s
     for took_s in (0.001, 0.02, 0.2, 0.2):
-        handshakes.took(took_s)
-        assert HANDSHAKE_S <= handshakes.patience_s <= before
+        handshakes.record(took_s)
+        assert MIN_HANDSHAKE_TIMEOUT_S <= handshakes.timeout_s <= before
 
 
 @pytest.mark.usefixtures("settled")
@@ -50,20 +52,20 @@
         box = FakeUpstream("s-1")
         await box.start()
         upstreams = Upstreams(replace(SETTINGS.limits, connect_timeout_ns=60_000_000_000), 8, ())
-        upstreams.handshakes.took(0.001)
-        upstreams.learn([ResolvedEndpoint(Endpoint(1), "127.0.0.1", box.port)], True)
+        upstreams.pool.handshakes.record(0.001)
+        upstreams.pool.update_endpoints([ResolvedEndpoint(Endpoint(1), "127.0.0.1", box.port)], True)
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
         ask = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-        upstreams.send(1, ask, None, lambda result, *_: results.put_nowait(result))
+        upstreams.start_attempt(1, ask, None, lambda result, *_: results.put_nowait(result))
         assert await results.get() is AttemptResult.CONNECT_FAILED
-        assert upstreams.connections == 1  # it still comes
+        assert upstreams.pool.open_connections == 1  # it still comes
         open_way.set()
-        await asyncio.gather(*upstreams.connecting)
-        assert upstreams.handshakes.mean_s is not None and upstreams.handshakes.mean_s > 0.001
-        assert len(upstreams.targets[1].idle) == 1 and not box.seen  # and nothing was sent on it
-        upstreams.send(1, ask, None, lambda result, *_: results.put_nowait(result))
+        await asyncio.gather(*upstreams.pool.connect_tasks)
+        assert upstreams.pool.handshakes.mean_s is not None and upstreams.pool.handshakes.mean_s > 0.001
+        assert len(upstreams.pool.targets[1].idle) == 1 and not box.seen  # and nothing was sent on it
+        upstreams.start_attempt(1, ask, None, lambda result, *_: results.put_nowait(result))
         assert await results.get() is AttemptResult.OK
-        assert upstreams.connections == 1
+        assert upstreams.pool.open_connections == 1
         upstreams.close()
         box.stop()
 
@@ -73,11 +75,13 @@
 def test_what_does_not_connect_is_given_up_long_before_the_limit() -> None:
     async def test() -> None:
         upstreams = Upstreams(replace(SETTINGS.limits, connect_timeout_ns=60_000_000_000), 8, ())
-        upstreams.handshakes.took(0.001)  # others came up
+        upstreams.pool.handshakes.record(0.001)  # others came up
         ended = asyncio.get_running_loop().create_future()
         with deaf() as address:
-            upstreams.learn([ResolvedEndpoint(Endpoint(1), *address)], True)
-            upstreams.send(1, b"GET / HTTP/1.1\r\n\r\n", None, lambda result, *_: ended.set_result(result))
+            upstreams.pool.update_endpoints([ResolvedEndpoint(Endpoint(1), *address)], True)
+            upstreams.start_attempt(
+                1, b"GET / HTTP/1.1\r\n\r\n", None, lambda result, *_: ended.set_result(result)
+            )
             assert await asyncio.wait_for(ended, LIMIT_S) is AttemptResult.CONNECT_FAILED  # and never ran
         upstreams.close()
 
--- a/tests/net/test_outcomes.py
+++ b/tests/net/test_outcomes.py
@@ -9,9 +9,10 @@
 
 import pytest
 
-from lanelift.net.http import Connection, Exchange
-from lanelift.net.parse import Response, message
-from lanelift.net.upstream import read_report
+from lanelift.net.exchange import Exchange
+from lanelift.net.http_messages import Response, encode_message
+from lanelift.net.load_reports import read_load_report
+from lanelift.net.upstream_connection import UpstreamConnection
 from lanelift.policy.actions import Action, StartAttempt
 from lanelift.policy.events import (
     AttemptFinished,
@@ -166,7 +167,7 @@
     ],
 )
 def test_a_load_report_is_believed_as_far_as_it_can_be(text: bytes | None, report: Any) -> None:
-    assert read_report(text, ("inflight", "queue")) == report
+    assert read_load_report(text, ("inflight", "queue")) == report
 
 
 def test_refused_connection(heard: Heard) -> None:
@@ -204,9 +205,9 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        connection = Connection(lambda c: None, lambda c: None)
+        connection = UpstreamConnection(lambda c: None, lambda c: None)
         await loop.create_connection(lambda: connection, *server.sockets[0].getsockname())
-        request = message(b"POST / HTTP/1.1", [(b"Content-Length", b"%d" % size)], b"x" * size)
+        request = encode_message(b"POST / HTTP/1.1", [(b"Content-Length", b"%d" % size)], b"x" * size)
         connection.start(Exchange(request, lambda r, response: ended.set_result(r)))
         assert await ended is result
         server.close()
@@ -333,16 +334,16 @@
 
 
 def test_an_answer_that_cannot_be_given_harms_no_other(monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
-    from lanelift.net.frontend import ClientConnection
+    from lanelift.net.client_connection import ClientConnection
 
-    served = ClientConnection.served
+    served = ClientConnection.respond
 
     def fails(self: ClientConnection, response: Response) -> None:
         if response.body == b"bad":
             raise RuntimeError("no")
         served(self, response)
 
-    monkeypatch.setattr(ClientConnection, "served", fails)
+    monkeypatch.setattr(ClientConnection, "respond", fails)
 
     async def test() -> None:
         async with world() as w:
--- a/tests/net/test_parse.py
+++ b/tests/net/test_parse.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from lanelift.net.parse import MAX_BODY, MAX_HEAD, OVERHEAD, RequestReader, ResponseReader
+from lanelift.net.http_parser import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_FRAMING_FACTOR,
+    MAX_HEAD_BYTES,
+    RequestParser,
+    ResponseParser,
+)
 
 HEAD = b"POST /pay HTTP/1.1\r\nHost: h\r\n"
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -21,17 +27,17 @@
         + HEAD
         + b"Connection: close\r\n\r\n"
     )
-    reader = RequestReader()
+    reader = RequestParser()
     for at in range(0, len(data), step):
         reader.feed(data[at : at + step])
-    assert reader.fault is None and not reader.begun
-    assert [(r.method, r.target, r.body, r.keep_alive) for r in reader.ready] == [
+    assert reader.error is None and not reader.has_partial
+    assert [(r.method, r.target, r.body, r.keep_alive) for r in reader.messages] == [
         (b"POST", b"/pay", b"body", True),
         (b"POST", b"/pay", b"abcd", True),
         (b"POST", b"/pay", b"", False),
     ]
-    assert reader.ready[0].headers == [(b"host", b"h"), (b"x-odd", b"a b"), (b"content-length", b"4")]
-    assert reader.ready[1].headers == [(b"host", b"h"), (b"transfer-encoding", b"chunked")]
+    assert reader.messages[0].headers == [(b"host", b"h"), (b"x-odd", b"a b"), (b"content-length", b"4")]
+    assert reader.messages[1].headers == [(b"host", b"h"), (b"transfer-encoding", b"chunked")]
 
 
 @pytest.mark.parametrize(
@@ -61,38 +67,44 @@
         (HEAD + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
         (CHUNKED + b"0x3\r\nabc\r\n0\r\n\r\n", 400),
         (CHUNKED + b"3\nabc\n0\n\n", 400),
-        (CHUNKED + b"1\r\nx\r\n" * (MAX_BODY - 1) + b"0\r\n" + b"X-T: t\r\n" * OVERHEAD * MAX_BODY, 413),
-        (HEAD + b"X-Odd: " + b"x" * MAX_HEAD, 431),
-        (HEAD + b"X-Odd: x\r\n" * (MAX_HEAD // 6) + b"\r\n", 431),
-        (b"GET /" + b"x" * MAX_HEAD, 431),
+        (
+            CHUNKED
+            + b"1\r\nx\r\n" * (MAX_BUFFERED_BODY_BYTES - 1)
+            + b"0\r\n"
+            + b"X-T: t\r\n" * MAX_FRAMING_FACTOR * MAX_BUFFERED_BODY_BYTES,
+            413,
+        ),
+        (HEAD + b"X-Odd: " + b"x" * MAX_HEAD_BYTES, 431),
+        (HEAD + b"X-Odd: x\r\n" * (MAX_HEAD_BYTES // 6) + b"\r\n", 431),
+        (b"GET /" + b"x" * MAX_HEAD_BYTES, 431),
     ],
 )
 def test_requests_that_are_turned_away(data: bytes, status: int) -> None:
     for step in (1000, 1_000_000_000):
-        reader = RequestReader()
+        reader = RequestParser()
         for at in range(0, len(data), step):
             reader.feed(data[at : at + step])
-        assert reader.fault is not None and reader.fault.status == status
+        assert reader.error is not None and reader.error.status == status
         reader.feed(HEAD + b"\r\n")
-        assert not reader.ready  # nothing is read behind it
+        assert not reader.messages  # nothing is read behind it
 
 
 def test_a_wish_for_another_protocol_is_ignored_in_a_request_and_not_believed_in_an_answer() -> None:
     wish = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
-    reader = RequestReader()
+    reader = RequestParser()
     reader.feed(HEAD + wish)
-    assert reader.fault is None and [r.keep_alive for r in reader.ready] == [False]
-    answers = ResponseReader()
+    assert reader.error is None and [r.keep_alive for r in reader.messages] == [False]
+    answers = ResponseParser()
     answers.feed(b"HTTP/1.1 101 X\r\n" + wish + OK + b"Content-Length: 0\r\n\r\n")
-    assert answers.fault is not None and not answers.ready
+    assert answers.error is not None and not answers.messages
 
 
 def test_a_client_that_waits_to_be_told_to_go_on() -> None:
-    reader = RequestReader()
+    reader = RequestParser()
     reader.feed(HEAD + b"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
-    assert reader.continues and not reader.ready
+    assert reader.expects_continue and not reader.messages
     reader.feed(b"body")
-    assert not reader.continues and reader.ready[0].body == b"body"
+    assert not reader.expects_continue and reader.messages[0].body == b"body"
 
 
 @pytest.mark.parametrize(
@@ -107,18 +119,18 @@
     ],
 )
 def test_an_answer_and_whether_anything_stands_behind_it(data: bytes, body: bytes, clean: bool) -> None:
-    reader = ResponseReader()
+    reader = ResponseParser()
     reader.feed(data)
-    assert reader.ready.popleft().body == body
-    assert clean is not bool(reader.ready or reader.begun or reader.fault)
+    assert reader.messages.popleft().body == body
+    assert clean is not bool(reader.messages or reader.has_partial or reader.error)
 
 
 def test_how_long_an_answer_may_be_is_told_for_each() -> None:
     long = OK + b"Content-Length: 70000\r\n\r\n" + b"x" * 70_000
-    reader = ResponseReader()
-    reader.expect(4 * MAX_BODY)
+    reader = ResponseParser()
+    reader.expect_response(4 * MAX_BUFFERED_BODY_BYTES)
     reader.feed(long)
-    assert len(reader.ready.popleft().body) == 70_000
-    reader.expect(MAX_BODY)
+    assert len(reader.messages.popleft().body) == 70_000
+    reader.expect_response(MAX_BUFFERED_BODY_BYTES)
     reader.feed(long)
-    assert reader.fault is not None and not reader.ready
+    assert reader.error is not None and not reader.messages
--- a/tests/net/test_passing.py
+++ b/tests/net/test_passing.py
@@ -12,11 +12,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lanelift.net import frontend, http
-from lanelift.net.frontend import Phase
-from lanelift.net.http import READ
-from lanelift.net.kernel import BUFFER
-from lanelift.net.parse import MAX_BODY, MAX_PASSED, ResponseReader
+from lanelift.net import connection_phases, exchange
+from lanelift.net.connection_phases import Phase
+from lanelift.net.http_parser import MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES, ResponseParser
+from lanelift.net.socket_options import KERNEL_BUFFER_BYTES
+from lanelift.net.upstream_connection import READ_BUFFER
 from lanelift.policy.events import AttemptFinished, AttemptResult, ClientDisconnected, ResponseStarted
 from lanelift.standins.http import Connection
 from tests.fakes import Client, Heard, World, answer, read_message, run, world
@@ -97,7 +97,9 @@
 
 @pytest.mark.usefixtures("settled")
 @pytest.mark.parametrize("framed", [told, chunked, untold])
-@pytest.mark.parametrize("body", [LONG, LONG[: MAX_BODY + 1], LONG[:MAX_BODY], b"short", b""])
+@pytest.mark.parametrize(
+    "body", [LONG, LONG[: MAX_BUFFERED_BODY_BYTES + 1], LONG[:MAX_BUFFERED_BODY_BYTES], b"short", b""]
+)
 def test_an_answer_of_any_length_and_framing_arrives_whole(
     heard: Heard, framed: Callable[[bytes], bytes], body: bytes
 ) -> None:
@@ -123,7 +125,7 @@
             (outcome,) = heard.of(AttemptFinished)
             assert (outcome.result, outcome.request_complete) == (R.OK, True)
             begun = heard.of(ResponseStarted)
-            assert len(begun) == (len(body) > MAX_BODY)
+            assert len(begun) == (len(body) > MAX_BUFFERED_BODY_BYTES)
             assert all(e.duration_ns <= outcome.duration_ns for e in begun)
             # The connections go on: the client's, and the upstream's unless it ended the answer.
             assert (await client.ask("r2")).body == b"s-0"
@@ -230,7 +232,7 @@
                 left = sent - transport.get_write_buffer_size()
                 # The upstream's own buffer for sending is not ours to bound, and may grow to 4 MB. Beyond it:
                 # two connections with both their buffers (doubled by the kernel), a read, the write's mark.
-                assert left < 4_194_304 + 2 * 2 * 2 * BUFFER + 2 * len(READ)
+                assert left < 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2 * len(READ_BUFFER)
                 got = b""
                 while got.count(piece) < sent // len(piece):  # what was written comes once it reads
                     got += await loop.sock_recv(slow, 1 << 20)
@@ -257,7 +259,7 @@
 
 
 def test_an_answer_that_stands_still_is_given_up(monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
-    monkeypatch.setattr(http, "SILENT_S", 0.1)
+    monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with stepwise() as (_, client, steps):
@@ -300,7 +302,7 @@
 
 
 def test_more_than_may_be_passed_on_is_cut(monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
-    monkeypatch.setattr("lanelift.net.parse.MAX_PASSED", 300_000)
+    monkeypatch.setattr("lanelift.net.http_parser.MAX_STREAMED_BODY_BYTES", 300_000)
 
     async def test() -> None:
         async with world() as w:
@@ -314,13 +316,13 @@
             await heard.until(lambda: len(heard.of(AttemptFinished)) == 2)
             assert heard.results() == [R.ERROR, R.ERROR]
 
-    assert MAX_PASSED > 32_000_000
+    assert MAX_STREAMED_BODY_BYTES > 32_000_000
     run(test())
 
 
 def test_a_last_answer_is_read_to_its_end_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection ends behind it, and what is still in the buffers is not thrown away with it."""
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.LEAVING, 0.05)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.05)
 
     async def test() -> None:
         async with world() as w:
@@ -341,9 +343,9 @@
 
 
 def test_a_client_that_never_reads_the_rest_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.FLUSHING, 0.1)
-    monkeypatch.setattr(http, "SILENT_S", 0.05)
-    monkeypatch.setattr(http, "UNREAD_S", 0.1)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.FLUSHING, 0.1)
+    monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(exchange, "CLIENT_STALL_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with world() as w:
@@ -380,7 +382,7 @@
 
 
 @given(
-    st.integers(0, 3 * MAX_BODY),
+    st.integers(0, 3 * MAX_BUFFERED_BODY_BYTES),
     st.lists(st.integers(1, 100_000), max_size=8),
     st.sampled_from([told, chunked]),
 )
@@ -389,31 +391,31 @@
 ) -> None:
     body = LONG[:size]
     data = framed(body)
-    reader = ResponseReader()
-    reader.expect(MAX_BODY, True)
+    reader = ResponseParser()
+    reader.expect_response(MAX_BUFFERED_BODY_BYTES, True)
     got, at = b"", 0
     for step in [*cuts, len(data)]:
         reader.feed(data[at : at + step])
         at += step
-        assert reader.head is None or len(reader.head.body) <= MAX_BODY
-        if reader.passing is not None:
-            got += reader.take()
-    assert reader.fault is None and not reader.begun
-    whole = reader.ready.popleft()
-    assert (reader.passing is not None) == (size > MAX_BODY)
+        assert reader.partial is None or len(reader.partial.body) <= MAX_BUFFERED_BODY_BYTES
+        if reader.streaming is not None:
+            got += reader.take_body()
+    assert reader.error is None and not reader.has_partial
+    whole = reader.messages.popleft()
+    assert (reader.streaming is not None) == (size > MAX_BUFFERED_BODY_BYTES)
     assert (got or whole.body) == body and not (got and whole.body)
 
 
 def test_cut_at_every_byte_a_long_answer_in_chunks_is_never_whole() -> None:
     data = chunked(LONG[:2000], 700)
     for at in range(len(data)):
-        reader = ResponseReader()
-        reader.expect(1000, True)
+        reader = ResponseParser()
+        reader.expect_response(1000, True)
         reader.feed(data[:at])
-        reader.end()
-        assert not reader.ready, at
+        reader.connection_ended()
+        assert not reader.messages, at
     reader.feed(data[at:])
-    assert reader.ready
+    assert reader.messages
 
 
 @pytest.mark.parametrize(
@@ -427,8 +429,8 @@
     ],
 )
 def test_an_end_of_connection_ends_an_answer_only_where_it_says_so(head: bytes, believed: bool) -> None:
-    reader = ResponseReader()
-    reader.expect(MAX_BODY, True)
+    reader = ResponseParser()
+    reader.expect_response(MAX_BUFFERED_BODY_BYTES, True)
     reader.feed(OK + head + b"\r\nabc")
-    reader.end()
-    assert [r.body for r in reader.ready] == ([b"abc"] if believed else [])
+    reader.connection_ended()
+    assert [r.body for r in reader.messages] == ([b"abc"] if believed else [])
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -14,12 +14,13 @@
 
 import pytest
 
-from lanelift.__main__ import RESERVE
-from lanelift.net import frontend, http, upstream
-from lanelift.net.discovery import number_of
-from lanelift.net.http import Connection, Exchange
-from lanelift.net.kernel import received
-from lanelift.net.parse import MAX_BODY
+from lanelift.daemon_config import RESERVED_SOCKETS
+from lanelift.net import connection_phases, connection_pool, exchange, shutdown
+from lanelift.net.endpoint_list import upstream_number
+from lanelift.net.exchange import Exchange
+from lanelift.net.http_parser import MAX_BUFFERED_BODY_BYTES
+from lanelift.net.socket_options import peer_state
+from lanelift.net.upstream_connection import UpstreamConnection
 from lanelift.policy.actions import Action, StartAttempt
 from lanelift.policy.events import (
     AttemptFinished,
@@ -48,7 +49,7 @@
 # Nothing may be called off, and a handshake may take its time.
 LIMITS = replace(SETTINGS.limits, may_cancel=False, max_attempts=2, connect_timeout_ns=60 * SECOND)
 PATIENT = replace(SETTINGS, limits=LIMITS)
-BODY = b"x" * (2 * MAX_BODY)
+BODY = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
 
 
 class Gate:
@@ -73,9 +74,9 @@
 
     def acts(event: Event, _: int) -> list[Action]:
         if isinstance(event, RequestArrived):
-            return [StartAttempt(event.request, number_of("s-0"))]
+            return [StartAttempt(event.request, upstream_number("s-0"))]
         if isinstance(event, AttemptFinished) and event.attempt == 0 and event.result is not R.OK:
-            return [] if event.request_complete else [StartAttempt(event.request, number_of("s-1"))]
+            return [] if event.request_complete else [StartAttempt(event.request, upstream_number("s-1"))]
         return []
 
     puppet(monkeypatch, heard, acts)
@@ -151,7 +152,7 @@
     """All places are taken; it is accepted when one is free, and its client has left by then."""
 
     async def test() -> None:
-        async with world(settings=PATIENT, sockets=RESERVE + 2 * 2) as w:  # two clients
+        async with world(settings=PATIENT, sockets=RESERVED_SOCKETS + 2 * 2) as w:  # two clients
             go_on = asyncio.Event()
 
             async def slow() -> bytes:
@@ -205,9 +206,9 @@
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
     """Its last byte has not been written: it never ran, so ending it calls nothing off."""
-    made = Connection.connection_made
+    made = UpstreamConnection.connection_made
 
-    def narrow(connection: Connection, transport: asyncio.BaseTransport) -> None:
+    def narrow(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         made(connection, transport)
 
@@ -221,9 +222,9 @@
             async with world(settings=PATIENT) as w:
                 w.upstreams[0].port = busy.getsockname()[1]
                 await w.tell(w.upstreams[0].row())
-                monkeypatch.setattr(Connection, "connection_made", narrow)
+                monkeypatch.setattr(UpstreamConnection, "connection_made", narrow)
                 client = await w.client()
-                client.send("r1", "pay", "POST", b"x" * MAX_BODY)
+                client.send("r1", "pay", "POST", b"x" * MAX_BUFFERED_BODY_BYTES)
                 taken, _ = await loop.sock_accept(busy)
                 with taken:
                     came = await loop.sock_recv(taken, 1)
@@ -232,7 +233,7 @@
                     with suppress(ConnectionError):
                         while data := await loop.sock_recv(taken, 65536):
                             came += data
-                    assert len(came) < MAX_BODY
+                    assert len(came) < MAX_BUFFERED_BODY_BYTES
                     assert heard.results() == [R.CANCELLED]
 
     run(test())
@@ -288,7 +289,9 @@
                         transport.write(b"x" * 200)  # at once: its buffer is empty
                 return [StartAttempt(event.request, to)]
 
-            monkeypatch.setattr(Puppet, "acts", staticmethod(lambda event: acts(event, number_of("s-0"))))
+            monkeypatch.setattr(
+                Puppet, "acts", staticmethod(lambda event: acts(event, upstream_number("s-0")))
+            )
             assert (await w.ask("r1", "pay", "POST", b"x")).status == 200
             assert (await w.ask("r2", "pay", "POST", b"x")).status == 200
             assert [m.link for m in box.seen] == [1, 2] and heard.results() == [R.OK, R.OK]
@@ -304,7 +307,7 @@
         loop = asyncio.get_running_loop()
         ended: asyncio.Future[AttemptResult] = loop.create_future()
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            connection = Connection(lambda c: None, lambda c: None)
+            connection = UpstreamConnection(lambda c: None, lambda c: None)
             await loop.create_connection(lambda: connection, *listener.getsockname())
             server, _ = listener.accept()
             server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -333,7 +336,7 @@
     """What was given up may run as long as its connection is open: two would be out at once."""
     to_first_then_second(monkeypatch, heard)
     ended: list[bool] = []
-    start = Connection.start
+    start = UpstreamConnection.start
 
     async def test() -> None:
         async with world(2, settings=PATIENT) as w:
@@ -341,14 +344,14 @@
             first.script = [b"\x00", spoilt]
             assert (await w.ask("r1")).body == second.name.encode()  # a connection to it stands from now on
 
-            def watched(connection: Connection, exchange: Exchange) -> None:
+            def watched(connection: UpstreamConnection, exchange: Exchange) -> None:
                 if b"X-Request-Id: r2" in exchange.request or b"x-request-id: r2" in exchange.request:
                     transport = first.links[-1].transport
                     assert transport is not None
-                    ended.append(received(transport.get_extra_info("socket"))[0])
+                    ended.append(peer_state(transport.get_extra_info("socket"))[0])
                 start(connection, exchange)
 
-            monkeypatch.setattr(Connection, "start", watched)
+            monkeypatch.setattr(UpstreamConnection, "start", watched)
             assert (await w.ask("r2")).body == second.name.encode()
             assert ended == [False, True]  # at the first send, and at the second
 
@@ -367,9 +370,9 @@
     monkeypatch: pytest.MonkeyPatch, heard: Heard, slow: bool, kind: str, method: str, links: list[int]
 ) -> None:
     """It comes when the next request is under way already: only time tells it from that one's."""
-    assert upstream.SETTLE_S >= 0.01  # some milliseconds, with room
-    monkeypatch.setattr(upstream, "SETTLE_S", TEST_S)  # however slow the machine is
-    monkeypatch.setattr(upstream, "SLOW", 0 if slow else 1)
+    assert connection_pool.SETTLE_S >= 0.01  # some milliseconds, with room
+    monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)  # however slow the machine is
+    monkeypatch.setattr(connection_pool, "MIN_RESPONSE_TO_SETTLE_RATIO", 0 if slow else 1)
 
     def acts(event: Event, to: int) -> list[Action]:
         if isinstance(event, RequestArrived) or (
@@ -410,8 +413,8 @@
     monkeypatch: pytest.MonkeyPatch, heard: Heard, begins: bytes, may_cancel: bool
 ) -> None:
     """It does not tell its length, and is passed on as a long one would be."""
-    monkeypatch.setattr(http, "SILENT_S", 2 * TEST_S)
-    assert 2 * http.OWED_S < 0.5  # in which an answer that is late still counts as one
+    monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 2 * TEST_S)
+    assert 2 * exchange.MIN_PROGRESS_INTERVAL_S < 0.5  # in which an answer that is late still counts as one
 
     async def test() -> None:
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=may_cancel))
@@ -473,7 +476,7 @@
             client.send("r1", X_Deadline_Ms=100)
             await heard.until(lambda: heard.of(ResponseStarted))
             began_s = asyncio.get_running_loop().time()
-            while asyncio.get_running_loop().time() < began_s + 0.1 + 3 * http.OWED_S:
+            while asyncio.get_running_loop().time() < began_s + 0.1 + 3 * exchange.MIN_PROGRESS_INTERVAL_S:
                 await asyncio.sleep(0.02)
             w.upstreams[0].links[0].write(b"x" * 899_997)
             assert len((await client.answer()).body) == 900_000
@@ -490,27 +493,27 @@
         held = asyncio.Event()
 
         class Held:
-            def began(self, head: object) -> None:
-                exchange.hold()
+            def start_response(self, head: object) -> None:
+                attempt.pause()
                 held.set()
 
-            def came(self, data: bytes) -> None:
+            def forward(self, data: bytes) -> None:
                 pass
 
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            connection = Connection(lambda c: None, lambda c: None)
+            connection = UpstreamConnection(lambda c: None, lambda c: None)
             await loop.create_connection(lambda: connection, *listener.getsockname())
             server, _ = listener.accept()
             with server:
-                exchange = Exchange(b"GET / HTTP/1.1\r\n\r\n", lambda r, _: ended.append(r), passing=Held())
-                connection.start(exchange)
-                exchange.expire_in(0.1)
+                attempt = Exchange(b"GET / HTTP/1.1\r\n\r\n", lambda r, _: ended.append(r), sink=Held())
+                connection.start(attempt)
+                attempt.expire_in(0.1)
                 server.sendall(CHUNKED + b"3\r\none\r\n")
                 await held.wait()
-                while loop.time() < exchange.owed_s:
+                while loop.time() < attempt.progress_due_s:
                     await asyncio.sleep(0.01)
-                exchange.go_on()
-                assert exchange.done is not None and not ended
+                attempt.resume()
+                assert attempt.on_finished is not None and not ended
                 connection.abort()
 
     run(test())
@@ -538,8 +541,8 @@
 @asynccontextmanager
 async def leaving(monkeypatch: pytest.MonkeyPatch, ends_s: float) -> AsyncIterator[World]:
     """A world in which SIGTERM closes the listener at once, and ends the process this much over 3 s later."""
-    monkeypatch.setattr(frontend, "NEWCOMERS_S", 0.0)
-    monkeypatch.setattr(frontend, "LEAVE_S", ends_s)
+    monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
+    monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", ends_s)
     async with world() as w:
         yield w
 
@@ -570,20 +573,20 @@
     """The head of that answer did not say so, and its end comes when those at rest have been closed."""
 
     async def test() -> None:
-        monkeypatch.setitem(frontend.LIMIT_S, frontend.Phase.IDLE, 2 * TEST_S)
+        monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, connection_phases.Phase.IDLE, 2 * TEST_S)
         async with leaving(monkeypatch, 2 * TEST_S) as w:
             w.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
             client = await w.client()
             client.send("r1")
             await client.reader.readuntil(b"one\r\n")
             closed = asyncio.Event()
-            close_idle = frontend.Frontend._close_idle
+            close_idle = shutdown.GracefulShutdown.close_idle
 
-            def watched(front: frontend.Frontend) -> None:
-                close_idle(front)
+            def watched(ending: shutdown.GracefulShutdown) -> None:
+                close_idle(ending)
                 closed.set()
 
-            monkeypatch.setattr(frontend.Frontend, "_close_idle", watched)
+            monkeypatch.setattr(shutdown.GracefulShutdown, "close_idle", watched)
             os.kill(os.getpid(), signal.SIGTERM)
             await closed.wait()
             w.upstreams[0].links[0].write(b"0\r\n\r\n")
--- a/tests/net/test_repeats.py
+++ b/tests/net/test_repeats.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from lanelift.net import upstream
-from lanelift.net.http import Exchange
-from lanelift.net.kernel import received
+from lanelift.net import handshakes
+from lanelift.net.exchange import Exchange
+from lanelift.net.socket_options import peer_state
 from lanelift.policy.settings import Idempotency, RequestClass
 from lanelift.standins.http import Connection
 from tests.fakes import MS, SECOND, SETTINGS, FakeUpstream, Message, World, answer, never, run, world
@@ -88,7 +88,7 @@
 
     async def reply(self, box: FakeUpstream, message: Message) -> bytes | None:
         if self.link is not None and self.link.transport is not None and not self.link.transport.is_closing():
-            self.two_out |= not received(self.link.transport.get_extra_info("socket"))[0]
+            self.two_out |= not peer_state(self.link.transport.get_extra_info("socket"))[0]
         self.came.append(message.headers["x-request-id"])
         if len(self.came) > 1:
             return answer(200, b"served")
@@ -142,7 +142,9 @@
 def test_an_attempt_that_found_nobody_is_made_again_elsewhere(
     monkeypatch: pytest.MonkeyPatch, effect: Idempotency
 ) -> None:
-    monkeypatch.setattr(upstream, "HANDSHAKE_S", 1.0)  # on a busy machine a good one may need more than 30 ms
+    monkeypatch.setattr(
+        handshakes, "MIN_HANDSHAKE_TIMEOUT_S", 1.0
+    )  # on a busy machine a good one may need more than 30 ms
 
     async def test() -> None:
         limits = replace(LIMITS, max_attempts=50)  # a pause of the machine may outlast the bars of both
--- a/tests/net/test_uploads.py
+++ b/tests/net/test_uploads.py
@@ -12,10 +12,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lanelift.net import frontend, http
-from lanelift.net.frontend import Phase
-from lanelift.net.kernel import BUFFER
-from lanelift.net.parse import MAX_BODY, RequestReader
+from lanelift.net import connection_phases, exchange
+from lanelift.net.connection_phases import Phase
+from lanelift.net.http_parser import MAX_BUFFERED_BODY_BYTES, RequestParser
+from lanelift.net.socket_options import KERNEL_BUFFER_BYTES
 from lanelift.policy.events import AttemptFinished, AttemptResult, BodyReceived, RequestArrived
 from lanelift.policy.settings import Idempotency
 from tests.fakes import CLASSES, SETTINGS, Client, Heard, World, answer, read_message, run, world
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("framed", [told, chunked])
-@pytest.mark.parametrize("size", [len(LONG), MAX_BODY + 1, MAX_BODY])
+@pytest.mark.parametrize("size", [len(LONG), MAX_BUFFERED_BODY_BYTES + 1, MAX_BUFFERED_BODY_BYTES])
 def test_a_body_of_any_length_arrives_whole_and_once(heard: Heard, framed: Any, size: int) -> None:
     async def test() -> None:
         async with world() as w:
@@ -59,7 +59,7 @@
             seen = w.upstreams[0].seen
             assert [m.body for m in seen] == [LONG[:size], b"short"]
             assert seen[0].headers["x-request-id"] == "r1" and int(seen[0].headers["x-deadline-ms"]) > 0
-            assert len(heard.of(BodyReceived)) == (size > MAX_BODY)
+            assert len(heard.of(BodyReceived)) == (size > MAX_BUFFERED_BODY_BYTES)
             assert heard.results() == [R.OK, R.OK]
 
     run(test())
@@ -98,7 +98,7 @@
 def test_a_body_that_is_never_whole_is_never_run(
     monkeypatch: pytest.MonkeyPatch, heard: Heard, what: str
 ) -> None:
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.BODY, 0.2)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_BODY, 0.2)
 
     async def test() -> None:
         async with world(settings=replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=False))) as w:
@@ -147,7 +147,7 @@
 def test_an_upstream_that_takes_nothing_holds_its_client_back_and_is_given_up(
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    monkeypatch.setattr(http, "SILENT_S", 0.5)
+    monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.5)
 
     async def test() -> None:
         async with world() as w, deaf() as address:
@@ -166,7 +166,7 @@
                 drained.cancel()
                 ended.cancel()
             # The client's own buffer may grow to 4 MB, the deaf server's too; between them stand ours.
-            assert sent < 2 * 4_194_304 + 2 * 2 * 2 * BUFFER + 2_000_000
+            assert sent < 2 * 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2_000_000
             assert heard.results() == [R.CONNECT_FAILED]  # its last byte was never written: it never ran
             assert heard.of(AttemptFinished)[0].body_consumed
 
@@ -254,7 +254,7 @@
 
 
 def test_a_slow_body_is_waited_for_as_long_as_it_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(frontend.LIMIT_S, Phase.BODY, 0.2)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_BODY, 0.2)
 
     async def test() -> None:
         async with world() as w:
@@ -281,7 +281,10 @@
     run(test())
 
 
-@given(st.lists(st.tuples(st.integers(0, 3 * MAX_BODY), st.booleans()), max_size=4), st.integers(500, 16_384))
+@given(
+    st.lists(st.tuples(st.integers(0, 3 * MAX_BUFFERED_BODY_BYTES), st.booleans()), max_size=4),
+    st.integers(500, 16_384),
+)
 def test_messages_do_not_mix_however_long_and_however_they_are_cut(
     wanted: list[tuple[int, bool]], step: int
 ) -> None:
@@ -289,25 +292,25 @@
         (chunked if in_chunks else told)(f"r{number}", LONG[number : number + size])
         for number, (size, in_chunks) in enumerate(wanted)
     )
-    reader = RequestReader()
+    reader = RequestParser()
     got: list[bytes] = []
     long = b""
     for start in range(0, len(data), step):
         reader.feed(data[start : start + step])
         while True:
-            if reader.ready and not reader.ready[0].passed:
-                got.append(reader.ready.popleft().body)
-            elif reader.passing is not None:
-                long += reader.take()
-                if not reader.ready:
+            if reader.messages and not reader.messages[0].streamed:
+                got.append(reader.messages.popleft().body)
+            elif reader.streaming is not None:
+                long += reader.take_body()
+                if not reader.messages:
                     break
-                assert reader.ready.popleft().body == b""
-                reader.next()
+                assert reader.messages.popleft().body == b""
+                reader.finish_streamed()
                 got.append(long)
                 long = b""
             else:
                 break
-    assert reader.fault is None
+    assert reader.error is None
     assert got == [LONG[number : number + size] for number, (size, _) in enumerate(wanted)]
 
 
@@ -316,7 +319,9 @@
     async def test() -> None:
         async with world() as w:
             client: Client = await w.client()
-            for number, size in enumerate([0, 1, MAX_BODY, MAX_BODY + 1, 3 * MAX_BODY]):
+            for number, size in enumerate(
+                [0, 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, 3 * MAX_BUFFERED_BODY_BYTES]
+            ):
                 client.writer.write(told(f"r{number}", LONG[:size]))
                 assert (await read_message(client.reader)).status == 200
             assert len(w.upstreams[0].links) == 1  # and one connection serves them all
--- a/tests/net/test_upstreams.py
+++ b/tests/net/test_upstreams.py
@@ -13,12 +13,13 @@
 
 import pytest
 
-import lanelift.__main__ as main
-from lanelift.net import discovery, driver
-from lanelift.net.discovery import number_of, read_endpoint, split_address
-from lanelift.net.driver import Driver
-from lanelift.net.parse import message
-from lanelift.net.upstream import Upstreams
+from lanelift import daemon
+from lanelift.net import discovery, dispatch
+from lanelift.net.addresses import split_address
+from lanelift.net.dispatch import Dispatcher
+from lanelift.net.endpoint_list import read_endpoint, upstream_number
+from lanelift.net.http_messages import encode_message
+from lanelift.net.upstreams import Upstreams
 from lanelift.policy.actions import Action, SendPeerMessage, Subscribe
 from lanelift.policy.balancer import Balancer
 from lanelift.policy.events import (
@@ -30,7 +31,7 @@
     PeerMessageReceived,
 )
 from lanelift.policy.settings import Rules
-from lanelift.settings import Malformed
+from lanelift.settings import SettingsError
 from tests.fakes import (
     SECOND,
     SETTINGS,
@@ -110,7 +111,7 @@
             w.discovery.down = False
             await w.watching()
             last = [e for e in heard.of(EndpointUpdate) if e.kind is EndpointUpdateKind.SNAPSHOT][-1]
-            assert [u.id for u in last.endpoints] == [number_of(stays.name)]
+            assert [u.id for u in last.endpoints] == [upstream_number(stays.name)]
             assert (await w.ask("r2")).body == stays.name.encode()
 
     run(test())
@@ -119,9 +120,9 @@
 def test_a_watch_that_fell_silent_is_given_up_before_its_changes_count_as_told(
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    for hold_ms, answer_s in (discovery.PUSHED, discovery.ASKED):
+    for hold_ms, answer_s in (discovery.PUSH_TIMING, discovery.POLL_TIMING):
         assert hold_ms / 1000 + answer_s < 5  # and a second to open it anew
-    monkeypatch.setattr(discovery, "PUSHED", (100, 0.1))
+    monkeypatch.setattr(discovery, "PUSH_TIMING", discovery.WatchTiming(100, 0.1))
 
     async def test() -> None:
         async with world(2) as w:
@@ -157,7 +158,7 @@
 
     async def test() -> None:
         async def fails() -> None:
-            raise discovery.Unanswered("down")
+            raise discovery.DiscoveryError("down")
 
         async def sleeps(seconds: float) -> None:
             waits[-1].append(seconds)
@@ -167,20 +168,20 @@
         for seed in range(40):
             waits.append([])
             watcher = discovery.Discovery(
-                Driver(SETTINGS, 1, Upstreams(SETTINGS.limits, 1, ())), ("127.0.0.1", 1), seed
+                Dispatcher(SETTINGS, 1, Upstreams(SETTINGS.limits, 1, ())), ("127.0.0.1", 1), seed
             )
-            watcher._ask_anew = fails  # type: ignore[method-assign, assignment]
+            watcher._call_anew = fails  # type: ignore[method-assign, assignment]
             with pytest.MonkeyPatch.context() as patch, suppress(asyncio.CancelledError):
                 patch.setattr(asyncio, "sleep", sleeps)
                 await watcher._watch()
 
     run(test())
-    assert 2 * discovery.AGAIN_S <= 0.5  # of a drain's grace: one call that is lost, and the next
+    assert 2 * discovery.RETRY_INTERVAL_S <= 0.5  # of a drain's grace: one call that is lost, and the next
     for turn in range(12):
         drawn = sorted(each[turn] for each in waits)
-        assert drawn[0] > 0.3 * discovery.AGAIN_S and drawn[-1] <= discovery.AGAIN_S
-        assert drawn[-1] - drawn[0] > 0.3 * discovery.AGAIN_S
-    assert discovery.CALL_S + discovery.AGAIN_S < 6
+        assert drawn[0] > 0.3 * discovery.RETRY_INTERVAL_S and drawn[-1] <= discovery.RETRY_INTERVAL_S
+        assert drawn[-1] - drawn[0] > 0.3 * discovery.RETRY_INTERVAL_S
+    assert discovery.SNAPSHOT_TIMEOUT_S + discovery.RETRY_INTERVAL_S < 6
 
 
 def test_a_call_that_came_while_discovery_was_down_is_not_waited_for_at_its_return(heard: Heard) -> None:
@@ -216,7 +217,7 @@
 def test_calls_to_a_silent_agent_are_few_at_once_and_one_that_is_answered_late_counts(
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
-    monkeypatch.setattr(discovery, "AGAIN_S", 0.02)
+    monkeypatch.setattr(discovery, "RETRY_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with world() as w:
@@ -230,8 +231,12 @@
             w.discovery.reply = reply
             before = len(w.discovery.links)
             w.discovery.close_links()
-            await w.discovery.until(lambda: len(w.discovery.links) - before >= 3 * discovery.CALLS)
-            assert len(w.discovery.connections) <= discovery.CALLS + 2  # ends of those let go are under way
+            await w.discovery.until(
+                lambda: len(w.discovery.links) - before >= 3 * discovery.MAX_PARALLEL_CALLS
+            )
+            assert (
+                len(w.discovery.connections) <= discovery.MAX_PARALLEL_CALLS + 2
+            )  # ends of those let go are under way
             late.set()
             await heard.until(lambda: len(heard.of(EndpointUpdate)) > len(told))
             await w.discovery.until(lambda: len(w.discovery.connections) == 1)
@@ -243,7 +248,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What the agent has counts as told from a process's first moment on, whatever versions it counts."""
-    monkeypatch.setattr(discovery, "START_S", TEST_S)
+    monkeypatch.setattr(discovery, "START_TIMEOUT_S", TEST_S)
 
     async def test() -> None:
         async with world(2) as w:
@@ -270,7 +275,7 @@
     known = {"version": 50, "full": True, "servers": []}
 
     async def counted_otherwise() -> None:
-        async with world(known=known) as w:
+        async with world(cached_endpoints=known) as w:
             assert (await w.ask("r1")).body == w.upstreams[0].name.encode()
 
     run(test())
@@ -308,9 +313,9 @@
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
     """The module would wait for up to 1.5 s, as for discovery that is down, and the change count by then."""
-    hold_ms, answer_s = discovery.ASKED
-    assert hold_ms / 1000 + answer_s + discovery.AGAIN_S + 1.25 <= 6
-    monkeypatch.setattr(discovery, "ASKED", (100, 0.1))
+    hold_ms, answer_s = discovery.POLL_TIMING
+    assert hold_ms / 1000 + answer_s + discovery.RETRY_INTERVAL_S + 1.25 <= 6
+    monkeypatch.setattr(discovery, "POLL_TIMING", discovery.WatchTiming(100, 0.1))
     obeying_nobody(monkeypatch, heard)
 
     async def test() -> None:
@@ -348,7 +353,7 @@
             )
             new = FakeDiscovery([w.upstreams[0].row("Terminating")])
             await new.start()
-            watchers[0].move(new.where)
+            watchers[0].change_source(new.where)
             await heard.until(
                 lambda: (
                     heard.of(EndpointUpdate)[-1].kind is EndpointUpdateKind.SNAPSHOT
@@ -368,7 +373,7 @@
     async def test() -> None:
         async with world() as w:
             await w.watching()
-            monkeypatch.setattr(discovery, "AGAIN_S", 1e6)
+            monkeypatch.setattr(discovery, "RETRY_INTERVAL_S", 1e6)
             await w.tell(w.upstreams[0].row())  # the watch has been answered once
             w.discovery.close_links()
             w.discovery.change(w.upstreams[0].row("Terminating"))
@@ -385,7 +390,7 @@
     monkeypatch: pytest.MonkeyPatch, heard: Heard
 ) -> None:
     """The agent ends its connection behind an answer, and the next one hangs."""
-    monkeypatch.setattr(discovery, "CALL_S", 2 * TEST_S)
+    monkeypatch.setattr(discovery, "SNAPSHOT_TIMEOUT_S", 2 * TEST_S)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -431,7 +436,7 @@
     assert abs(time.monotonic_ns() - first.entry.started_ns - 5 * SECOND) < SECOND
     assert read_endpoint({**row, "started_ms": 0}).entry.started_ns == 0
     # Balancers must compute the same number, now and in any later version.
-    assert number_of("s-5be2a07c") == first.entry.id == 9587356208999800076
+    assert upstream_number("s-5be2a07c") == first.entry.id == 9587356208999800076
     odd = [{**row, key: value} for key in ("started_ms", "weight") for value in (float("inf"), float("nan"))]
     addresses = [{**row, "addr": text} for text in ("nowhere", "a.host:80", "127.0.0.1:99999")]
     for bad in (
@@ -442,7 +447,7 @@
         {"addr": "127.0.0.1:1"},
         7,
     ):
-        with pytest.raises(Malformed):
+        with pytest.raises(SettingsError):
             read_endpoint(bad)
     assert split_address("[::1]:80") == ("::1", 80)
 
@@ -461,7 +466,7 @@
             w.discovery.reply = _only(answer(200, json.dumps(told, indent=4).encode()), w.discovery.reply)
             w.discovery.close_links()
             await heard.until(lambda: len(heard.of(EndpointUpdate)) == 3)  # as last known, one, this
-            assert {u.id for u in heard.of(EndpointUpdate)[2].endpoints} == {number_of("s-0")}
+            assert {u.id for u in heard.of(EndpointUpdate)[2].endpoints} == {upstream_number("s-0")}
             lines = [r.getMessage() for r in caplog.records if "skipped" in r.getMessage()]
             assert lines == ["discovery: entries skipped: 1002; the first: 'nowhere' is not HOST:PORT"]
             assert (await w.ask("r1")).status == 200
@@ -511,7 +516,7 @@
         def handle(self, now: int, events: object) -> list[Action]:
             return [SendPeerMessage(b"one", 0), SendPeerMessage(b"all")]
 
-    monkeypatch.setattr(driver, "Balancer", Teller)
+    monkeypatch.setattr(dispatch, "Balancer", Teller)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -539,7 +544,7 @@
                 monkeypatch.undo()
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(driver.Driver, "learn", fails)
+            monkeypatch.setattr(dispatch.Dispatcher, "update_endpoints", fails)
             gone, stays = w.upstreams
             w.discovery.change(gone.row("Gone"))
             await w.watching()  # it has come back, and begun with the whole list
@@ -550,13 +555,13 @@
 
 
 def test_churn_leaves_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    built: list[Driver] = []
+    built: list[Dispatcher] = []
 
-    def build(*args: Any) -> Driver:
-        built.append(Driver(*args))
+    def build(*args: Any) -> Dispatcher:
+        built.append(Dispatcher(*args))
         return built[-1]
 
-    monkeypatch.setattr(main, "Driver", build)
+    monkeypatch.setattr(daemon, "Dispatcher", build)
 
     async def test() -> None:
         async with world() as w:
@@ -568,9 +573,14 @@
             (balancer,) = built
             await upstream.until(lambda: upstream.ended >= 30)
             assert (await w.ask("last")).status == 200
-            assert len(balancer.upstreams.targets) == len(balancer.balancer.fleet.servers) == 1
-            assert balancer.upstreams.connections <= 2 and not balancer.upstreams.connecting
-            assert not balancer.requests and not balancer.open and not balancer.balancer.requests
+            assert len(balancer.upstreams.pool.targets) == len(balancer.balancer.fleet.servers) == 1
+            pool = balancer.upstreams.pool
+            assert pool.open_connections <= 2 and not pool.connect_tasks
+            assert (
+                not balancer.requests.by_id
+                and not balancer.requests.unanswered
+                and not balancer.balancer.requests
+            )
 
     run(test())
 
@@ -581,11 +591,13 @@
         upstream.script = [never]
         await upstream.start()
         upstreams = Upstreams(SETTINGS.limits, 1, ())
-        upstreams.learn([read_endpoint(upstream.row())], full=True)
+        upstreams.pool.update_endpoints([read_endpoint(upstream.row())], is_snapshot=True)
         ended: asyncio.Queue[AttemptResult] = asyncio.Queue()
-        request = message(b"GET /quote HTTP/1.1", [(b"Host", b"h")])
+        request = encode_message(b"GET /quote HTTP/1.1", [(b"Host", b"h")])
         for seconds in (0.3, 5.0):
-            upstreams.send(number_of("s-0"), request, seconds, lambda result, *rest: ended.put_nowait(result))
+            upstreams.start_attempt(
+                upstream_number("s-0"), request, seconds, lambda result, *rest: ended.put_nowait(result)
+            )
         assert [await ended.get(), await ended.get()] == [AttemptResult.NOT_SENT, AttemptResult.TIMEOUT]
         upstreams.close()
         upstream.stop()
--- a/tests/operate/test_lifecycle.py
+++ b/tests/operate/test_lifecycle.py
@@ -8,21 +8,21 @@
 
 from lanelift.lifecycle import Lifecycle, Stage
 
-CALLS = ("evacuate", "rejoin", "leave")
+CALLS = ("drain", "rejoin", "shut_down")
 
 
 @pytest.mark.parametrize(
     ("stage", "call", "after", "said"),
     [
-        (Stage.SERVING, "evacuate", Stage.EVACUATED, True),
+        (Stage.SERVING, "drain", Stage.DRAINING, True),
         (Stage.SERVING, "rejoin", Stage.SERVING, True),
-        (Stage.SERVING, "leave", Stage.LEAVING, True),
-        (Stage.EVACUATED, "evacuate", Stage.EVACUATED, False),
-        (Stage.EVACUATED, "rejoin", Stage.SERVING, True),
-        (Stage.EVACUATED, "leave", Stage.LEAVING, True),
-        (Stage.LEAVING, "evacuate", Stage.LEAVING, False),
-        (Stage.LEAVING, "rejoin", Stage.LEAVING, False),
-        (Stage.LEAVING, "leave", Stage.LEAVING, False),
+        (Stage.SERVING, "shut_down", Stage.SHUTTING_DOWN, True),
+        (Stage.DRAINING, "drain", Stage.DRAINING, False),
+        (Stage.DRAINING, "rejoin", Stage.SERVING, True),
+        (Stage.DRAINING, "shut_down", Stage.SHUTTING_DOWN, True),
+        (Stage.SHUTTING_DOWN, "drain", Stage.SHUTTING_DOWN, False),
+        (Stage.SHUTTING_DOWN, "rejoin", Stage.SHUTTING_DOWN, False),
+        (Stage.SHUTTING_DOWN, "shut_down", Stage.SHUTTING_DOWN, False),
     ],
 )
 def test_every_call_in_every_stage(stage: Stage, call: str, after: Stage, said: bool) -> None:
@@ -39,20 +39,20 @@
     life = Lifecycle(shared)
     for number, call in enumerate(calls):
         getattr(life, call)()
-        assert (life.stage is Stage.LEAVING) == ("leave" in calls[: number + 1])
-        assert serves or not life.wanted(serves)
+        assert (life.stage is Stage.SHUTTING_DOWN) == ("shut_down" in calls[: number + 1])
+        assert serves or not life.reports_ready(serves)
         # An answer keeps its connection exactly while the front may go on dealing it out.
-        assert life.last == (life.stage is not Stage.SERVING)
+        assert life.closes_connections == (life.stage is not Stage.SERVING)
         if not shared:
-            assert life.wanted(True) != life.last
+            assert life.reports_ready(True) != life.closes_connections
 
 
 def test_on_a_shared_address_the_successor_answers_for_the_one_that_leaves() -> None:
     for shared in (False, True):
         life = Lifecycle(shared)
-        assert life.takes(True) and life.takes(False) is not shared
-        life.leave()
-        assert life.wanted(True) is shared
+        assert life.accepts_connections(True) and life.accepts_connections(False) is not shared
+        life.shut_down()
+        assert life.reports_ready(True) is shared
     life = Lifecycle(True)
-    life.evacuate()
-    assert not life.wanted(True)
+    life.drain()
+    assert not life.reports_ready(True)
--- a/tests/operate/test_operator.py
+++ b/tests/operate/test_operator.py
@@ -10,8 +10,8 @@
 import pytest
 
 from lanelift.__main__ import listening_socket
-from lanelift.lifecycle import NEWCOMERS_S
-from lanelift.net import frontend, operator
+from lanelift.net import admin, shutdown
+from lanelift.net.shutdown import ACCEPT_WHILE_DRAINING_S
 from lanelift.policy.events import AttemptResult
 from tests.fakes import Client, Heard, Message, World, answer, run, world
 
@@ -70,7 +70,7 @@
         async with operated() as (w, address):
             await w.watching()
             silent = []
-            for _ in range(3 * operator.PLACES):
+            for _ in range(3 * admin.MAX_CALLERS):
                 client = await Client.to(address)
                 client.writer.write(b"GET /api/rea")
                 silent.append(client)
@@ -84,7 +84,7 @@
 
 
 def test_a_call_that_is_never_whole_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator, "CALL_S", 0.05)
+    monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with operated() as (_, address):
@@ -173,7 +173,7 @@
 
 
 def test_rejoining_at_once_ends_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "NEWCOMERS_S", 0.05)
+    monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.05)
 
     async def test() -> None:
         async with operated() as (w, address):
@@ -184,14 +184,14 @@
             await asyncio.sleep(0.1)  # past the time at which it would have been ended
             assert (await idle.ask("r2")).status == 200
 
-    assert NEWCOMERS_S > 0.3  # the front asks every 0.1 s, and deals out 0.2 s more
+    assert ACCEPT_WHILE_DRAINING_S > 0.3  # the front asks every 0.1 s, and deals out 0.2 s more
     run(test())
 
 
 def test_a_request_that_crosses_the_end_of_its_connection_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend, "NEWCOMERS_S", 0.0)
+    monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
 
     async def test() -> None:
         async with operated() as (w, address):
@@ -202,7 +202,7 @@
 
             def crossing(delay: float, callback: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
                 # The bytes are in the kernel's buffer, and the loop has not looked: just then it ends them.
-                if getattr(callback, "__name__", "") == "_close_idle":
+                if getattr(callback, "__name__", "") == "close_idle":
                     idle.send("r2")
                     callback()
                 return later(delay, callback, *args)
--- a/tests/operate/test_succession.py
+++ b/tests/operate/test_succession.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lanelift.__main__ import RESERVE, places
-from lanelift.net import succession
-from lanelift.net.succession import Succession
+from lanelift.daemon_config import RESERVED_SOCKETS, connection_caps
+from lanelift.net import hot_restart
+from lanelift.net.hot_restart import HotRestart
 from tests.fakes import Watched, run
 
 
@@ -20,7 +20,7 @@
     def __init__(self, folder: Path, number: int) -> None:
         super().__init__()
         self.heard: list[int] = []
-        self.succession = Succession(folder, self._heard, number)
+        self.succession = HotRestart(folder, self._heard, number)
 
     def _heard(self, processes: int) -> None:
         self.heard.append(processes)
@@ -65,7 +65,7 @@
 def test_a_process_that_does_not_answer_holds_up_no_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(succession, "CONNECT_S", 0.05)
+    monkeypatch.setattr(hot_restart, "CONNECT_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         with socket.socket(socket.AF_UNIX) as full:
@@ -102,11 +102,11 @@
 
 @pytest.mark.parametrize("sockets", [64, 256, 384, 1024])
 def test_the_processes_of_an_upgrade_keep_within_the_balancers_descriptors(sockets: int) -> None:
-    alone = places(sockets, 1)
-    assert sum(alone) + RESERVE == sockets
-    if sockets >= 4 * RESERVE:
-        assert 2 * (sum(places(sockets, 2)) + RESERVE) <= sockets
-    assert all(count >= 1 for count in places(sockets, 2))
+    alone = connection_caps(sockets, 1)
+    assert sum(alone) + RESERVED_SOCKETS == sockets
+    if sockets >= 4 * RESERVED_SOCKETS:
+        assert 2 * (sum(connection_caps(sockets, 2)) + RESERVED_SOCKETS) <= sockets
+    assert all(count >= 1 for count in connection_caps(sockets, 2))
 
 
 def test_links_are_bounded_by_processes_not_by_what_they_say(tmp_path: Path) -> None:
--- a/tests/program/test_end.py
+++ b/tests/program/test_end.py
@@ -11,7 +11,7 @@
 from tests.program.test_program import config, connect, listen_address, program
 
 DEADLINE_S = 0.6
-NEWCOMERS_S = 0.4  # new connections go on coming for so long, and old ones are used up to SIGKILL
+ACCEPT_WHILE_DRAINING_S = 0.4  # new connections go on coming for so long, and old ones are used up to SIGKILL
 KILL_S = DEADLINE_S + 0.7
 SETTINGS = {
     "profiles": [
@@ -34,7 +34,7 @@
 
     @property
     def newcomers(self) -> bool:
-        return not self.stopped and asyncio.get_running_loop().time() < self.term_s + NEWCOMERS_S
+        return not self.stopped and asyncio.get_running_loop().time() < self.term_s + ACCEPT_WHILE_DRAINING_S
 
     async def live(self, kind: str, rests: bool) -> None:
         """One client: it uses its connection for as long as that is open, or rests on it until it ends."""
--- a/tests/tenants/test_entries.py
+++ b/tests/tenants/test_entries.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lanelift.net.parse import text as said
+from lanelift.net.http_messages import decode_text as said
 from lanelift.tenants.entries import (
     LONGEST_VALUE,
     MAX_CLASSES,
