--- a/lanelift/cli/config.py
+++ b/lanelift/cli/config.py
@@ -7,7 +7,7 @@
 import click
 
 from lanelift.cli.main import FILE, refuse
-from lanelift.config.checked import Mistakes
+from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 
 
@@ -25,8 +25,8 @@
     """
     try:
         read = read_operator_file(file)
-    except Mistakes as mistakes:
-        refuse(mistakes)
+    except FileValidationError as error:
+        refuse(error)
     source = (
         f"{len(read.upstreams)} upstreams listed"
         if read.discovery is None
@@ -40,6 +40,6 @@
         f"{len(read.tenants)} tenants{directories}, {source}."
     )
     if read.fleet is not None:
-        click.echo(read.fleet.told())
+        click.echo(read.fleet.summary())
         for warning in read.fleet.warnings():
             click.echo(f"{file}: warning: {warning}", err=True)
--- a/lanelift/cli/main.py
+++ b/lanelift/cli/main.py
@@ -34,11 +34,15 @@
 )
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
+    """Imports a command's module only when the command runs or its own help is asked for."""
+
     def list_commands(self, context: click.Context) -> list[str]:
+        """The commands' names."""
         return list(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """A command by its name; None: there is no such command."""
         if name not in COMMANDS:
             return None
         command = getattr(importlib.import_module(COMMANDS[name][0]), name)
@@ -46,12 +50,13 @@
         return command
 
     def format_commands(self, context: click.Context, formatter: click.HelpFormatter) -> None:
+        """Write the list of commands, without importing them."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, text) for name, (_, text) in COMMANDS.items()])
 
 
 @click.command(
-    cls=Lazy,
+    cls=LazyGroup,
     context_settings={"help_option_names": ["-h", "--help"]},
     epilog=(
         "Start with `lanelift rehearse run calm`: it starts stand-in boxes and balancers on this machine, "
--- a/lanelift/cli/serve.py
+++ b/lanelift/cli/serve.py
@@ -9,7 +9,7 @@
 
 from lanelift.__main__ import run
 from lanelift.cli.main import CONFIG, refuse
-from lanelift.config.checked import Mistakes
+from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 from lanelift.daemon_config import Config
 from lanelift.settings import SettingsError
@@ -30,6 +30,6 @@
 
     try:
         read()
-    except (Mistakes, SettingsError) as mistakes:
-        refuse(mistakes)
+    except (FileValidationError, SettingsError) as error:
+        refuse(error)
     sys.exit(run(read))
--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -1,6 +1,6 @@
-"""Reads a TOML file against a model and reports every mistake in it at once.
+"""Reads a TOML file against a model and reports every problem in it at once.
 
-A mistake names the file, the key's path, what was found and what is allowed; an unknown key names the nearest
+A problem names the file, the key's path, what was found and what is allowed; an unknown key names the nearest
 known one. The checking itself is pydantic's; this module turns its findings into one form.
 """
 
@@ -19,20 +19,28 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 from pydantic_core import ErrorDetails
 
-FOUND_MAX = 60  # characters of a value that are shown: enough to find it by
-NEAR = 0.6  # how alike a known key must be to be named (difflib's ratio; its own default)
+from lanelift.errors import LaneliftError
+
+SHOWN_CHARACTERS = 60  # of a value in a message
+MIN_SIMILARITY = 0.6  # of a known key to an unknown one, to be suggested (difflib's ratio)
 
 
 @dataclass(frozen=True, slots=True)
-class Mistake:
-    """One mistake: `path` is the key's (`upstream[2].address`), empty for the file as a whole."""
+class ValidationProblem:
+    """One thing that is wrong with a file.
+
+    Attributes:
+        place: The key's path (`upstream[2].address`); empty: the file as a whole.
+        found: What stands there; empty: nothing that could be shown.
+        allowed: What may stand there, in words.
+    """
 
-    path: str
+    place: str
     found: str
     allowed: str
 
     def __str__(self) -> str:
-        where = f"{self.path}: " if self.path else ""
+        where = f"{self.place}: " if self.place else ""
         found = f"found {self.found}; " if self.found else ""
         return f"{where}{found}{self.allowed}"
 
@@ -43,61 +51,90 @@
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
     @classmethod
-    def across(cls, raw: dict[str, Any]) -> Iterable[Mistake]:
-        """Mistakes that lie between several keys of the file. It is handed the raw tables, since it is asked
-        also where single keys are wrong: whatever is no value of the right type, it leaves to the others."""
+    def across(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
+        """Problems that lie between several keys of the file.
+
+        It gets the raw tables, since it is called also where single keys are wrong: whatever is no value of
+        the right type is left to the checks of single keys.
+        """
         return ()
 
 
 T = TypeVar("T", bound=Table)
 
 
-class Mistakes(Exception):
-    """A file that can't be used, with all that is wrong with it, in the order of its keys."""
+class FileValidationError(LaneliftError):
+    """A file that can't be used.
 
-    def __init__(self, file: str, mistakes: Sequence[Mistake]) -> None:
-        super().__init__(file, mistakes)
+    Attributes:
+        file: How messages name it.
+        problems: All that is wrong with it, in the order of its keys.
+    """
+
+    def __init__(self, file: str, problems: Sequence[ValidationProblem]) -> None:
+        super().__init__(file, problems)
         self.file = file
-        self.mistakes = list(mistakes)
+        self.problems = list(problems)
 
     def __str__(self) -> str:
-        return "\n".join(f"{self.file}: {mistake}" for mistake in self.mistakes)
+        return "\n".join(f"{self.file}: {problem}" for problem in self.problems)
+
+
+# For modules that still import these under their former names.
+Mistake = ValidationProblem
+Mistakes = FileValidationError
 
 
 def read_file(path: Path, model: type[T], changes: Mapping[str, Any] | None = None) -> T:
-    """The file's content as a `model`. Raises Mistakes, also for a file that can't be read or is no TOML."""
+    """The file's content as a `model`.
+
+    Raises:
+        FileValidationError: It has problems, can't be read or is no TOML.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        raise Mistakes(str(path), [Mistake("", "", f"can't be read: {error.strerror}")]) from None
+        raise FileValidationError(
+            str(path), [ValidationProblem("", "", f"can't be read: {error.strerror}")]
+        ) from None
     except UnicodeDecodeError as error:
-        raise Mistakes(
-            str(path), [Mistake("", f"byte {error.start} that is not UTF-8", "allowed: TOML in UTF-8")]
+        raise FileValidationError(
+            str(path),
+            [ValidationProblem("", f"byte {error.start} that is not UTF-8", "allowed: TOML in UTF-8")],
         ) from None
     return read_text(text, model, str(path), changes)
 
 
 def read_text(text: str, model: type[T], file: str, changes: Mapping[str, Any] | None = None) -> T:
-    """The same for text at hand; `file` is how messages name it. `changes` (key's path to value) take the
-    place of what the text says."""
+    """The content of a text as a `model`.
+
+    Args:
+        text: The TOML.
+        model: What it must fit.
+        file: How messages name it.
+        changes: Values by the path of their key, in place of what the text says.
+
+    Raises:
+        FileValidationError: It has problems or is no TOML.
+    """
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise Mistakes(file, [Mistake("", "", f"not TOML: {error}")]) from None
+        raise FileValidationError(file, [ValidationProblem("", "", f"not TOML: {error}")]) from None
     for path, value in (changes or {}).items():
         *above, key = path.split(".")
         table = raw
         for name in above:
             table = table.setdefault(name, {})
         table[key] = value
-    mistakes, read = [], None
+    problems, read = [], None
     try:
         read = model.model_validate(raw)
     except ValidationError as error:
-        mistakes = [_mistake(e, model) for e in error.errors(include_url=False)]
-    mistakes += model.across(raw)
-    if mistakes or read is None:
-        raise Mistakes(file, mistakes)
+        problems = [_problem(e, model) for e in error.errors(include_url=False)]
+    problems += model.across(raw)
+    if problems or read is None:
+        raise FileValidationError(file, problems)
     return read
 
 
@@ -118,39 +155,46 @@
     return value if fits else math.nan
 
 
-def not_above(raw: dict[str, Any], key: str, low: str, high: str, model: type[Table]) -> Iterable[Mistake]:
+def not_above(
+    raw: dict[str, Any], key: str, low: str, high: str, model: type[Table]
+) -> Iterable[ValidationProblem]:
     """Two figures of each table in an array, the first of which may not be above the second."""
     for path, row in tables(raw, key):
         found, most = (number(row, name, model.model_fields[name].get_default()) for name in (low, high))
         if found > most:
-            yield Mistake(f"{path}.{low}", f"{found:g}", f"allowed: up to {high} ({most:g})")
+            yield ValidationProblem(f"{path}.{low}", f"{found:g}", f"allowed: up to {high} ({most:g})")
 
 
-def named_twice(raw: dict[str, Any], key: str) -> Iterable[Mistake]:
+def named_twice(raw: dict[str, Any], key: str) -> Iterable[ValidationProblem]:
     """Names that stand more than once in an array of tables."""
     seen: dict[str, str] = {}
     for path, row in tables(raw, key):
         name = row.get("name")
         if isinstance(name, str) and seen.setdefault(name, path) != path:
-            yield Mistake(f"{path}.name", _shown(name), f"{seen[name]} has it too; each must differ")
+            yield ValidationProblem(
+                f"{path}.name", _shown(name), f"{seen[name]} has it too; each must differ"
+            )
 
 
-def _mistake(error: ErrorDetails, model: type[BaseModel]) -> Mistake:
+def _problem(error: ErrorDetails, model: type[BaseModel]) -> ValidationProblem:
+    """A finding of pydantic's as a problem."""
     # The tag of a union of tables stands in pydantic's path, and not in the file.
     path = _path([part for part in error["loc"] if not _is_tag(part, error["loc"], model)])
     kind, context = error["type"], error.get("ctx", {})
     if kind == "extra_forbidden":
         name = str(error["loc"][-1])
         known = _keys_at(model, error["loc"][:-1])
-        near = difflib.get_close_matches(name, known, 1, NEAR)
+        near = difflib.get_close_matches(name, known, 1, MIN_SIMILARITY)
         hint = f"did you mean {near[0]}?" if near else f"allowed: {', '.join(known)}"
-        return Mistake(path, "", f"unknown key; {hint}")
+        return ValidationProblem(path, "", f"unknown key; {hint}")
     if kind == "missing":
-        return Mistake(path, "", "missing; it must be set")
+        return ValidationProblem(path, "", "missing; it must be set")
     if kind == "value_error":  # a validator's own words, which say what is allowed
         message = str(context.get("error", error["msg"]))
-        return Mistake(path, _shown(error["input"]) if path else "", message)
-    return Mistake(path, _shown(error["input"]), "allowed: " + _allowed(kind, context, error["msg"]))
+        return ValidationProblem(path, _shown(error["input"]) if path else "", message)
+    return ValidationProblem(
+        path, _shown(error["input"]), "allowed: " + _allowed(kind, context, error["msg"])
+    )
 
 
 def _allowed(kind: str, context: dict[str, Any], message: str) -> str:
@@ -162,11 +206,12 @@
 
 
 def _shown(value: object) -> str:
+    """A value as messages show it."""
     try:
         text = json.dumps(value, ensure_ascii=False)
     except (TypeError, ValueError):  # dates and times, which TOML has and JSON has not
         text = str(value)
-    return text if len(text) <= FOUND_MAX else text[:FOUND_MAX] + "…"
+    return text if len(text) <= SHOWN_CHARACTERS else text[:SHOWN_CHARACTERS] + "…"
 
 
 def _path(parts: Sequence[int | str]) -> str:
--- a/lanelift/config/fields.py
+++ b/lanelift/config/fields.py
@@ -5,11 +5,13 @@
 import ipaddress
 from typing import Annotated
 
-from pydantic import AfterValidator
+from pydantic import AfterValidator, Field
 
 from lanelift.net.addresses import split_address
 from lanelift.settings import SettingsError
 
+MAX_MS = 3_600_000  # an hour: more is a slip of the unit
+
 
 def _address(text: str) -> str:
     try:
@@ -21,3 +23,7 @@
 
 
 Address = Annotated[str, AfterValidator(_address)]
+Name = Annotated[str, Field(min_length=1, max_length=128)]
+Milliseconds = Annotated[float, Field(ge=0, le=MAX_MS)]
+PriorityWeight = Annotated[float, Field(ge=0, le=1e9)]
+Part = Annotated[float, Field(ge=0, le=1)]
--- a/lanelift/config/fleet.py
+++ b/lanelift/config/fleet.py
@@ -9,7 +9,7 @@
 
 from pydantic import AfterValidator, Field
 
-from lanelift.config.checked import Mistake, Table, named_twice, number, tables
+from lanelift.config.checked import Table, ValidationProblem, named_twice, number, tables
 from lanelift.config.fields import Address
 from lanelift.net.addresses import split_address
 
@@ -47,10 +47,12 @@
 
 
 class Fleet(Table):
+    """`[fleet]`: members that agree on leases. Field names are the file's keys, and stay as they are."""
+
     name: Id
     me: Id
     members: Annotated[list[FleetMember], Field(min_length=1, max_length=MOST_MEMBERS, alias="member")]
-    tasks: Annotated[list[FleetTask], Field(max_length=64, alias="task")] = []
+    tasks: Annotated[list[FleetTask], Field(max_length=64, alias="task")] = []  # noqa: RUF012  pydantic copies defaults
     state: str = ""
     lease_ms: Annotated[float, Field(ge=100, le=3_600_000)] = 10_000.0
     answer_ms: Annotated[float, Field(ge=1, le=60_000)] = 250.0
@@ -61,7 +63,8 @@
     clock_ppm: Annotated[float, Field(ge=-500_000, le=500_000)] = 0.0
 
     @classmethod
-    def across(cls, raw: dict[str, Any]) -> Iterable[Mistake]:
+    def across(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
+        """Problems between several keys of the table."""
         raw = raw if isinstance(raw, dict) else {}
         rows = tables(raw, "member")
         for key in ("id", "address"):
@@ -69,42 +72,46 @@
             for path, row in rows:
                 value = row.get(key)
                 if isinstance(value, str) and seen.setdefault(value, path) != path:
-                    yield Mistake(
+                    yield ValidationProblem(
                         f"fleet.{path}.{key}",
                         f'"{value}"',
                         f"fleet.{seen[value]} has it too; each must differ",
                     )
-        for mistake in named_twice(raw, "task"):
-            yield Mistake(f"fleet.{mistake.path}", mistake.found, mistake.allowed)
+        for problem in named_twice(raw, "task"):
+            yield ValidationProblem(f"fleet.{problem.place}", problem.found, problem.allowed)
         me = next((row for _, row in rows if row.get("id") == raw.get("me")), None)
         if rows and isinstance(raw.get("me"), str) and me is None:
             ids = ", ".join(str(row.get("id")) for _, row in rows)
-            yield Mistake("fleet.me", f'"{raw["me"]}"', f"allowed: one of the members ({ids})")
+            yield ValidationProblem("fleet.me", f'"{raw["me"]}"', f"allowed: one of the members ({ids})")
         if rows and not any(row.get("votes", True) for _, row in rows):
-            yield Mistake(
+            yield ValidationProblem(
                 "fleet.member", "", "nobody votes; allowed: one voter at the least, three or five better"
             )
         if me is not None and me.get("votes", True) and not raw.get("state"):
-            yield Mistake("fleet.state", "", "missing; a voter keeps its number there, lest tokens fall back")
+            yield ValidationProblem(
+                "fleet.state", "", "missing; a voter keeps its number there, lest tokens fall back"
+            )
         yield from cls._timings(raw)
 
     @classmethod
-    def _timings(cls, raw: dict[str, Any]) -> Iterable[Mistake]:
+    def _timings(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
         from lanelift.fleet.plan import Timing
 
         keys = ("lease_ms", "answer_ms", "margin_ms", "drift_ppm")
         values = [number(raw, key, cls.model_fields[key].get_default()) for key in keys]
         if any(value != value for value in values):
-            return  # what is no number is told by itself
+            return  # what is no number is reported by itself
         lease, answer, margin, drift = values
         for key, found, allowed in Timing(_ns(lease), _ns(answer), _ns(margin), drift / 1e6).problems():
-            yield Mistake(f"fleet.{key}", found, allowed)
+            yield ValidationProblem(f"fleet.{key}", found, allowed)
 
     @property
     def voters(self) -> int:
+        """How many members vote."""
         return sum(m.votes for m in self.members)
 
     def warnings(self) -> Iterable[str]:
+        """What works, and is probably not meant."""
         if self.voters % 2 == 0:
             yield (
                 f"fleet.member: {self.voters} voters bear the loss of {(self.voters - 1) // 2}, no more than"
@@ -113,7 +120,7 @@
         if self.clock_ahead_ms or self.clock_ppm:
             yield "fleet: clock_ahead_ms and clock_ppm are for rehearsals; this clock is wrong by them"
 
-    def told(self) -> str:
+    def summary(self) -> str:
         """What the fleet would do, in a line."""
         from lanelift.fleet.plan import majority
 
--- a/lanelift/daemon.py
+++ b/lanelift/daemon.py
@@ -107,7 +107,7 @@
             async with asyncio.timeout_at(shutdown.ends_s):
                 await shutdown.finished.wait()
         except TimeoutError:
-            logging.error("left with %d requests open", self._dispatcher.requests.unanswered)
+            logging.error("left with %d requests open", self._dispatcher.requests.awaiting_answer)
         finally:
             await self._close()
 
--- a/lanelift/net/admin.py
+++ b/lanelift/net/admin.py
@@ -19,7 +19,7 @@
 
 from lanelift.net.dispatch import Dispatcher
 from lanelift.net.frontend import Frontend
-from lanelift.net.http_messages import Headers, Request, encode_message, status_line
+from lanelift.net.http_messages import Headers, Request, encode_message, encode_status
 from lanelift.net.http_parser import RequestParser
 from lanelift.net.metrics import CONTENT_TYPE
 
@@ -157,7 +157,7 @@
     def _answer(self, status: int, headers: Headers, body: bytes) -> None:
         assert self._transport is not None
         rows = [*headers, (b"Content-Length", b"%d" % len(body)), (b"Connection", b"close")]
-        self._transport.write(encode_message(status_line(status), rows, body))
+        self._transport.write(encode_message(encode_status(status), rows, body))
         self._transport.close()
 
     def abort(self) -> None:
--- a/lanelift/net/client_connection.py
+++ b/lanelift/net/client_connection.py
@@ -11,7 +11,8 @@
 from lanelift.net.connection_phases import Phase
 from lanelift.net.headers import end_to_end
 from lanelift.net.http_messages import MessageError, Request, decode_text
-from lanelift.net.http_parser import MAX_BUFFERED_BODY_BYTES, RequestParser
+from lanelift.net.http_parser import RequestParser
+from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES
 from lanelift.net.request_head import (
     REPLACED_HEADERS,
     read_class_name,
--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -9,7 +9,7 @@
 from lanelift.net.connection_phases import Phase
 from lanelift.net.exchange import Exchange
 from lanelift.net.headers import end_to_end
-from lanelift.net.http_messages import Headers, Response, encode_message, status_line
+from lanelift.net.http_messages import Headers, Response, encode_message, encode_status
 from lanelift.net.requests import OpenRequest
 from lanelift.net.socket_options import abort_with_reset, bound_kernel_buffers, has_unread_data
 from lanelift.net.upload import LAST_CHUNK, Upload
@@ -181,7 +181,7 @@
         )
         if self.is_last_response:
             rows = [*rows, (b"Connection", b"close")]
-        self._write(encode_message(status_line(status), rows, body))
+        self._write(encode_message(encode_status(status), rows, body))
 
     def _write(self, data: bytes | None) -> None:
         if data and self.transport is not None and not self.transport.is_closing():
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -130,7 +130,7 @@
         now = time.monotonic_ns()
         return self.metrics.text(
             {
-                "open_requests": self.requests.unanswered,
+                "open_requests": self.requests.awaiting_answer,
                 "registry_entries": len(self.upstreams.pool.targets),
                 "out_of_rotation": self.balancer.endpoints_out_of_rotation(now),
             }
@@ -176,14 +176,14 @@
         """A client's request. Where too many are open it is rejected here, and the balancer never sees it."""
         limits = self.settings.limits
         requests = self.requests
-        if requests.unanswered >= limits.max_open_requests:
+        if requests.awaiting_answer >= limits.max_open_requests:
             self.metrics.requests_ended[request.arrival.class_name][THROTTLED] += 1
             longest_ns = min(limits.max_retry_after_ns, MAX_OVERLOAD_RETRY_AFTER_NS)
             retry_after_ns = self._random.uniform(0.25, 1.0) * longest_ns
             request.client.reject(int(retry_after_ns) if limits.retry_after else 0)
             return
         requests.by_id[request.arrival.request] = request
-        requests.unanswered += 1
+        requests.awaiting_answer += 1
         if not request.arrival.body_pending:
             requests.start_deadline(request)
         self.post(request.arrival)
--- a/lanelift/net/exchange.py
+++ b/lanelift/net/exchange.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from lanelift.net.http_messages import Response
-from lanelift.net.http_parser import MAX_BUFFERED_BODY_BYTES
+from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES
 from lanelift.net.upload import Upload
 from lanelift.policy.events import AttemptResult
 
@@ -73,23 +73,23 @@
     """
 
     __slots__ = (
-        "request",
+        "connection",
+        "distrust_until_s",
+        "last_progress_s",
         "max_body_bytes",
         "on_finished",
-        "written",
-        "connection",
-        "timer",
-        "unread_ns",
         "on_written",
-        "sink",
-        "upload",
-        "streaming",
         "paused",
-        "last_progress_s",
         "progress_due_s",
+        "request",
+        "sink",
         "streamed_bytes",
         "streamed_bytes_at_check",
-        "distrust_until_s",
+        "streaming",
+        "timer",
+        "unread_ns",
+        "upload",
+        "written",
     )
 
     def __init__(
@@ -125,7 +125,7 @@
         self.cancel_timeout()
         self.timer = asyncio.get_running_loop().call_later(seconds, self.expire)
 
-    def expire_when_silent(self) -> None:
+    def expire_without_progress(self) -> None:
         """Time out unless the upstream takes something in time."""
         self.expire_in(UPSTREAM_SILENCE_TIMEOUT_S)
 
--- a/lanelift/net/http_messages.py
+++ b/lanelift/net/http_messages.py
@@ -77,7 +77,7 @@
         return value.decode("latin-1")
 
 
-def status_line(status: int) -> bytes:
+def encode_status(status: int) -> bytes:
     """The first line of a response, without its end."""
     return b"HTTP/1.1 %d %b" % (status, HTTPStatus(status).phrase.encode())
 
--- /dev/null
+++ b/lanelift/net/message_parser.py
@@ -0,0 +1,215 @@
+"""What parsers of HTTP/1.1 requests and responses share: bytes in, complete messages out; no socket.
+
+`httptools` (llhttp) reads them, and is strict: bare line feeds, folded headers, two lengths or a length and a
+coding, and bad chunks are errors. What it accepts although it is ambiguous or unbounded is checked here.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from typing import Generic, TypeVar
+
+import httptools
+
+from lanelift.net.http_messages import MessageError, Request, Response
+
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed, or rejected
+MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024
+MAX_HEAD_BYTES = 16 * 1024  # ahead of a body; httptools sets no bound of its own
+# A message may have this many times the longest body in all: small chunks are mostly framing.
+MAX_FRAMING_FACTOR = 8
+MAX_NUMBER_DIGITS = 15
+
+Message = TypeVar("Message", Request, Response)
+
+
+@dataclass(slots=True)
+class PartialMessage:
+    """A message that is being read.
+
+    Attributes:
+        target: The request target so far.
+        headers: The headers so far.
+        body: The body so far, where it is buffered.
+        size_bytes: Bytes read for it; those that also held another message's end are not counted.
+        head_complete: All headers are there: what comes as a header now is a trailer.
+    """
+
+    target: bytearray = field(default_factory=bytearray)
+    headers: list[tuple[bytes, bytes]] = field(default_factory=list)
+    body: bytearray = field(default_factory=bytearray)
+    size_bytes: int = 0
+    head_complete: bool = False
+
+
+class MessageParser(Generic[Message]):
+    """What both directions share: it collects what httptools calls out.
+
+    A message that can't be accepted is the last: `error` says why, and nothing is read behind it.
+
+    A body that is longer than what is buffered can be streamed. `streaming` is then the message's head,
+    `take_body` gives what has come of its body, and in `messages` it stands without one. Nothing else is
+    streamed before `finish_streamed` says that this one is done with.
+
+    Attributes:
+        messages: Complete messages, the oldest first.
+        error: Why nothing more is read; None: all is well.
+        partial: The message that is being read.
+        may_stream: Bodies longer than what is buffered may be streamed.
+        streaming: The head of the message whose body is streamed.
+    """
+
+    parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None
+
+    def __init__(self, max_body_bytes: int) -> None:
+        self.max_body_bytes = max_body_bytes
+        self.messages: deque[Message] = deque()
+        self.error: MessageError | None = None
+        self.partial: PartialMessage | None = None
+        self.may_stream = False
+        self.streaming: Message | None = None
+        self._streamed_partial: PartialMessage | None = None  # the streamed message until it is complete
+        self._body_parts: list[bytes] = []
+        self._streamed_bytes = 0
+
+    @property
+    def has_partial(self) -> bool:
+        """Part of a message has been read."""
+        return self.partial is not None
+
+    def feed(self, data: bytes) -> None:
+        """Read bytes from the connection."""
+        if self.error is not None or self.parser is None:
+            return
+        before = self.partial
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            if self.messages:
+                # A request to change the protocol may be ignored, but httptools reads no further.
+                self.messages[-1].keep_alive = False
+            else:
+                self._fail(400, "no other protocol is spoken here")
+        except httptools.HttpParserError as error:
+            self._fail(400, str(error))
+        partial = self.partial
+        if partial is not None and (partial is before or not self.messages):
+            self._check_size(partial, len(data))
+
+    def _check_size(self, partial: PartialMessage, read_bytes: int) -> None:
+        partial.size_bytes += read_bytes
+        streamed_bytes = self._streamed_bytes if partial is self._streamed_partial else 0
+        if not partial.head_complete and partial.size_bytes > MAX_HEAD_BYTES:
+            self._fail(431, "the head is too large")
+        elif partial.size_bytes > MAX_FRAMING_FACTOR * max(self.max_body_bytes, streamed_bytes):
+            self._fail(413, "the message is too large")
+
+    @property
+    def body_limit_bytes(self) -> int:
+        """The longest body that is accepted."""
+        return MAX_STREAMED_BODY_BYTES if self.may_stream else self.max_body_bytes
+
+    def start_streaming(self) -> None:
+        """From here on the body of the message that is being read is not buffered."""
+        assert self.partial is not None
+        partial = self._streamed_partial = self.partial
+        self.streaming = self._build(partial, b"")
+        if partial.body:
+            self._body_parts.append(bytes(partial.body))
+            self._streamed_bytes = len(partial.body)
+            partial.body.clear()
+            if self._streamed_bytes > MAX_STREAMED_BODY_BYTES:
+                self._fail(413, "the body is too large")
+
+    def take_body(self) -> bytes:
+        """What has come of the streamed body since the last call."""
+        parts, self._body_parts = self._body_parts, []
+        return parts[0] if len(parts) == 1 else b"".join(parts)
+
+    def finish_streamed(self) -> None:
+        """The streamed message is done with. One that came close behind it may be streamed now."""
+        self.streaming, self._streamed_bytes = None, 0
+        if self.partial is not None and self.partial.head_complete and self._needs_streaming():
+            self.start_streaming()
+
+    def close(self) -> None:
+        """End the cycle of references between httptools and this: else memory waits for the collector."""
+        self.parser = None
+
+    def _fail(self, status: int, reason: str) -> None:
+        self.error = self.error or MessageError(status, reason)
+
+    # ---- called by httptools -----------------------------------------------------------------------------
+
+    def on_message_begin(self) -> None:
+        """A message begins."""
+        self.partial = PartialMessage()
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """A header; trailers are dropped."""
+        assert self.partial is not None
+        if not self.partial.head_complete:
+            self.partial.headers.append((name.lower(), value.strip(b" \t")))
+
+    def on_headers_complete(self) -> None:
+        """All headers are there: check what can be checked without the body."""
+        assert self.partial is not None and self.parser is not None
+        self.partial.head_complete = True
+        headers = self.partial.headers
+        head_bytes = sum(len(name) + len(value) for name, value in headers) + len(self.partial.target)
+        if head_bytes > MAX_HEAD_BYTES:
+            self._fail(431, "the head is too large")
+        if self.parser.get_http_version() not in ("1.0", "1.1"):
+            self._fail(400, "not HTTP/1.1")
+        codings = [value.lower() for name, value in headers if name == b"transfer-encoding"]
+        if codings and codings != [b"chunked"]:
+            self._fail(400, "no such transfer coding")
+        length = next((value for name, value in headers if name == b"content-length"), b"0")
+        if not length.isdigit() or len(length) > MAX_NUMBER_DIGITS:
+            self._fail(400, "Content-Length is not a whole number")
+        elif int(length) > self.body_limit_bytes:
+            self._fail(413, "the body is too large")
+
+    def on_body(self, data: bytes) -> None:
+        """A piece of a body."""
+        assert self.partial is not None
+        if self.error is not None:
+            return
+        if self.partial is self._streamed_partial:
+            self._streamed_bytes += len(data)
+            if self._streamed_bytes > MAX_STREAMED_BODY_BYTES:
+                self._fail(413, "the body is too large")
+            else:
+                self._body_parts.append(data)
+            return
+        self.partial.body += data
+        if len(self.partial.body) > self.max_body_bytes:
+            if self.may_stream and self.streaming is None:
+                self.start_streaming()
+            else:
+                self._fail(413, "the body is too large")
+
+    def _needs_streaming(self) -> bool:
+        """Is the body, by its stated length or what has come of it, longer than what is buffered?"""
+        assert self.partial is not None
+        if self.error is not None or not self.may_stream:
+            return False
+        stated = next((int(value) for name, value in self.partial.headers if name == b"content-length"), 0)
+        return max(stated, len(self.partial.body)) > self.max_body_bytes
+
+    def on_message_complete(self) -> None:
+        """The last byte of a message."""
+        partial, self.partial = self.partial, None
+        assert partial is not None
+        if self.error is None:
+            self._complete(partial)
+
+    def _complete(self, partial: PartialMessage) -> None:
+        message = self._build(partial, bytes(partial.body))
+        if partial is self._streamed_partial:
+            self._streamed_partial, message.streamed = None, True
+        self.messages.append(message)
+
+    def _build(self, partial: PartialMessage, body: bytes) -> Message:
+        raise NotImplementedError
--- a/lanelift/net/request_head.py
+++ b/lanelift/net/request_head.py
@@ -6,7 +6,7 @@
 from urllib.parse import parse_qs, unquote
 
 from lanelift.net.http_messages import MessageError, Request, decode_text
-from lanelift.net.http_parser import MAX_NUMBER_DIGITS
+from lanelift.net.message_parser import MAX_NUMBER_DIGITS
 from lanelift.policy.settings import Idempotency, RequestClass
 
 NS_PER_MS, NS_PER_US = 1_000_000, 1_000
@@ -60,12 +60,12 @@
     """
     longest_ns = request_class.deadline_ns
     default_ms = longest_ns // NS_PER_MS
-    return min(longest_ns, read_whole_number(headers, b"x-deadline-ms", default_ms) * NS_PER_MS)
+    return min(longest_ns, read_integer(headers, b"x-deadline-ms", default_ms) * NS_PER_MS)
 
 
 def read_cost_hint_ns(headers: Mapping[bytes, bytes]) -> int:
     """How long the client expects it to take, in ns: by `X-Cost-Hint` (microseconds); 0: not stated."""
-    return read_whole_number(headers, b"x-cost-hint", 0) * NS_PER_US
+    return read_integer(headers, b"x-cost-hint", 0) * NS_PER_US
 
 
 def read_ordering_key(query: str) -> str:
@@ -73,7 +73,7 @@
     return parse_qs(query).get("obj", [""])[0] if "obj=" in query else ""
 
 
-def read_whole_number(headers: Mapping[bytes, bytes], name: bytes, default: int) -> int:
+def read_integer(headers: Mapping[bytes, bytes], name: bytes, default: int) -> int:
     """A header's value as a number; the default where the header is absent."""
     value = headers.get(name)
     if value is None:
--- a/lanelift/net/requests.py
+++ b/lanelift/net/requests.py
@@ -63,12 +63,12 @@
 
     Attributes:
         by_id: The requests. One stays until it is closed and has no unfinished attempt.
-        unanswered: How many are owed an answer.
+        awaiting_answer: How many are owed an answer.
     """
 
     def __init__(self, metrics: Metrics, post: Callable[[Event], None]) -> None:
         self.by_id: dict[str, OpenRequest] = {}
-        self.unanswered = 0
+        self.awaiting_answer = 0
         self._metrics = metrics
         self._post = post
         self._loop = asyncio.get_running_loop()
@@ -113,7 +113,7 @@
         if request.closed:
             return False
         request.closed = True
-        self.unanswered -= 1
+        self.awaiting_answer -= 1
         if request.overdue_timer is not None:
             request.overdue_timer.cancel()
         for exchange in request.attempts:
--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -66,7 +66,7 @@
         """
         frontend = self._frontend
         if frontend.lifecycle.drain():
-            open_requests = frontend.dispatcher.requests.unanswered
+            open_requests = frontend.dispatcher.requests.awaiting_answer
             log.info("evacuating: %d connections, %d requests", len(frontend.table.clients), open_requests)
             self._close_idle_timer = self._loop.call_later(ACCEPT_WHILE_DRAINING_S, self.close_idle)
 
--- a/lanelift/net/upload.py
+++ b/lanelift/net/upload.py
@@ -31,13 +31,13 @@
     """
 
     __slots__ = (
-        "set_reading",
-        "is_client_connected",
-        "length_bytes",
         "buffered",
         "complete",
-        "consumed",
         "connection",
+        "consumed",
+        "is_client_connected",
+        "length_bytes",
+        "set_reading",
     )
 
     def __init__(
--- a/lanelift/net/upstream_connection.py
+++ b/lanelift/net/upstream_connection.py
@@ -92,7 +92,7 @@
             return  # it took nothing: its end is reported on the next turn
         if not upload.complete:
             if self.write_paused and exchange.timer is None:
-                exchange.expire_when_silent()
+                exchange.expire_without_progress()
             elif not self.write_paused:
                 exchange.cancel_timeout()
             upload.set_reading(not self.write_paused)
--- a/tests/config/test_checked.py
+++ b/tests/config/test_checked.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lanelift.config.checked import Mistakes, read_text
+from lanelift.config.checked import FileValidationError, read_text
 from lanelift.config.operator import OperatorFile, read_operator_file
 from lanelift.net.static_endpoints import StaticEndpoints
 from lanelift.policy.events import EndpointState
@@ -63,10 +63,10 @@
 def only_mistake(good: str, line: str, instead: str, said: str) -> None:
     """With another line in a good file's, this is said, and nothing else."""
     assert line in good
-    with pytest.raises(Mistakes) as caught:
+    with pytest.raises(FileValidationError) as caught:
         read_text(good.replace(line, instead, 1), OperatorFile, "f.toml")
     assert f"f.toml: {said}" in str(caught.value)
-    assert len(caught.value.mistakes) == 1
+    assert len(caught.value.problems) == 1
 
 
 def test_all_mistakes_at_once() -> None:
@@ -77,9 +77,9 @@
         .replace("127.0.0.1:9001", "nowhere")
         + "colour = 3\n"
     )
-    with pytest.raises(Mistakes) as caught:
+    with pytest.raises(FileValidationError) as caught:
         read_text(text, OperatorFile, "f.toml")
-    assert sorted(m.path for m in caught.value.mistakes) == [
+    assert sorted(m.place for m in caught.value.problems) == [
         "class[0].aim_ms",
         "class[0].effect",
         "serve.lisen",
@@ -102,7 +102,7 @@
     path = tmp_path / "f.toml"
     if content is not None:
         path.write_bytes(content)
-    with pytest.raises(Mistakes) as caught:
+    with pytest.raises(FileValidationError) as caught:
         read_operator_file(path)
     assert said in str(caught.value) and str(path) in str(caught.value)
 
@@ -117,7 +117,7 @@
 def test_whatever_stands_there_is_read_or_refused(raw: dict[str, object]) -> None:
     """Checks across keys meet raw input of any type, and must not fall over it."""
     for mistake in OperatorFile.across(raw):
-        assert mistake.path and mistake.allowed
+        assert mistake.place and mistake.allowed
 
 
 def test_what_the_daemon_is_told() -> None:
--- a/tests/config/test_fleet.py
+++ b/tests/config/test_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lanelift.config.checked import Mistakes
+from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import OperatorFile, read_operator_file
 from lanelift.fleet.plan import MS
 
@@ -74,7 +74,7 @@
     ],
 )
 def test_mistakes_are_named(tmp_path: Path, text: str, mistake: str) -> None:
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(FileValidationError) as found:
         read(tmp_path, text)
     assert mistake in str(found.value)
 
@@ -84,4 +84,4 @@
     fleet = read(tmp_path, FLEET + members).fleet
     assert fleet is not None
     assert any("an odd number is better" in text for text in fleet.warnings()) == warned
-    assert "a lease is held for 9.98" in fleet.told()
+    assert "a lease is held for 9.98" in fleet.summary()
--- a/tests/config/test_tenants.py
+++ b/tests/config/test_tenants.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lanelift.config.checked import Mistakes, read_text
+from lanelift.config.checked import FileValidationError, read_text
 from lanelift.config.operator import OperatorFile
 from lanelift.policy.settings import UnknownTenants
 from lanelift.settings import SettingsError
@@ -83,7 +83,7 @@
 def test_whatever_stands_there_is_refused(raw: str) -> None:
     text = raw + "\n" + GOOD[: GOOD.index("[tenants]")] if "=" in raw.split("\n")[0] else ""
     text = text or GOOD[: GOOD.index("[tenants]")] + raw
-    with pytest.raises(Mistakes, match="tenants"):
+    with pytest.raises(FileValidationError, match="tenants"):
         read_text(text, OperatorFile, "f.toml")
 
 
--- a/tests/net/test_frontend.py
+++ b/tests/net/test_frontend.py
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_that_is_too_large(chunked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lanelift.net.http_parser.MAX_STREAMED_BODY_BYTES", 69_000)
+    monkeypatch.setattr("lanelift.net.message_parser.MAX_STREAMED_BODY_BYTES", 69_000)
 
     async def test() -> None:
         async with world() as w:
--- a/tests/net/test_parse.py
+++ b/tests/net/test_parse.py
@@ -4,13 +4,8 @@
 
 import pytest
 
-from lanelift.net.http_parser import (
-    MAX_BUFFERED_BODY_BYTES,
-    MAX_FRAMING_FACTOR,
-    MAX_HEAD_BYTES,
-    RequestParser,
-    ResponseParser,
-)
+from lanelift.net.http_parser import RequestParser, ResponseParser
+from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES, MAX_FRAMING_FACTOR, MAX_HEAD_BYTES
 
 HEAD = b"POST /pay HTTP/1.1\r\nHost: h\r\n"
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
--- a/tests/net/test_passing.py
+++ b/tests/net/test_passing.py
@@ -14,7 +14,8 @@
 
 from lanelift.net import connection_phases, exchange
 from lanelift.net.connection_phases import Phase
-from lanelift.net.http_parser import MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES, ResponseParser
+from lanelift.net.http_parser import ResponseParser
+from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES
 from lanelift.net.socket_options import KERNEL_BUFFER_BYTES
 from lanelift.net.upstream_connection import READ_BUFFER
 from lanelift.policy.events import AttemptFinished, AttemptResult, ClientDisconnected, ResponseStarted
@@ -302,7 +303,7 @@
 
 
 def test_more_than_may_be_passed_on_is_cut(monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
-    monkeypatch.setattr("lanelift.net.http_parser.MAX_STREAMED_BODY_BYTES", 300_000)
+    monkeypatch.setattr("lanelift.net.message_parser.MAX_STREAMED_BODY_BYTES", 300_000)
 
     async def test() -> None:
         async with world() as w:
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -18,7 +18,7 @@
 from lanelift.net import connection_phases, connection_pool, exchange, shutdown
 from lanelift.net.endpoint_list import upstream_number
 from lanelift.net.exchange import Exchange
-from lanelift.net.http_parser import MAX_BUFFERED_BODY_BYTES
+from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES
 from lanelift.net.socket_options import peer_state
 from lanelift.net.upstream_connection import UpstreamConnection
 from lanelift.policy.actions import Action, StartAttempt
--- a/tests/net/test_uploads.py
+++ b/tests/net/test_uploads.py
@@ -14,7 +14,8 @@
 
 from lanelift.net import connection_phases, exchange
 from lanelift.net.connection_phases import Phase
-from lanelift.net.http_parser import MAX_BUFFERED_BODY_BYTES, RequestParser
+from lanelift.net.http_parser import RequestParser
+from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES
 from lanelift.net.socket_options import KERNEL_BUFFER_BYTES
 from lanelift.policy.events import AttemptFinished, AttemptResult, BodyReceived, RequestArrived
 from lanelift.policy.settings import Idempotency
--- a/tests/net/test_upstreams.py
+++ b/tests/net/test_upstreams.py
@@ -578,7 +578,7 @@
             assert pool.open_connections <= 2 and not pool.connect_tasks
             assert (
                 not balancer.requests.by_id
-                and not balancer.requests.unanswered
+                and not balancer.requests.awaiting_answer
                 and not balancer.balancer.requests
             )
 
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lanelift.config.checked import Mistakes
+from lanelift.config.checked import FileValidationError
 from lanelift.rehearsal.scenario import Scenario, read_scenario, shipped
 
 FIVE = """
@@ -47,9 +47,9 @@
 def test_mistakes_all_at_once(tmp_path: Path) -> None:
     path = tmp_path / "five.toml"
     path.write_text(FIVE)
-    with pytest.raises(Mistakes) as caught:
+    with pytest.raises(FileValidationError) as caught:
         read_scenario(str(path))
-    said = {m.path: str(m) for m in caught.value.mistakes}
+    said = {m.place: str(m) for m in caught.value.problems}
     assert set(said) == {
         "name",
         "load.rate",
@@ -81,16 +81,16 @@
 def test_mistakes_between_keys(tmp_path: Path, text: str, path: str) -> None:
     file = tmp_path / "x.toml"
     file.write_text('name = "x"\nlength_s = 100\n' + text)
-    with pytest.raises(Mistakes) as caught:
+    with pytest.raises(FileValidationError) as caught:
         read_scenario(str(file))
-    assert [m.path for m in caught.value.mistakes] == [path]
+    assert [m.place for m in caught.value.problems] == [path]
 
 
 def test_changes_are_checked_with_the_file() -> None:
     assert read_scenario("calm", {"load.rate": 50.0, "seed": 9}).load.rate == 50
-    with pytest.raises(Mistakes, match="fleet.boxes: found 0"):
+    with pytest.raises(FileValidationError, match="fleet.boxes: found 0"):
         read_scenario("calm", {"fleet.boxes": 0})
-    with pytest.raises(Mistakes, match="no such scenario; shipped: back-to-school, calm"):
+    with pytest.raises(FileValidationError, match="no such scenario; shipped: back-to-school, calm"):
         read_scenario("clam")
 
 
