--- a/tests/sim/test_wirehost.py
+++ b/tests/sim/test_wirehost.py
@@ -10,6 +10,8 @@
 
 import pytest
 
+from lanelift import wirehost
+from lanelift.policy import actions
 from lanelift.policy.actions import Action
 from lanelift.policy.balancer import Balancer
 from lanelift.policy.settings import DeduplicationScope
@@ -110,6 +112,44 @@
     assert run(day(), "1").stdout == run(day(), "2").stdout != ""
 
 
+def test_each_action_has_its_command(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A field of an action is renamed, and the host still reads it by its former name. Nothing checks that
+    before the action is written: the balancer is then reported as faulty, and its other commands are lost. So
+    one action of each kind is written here, with each of its fields.
+    """
+
+    class Puppet(Balancer):
+        def handle(self, now: int, events: object) -> list[Action]:
+            return [
+                actions.StartAttempt("r1", 11, 7),
+                actions.Reject("r2", 8),
+                actions.Fail("r3"),
+                actions.CancelAttempt("r1", 1),
+                actions.ProbeLoad(12),
+                actions.SendPeerMessage(b"hi", 2),
+                actions.Subscribe(False),
+                actions.FetchEndpoints(),
+                actions.SetTimer(9, "t"),
+                actions.Log("said"),
+            ]
+
+    monkeypatch.setattr(wirehost, "Balancer", Puppet)
+    reply = json.loads(Host().batch(batch(1, 1, *start())))
+    assert [command.pop("balancer") for command in reply["cmds"]] == [0] * 10
+    assert reply["cmds"] == [
+        {"t": "submit_to", "ticket": "r1", "upstream": 11, "timeout_ns": 7},
+        {"t": "push_back", "ticket": "r2", "backoff_ns": 8},
+        {"t": "finish_error", "ticket": "r3"},
+        {"t": "retract", "ticket": "r1", "attempt": 1},
+        {"t": "sample", "upstream": 12},
+        {"t": "announce", "dst": 2, "blob": "aGk="},
+        {"t": "track", "active": False},
+        {"t": "fetch"},
+        {"t": "schedule", "wait_ns": 9, "name": "t"},
+        {"t": "write_log", "message": "said"},
+    ]
+
+
 def test_power_off_forgets_the_balancer() -> None:
     now = 2 * 10**9
     done = run(
