--- /dev/null
+++ b/lanelift/net/http_parser.py
@@ -0,0 +1,152 @@
+"""Parsers of HTTP/1.1 requests and responses: bytes in, complete messages out; no socket."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+import httptools
+
+from lanelift.net.http_messages import Request, Response
+from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES, MessageParser, PartialMessage
+
+MAX_INTERIM_RESPONSES = 8  # 1xx ahead of the final one: more are a response that never ends
+# Requests that repeat one of these are ambiguous: this balancer would follow one, and the upstream perhaps
+# the other (request smuggling, RFC 9112, 11.2).
+UNIQUE_HEADERS = frozenset(
+    {
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"idempotency-key",
+        b"x-request-id",
+        b"x-class",
+        b"x-tenant",
+        b"x-deadline-ms",
+        b"x-retry",
+        b"x-cost-hint",
+    }
+)
+
+
+class RequestParser(MessageParser[Request]):
+    """Reads the requests of one connection.
+
+    Attributes:
+        expects_continue: The client waits for `100 Continue` before it sends the body.
+    """
+
+    parser: httptools.HttpRequestParser | None
+
+    def __init__(self) -> None:
+        super().__init__(MAX_BUFFERED_BODY_BYTES)
+        self.parser = httptools.HttpRequestParser(self)
+        self.expects_continue = False
+        self.may_stream = True
+
+    def on_url(self, target: bytes) -> None:
+        """A piece of the request target."""
+        assert self.partial is not None
+        self.partial.target += target
+
+    def on_headers_complete(self) -> None:
+        """All headers are there: check what concerns requests only."""
+        super().on_headers_complete()
+        assert self.partial is not None and self.parser is not None
+        counts = Counter(name for name, _ in self.partial.headers)
+        repeated = next((name for name in counts if counts[name] > 1 and name in UNIQUE_HEADERS), None)
+        if repeated is not None:
+            self._fail(400, f"{repeated.decode()} stands there twice")
+        if not counts[b"host"] and self.parser.get_http_version() == "1.1":
+            self._fail(400, "no Host")
+        if self.parser.get_method() in (b"CONNECT", b"TRACE"):
+            self._fail(405, "no such method here")
+        self.expects_continue = (b"expect", b"100-continue") in self.partial.headers and self.error is None
+        if self.streaming is None and self._needs_streaming():
+            self.start_streaming()
+
+    def _complete(self, partial: PartialMessage) -> None:
+        self.expects_continue = False
+        super()._complete(partial)
+
+    def _build(self, partial: PartialMessage, body: bytes) -> Request:
+        assert self.parser is not None
+        is_http_1_1 = self.parser.get_http_version() == "1.1"
+        keep_alive = self.parser.should_keep_alive() and is_http_1_1
+        method, target = self.parser.get_method(), bytes(partial.target)
+        return Request(method, target, partial.headers, body, keep_alive, is_http_1_1)
+
+
+class ResponseParser(MessageParser[Response]):
+    """Reads the responses of one connection.
+
+    `messages` holds at most the response and what should not have come behind it.
+    """
+
+    parser: httptools.HttpResponseParser | None
+
+    def __init__(self) -> None:
+        super().__init__(MAX_BUFFERED_BODY_BYTES)
+        self.parser = httptools.HttpResponseParser(self)
+        self._interim_responses = 0
+        self._ends_with_connection = False
+
+    def expect_response(self, max_body_bytes: int, may_stream: bool = False) -> None:
+        """The next response may have a body of this length, or a longer one if it may be streamed."""
+        self.max_body_bytes = max_body_bytes
+        self.may_stream = may_stream
+        self._interim_responses = 0
+        self.finish_streamed()
+
+    @property
+    def length_unknown(self) -> bool:
+        """A complete head is there, of a response whose length can't be known before its end."""
+        partial = self.partial
+        return (
+            partial is not None
+            and partial.head_complete
+            and self.error is None
+            and self.streaming is None
+            and not any(name == b"content-length" for name, _ in partial.headers)
+        )
+
+    def connection_ended(self) -> None:
+        """The connection has ended, and with it a response whose end is stated in no other way."""
+        if self._ends_with_connection and self.partial is not None and self.partial.head_complete:
+            self.on_message_complete()
+
+    def on_headers_complete(self) -> None:
+        """All headers are there: check that the end of the response can be recognized.
+
+        Only a response that states its own end, and in one way, can be distinguished from one that was cut
+        off; one that is said to be too large is not read to find out. Without a length it ends with its
+        connection (RFC 9112, 6.3). That is believed only of a response with `Connection: close`: a corrupt
+        one may stay open and never end.
+        """
+        super().on_headers_complete()
+        assert self.partial is not None and self.parser is not None
+        status = self.parser.get_status_code()
+        if status < 200 or status in (204, 304):
+            return
+        framings, closes = 0, False
+        for name, value in self.partial.headers:
+            framings += name in (b"content-length", b"transfer-encoding")
+            closes = closes or (name == b"connection" and b"close" in value.lower())
+        self._ends_with_connection = not framings and closes
+        if framings != 1 and not self._ends_with_connection:
+            self._fail(502, "no length, or two")
+        elif self.streaming is None and self._needs_streaming():
+            self.start_streaming()
+
+    def _complete(self, partial: PartialMessage) -> None:
+        assert self.parser is not None
+        if self.parser.get_status_code() >= 200:
+            super()._complete(partial)
+            return
+        self._interim_responses += 1
+        if self._interim_responses > MAX_INTERIM_RESPONSES:
+            self._fail(502, "1xx answers without end")
+
+    def _build(self, partial: PartialMessage, body: bytes) -> Response:
+        assert self.parser is not None
+        keep_alive = self.parser.should_keep_alive() and not self._ends_with_connection
+        return Response(self.parser.get_status_code(), partial.headers, body, keep_alive)
