--- /dev/null
+++ b/tests/pinned/names.py
@@ -0,0 +1,390 @@
+"""The only file of this package that names classes, modules, functions and fields of lanelift.
+
+Every function takes and gives plain data: words, numbers, bytes, tuples and dicts. Follow a rename here;
+never change what goes in or comes out.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable, Mapping, Sequence
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from lanelift.faults.schedule import Schedule, Step, drawn, to_json
+from lanelift.faults.simulated import Place
+from lanelift.fleet import messages, wire
+from lanelift.fleet.disk import Disk
+from lanelift.fleet.plan import MS, Member, Plan, Timing
+from lanelift.fleet.seat import Kept, Refused, Seat
+from lanelift.leases.rehearsed import Leases, Votes
+from lanelift.membership import news
+from lanelift.membership.detector import Pace
+from lanelift.membership.rehearsed import Members, members
+
+# Modules that are started by their path while another release runs: this path must stay.
+WARDEN_MODULE = "lanelift.leases.warden"
+
+# Fleet messages.
+
+FLEET_KINDS: dict[str, type[msgspec.Struct]] = {
+    "ask": messages.Ask,
+    "take": messages.Take,
+    "release": messages.Release,
+    "answer": messages.Answer,
+    "look": messages.Look,
+    "view": messages.View,
+    "hello": messages.Hello,
+}
+VERDICTS = (
+    messages.PROMISED,
+    messages.TAKEN,
+    messages.RELEASED,
+    messages.HELD,
+    messages.TURN,
+    messages.BEHIND,
+    messages.SILENT,
+    messages.FULL,
+    messages.FREE,
+)
+
+
+def plain(value: Any) -> Any:
+    """Structs, lists and named tuples become tuples, and enums their values."""
+    if isinstance(value, Enum):
+        return value.value
+    if isinstance(value, msgspec.Struct):
+        return tuple(plain(getattr(value, field)) for field in value.__struct_fields__)
+    if isinstance(value, list | tuple):
+        return tuple(map(plain, value))
+    return value
+
+
+def verdict_words() -> tuple[str, ...]:
+    """Every verdict that this release sends, as its word on the wire."""
+    return tuple(plain(verdict) for verdict in VERDICTS)
+
+
+def encode_fleet(digest: bytes, kind: str, *values: Any) -> bytes:
+    """A fleet message as a datagram; its values in the order of its fields."""
+    if kind == "view" and len(values) > 3:
+        rows = [messages.Seen(*row) for row in values[3]]
+        values = (*values[:3], rows, *values[4:])
+    return wire.encode(digest, FLEET_KINDS[kind](*values))  # type: ignore[arg-type]
+
+
+def decode_fleet(data: bytes) -> tuple[bytes, str, tuple[Any, ...]]:
+    """The digest of the plan, the kind, and the values of all fields, defaults among them."""
+    digest, message = wire.decode(data)
+    kind = next(word for word, struct in FLEET_KINDS.items() if type(message) is struct)
+    return digest, kind, plain(message)
+
+
+def fleet_refusal(data: bytes) -> tuple[str, str]:
+    """Why a datagram is dropped: "garbage" (or "unknown": a later release's, maybe), and the reason word."""
+    try:
+        wire.decode(data)
+    except wire.Garbage as error:
+        return ("unknown" if isinstance(error, wire.Unknown) else "garbage"), str(error)
+    raise AssertionError(f"this was read: {data.hex()}")
+
+
+def made_plan(
+    voters: Iterable[str],
+    name: str = "trust",
+    lease_ns: int = 10_000 * MS,
+    answer_ns: int = 250 * MS,
+    margin_ns: int = 2_000 * MS,
+    drift: float = 0.001,
+    others: Iterable[str] = (),
+) -> Plan:
+    """`others` are members that do not vote."""
+    rows = [Member(id, ("127.0.0.1", 7000)) for id in voters]
+    rows += [Member(id, ("127.0.0.1", 7000), "west", votes=False) for id in others]
+    timing = Timing(lease_ns=lease_ns, answer_ns=answer_ns, margin_ns=margin_ns, drift=drift)
+    return Plan(name, tuple(rows), timing)
+
+
+def plan_digest(voters: Iterable[str], **about: Any) -> bytes:
+    return made_plan(voters, **about).digest
+
+
+def default_plan_digest(name: str, voters: Iterable[str]) -> bytes:
+    """With the timings that hold where the operator's file gives none."""
+    return Plan(name, tuple(Member(id, ("127.0.0.1", 7000)) for id in voters)).digest
+
+
+# Membership messages.
+
+
+def encode_gossip(
+    kind: int, sender: int, incarnation: int, number: int, about: int, updates: Iterable[Sequence[int]] = ()
+) -> bytes:
+    """`updates`: whom, which state, under which incarnation, seen by whom."""
+    rows = tuple(news.News(whom, news.State(state), inc, by) for whom, state, inc, by in updates)
+    return news.encode(news.Said(news.Kind(kind), sender, incarnation, number, about, rows))
+
+
+def decode_gossip(data: bytes) -> tuple[Any, ...] | None:
+    """Kind, sender, incarnation, number, about whom, updates; None for what can't be read."""
+    said = news.decode(data)
+    if said is None:
+        return None
+    rows = tuple((u.whom, u.state.value, u.incarnation, u.by) for u in said.news)
+    return said.kind.value, said.sender, said.incarnation, said.number, said.about, rows
+
+
+def gossip_words() -> tuple[set[int], set[int]]:
+    """The numbers of all kinds and of all states."""
+    return {kind.value for kind in news.Kind}, {state.value for state in news.State}
+
+
+def update_replaces(update: Sequence[int], known: Sequence[int]) -> bool:
+    """Does an update take the place of what is known of the same member?"""
+    one, other = (news.News(whom, news.State(state), inc, by) for whom, state, inc, by in (update, known))
+    return news.beats(one, other)
+
+
+# A voter's state file.
+
+
+def _kept(values: Mapping[str, Any]) -> Kept:
+    return Kept(
+        digest=values["digest"],
+        voters=tuple(values["voters"]),
+        silence_ns=values["silence_ns"],
+        ceiling=values["ceiling"],
+        left=tuple(map(tuple, values["left"])),
+        blank=values["blank"],
+    )
+
+
+def _values(kept: Kept) -> dict[str, Any]:
+    return {
+        "digest": kept.digest,
+        "voters": kept.voters,
+        "silence_ns": kept.silence_ns,
+        "ceiling": kept.ceiling,
+        "left": kept.left,
+        "blank": kept.blank,
+    }
+
+
+def write_state(folder: Path, member: str, values: Mapping[str, Any]) -> None:
+    """Writes a voter's state, under the keys of the file."""
+    disk = Disk(folder, member)
+    try:
+        disk.write(_kept(values))
+    finally:
+        disk.close()
+
+
+def read_state(folder: Path, member: str) -> dict[str, Any] | None:
+    """What a voter's state file says, by its keys; None where there is none."""
+    disk = Disk(folder, member)
+    try:
+        kept = disk.read()
+    finally:
+        disk.close()
+    return None if kept is None else _values(kept)
+
+
+def state_refusal(folder: Path, member: str) -> str:
+    """The text under which a state file, or its folder, is refused."""
+    try:
+        disk = Disk(folder, member)
+    except Refused as error:
+        return str(error)
+    try:
+        disk.read()
+    except Refused as error:
+        return str(error)
+    finally:
+        disk.close()
+    raise AssertionError(f"{folder}/{member}.json was read")
+
+
+def locked_state(folder: Path, member: str) -> str:
+    """The text under which a second process with the same id is refused."""
+    disk = Disk(folder, member)
+    try:
+        return state_refusal(folder, member)
+    finally:
+        disk.close()
+
+
+def voter_start(
+    folder: Path, member: str, voters: str, lease_ms: int, heard: Iterable[Mapping[str, Any]] = ()
+) -> tuple[bool, int | None, int]:
+    """Starts a voter on its state file and lets it hear others; what it wants on disk is written there.
+
+    `heard`: others' answers as dicts with the keys voter, voting, blank, floor and left. Gives whether it may
+    vote, until when it is silent (ns after its start), and the ballot above which it votes. Raises ValueError
+    with the text of a refusal.
+    """
+    plan = made_plan(voters, "trust", lease_ms * MS, 10 * MS, 100 * MS)
+    disk = Disk(folder, member)
+    try:
+        seat = Seat(plan, member, 7, disk.read())
+        _written(seat, disk)
+        for answer in heard:
+            said = (answer["voter"], 7, answer["voting"], answer["blank"], answer["floor"], True)
+            seat.hear(messages.Hello(*said, left=[list(row) for row in answer["left"]]))
+            _written(seat, disk)
+    except Refused as error:
+        raise ValueError(str(error)) from None
+    finally:
+        disk.close()
+    return seat.seated, seat.ready_ns, seat.base
+
+
+def _written(seat: Seat, disk: Disk) -> None:
+    while seat.store is not None:
+        disk.write(seat.store)
+        seat.stored(seat.store, 0)
+
+
+# Traces of schedules. A line is: true time in ns, what, and about whom; messages as their bytes.
+
+
+class TracedLeases(Leases):
+    """Leases in simulated time, noting what an observer outside of all processes would see."""
+
+    def __init__(self, schedule: Schedule, timing: Timing) -> None:
+        self.lines: list[str] = []
+        super().__init__(schedule, timing)
+
+    def line(self, *words: object) -> None:
+        self.lines.append(" ".join(map(str, (self.now, *words))))
+
+    def _send(self, who: str, whom: str, message: Any) -> None:
+        self.line("send", who, whom, wire.encode(*message).hex())
+        super()._send(who, whom, message)
+
+    def _come(self, who: str, whom: str, message: Any) -> None:
+        self.line("come", who, whom, wire.encode(*message).hex())
+        super()._come(who, whom, message)
+
+    def _start(self, name: str) -> None:
+        self.line("start", name, self.local(name))
+        super()._start(name)
+
+    def _step(self, step: Step) -> None:
+        self.line("step", step.what, step.who, step.whom, step.ms, step.part)
+        super()._step(step)
+
+    def write(self, votes: Votes) -> None:
+        assert votes.writing is not None
+        self.line("write", votes.name, msgspec.json.encode(votes.writing).decode())
+        super().write(votes)
+
+    def _written(self, votes: Votes, kept: Kept, life: int) -> None:
+        self.line("written", votes.name, msgspec.json.encode(kept).decode())
+        super()._written(votes, kept, life)
+
+    def acted(self, name: str, token: int) -> None:
+        self.line("act", name, token)
+        super().acted(name, token)
+
+    def after(self) -> None:
+        before = self.holders
+        super().after()
+        for name in sorted({*before, *self.holders}):
+            if before.get(name) != self.holders.get(name):
+                self.line("token", name, before.get(name, 0), self.holders.get(name, 0))
+
+
+def play_lease_schedule(seed: int) -> list[str]:
+    """The whole trace: the schedule as its file has it, all events, and what the judge counted.
+
+    Voters are 3 or 5, contenders 2 to 4; every fourth schedule changes the list of voters on the way.
+    """
+    timing = Timing(lease_ns=1000 * MS, answer_ns=60 * MS, margin_ns=200 * MS, drift=0.01)
+    schedule = drawn(seed, 3 + 2 * (seed % 2), 2 + seed % 3, 15_000, 1000, timing.drift, plans=seed % 4 == 0)
+    world = TracedLeases(schedule, timing)
+    world.play()
+    found = world.found
+    counts = (len(found.breaches), len(found.holdings), found.acts, found.late_acts, found.fenced)
+    return [to_json(schedule).decode(), *world.lines, f"counts {counts} {world.messages}"]
+
+
+class TracedMembers(Members):
+    """Membership in simulated time, noting messages, starts, deaths and each change of a view."""
+
+    def __init__(self, schedule: Schedule, zones: Sequence[str], pace: Pace) -> None:
+        self.lines: list[str] = []
+        self.noted = 0
+        super().__init__(schedule, zones, pace)
+
+    def line(self, *words: object) -> None:
+        self.lines.append(" ".join(map(str, (self.now, *words))))
+
+    def _send(self, who: str, whom: str, message: Any) -> None:
+        self.line("send", who, whom, message.hex())
+        super()._send(who, whom, message)
+
+    def _come(self, who: str, whom: str, message: Any) -> None:
+        self.line("come", who, whom, message.hex())
+        super()._come(who, whom, message)
+
+    def _start(self, name: str) -> None:
+        self.line("start", name, self.local(name))
+        super()._start(name)
+
+    def _step(self, step: Step) -> None:
+        self.line("step", step.what, step.who, step.whom, step.ms, step.part)
+        super()._step(step)
+
+    def _leave(self, name: str) -> None:
+        """An event of this world alone: a member says that it leaves, and is gone."""
+        detector = self.detector(int(name))
+        if detector is not None:
+            self.line("leave", name)
+            self.say(name, [(str(to), data) for to, data in detector.leave()])
+
+    def died(self, name: str, place: Place, disk: bool) -> None:
+        self.line("died", name)
+        super().died(name, place, disk)
+
+    def after(self) -> None:
+        for _, who, whom, state in self.views[self.noted :]:
+            self.line("view", who, whom, state.value)
+        self.noted = len(self.views)
+
+
+def play_membership(seed: int) -> list[str]:
+    """8 to 12 members in three zones for 60 s: deaths, returns, cuts, slow members, one that leaves."""
+    rng = random.Random(seed)
+    count = 8 + seed % 5
+    schedule = members(count, seed, 60_000, (0.0, 0.05, 0.3)[seed % 3], _membership_steps(rng, count))
+    pace = Pace(death_ns=20_000 * MS)
+    world = TracedMembers(schedule, ["abc"[n % 3] for n in range(count)], pace)
+    world.at(rng.randrange(10_000, 50_000) * MS, "leave", str(rng.randrange(count)))
+    world.play()
+    here = [d for d in map(world.detector, range(count)) if d is not None]
+    counted = [(d.me, d.counted(world.local(str(d.me)))) for d in here]
+    return [to_json(schedule).decode(), *world.lines, f"counts {counted} {world.messages} {world.bytes}"]
+
+
+def _membership_steps(rng: random.Random, count: int) -> list[Step]:
+    steps: list[Step] = []
+    at = 4_000
+    while at < 50_000:
+        who, lasts = str(rng.randrange(count)), rng.randrange(500, 15_000)
+        what = rng.choice(("kill", "stop", "cut", "delay"))
+        if what == "kill":
+            steps += [Step(at, "kill", who), Step(at + lasts, "start", who)]
+        elif what == "stop":
+            steps += [Step(at, "stop", who), Step(at + lasts, "go", who)]
+        elif what == "delay":
+            steps += [Step(at, "delay", who, ms=rng.randrange(50, 600)), Step(at + lasts, "heal", who)]
+        else:
+            half = set(rng.sample(range(count), rng.randrange(1, count)))
+            ways = [(str(a), str(b)) for a in sorted(half) for b in range(count) if b not in half]
+            steps += [Step(at, "cut", a, b) for a, b in ways]
+            steps += [Step(at + lasts, "heal", a, b) for a, b in ways]
+        at += rng.randrange(1_000, 9_000)
+    return sorted(steps, key=lambda step: step.at_ms)
