--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -217,11 +217,17 @@
 
 
 def voter_start(
-    folder: Path, member: str, voters: str, lease_ms: int, heard: Iterable[Mapping[str, Any]] = ()
+    folder: Path,
+    member: str,
+    voters: str,
+    lease_ms: int,
+    heard: Iterable[Mapping[str, Any]] = (),
+    wanted: int = 0,
 ) -> tuple[bool, int | None, int]:
     """Starts a voter on its state file and lets it hear others; what it wants on disk is written there.
 
-    `heard`: others' answers as dicts with the keys voter, voting, blank, floor and left. Gives whether it may
+    `heard`: others' answers as dicts with the keys voter, voting, blank, floor and left; `wanted`: a ballot
+    for which it makes room on disk afterwards, where that is not 0. Gives whether it may
     vote, until when it is silent (ns after its start), and the ballot above which it votes. Raises ValueError
     with the text of a refusal.
     """
@@ -234,6 +240,9 @@
             said = (answer["voter"], 7, answer["voting"], answer["blank"], answer["floor"], True)
             seat.hear(messages.Hello(*said, left=[list(row) for row in answer["left"]]))
             _written(seat, disk)
+        if wanted:
+            seat.more(wanted)
+            _written(seat, disk)
     except Refused as error:
         raise ValueError(str(error)) from None
     finally:
