--- /dev/null
+++ b/tests/pinned/releases.py
@@ -0,0 +1,236 @@
+"""A fleet whose members and holders are processes of different releases, on loopback.
+
+A release is a folder with a package `lanelift`, first on the PYTHONPATH of its processes. Nothing of lanelift
+is imported here: members are started, asked and judged by what operators have, the commands, the file, the
+answers to `GET /api/leases`, and what the tasks wrote of when they acted.
+"""
+
+from __future__ import annotations
+
+import io
+import json
+import os
+import shutil
+import signal
+import socket
+import subprocess
+import sys
+import tarfile
+import time
+import urllib.request
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+ROOT = Path(__file__).parents[2]
+BEAT = Path(__file__).with_name("beat.py")
+BEFORE = "e44f7ed"  # the commit whose behaviour is pinned
+LOOPBACK = "127.0.0.1"
+WITHIN_S = 20.0  # an event that has not come by then is missed
+LOOK_S = 0.01
+
+
+def export_before(folder: Path) -> Path:
+    """The release before, from the repository's history. Fails the test where the clone does not have it."""
+    command = ["git", "-C", str(ROOT), "archive", "--format=tar", BEFORE, "lanelift"]
+    done = subprocess.run(command, capture_output=True, check=False)
+    if done.returncode != 0:
+        pytest.fail(
+            f"commit {BEFORE} is not in this clone, and without it no fleet of mixed releases can be run;"
+            f" clone the repository in full (git fetch --unshallow). git: {done.stderr.decode().strip()}"
+        )
+    with tarfile.open(fileobj=io.BytesIO(done.stdout)) as archive:
+        archive.extractall(folder, filter="data")
+    return folder
+
+
+def copy_present(folder: Path) -> Path:
+    """The present code's package, in a folder of its own."""
+    shutil.copytree(ROOT / "lanelift", folder / "lanelift", ignore=shutil.ignore_patterns("__pycache__"))
+    return folder
+
+
+@dataclass(frozen=True)
+class Stay:
+    """One task's acts under one token; times in nanoseconds of CLOCK_BOOTTIME."""
+
+    file: str
+    token: int
+    first_ns: int
+    last_ns: int
+    pid: int
+
+
+def free_ports(kind: socket.SocketKind, count: int) -> list[int]:
+    """Ports that nobody uses now."""
+    sockets = [socket.socket(socket.AF_INET, kind) for _ in range(count)]
+    for each in sockets:
+        each.bind((LOOPBACK, 0))
+    ports = [each.getsockname()[1] for each in sockets]
+    for each in sockets:
+        each.close()
+    return ports
+
+
+class Fleet:
+    """Members a, b and c and any number of holders of one lease. Use in a `with`: it ends what it started.
+
+    `lease_ms` and the other timings are those of `TIMES`; a voter that was started is silent for a lease.
+    """
+
+    TIMES = "lease_ms = 1000\nanswer_ms = 60\nmargin_ms = 300\ndrift_ppm = 1000\n"
+    VOTERS = "abc"
+
+    def __init__(self, folder: Path) -> None:
+        self.folder = folder
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
+        self.releases: dict[str, Path] = {}  # of the last start
+        self.starts: dict[str, int] = {}
+        self.ports = dict(zip(self.VOTERS, free_ports(socket.SOCK_DGRAM, 3), strict=True))
+        listens = free_ports(socket.SOCK_STREAM, 6)
+        self.operators = dict(zip(self.VOTERS, listens[:3], strict=True))
+        members = "".join(
+            f'[[fleet.member]]\nid = "{v}"\naddress = "{LOOPBACK}:{self.ports[v]}"\n' for v in self.VOTERS
+        )
+        for voter, listen in zip(self.VOTERS, listens[3:], strict=True):
+            (folder / f"{voter}.toml").write_text(
+                f'[serve]\nlisten = "{LOOPBACK}:{listen}"\n'
+                f'operator = "{LOOPBACK}:{self.operators[voter]}"\n'
+                f'[[class]]\nname = "quote"\n[[upstream]]\nname = "box"\naddress = "{LOOPBACK}:9"\n'
+                f'[fleet]\nname = "mixed"\nme = "{voter}"\nstate = "{folder / "state"}"\nlog = "json"\n'
+                f"{self.TIMES}{members}"
+            )
+
+    def __enter__(self) -> Fleet:
+        return self
+
+    def __exit__(self, *about: object) -> None:
+        for process in self.processes.values():
+            if process.poll() is None:
+                process.kill()
+            process.wait()
+        for stay in self.stays():  # a guard that failed leaves its task: none may outlive the test
+            if alive(stay):
+                os.kill(stay.pid, signal.SIGKILL)
+
+    def _start(self, name: str, release: Path, *words: str) -> None:
+        number = self.starts[name] = self.starts.get(name, 0) + 1
+        self.releases[name] = release
+        command = [sys.executable, "-c", "from lanelift.cli.main import main; main()", *words]
+        environment = {**os.environ, "PYTHONPATH": str(release)}
+        with (self.folder / f"{name}-{number}.log").open("wb") as log:
+            # The folder of the fleet is the working folder: no other package `lanelift` is found there.
+            self.processes[name] = subprocess.Popen(
+                command,
+                cwd=self.folder,
+                env=environment,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=subprocess.STDOUT,
+            )
+
+    def member(self, name: str, release: Path) -> None:
+        """Starts a voting member."""
+        self._start(name, release, "serve", "--config", str(self.folder / f"{name}.toml"))
+
+    def holder(self, name: str, release: Path, *words: str) -> None:
+        """Starts one that waits for the lease and then runs its task (`beat.py` with these words)."""
+        number = self.starts.get(name, 0) + 1
+        beats = str(self.folder / f"{name}-{number}.beats")
+        task = [sys.executable, str(BEAT), beats, *words]
+        config = ["--config", str(self.folder / "a.toml")]
+        self._start(
+            name, release, "lease", "run", "nightly", *config, "--who", name, "--log", "json", "--", *task
+        )
+
+    def signal(self, name: str, number: int) -> None:
+        """To one process alone."""
+        self.processes[name].send_signal(number)
+
+    def ended(self, name: str) -> int:
+        """Waits for a process's end; its exit code."""
+        try:
+            return self.processes[name].wait(WITHIN_S)
+        except subprocess.TimeoutExpired:
+            raise TimeoutError(f"{name} has not ended\n{self.logs()}") from None
+
+    def until(self, what: str, done: Callable[[], bool]) -> None:
+        """Waits for an event; TimeoutError names it and shows all logs."""
+        end = time.monotonic() + WITHIN_S
+        while not done():
+            if time.monotonic() > end:
+                raise TimeoutError(f"not within {WITHIN_S:g} s: {what}\n{self.logs()}")
+            time.sleep(LOOK_S)
+
+    def until_voting(self, *voters: str) -> None:
+        """Until these members vote."""
+        for voter in voters:
+            self.until(f"{voter} votes", lambda voter=voter: self.votes(voter))  # type: ignore[misc]
+
+    def until_acts(self, *names: str) -> str:
+        """Until the task of the last start of one of these has acted; which."""
+        self.until(f"one of {names} acts", lambda: any(map(self.acts, names)))
+        return next(filter(self.acts, names))
+
+    def until_bound(self, name: str) -> None:
+        """Until each member says that it is bound to this holder: releases understand each other."""
+        for voter in self.VOTERS:
+            self.until(f"{voter} is bound to {name}", lambda voter=voter: name in self.bound(voter))  # type: ignore[misc]
+
+    def view(self, voter: str) -> dict[str, Any] | None:
+        """A member's answer to `GET /api/leases`; None while it gives none."""
+        url = f"http://{LOOPBACK}:{self.operators[voter]}/api/leases"
+        try:
+            with urllib.request.urlopen(url, timeout=5) as answer:
+                found: dict[str, Any] = json.loads(answer.read())
+        except OSError:
+            return None
+        return found
+
+    def votes(self, voter: str) -> bool:
+        """Does a member say that it is seated, and no longer silent?"""
+        view = self.view(voter)
+        return view is not None and view["seated"] and view["silent_ms"] == 0
+
+    def bound(self, voter: str) -> list[str]:
+        """The holders to whom a member says that it is bound."""
+        view = self.view(voter)
+        return [row["holder"] for row in view["leases"]] if view is not None else []
+
+    def acts(self, name: str) -> bool:
+        path = self.folder / f"{name}-{self.starts[name]}.beats"
+        return path.exists() and path.stat().st_size > 0
+
+    def logs(self) -> str:
+        return "\n".join(f"--- {path.name}\n{path.read_text()}" for path in sorted(self.folder.glob("*.log")))
+
+    def stays(self) -> list[Stay]:
+        """All stays, by their first act. A last line that was cut off by a kill is no act."""
+        found = []
+        for path in sorted(self.folder.glob("*.beats")):
+            lines = [line for line in path.read_text().splitlines(keepends=True) if line.endswith("\n")]
+            rows = [tuple(map(int, line.split())) for line in lines]
+            for token in {row[0] for row in rows}:
+                times = [at for t, at, _ in rows if t == token]
+                found.append(Stay(path.stem, token, min(times), max(times), rows[0][2]))
+        return sorted(found, key=lambda stay: stay.first_ns)
+
+    def judged(self) -> list[Stay]:
+        """All stays; fails where two acted at once, or a token did not rise."""
+        stays = self.stays()
+        for earlier, later in zip(stays, stays[1:], strict=False):
+            assert earlier.last_ns < later.first_ns, f"both act: {earlier}, {later}"
+            assert earlier.token < later.token, f"the token fell: {earlier}, {later}"
+        return stays
+
+
+def alive(stay: Stay) -> bool:
+    """Does its task run still? A process that has ended and was not waited for has no command line."""
+    try:
+        words = Path(f"/proc/{stay.pid}/cmdline").read_bytes().split(b"\0")
+    except FileNotFoundError:
+        return False
+    return str(BEAT).encode() in words
