--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,6 +7,7 @@
 from lanelift.decide import Balancer
 from lanelift.net import driver, upstream
 from tests.fakes import Heard
+from tests.known_red import KnownRed
 
 
 @pytest.fixture
@@ -25,6 +26,13 @@
 
 def pytest_addoption(parser: pytest.Parser) -> None:
     parser.addoption("--long", action="store_true", help="long and exhaustive runs, at their full length")
+    parser.addoption(
+        "--known-red-passed", metavar="FILE", help="where the ids of known red tests are written"
+    )
+
+
+def pytest_configure(config: pytest.Config) -> None:
+    config.pluginmanager.register(KnownRed(config))
 
 
 @pytest.fixture
