--- /dev/null
+++ b/tests/pinned/__init__.py
@@ -0,0 +1,1 @@
+"""What outsiders read, pinned: bytes, keys, flags and answers."""
--- /dev/null
+++ b/tests/pinned/settings_names.py
@@ -0,0 +1,169 @@
+"""The one place in this folder that names modules of ours: what a key of a file reaches, and its default.
+
+A rename changes the right-hand sides here, and nothing else under `tests/pinned/`.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+from lanelift.config.operator import read_operator_file
+from lanelift.faults.schedule import Unplayable, from_json, to_json
+from lanelift.interface import Settings
+from lanelift.rehearsal.scenario import read_scenario
+from lanelift.settings import read_settings
+
+Values = dict[str, Any]
+
+
+def of_platform(raw: Values) -> Values:
+    """Of the object `settings` in `BALANCER_CONFIG`: each key, and the value that the balancer has for it."""
+    return _values(read_settings(raw))
+
+
+def _values(read: Settings) -> Values:
+    classes = [
+        {
+            "name": c.name,
+            "repeat": c.effect,
+            "dedup_scope": c.scope,
+            "window_ns": c.window_ns,
+            "aim_ns": c.aim_ns,
+            "hard_limit_ns": c.deadline_ns,
+            "worth": c.worth,
+            "late_worth": c.late_worth,
+            "stream": c.stream,
+            "fifo_by_key": c.in_order,
+            "runs_in": sorted(c.zones),
+            "allowed_on": sorted(c.kinds),
+        }
+        for c in read.classes.values()
+    ]
+    limits, rules, prices = read.limits, read.rules, read.prices
+    return _table(
+        {
+            "me": read.me,
+            "replicas_of_me": read.replicas_of_me,
+            "locality": read.zone,
+            "registry_mode": read.discovery_push,
+            "profiles": classes,
+            "realms": [
+                {"name": t.name, "share": t.share, "quota_per_s": t.quota_per_s}
+                for t in read.tenants.values()
+            ],
+            "limits": {
+                "send_cap": limits.max_attempts,
+                "second_copies": limits.second_copies,
+                "may_cancel": limits.may_cancel,
+                "probes": limits.probes,
+                "peers": limits.peers,
+                "retry_after": limits.retry_after,
+                "max_retry_after_ns": limits.max_retry_after_ns,
+                "connect_timeout_ns": limits.connect_timeout_ns,
+                "conn_idle_ns": limits.conn_idle_ns,
+                "max_open": limits.max_open,
+            },
+            "rules": {
+                "stop_sending_within_ns": rules.stop_sending_within_ns,
+                "ask_within_ns": rules.ask_within_ns,
+                "cold_from": rules.cold_from,
+                "cold_ns": rules.cold_ns,
+                "fall_multiple": rules.fall_multiple,
+                "overload_for_ns": rules.overload_for_ns,
+                "turn_gap_ns": rules.turn_gap_ns,
+            },
+            "prices": {
+                "cross_zone": prices.cross_zone,
+                "waste": prices.waste,
+                "probe": prices.probe,
+                "peer": prices.peer,
+                "connection": prices.connection,
+                "handshake": prices.handshake,
+            },
+            "load_report": {"columns": list(read.report_columns), "how": read.reports_in_answers},
+        }
+    )
+
+
+def of_operator(path: Path) -> Values:
+    """Of the operator's file: what its keys and defaults come to, by the platform's keys."""
+    told = read_operator_file(path).config()
+    values = _values(told.settings)
+    upstreams = [
+        {
+            "address": f"{e.host}:{e.port}",
+            "number": e.entry.id,
+            "state": e.entry.state,
+            "zone": e.entry.zone,
+            "cell": e.entry.cell,
+            "weight": e.entry.weight,
+            "kind": e.entry.kind,
+        }
+        for e in getattr(told.discovery, "endpoints", ())
+    ]
+    serve = {
+        "listen": told.listen,
+        "seed": told.seed,
+        "sockets": told.sockets,
+        "operator": told.operator,
+        "discovery": told.discovery if isinstance(told.discovery, tuple) else "listed",
+    }
+    return _table({**serve, "upstream": upstreams, **values})
+
+
+def of_operator_as_read(path: Path) -> Values:
+    """Of the operator's file: each key with what is read for it, or its default."""
+    return read_operator_file(path).model_dump(mode="json", by_alias=True)
+
+
+def of_scenario_as_read(path: Path) -> Values:
+    """The same of a scenario."""
+    return read_scenario(str(path)).model_dump(mode="json", by_alias=True)
+
+
+def schedule_again(text: bytes) -> bytes:
+    """A schedule of faults, read and written; where it is refused, why."""
+    try:
+        return to_json(from_json(text))
+    except Unplayable as error:
+        return str(error).encode()
+
+
+def schedule_values(text: bytes) -> Values:
+    """What the keys of a schedule reach."""
+    read = from_json(text)
+    return _table(
+        {
+            "seed": read.seed,
+            "voters": read.voters,
+            "contenders": read.contenders,
+            "until_ms": read.until_ms,
+            "steps": [
+                {"at_ms": s.at_ms, "what": s.what, "who": s.who, "whom": s.whom, "ms": s.ms, "part": s.part}
+                for s in read.steps
+            ],
+            "rates": read.rates,
+            "loss": read.loss,
+            "double": read.double,
+            "plans": read.plans,
+        }
+    )
+
+
+def _table(values: Values) -> Values:
+    return {key: _plain(each) for key, each in values.items()}
+
+
+def _plain(value: Any) -> Any:
+    """As JSON has it; of an enum its value."""
+    if isinstance(value, Enum):
+        return value.value
+    if isinstance(value, dict):
+        return {key: _plain(each) for key, each in value.items()}
+    if isinstance(value, tuple | list):
+        return [_plain(each) for each in value]
+    assert not dataclasses.is_dataclass(value)
+    return value
