--- a/tests/pinned/settings_names.py
+++ b/tests/pinned/settings_names.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import dataclasses
+from collections.abc import Mapping
 from enum import Enum
 from pathlib import Path
 from typing import Any
@@ -15,6 +16,7 @@
 from lanelift.interface import Settings
 from lanelift.rehearsal.scenario import read_scenario
 from lanelift.settings import read_settings
+from lanelift.standins.directory import Directory
 
 Values = dict[str, Any]
 
@@ -167,3 +169,8 @@
         return [_plain(each) for each in value]
     assert not dataclasses.is_dataclass(value)
     return value
+
+
+def directory(tree: Any, users: Mapping[str, str]) -> Any:
+    """An LDAP directory that stands in for a real one, without TLS."""
+    return Directory(tree, dict(users))
--- a/tests/pinned/test_simulator_wire.py
+++ b/tests/pinned/test_simulator_wire.py
@@ -277,6 +277,7 @@
     )
 
 
+WRONG: tuple[Any, ...] = ("?", True, {})  # for each kind of value one at least is wrong
 WHOLE: dict[str, Json] = {
     "submit": {**submit("x", BEGIN), "balancer": 1},
     "returned": {**returned("x", 11, "delivered", complete=True, metrics={"inflight": 1}), "balancer": 1},
@@ -306,13 +307,13 @@
     for kind, event in WHOLE.items():
         for key in event:
             cases[f"{kind} without {key}"] = [{k: v for k, v in event.items() if k != key}]
-            for value in ("?", True, {}):
+            for value in WRONG:
                 cases[f"{kind}.{key} = {json.dumps(value)}"] = [{**event, key: value}]
     for key in row(11):
         cases[f"row without {key}"] = [
             {**WHOLE["directory"], "rows_in": [{k: v for k, v in row(11).items() if k != key}]}
         ]
-        for value in ("?", True, {}):
+        for value in WRONG:
             cases[f"row.{key} = {json.dumps(value)}"] = [
                 {**WHOLE["directory"], "rows_in": [row(11, **{key: value})]}
             ]
