--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -16,14 +16,14 @@
 
 from lanelift.faults.schedule import Schedule, Step, drawn, to_json
 from lanelift.faults.simulated import Place
-from lanelift.fleet import messages, wire
-from lanelift.fleet.disk import Disk
-from lanelift.fleet.plan import MS, Member, Plan, Timing
-from lanelift.fleet.seat import Kept, Refused, Seat
-from lanelift.leases.rehearsed import Leases, Votes
-from lanelift.membership import news
-from lanelift.membership.detector import Pace
-from lanelift.membership.rehearsed import Members, members
+from lanelift.fleet import codec, messages
+from lanelift.fleet.cluster import MS, ClusterConfiguration, LeaseTiming, Member
+from lanelift.fleet.recovery import PersistentState, VoterRecovery, VoterStateError
+from lanelift.fleet.state_file import StateFile
+from lanelift.leases.simulation import LeaseSimulation, VoterNode
+from lanelift.membership import gossip
+from lanelift.membership.detector import ProbeTiming
+from lanelift.membership.simulation import MembershipSimulation, membership_schedule
 
 # Modules that are started by their path while another release runs: this path must stay.
 WARDEN_MODULE = "lanelift.leases.warden"
@@ -31,25 +31,15 @@
 # Fleet messages.
 
 FLEET_KINDS: dict[str, type[msgspec.Struct]] = {
-    "ask": messages.Ask,
-    "take": messages.Take,
+    "ask": messages.Prepare,
+    "take": messages.Accept,
     "release": messages.Release,
-    "answer": messages.Answer,
-    "look": messages.Look,
-    "view": messages.View,
-    "hello": messages.Hello,
+    "answer": messages.Response,
+    "look": messages.ListLeases,
+    "view": messages.LeaseList,
+    "hello": messages.VoterStatus,
 }
-VERDICTS = (
-    messages.PROMISED,
-    messages.TAKEN,
-    messages.RELEASED,
-    messages.HELD,
-    messages.TURN,
-    messages.BEHIND,
-    messages.SILENT,
-    messages.FULL,
-    messages.FREE,
-)
+VERDICTS = tuple(messages.Verdict)
 
 
 def plain(value: Any) -> Any:
@@ -64,21 +54,21 @@
 
 
 def verdict_words() -> tuple[str, ...]:
-    """Every verdict that this release sends, as its word on the wire."""
+    """Every verdict that this release sends, as its word on the codec."""
     return tuple(plain(verdict) for verdict in VERDICTS)
 
 
 def encode_fleet(digest: bytes, kind: str, *values: Any) -> bytes:
     """A fleet message as a datagram; its values in the order of its fields."""
     if kind == "view" and len(values) > 3:
-        rows = [messages.Seen(*row) for row in values[3]]
+        rows = [messages.LeaseStatus(*row) for row in values[3]]
         values = (*values[:3], rows, *values[4:])
-    return wire.encode(digest, FLEET_KINDS[kind](*values))  # type: ignore[arg-type]
+    return codec.encode(digest, FLEET_KINDS[kind](*values))  # type: ignore[arg-type]
 
 
 def decode_fleet(data: bytes) -> tuple[bytes, str, tuple[Any, ...]]:
     """The digest of the plan, the kind, and the values of all fields, defaults among them."""
-    digest, message = wire.decode(data)
+    digest, message = codec.decode(data)
     kind = next(word for word, struct in FLEET_KINDS.items() if type(message) is struct)
     return digest, kind, plain(message)
 
@@ -86,9 +76,9 @@
 def fleet_refusal(data: bytes) -> tuple[str, str]:
     """Why a datagram is dropped: "garbage" (or "unknown": a later release's, maybe), and the reason word."""
     try:
-        wire.decode(data)
-    except wire.Garbage as error:
-        return ("unknown" if isinstance(error, wire.Unknown) else "garbage"), str(error)
+        codec.decode(data)
+    except codec.MessageDecodeError as error:
+        return ("unknown" if isinstance(error, codec.UnknownMessageError) else "garbage"), str(error)
     raise AssertionError(f"this was read: {data.hex()}")
 
 
@@ -100,12 +90,14 @@
     margin_ns: int = 2_000 * MS,
     drift: float = 0.001,
     others: Iterable[str] = (),
-) -> Plan:
+) -> ClusterConfiguration:
     """`others` are members that do not vote."""
     rows = [Member(id, ("127.0.0.1", 7000)) for id in voters]
     rows += [Member(id, ("127.0.0.1", 7000), "west", votes=False) for id in others]
-    timing = Timing(lease_ns=lease_ns, answer_ns=answer_ns, margin_ns=margin_ns, drift=drift)
-    return Plan(name, tuple(rows), timing)
+    timing = LeaseTiming(
+        lease_ns=lease_ns, response_timeout_ns=answer_ns, stop_margin_ns=margin_ns, drift=drift
+    )
+    return ClusterConfiguration(name, tuple(rows), timing)
 
 
 def plan_digest(voters: Iterable[str], **about: Any) -> bytes:
@@ -114,7 +106,7 @@
 
 def default_plan_digest(name: str, voters: Iterable[str]) -> bytes:
     """With the timings that hold where the operator's file gives none."""
-    return Plan(name, tuple(Member(id, ("127.0.0.1", 7000)) for id in voters)).digest
+    return ClusterConfiguration(name, tuple(Member(id, ("127.0.0.1", 7000)) for id in voters)).digest
 
 
 # Membership messages.
@@ -124,96 +116,103 @@
     kind: int, sender: int, incarnation: int, number: int, about: int, updates: Iterable[Sequence[int]] = ()
 ) -> bytes:
     """`updates`: whom, which state, under which incarnation, seen by whom."""
-    rows = tuple(news.News(whom, news.State(state), inc, by) for whom, state, inc, by in updates)
-    return news.encode(news.Said(news.Kind(kind), sender, incarnation, number, about, rows))
+    rows = tuple(
+        gossip.MemberUpdate(whom, gossip.MemberState(state), inc, by) for whom, state, inc, by in updates
+    )
+    return gossip.encode(
+        gossip.GossipMessage(gossip.MessageKind(kind), sender, incarnation, number, about, rows)
+    )
 
 
 def decode_gossip(data: bytes) -> tuple[Any, ...] | None:
     """Kind, sender, incarnation, number, about whom, updates; None for what can't be read."""
-    said = news.decode(data)
+    said = gossip.decode(data)
     if said is None:
         return None
-    rows = tuple((u.whom, u.state.value, u.incarnation, u.by) for u in said.news)
-    return said.kind.value, said.sender, said.incarnation, said.number, said.about, rows
+    rows = tuple((u.member, u.state.value, u.incarnation, u.reported_by) for u in said.updates)
+    return said.kind.value, said.sender, said.incarnation, said.sequence, said.subject, rows
 
 
 def gossip_words() -> tuple[set[int], set[int]]:
     """The numbers of all kinds and of all states."""
-    return {kind.value for kind in news.Kind}, {state.value for state in news.State}
+    return {kind.value for kind in gossip.MessageKind}, {state.value for state in gossip.MemberState}
 
 
 def update_replaces(update: Sequence[int], known: Sequence[int]) -> bool:
     """Does an update take the place of what is known of the same member?"""
-    one, other = (news.News(whom, news.State(state), inc, by) for whom, state, inc, by in (update, known))
-    return news.beats(one, other)
+    one, other = (
+        gossip.MemberUpdate(whom, gossip.MemberState(state), inc, by)
+        for whom, state, inc, by in (update, known)
+    )
+    return gossip.supersedes(one, other)
 
 
 # A voter's state file.
 
 
-def _kept(values: Mapping[str, Any]) -> Kept:
-    return Kept(
-        digest=values["digest"],
+def _kept(values: Mapping[str, Any]) -> PersistentState:
+    return PersistentState(
+        cluster_digest=values["digest"],
         voters=tuple(values["voters"]),
-        silence_ns=values["silence_ns"],
-        ceiling=values["ceiling"],
-        left=tuple(map(tuple, values["left"])),
-        blank=values["blank"],
+        quiet_ns=values["silence_ns"],
+        ballot_ceiling=values["ceiling"],
+        former_voter_sets=tuple(map(tuple, values["left"])),
+        lost_state=values["blank"],
     )
 
 
-def _values(kept: Kept) -> dict[str, Any]:
+def _values(kept: PersistentState) -> dict[str, Any]:
     return {
-        "digest": kept.digest,
+        "digest": kept.cluster_digest,
         "voters": kept.voters,
-        "silence_ns": kept.silence_ns,
-        "ceiling": kept.ceiling,
-        "left": kept.left,
-        "blank": kept.blank,
+        "silence_ns": kept.quiet_ns,
+        "ceiling": kept.ballot_ceiling,
+        "left": kept.former_voter_sets,
+        "blank": kept.lost_state,
     }
 
 
 def write_state(folder: Path, member: str, values: Mapping[str, Any]) -> None:
     """Writes a voter's state, under the keys of the file."""
-    disk = Disk(folder, member)
+    state_file = StateFile(folder, member)
     try:
-        disk.write(_kept(values))
+        state_file.write(_kept(values))
     finally:
-        disk.close()
+        state_file.close()
 
 
 def read_state(folder: Path, member: str) -> dict[str, Any] | None:
     """What a voter's state file says, by its keys; None where there is none."""
-    disk = Disk(folder, member)
+    state_file = StateFile(folder, member)
     try:
-        kept = disk.read()
+        kept = state_file.read()
     finally:
-        disk.close()
+        state_file.close()
     return None if kept is None else _values(kept)
 
 
 def state_refusal(folder: Path, member: str) -> str:
     """The text under which a state file, or its folder, is refused."""
     try:
-        disk = Disk(folder, member)
-    except Refused as error:
+        state_file = StateFile(folder, member)
+    except VoterStateError as error:
         return str(error)
     try:
-        disk.read()
-    except Refused as error:
+        state_file.read()
+    except VoterStateError as error:
         return str(error)
     finally:
-        disk.close()
+        state_file.close()
     raise AssertionError(f"{folder}/{member}.json was read")
 
 
 def locked_state(folder: Path, member: str) -> str:
     """The text under which a second process with the same id is refused."""
-    disk = Disk(folder, member)
+    state_file = StateFile(folder, member)
     try:
         return state_refusal(folder, member)
     finally:
-        disk.close()
+        state_file.close()
 
 
 def voter_start(
@@ -224,45 +223,47 @@
     heard: Iterable[Mapping[str, Any]] = (),
     wanted: int = 0,
 ) -> tuple[bool, int | None, int]:
-    """Starts a voter on its state file and lets it hear others; what it wants on disk is written there.
+    """Starts a voter on its state file and lets it hear others; what it wants on state_file is written there.
 
     `heard`: others' answers as dicts with the keys voter, voting, blank, floor and left; `wanted`: a ballot
-    for which it makes room on disk afterwards, where that is not 0. Gives whether it may
+    for which it makes room on state_file afterwards, where that is not 0. Gives whether it may
     vote, until when it is silent (ns after its start), and the ballot above which it votes. Raises ValueError
     with the text of a refusal.
     """
     plan = made_plan(voters, "trust", lease_ms * MS, 10 * MS, 100 * MS)
-    disk = Disk(folder, member)
+    state_file = StateFile(folder, member)
     try:
-        seat = Seat(plan, member, 7, disk.read())
-        _written(seat, disk)
+        recovery = VoterRecovery(plan, member, 7, state_file.read())
+        _written(recovery, state_file)
         for answer in heard:
             said = (answer["voter"], 7, answer["voting"], answer["blank"], answer["floor"], True)
-            seat.hear(messages.Hello(*said, left=[list(row) for row in answer["left"]]))
-            _written(seat, disk)
+            recovery.receive_status(
+                messages.VoterStatus(*said, former_voter_sets=[list(row) for row in answer["left"]])
+            )
+            _written(recovery, state_file)
         if wanted:
-            seat.more(wanted)
-            _written(seat, disk)
-    except Refused as error:
+            recovery.extend_ceiling(wanted)
+            _written(recovery, state_file)
+    except VoterStateError as error:
         raise ValueError(str(error)) from None
     finally:
-        disk.close()
-    return seat.seated, seat.ready_ns, seat.base
+        state_file.close()
+    return recovery.may_vote, recovery.ready_ns, recovery.ballot_floor
 
 
-def _written(seat: Seat, disk: Disk) -> None:
-    while seat.store is not None:
-        disk.write(seat.store)
-        seat.stored(seat.store, 0)
+def _written(recovery: VoterRecovery, state_file: StateFile) -> None:
+    while recovery.pending_state is not None:
+        state_file.write(recovery.pending_state)
+        recovery.state_written(recovery.pending_state, 0)
 
 
 # Traces of schedules. A line is: true time in ns, what, and about whom; messages as their bytes.
 
 
-class TracedLeases(Leases):
+class TracedLeases(LeaseSimulation):
     """Leases in simulated time, noting what an observer outside of all processes would see."""
 
-    def __init__(self, schedule: Schedule, timing: Timing) -> None:
+    def __init__(self, schedule: Schedule, timing: LeaseTiming) -> None:
         self.lines: list[str] = []
         super().__init__(schedule, timing)
 
@@ -270,11 +271,11 @@
         self.lines.append(" ".join(map(str, (self.now, *words))))
 
     def _send(self, who: str, whom: str, message: Any) -> None:
-        self.line("send", who, whom, wire.encode(*message).hex())
+        self.line("send", who, whom, codec.encode(*message).hex())
         super()._send(who, whom, message)
 
     def _come(self, who: str, whom: str, message: Any) -> None:
-        self.line("come", who, whom, wire.encode(*message).hex())
+        self.line("come", who, whom, codec.encode(*message).hex())
         super()._come(who, whom, message)
 
     def _start(self, name: str) -> None:
@@ -285,13 +286,13 @@
         self.line("step", step.what, step.who, step.whom, step.ms, step.part)
         super()._step(step)
 
-    def write(self, votes: Votes) -> None:
+    def write(self, votes: VoterNode) -> None:
         assert votes.writing is not None
-        self.line("write", votes.name, msgspec.json.encode(votes.writing).decode())
+        self.line("write", votes.name, msgspec.json.encode(_values(votes.writing)).decode())
         super().write(votes)
 
-    def _written(self, votes: Votes, kept: Kept, life: int) -> None:
-        self.line("written", votes.name, msgspec.json.encode(kept).decode())
+    def _written(self, votes: VoterNode, kept: PersistentState, life: int) -> None:
+        self.line("written", votes.name, msgspec.json.encode(_values(kept)).decode())
         super()._written(votes, kept, life)
 
     def acted(self, name: str, token: int) -> None:
@@ -299,11 +300,11 @@
         super().acted(name, token)
 
     def after(self) -> None:
-        before = self.holders
+        before = self.held_tokens
         super().after()
-        for name in sorted({*before, *self.holders}):
-            if before.get(name) != self.holders.get(name):
-                self.line("token", name, before.get(name, 0), self.holders.get(name, 0))
+        for name in sorted({*before, *self.held_tokens}):
+            if before.get(name) != self.held_tokens.get(name):
+                self.line("token", name, before.get(name, 0), self.held_tokens.get(name, 0))
 
 
 def play_lease_schedule(seed: int) -> list[str]:
@@ -311,7 +312,7 @@
 
     Voters are 3 or 5, contenders 2 to 4; every fourth schedule changes the list of voters on the way.
     """
-    timing = Timing(lease_ns=1000 * MS, answer_ns=60 * MS, margin_ns=200 * MS, drift=0.01)
+    timing = LeaseTiming(lease_ns=1000 * MS, response_timeout_ns=60 * MS, stop_margin_ns=200 * MS, drift=0.01)
     schedule = drawn(seed, 3 + 2 * (seed % 2), 2 + seed % 3, 15_000, 1000, timing.drift, plans=seed % 4 == 0)
     world = TracedLeases(schedule, timing)
     world.play()
@@ -320,13 +321,13 @@
     return [to_json(schedule).decode(), *world.lines, f"counts {counts} {world.messages}"]
 
 
-class TracedMembers(Members):
+class TracedMembers(MembershipSimulation):
     """Membership in simulated time, noting messages, starts, deaths and each change of a view."""
 
-    def __init__(self, schedule: Schedule, zones: Sequence[str], pace: Pace) -> None:
+    def __init__(self, schedule: Schedule, zones: Sequence[str], timing: ProbeTiming) -> None:
         self.lines: list[str] = []
         self.noted = 0
-        super().__init__(schedule, zones, pace)
+        super().__init__(schedule, zones, timing)
 
     def line(self, *words: object) -> None:
         self.lines.append(" ".join(map(str, (self.now, *words))))
@@ -354,27 +355,29 @@
             self.line("leave", name)
             self.say(name, [(str(to), data) for to, data in detector.leave()])
 
-    def died(self, name: str, place: Place, disk: bool) -> None:
+    def died(self, name: str, place: Place, state_file: bool) -> None:
         self.line("died", name)
-        super().died(name, place, disk)
+        super().died(name, place, state_file)
 
     def after(self) -> None:
-        for _, who, whom, state in self.views[self.noted :]:
+        for _, who, whom, state in self.changes[self.noted :]:
             self.line("view", who, whom, state.value)
-        self.noted = len(self.views)
+        self.noted = len(self.changes)
 
 
 def play_membership(seed: int) -> list[str]:
     """8 to 12 members in three zones for 60 s: deaths, returns, cuts, slow members, one that leaves."""
     rng = random.Random(seed)
     count = 8 + seed % 5
-    schedule = members(count, seed, 60_000, (0.0, 0.05, 0.3)[seed % 3], _membership_steps(rng, count))
-    pace = Pace(death_ns=20_000 * MS)
-    world = TracedMembers(schedule, ["abc"[n % 3] for n in range(count)], pace)
+    schedule = membership_schedule(
+        count, seed, 60_000, (0.0, 0.05, 0.3)[seed % 3], _membership_steps(rng, count)
+    )
+    timing = ProbeTiming(death_ns=20_000 * MS)
+    world = TracedMembers(schedule, ["abc"[n % 3] for n in range(count)], timing)
     world.at(rng.randrange(10_000, 50_000) * MS, "leave", str(rng.randrange(count)))
     world.play()
     here = [d for d in map(world.detector, range(count)) if d is not None]
-    counted = [(d.me, d.counted(world.local(str(d.me)))) for d in here]
+    counted = [(d.me, d.count_alive(world.local(str(d.me)))) for d in here]
     return [to_json(schedule).decode(), *world.lines, f"counts {counted} {world.messages} {world.bytes}"]
 
 
--- a/tests/pinned/releases.py
+++ b/tests/pinned/releases.py
@@ -20,6 +20,7 @@
 import urllib.request
 from collections.abc import Callable
 from dataclasses import dataclass
+from itertools import pairwise
 from pathlib import Path
 from typing import Any
 
@@ -221,7 +222,7 @@
     def judged(self) -> list[Stay]:
         """All stays; fails where two acted at once, or a token did not rise."""
         stays = self.stays()
-        for earlier, later in zip(stays, stays[1:], strict=False):
+        for earlier, later in pairwise(stays):
             assert earlier.last_ns < later.first_ns, f"both act: {earlier}, {later}"
             assert earlier.token < later.token, f"the token fell: {earlier}, {later}"
         return stays
--- a/tests/pinned/test_fleet_bytes.py
+++ b/tests/pinned/test_fleet_bytes.py
@@ -258,7 +258,7 @@
 
 def test_what_does_not_fit_a_datagram_is_not_written() -> None:
     row = (LONGEST, LONGEST, MOST, MOST, MOST)
-    with pytest.raises(ValueError, match="^2072 bytes do not fit a datagram of 1200$"):
+    with pytest.raises(ValueError, match=r"^2072 bytes do not fit a datagram of 1200$"):
         names.encode_fleet(DIGEST, "view", MOST, LONGEST, MOST, (row,) * 12, True)
 
 
--- a/tests/pinned/test_mixed_versions.py
+++ b/tests/pinned/test_mixed_versions.py
@@ -48,7 +48,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(releases, "BEFORE", "0" * 40)
-    with pytest.raises(pytest.fail.Exception, match="is not in this clone.*clone the repository in full"):
+    with pytest.raises(pytest.fail.Exception, match=r"is not in this clone.*clone the repository in full"):
         export_before(tmp_path)
 
 
