--- a/tests/pinned/processes.py
+++ b/tests/pinned/processes.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import difflib
 import json
 import os
 import subprocess
@@ -79,8 +80,8 @@
 def same_as_kept(name: str, found: str) -> None:
     """What is found must be, to the last character, what the file of this name holds."""
     kept = (KEPT / name).read_text(encoding="utf-8")
-    assert found.splitlines() == kept.splitlines()
-    assert found == kept
+    lines = difflib.unified_diff(kept.splitlines(), found.splitlines(), name, "found", lineterm="", n=1)
+    assert found == kept, "\n".join(lines)
 
 
 def as_lines(rows: object) -> str:
