--- a/lanelift/policy/placement.py
+++ b/lanelift/policy/placement.py
@@ -45,13 +45,14 @@
     def serve_queues(self, now: int) -> None:
         """Serve the queue of each pool."""
         for pool in self.state.registry.pools.values():
-            self._serve(pool, now)
+            pool.saturated = False
+            if pool.queue:
+                self._serve(pool, now)
             if not pool.queue:
                 pool.blocked_since_ns = 0
 
     def _serve(self, pool: UpstreamPool, now: int) -> None:
         """Forward or shed requests from the head of a queue, until one has to wait."""
-        pool.saturated = False
         while pool.queue:
             request = pool.queue[0]
             if request.probed_upstreams and self.probing.is_waiting(request, now):
--- /dev/null
+++ b/tests/policy/test_answers.py
@@ -0,0 +1,86 @@
+"""Final answers: when a request that is not served is rejected, and when it fails."""
+
+from __future__ import annotations
+
+import pytest
+
+from lanelift.policy.actions import Fail, Reject, StartAttempt
+from lanelift.policy.events import (
+    ClientDisconnected,
+    EndpointState,
+    EndpointUpdate,
+    EndpointUpdateKind,
+)
+from lanelift.policy.settings import RequestClass
+from tests.policy.book import (
+    ANY,
+    CELL,
+    MS,
+    PAY,
+    READ,
+    Desk,
+    arrival,
+    of,
+    upstreams,
+)
+
+
+def test_a_served_request_needs_nothing_more() -> None:
+    """One attempt, one response: no other answer follows."""
+    desk = Desk()
+    assert len(of(StartAttempt, desk.give(arrival(1, desk.now)))) == 1
+    assert not of(Fail, desk.finish("r1")) and desk.answer["r1"] == "served"
+
+
+@pytest.mark.parametrize("cls", [READ, PAY, CELL, ANY])
+def test_with_no_upstream_listed_a_request_is_rejected_in_time(cls: RequestClass) -> None:
+    """The endpoint list is empty: a request of any class is rejected before its client gives up."""
+    desk = Desk(servers=0)
+    desk.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, desk.now, cls))
+    desk.advance(600 * MS)
+    assert desk.answer["r1"] == "refused"
+
+
+def test_with_all_upstreams_draining_a_request_is_rejected_in_time() -> None:
+    """All upstreams drain: a request gets no attempt, and is rejected before its client gives up."""
+    desk = Desk()
+    desk.give(
+        EndpointUpdate(
+            EndpointUpdateKind.DELTA, [u._replace(state=EndpointState.DRAINING) for u in upstreams(6)]
+        )
+    )
+    desk.give(arrival(1, desk.now, PAY))
+    desk.advance(600 * MS)
+    assert desk.answer["r1"] == "refused" and "r1" not in desk.sends
+
+
+def test_a_non_idempotent_request_that_times_out_fails() -> None:
+    """An attempt of a request that must never run twice times out. It may have run: it fails, and is
+    not retried.
+    """
+    desk = Desk()
+    desk.give(arrival(1, desk.now, PAY))
+    desk.advance(600 * MS)
+    assert desk.answer["r1"] == "failed" and len(desk.sends["r1"]) == 1
+
+
+def test_a_client_that_disconnects_ends_its_request() -> None:
+    """A client disconnects, and that is reported twice and for an unknown request: nothing more happens."""
+    desk = Desk()
+    desk.give(
+        arrival(1, desk.now),
+        ClientDisconnected("r1"),
+        ClientDisconnected("r1"),
+        ClientDisconnected("unknown"),
+    )
+    desk.advance(600 * MS)
+    assert desk.answer["r1"] == "gone"
+
+
+def test_retry_after_is_jittered() -> None:
+    """Thirty requests are rejected at once: their clients must not return at once."""
+    desk = Desk(servers=0)
+    desk.give(*(arrival(i, desk.now) for i in range(30)))
+    desk.advance(600 * MS)
+    told = {a.retry_after_ns for a in desk.log if isinstance(a, Reject)}
+    assert len(told) > 20
--- /dev/null
+++ b/tests/policy/test_checker.py
@@ -0,0 +1,71 @@
+"""The checker of the rules itself: it sees a breach of each."""
+
+from __future__ import annotations
+
+import pytest
+
+from lanelift.policy.actions import Action, Fail, Reject, StartAttempt
+from lanelift.policy.events import (
+    AttemptResult,
+    EndpointState,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+)
+from lanelift.policy.settings import Limits, Rules
+from tests.policy.book import (
+    BIG,
+    MS,
+    PAY,
+    ROW,
+    SECOND,
+    START,
+    WEST,
+    Desk,
+    arrival,
+    check_cold_budget,
+    places,
+    settings,
+)
+
+
+def breach(desk: Desk, *actions: Action) -> None:
+    """Carry out actions of which the last is illegal."""
+    with pytest.raises(AssertionError):
+        for action in actions:
+            desk._action(action)
+
+
+def test_the_checker_sees_a_breach_of_each_rule() -> None:
+    """Without this a checker that sees nothing would pass every test."""
+
+    def fresh(*events: Event) -> Desk:
+        desk = Desk(settings(limits=Limits(max_attempts=3)), servers=0)
+        for e in (EndpointUpdate(EndpointUpdateKind.SNAPSHOT, places(6)), *events):
+            desk._event(e)
+        return desk
+
+    one, pay = arrival(1, START), arrival(1, START, PAY)
+    breach(fresh(one), Reject("r1"), StartAttempt("r1", 1))  # 1: sent after its end
+    breach(fresh(one), Reject("r1"), Fail("r1"))  # 1: two answers
+    breach(fresh(one), StartAttempt("r1", 1), StartAttempt("r1", 2))  # 2: two out, copies not allowed
+    ran = fresh(pay)
+    ran._action(StartAttempt("r1", 1))
+    ran.results["r1", 0] = AttemptResult.ERROR
+    breach(ran, Reject("r1"))  # 2: refused though it may have run
+    breach(ran, StartAttempt("r1", 2))  # 2: unsafe and sent again
+    drains = fresh(
+        one, EndpointUpdate(EndpointUpdateKind.DELTA, [places(1)[0]._replace(state=EndpointState.DRAINING)])
+    )
+    breach(drains, StartAttempt("r1", 1))  # 3
+    with pytest.raises(AssertionError):  # 4
+        check_cold_budget([START + i * MS for i in range(60)], START, Rules(slow_start_ns=SECOND), 10.0)
+    row = [arrival(i, START, ROW, key="k") for i in (1, 2)]
+    breach(fresh(*row), StartAttempt("r2", 1))  # 5: before its turn
+    rests = fresh(*row)
+    rests._action(StartAttempt("r1", 1))
+    rests._event(rests.result("r1", 0, AttemptResult.RESET))
+    rests._action(Fail("r1"))
+    breach(rests, StartAttempt("r2", 1))  # 5: its key rests
+    breach(fresh(arrival(1, START, WEST)), StartAttempt("r1", 2))  # 6: zone
+    breach(fresh(arrival(1, START, BIG)), StartAttempt("r1", 2))  # 6: kind
--- /dev/null
+++ b/tests/policy/test_random_days.py
@@ -0,0 +1,107 @@
+"""Random legal days against the checker of the rules."""
+
+from __future__ import annotations
+
+import random
+
+from hypothesis import given
+from hypothesis import settings as hyp
+from hypothesis import strategies as st
+
+from lanelift.policy.events import (
+    AttemptResult,
+    BodyReceived,
+    ClientDisconnected,
+    EndpointState,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    ResponseStarted,
+)
+from lanelift.policy.settings import Limits
+from tests.policy.book import (
+    ANY,
+    BIG,
+    CELL,
+    MS,
+    PAY,
+    READ,
+    ROW,
+    SECOND,
+    WEST,
+    Desk,
+    arrival,
+    places,
+    settings,
+)
+
+RESULTS = [AttemptResult.OK] * 6 + [r for r in AttemptResult if r is not AttemptResult.TIMEOUT]
+
+
+@hyp(derandomize=True, deadline=None, max_examples=120)
+@given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
+def test_random_days_keep_the_rules(seed: int, copies: bool, push: bool, servers: int) -> None:
+    """Any legal order of arrivals, outcomes, updates and timers: every action is legal, each request
+    gets one answer.
+    """
+    rng = random.Random(seed)
+    limits = Limits(
+        max_attempts=rng.choice([1, 2, 3, 5]),
+        hedging=copies,
+        may_cancel=rng.random() < 0.7,
+        retry_after=True,
+        load_probes=True,
+        peer_messages=True,
+    )
+    desk = Desk(
+        settings(limits=limits, discovery_push=push, replica_count=rng.choice([1, 3, 40])), seed, servers
+    )
+    pool = places(servers)
+    desk.give(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, pool))
+    for number in range(rng.randint(5, 120)):
+        for _ in range(rng.choice([0, 1, 1, 2, 12])):
+            cls = rng.choice([READ, PAY, CELL, ANY, ROW, ROW, WEST, BIG])
+            ident = f"{number}-{rng.random()}"
+            came = arrival(
+                ident,
+                desk.now,
+                cls,
+                rng.choice(["ash", "birch"]),
+                rng.choice([2, 40, 300, 900]) * MS,
+                rng.random() < 0.2,
+                rng.choice(["", "k1", "k2"]),
+            )
+            desk.give(came._replace(body_pending=rng.random() < 0.2))
+        for request, attempt in desk.out():
+            if rng.random() < 0.1 and request not in desk.answer and request not in desk.begun:
+                upstream, sent = desk.sends[request][attempt]
+                desk.give(ResponseStarted(request, attempt, upstream.id, desk.now - sent))
+            elif request in desk.coming and request not in desk.answer and rng.random() < 0.3:
+                desk.give(BodyReceived(request, desk.now + rng.choice([2, 40, 300]) * MS))
+            elif request in desk.coming and rng.random() < 0.3:
+                desk.give(
+                    desk.result(request, attempt, AttemptResult.CONNECT_FAILED)._replace(body_consumed=True)
+                )
+            elif rng.random() < 0.4:
+                desk.give(desk.result(request, attempt, rng.choice(RESULTS)))
+        if rng.random() < 0.1:
+            open_ones = [r for r in desk.cls if r not in desk.answer]
+            if open_ones:
+                desk.give(ClientDisconnected(rng.choice(open_ones)))
+        if rng.random() < 0.1:
+            i = rng.randrange(len(pool))
+            started = desk.now if rng.random() < 0.5 else pool[i].started_ns
+            pool[i] = pool[i]._replace(state=rng.choice(list(EndpointState)), started_ns=started)
+            kind = rng.choice(
+                [EndpointUpdateKind.DELTA, EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED]
+            )
+            desk.give(EndpointUpdate(kind, [pool[i]] if kind is EndpointUpdateKind.DELTA else pool))
+        if not push and rng.random() < 0.05:
+            desk.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+        desk.advance(rng.choice([0, 1, 10, 50]) * MS)
+    desk.advance(2 * SECOND)
+    while out := desk.out():  # what is passed on, or is coming, may take for ever
+        request, attempt = out[0]
+        assert request in desk.begun or request in desk.coming
+        desk.give(desk.result(request, attempt, rng.choice(RESULTS)))
+    assert set(desk.answer) == set(desk.cls)
+    assert not desk.balancer.state.attempts_in_flight and not desk.balancer.requests
--- /dev/null
+++ b/tests/policy/test_subscription.py
@@ -0,0 +1,52 @@
+"""How the endpoint list is asked for."""
+
+from __future__ import annotations
+
+from lanelift.policy.actions import SetTimer, Subscribe
+from lanelift.policy.balancer import Balancer
+from lanelift.policy.events import (
+    EndpointUpdate,
+    EndpointUpdateKind,
+)
+from tests.policy.book import (
+    MS,
+    SECOND,
+    START,
+    Desk,
+    of,
+    settings,
+)
+
+
+def test_without_push_it_subscribes_and_backs_off() -> None:
+    """Each call to discovery fails: the calls come at growing intervals, within the notification deadline."""
+    desk = Desk(settings(discovery_push=False))
+    assert not of(Subscribe, desk.log)
+    desk.advance(5 * SECOND)
+    assert len(of(Subscribe, desk.log)) == 1
+    gaps, last = [], desk.now
+    for _ in range(4):
+        desk.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+        before = len(of(Subscribe, desk.log))
+        while len(of(Subscribe, desk.log)) == before:
+            desk.advance(50 * MS)
+            assert desk.now - last < 20 * SECOND
+        gaps.append(desk.now - last)
+        last = desk.now
+    assert gaps[0] < gaps[2] and max(gaps) <= desk.config.rules.notification_deadline_ns
+
+
+def test_first_calls_are_spread() -> None:
+    """Replicas start in one instant: their first calls to discovery are spread."""
+    delays = set()
+    for seed in range(10):
+        b = Balancer(settings(discovery_push=False), seed, START)
+        delays |= {a.delay_ns // (50 * MS) for a in b.handle(START, []) if isinstance(a, SetTimer)}
+    assert len(delays) > 5
+
+
+def test_with_push_it_never_calls_discovery() -> None:
+    """The endpoint list is pushed: no call is made."""
+    desk = Desk()
+    desk.advance(5 * SECOND)
+    assert not of(Subscribe, desk.log)
