--- /dev/null
+++ b/tests/net/support.py
@@ -0,0 +1,196 @@
+"""What tests of several modules share: orders of events that are forced, framings, and settings."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from lanelift.net import (
+    shutdown,
+)
+from lanelift.net.endpoint_list import upstream_number
+from lanelift.net.shutdown import GracefulShutdown
+from lanelift.policy.actions import Action, StartAttempt
+from lanelift.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    Event,
+    RequestArrived,
+)
+from lanelift.standins.http import Connection
+from tests.fakes import (
+    SECOND,
+    SETTINGS,
+    TEST_S,
+    Client,
+    FakeUpstream,
+    Heard,
+    World,
+    answer,
+    puppet,
+    world,
+)
+
+
+@asynccontextmanager
+async def ending(monkeypatch: pytest.MonkeyPatch, **more: Any) -> AsyncIterator[tuple[World, asyncio.Event]]:
+    """A world in which SIGTERM stops the listener at once, and an event that says when that was tried."""
+    monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
+    monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 2 * TEST_S)
+    stopped = asyncio.Event()
+    stop = GracefulShutdown.stop_listening
+
+    def watched(ending: GracefulShutdown) -> None:
+        stop(ending)
+        stopped.set()
+
+    monkeypatch.setattr(GracefulShutdown, "stop_listening", watched)
+    async with world(**more) as w:
+        yield w, stopped
+
+
+def terminate() -> None:
+    os.kill(os.getpid(), signal.SIGTERM)
+
+
+OK = b"HTTP/1.1 200 OK\r\n"
+
+
+LONG = bytes(range(251)) * 2000  # half a megabyte, no piece of it like the next
+
+
+def response_with_length(body: bytes) -> bytes:
+    return answer(200, body)
+
+
+def chunked_response(body: bytes, size: int = 50_000) -> bytes:
+    parts = [body[at : at + size] for at in range(0, len(body), size)]
+    rows = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
+    return OK + b"Transfer-Encoding: chunked\r\n\r\n" + rows + b"0\r\nX-Trailer: t\r\n\r\n"
+
+
+async def body_of(client: Client) -> tuple[dict[str, str], bytes]:
+    """An answer in any framing, as RFC 9112 tells a client to read it."""
+    head = (await client.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
+    first, *lines = head.strip().split("\r\n")
+    assert first.split(" ")[1] == "200", first
+    headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
+    if headers.get("transfer-encoding") == "chunked":
+        body = b""
+        while size := int(await client.reader.readline(), 16):
+            body += await client.reader.readexactly(size)
+            assert await client.reader.readexactly(2) == b"\r\n"
+        assert await client.reader.readline() == b"\r\n"
+        return headers, body
+    if "content-length" in headers:
+        return headers, await client.reader.readexactly(int(headers["content-length"]))
+    return headers, await client.reader.read()
+
+
+class Steps:
+    """An upstream's answer that is written step by step; `link` is the connection that it goes to."""
+
+    def __init__(self, w: World) -> None:
+        self.w = w
+        self.asked = asyncio.Event()
+        w.upstreams[0].script = [self._reply]
+
+    async def _reply(self) -> bytes:
+        self.asked.set()
+        await asyncio.Event().wait()
+        return b""
+
+    @property
+    def link(self) -> Connection:
+        return self.w.upstreams[0].links[-1]
+
+    async def write(self, data: bytes) -> None:
+        await self.asked.wait()
+        assert self.link.transport is not None
+        self.link.transport.write(data)
+
+    async def end(self) -> None:
+        assert self.link.transport is not None
+        self.link.transport.close()
+
+
+@asynccontextmanager
+async def stepwise(**more: Any) -> AsyncIterator[tuple[World, Client, Steps]]:
+    async with world(**more) as w:
+        steps = Steps(w)
+        client = await w.client()
+        client.send("r1")
+        yield w, client, steps
+        client.close()
+
+
+R = AttemptResult
+
+
+# Nothing may be called off, and a handshake may take its time.
+LIMITS = replace(SETTINGS.limits, may_cancel=False, max_attempts=2, connect_timeout_ns=60 * SECOND)
+
+
+PATIENT = replace(SETTINGS, limits=LIMITS)
+
+
+class Gate:
+    """Holds back the connections to some upstreams until it is opened."""
+
+    def __init__(self, *upstreams: FakeUpstream) -> None:
+        loop = asyncio.get_running_loop()
+        connect, ports = loop.create_connection, [u.port for u in upstreams]
+        self.reached, self.open = asyncio.Event(), asyncio.Event()
+
+        async def held(factory: Any, host: str, port: int, **more: Any) -> Any:
+            if port in ports:
+                self.reached.set()
+                await self.open.wait()
+            return await connect(factory, host, port, **more)
+
+        loop.create_connection = held  # type: ignore[method-assign, assignment]
+
+
+def to_first_then_second(monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+    """A module that sends each request to `s-0`, and to `s-1` once that has come to nothing."""
+
+    def acts(event: Event, _: int) -> list[Action]:
+        if isinstance(event, RequestArrived):
+            return [StartAttempt(event.request, upstream_number("s-0"))]
+        if isinstance(event, AttemptFinished) and event.attempt == 0 and event.result is not R.OK:
+            return [] if event.request_complete else [StartAttempt(event.request, upstream_number("s-1"))]
+        return []
+
+    puppet(monkeypatch, heard, acts)
+
+
+def ids(seen: FakeUpstream) -> list[str]:
+    return [m.headers["x-request-id"] for m in seen.seen]
+
+
+LEAVES = {"end": lambda client: client.close(), "reset": lambda client: client.reset()}
+
+
+CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+
+def request_head(name: str, kind: str = "pay", *rows: str) -> bytes:
+    lines = ["Host: o", f"X-Request-Id: {name}", *rows]
+    return f"POST /{kind} HTTP/1.1\r\n{''.join(line + chr(13) + chr(10) for line in lines)}\r\n".encode()
+
+
+def request_with_length(name: str, body: bytes, kind: str = "pay") -> bytes:
+    return request_head(name, kind, f"Content-Length: {len(body)}") + body
+
+
+def chunked_request(name: str, body: bytes, kind: str = "pay", size: int = 30_000) -> bytes:
+    parts = [body[at : at + size] for at in range(0, len(body), size)]
+    rows = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
+    return request_head(name, kind, "Transfer-Encoding: chunked") + rows + b"0\r\n\r\n"
--- /dev/null
+++ b/tests/net/test_attempts.py
@@ -0,0 +1,242 @@
+"""Attempts: one outcome each, and what their clients are answered."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from lanelift.net.exchange import Exchange
+from lanelift.net.socket_options import peer_state
+from lanelift.net.upstream_connection import UpstreamConnection
+from lanelift.policy.actions import Action, StartAttempt
+from lanelift.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    ClientDisconnected,
+    Event,
+    RequestArrived,
+)
+from tests.fakes import (
+    CLASSES,
+    SETTINGS,
+    Heard,
+    answer,
+    never,
+    puppet,
+    run,
+    world,
+)
+from tests.net.support import OK, PATIENT, Gate, R, ids, to_first_then_second
+
+AIM_NS = CLASSES["quote"].latency_objective_ns
+
+
+def test_a_request_goes_on_unchanged_and_its_answer_comes_back(heard: Heard) -> None:
+    async def test() -> None:
+        async with world(settings=replace(SETTINGS, load_report_fields=("inflight", "util"))) as w:
+            body = bytes(range(256)) * 256  # 64 KiB
+            load = "X-Load: inflight=7,util=0.5"
+            w.upstreams[0].script = [answer(200, body[::-1], "Content-Type: text/x", load)]
+            got = await w.ask(
+                "r1",
+                "pay",
+                "POST",
+                body,
+                "/pay/a%20b?x=1&obj=7f&y=",
+                Idempotency_Key="k1",
+                X_Cost_Hint=12000,
+                X_Retry=1,
+            )
+            assert (got.status, got.body, got.headers["content-type"]) == (200, body[::-1], "text/x")
+            seen = w.upstreams[0].seen[-1]
+            assert seen.start[:2] == ["POST", "/pay/a%20b?x=1&obj=7f&y="] and seen.body == body
+            assert seen.headers["x-request-id"] == "r1" and seen.headers["idempotency-key"] == "k1"
+            assert 0 < int(seen.headers["x-deadline-ms"]) <= 3000
+            (arrived,) = heard.of(RequestArrived)
+            assert (arrived.cost_hint_ns, arrived.key, arrived.retry) == (12_000_000, "7f", True)
+            await heard.until(lambda: heard.of(AttemptFinished))
+            (outcome,) = heard.of(AttemptFinished)
+            assert (outcome.result, outcome.request_complete) == (R.OK, True)
+            assert outcome.report == {"inflight": 7.0, "util": 0.5}
+
+    run(test())
+
+
+@pytest.mark.parametrize(
+    ("reply", "result"),
+    [
+        (answer(500), R.ERROR),
+        (answer(503, b"", "X-Not-Run: 1"), R.REJECTED),
+        (answer(504, b"", "X-Not-Run: 1"), R.REJECTED),
+        (answer(503), R.ERROR),
+        (None, R.RESET),
+        (answer(200, b"whole")[:-2], R.TIMEOUT),  # begun, and silent from then on
+        (b"not HTTP at all\r\n\r\n", R.ERROR),  # it has run, and no connection broke
+        (OK + b"\r\nbody", R.ERROR),  # no length: whether it is whole can't be known
+        (OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
+        (OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", R.ERROR),
+        (OK + b"Content-Length: 3000000000\r\n\r\nbody", R.ERROR),
+        (OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nzz\r\nbody\r\n0\r\n\r\n", R.ERROR),
+        (OK + b"X-Pad: p\r\n" * 10_000, R.ERROR),  # a head without end
+        (OK + b"no colon here\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
+        (b"HTTP/1.1 102 Processing\r\n\r\n" * 100, R.ERROR),
+        (never, R.TIMEOUT),
+    ],
+)
+@pytest.mark.parametrize("kind", ["quote", "pay"])
+def test_outcomes(heard: Heard, reply: Any, result: AttemptResult, kind: str) -> None:
+    """An upstream answers with an error, breaks off, sends what can't be read, or says nothing. Each
+    attempt has exactly one outcome, and its client is told honestly: a rejection where nothing can have
+    run, else a failure.
+    """
+
+    async def test() -> None:
+        async with world() as w:
+            w.upstreams[0].script = [reply]
+            got = await w.ask(
+                "r1",
+                kind,
+                "GET" if kind == "quote" else "POST",
+                X_Deadline_Ms=400 if result is R.TIMEOUT else 3000,
+            )
+            await heard.until(lambda: heard.of(AttemptFinished))
+            (outcome,) = heard.of(AttemptFinished)
+            assert (outcome.request, outcome.attempt, outcome.result) == ("r1", 0, result)
+            assert not outcome.request_complete
+            if kind == "quote" or result is R.REJECTED:
+                assert got.status == 503 and 0 < float(got.headers["retry-after"]) <= 1
+            else:  # it may have run: no promise
+                assert got.status == (504 if result is R.TIMEOUT else 502)
+                assert "retry-after" not in got.headers
+
+    run(test())
+
+
+def test_the_deadline_cuts_the_attempt_and_the_answer_comes_in_time(heard: Heard) -> None:
+    """An upstream never answers. The attempt ends at its client's deadline and its connection is closed, so
+    that the upstream knows, and a late response answers nobody else.
+    """
+
+    async def test() -> None:
+        async with world() as w:
+            w.upstreams[0].script = [never]
+            got = await w.ask("r1", X_Deadline_Ms=300)
+            assert got.status == 503
+            assert int(w.upstreams[0].seen[-1].headers["x-deadline-ms"]) < 300
+            (outcome,) = heard.of(AttemptFinished)
+            assert outcome.result is R.TIMEOUT and outcome.duration_ns < AIM_NS
+            # Giving up an attempt closes its connection: the upstream knows, and a late answer hits nobody.
+            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+
+    run(test())
+
+
+def test_a_client_that_leaves(heard: Heard) -> None:
+    """A client disconnects while its request is at an upstream. The attempt is cancelled, and the
+    upstream's connection is closed.
+    """
+
+    async def test() -> None:
+        async with world() as w:
+            client = await w.held("r1")
+            client.close()
+            await heard.until(lambda: heard.of(ClientDisconnected) and heard.of(AttemptFinished))
+            (outcome,) = heard.of(AttemptFinished)
+            assert (outcome.result, outcome.request_complete) == (R.CANCELLED, True)
+            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+
+    run(test())
+
+
+def test_a_send_that_cannot_start_is_moot(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The decisions ask for attempts that are not allowed: a second one beside the first, and one at an
+    upstream that nobody listed. Nothing is sent, and each has the outcome NOT_SENT.
+    """
+
+    heard = Heard()
+
+    def acts(event: Event, upstream: int) -> list[Action]:
+        if isinstance(event, RequestArrived):  # a second copy is not allowed, nor an upstream nobody listed
+            return [StartAttempt("r1", upstream), StartAttempt("r1", upstream), StartAttempt("r1", 99)]
+        return []
+
+    puppet(monkeypatch, heard, acts)
+
+    async def test() -> None:
+        limits = replace(SETTINGS.limits, max_attempts=5)
+        async with world(settings=replace(SETTINGS, limits=limits)) as w:
+            assert (await w.ask("r1")).status == 200
+            await heard.until(lambda: len(heard.of(AttemptFinished)) == 3)
+            assert {o.attempt: o.result for o in heard.of(AttemptFinished)} == {
+                0: R.OK,
+                1: R.NOT_SENT,
+                2: R.NOT_SENT,
+            }
+            assert len(w.upstreams[0].seen) == 1
+
+    run(test())
+
+
+@pytest.mark.usefixtures("settled")
+def test_a_request_whose_client_leaves_while_its_connection_comes_up_is_not_sent(heard: Heard) -> None:
+    """A client disconnects while the connection for its request is being opened. The request is not sent
+    when the connection is up, no upstream is blamed, and the connection serves the next request.
+    """
+
+    async def test() -> None:
+        async with world(settings=PATIENT) as w:
+            gate = Gate(w.upstreams[0])
+            client = await w.client()
+            client.send("r1")
+            await gate.reached.wait()
+            client.close()
+            await heard.until(lambda: heard.of(ClientDisconnected))
+            gate.open.set()
+            assert (await w.ask("r2")).status == 200
+            assert ids(w.upstreams[0]) == ["r2"]
+            assert heard.results() == [R.NOT_SENT, R.OK]  # of no upstream's making
+
+    run(test())
+
+
+@pytest.mark.usefixtures("settled")
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"\x00noise",
+        b"HTTP/1.1 500 X\r\nContent-Length: 900000\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
+    ],
+)
+def test_an_attempt_has_ended_at_its_upstream_before_the_next_one_leaves(
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, spoilt: bytes
+) -> None:
+    """An upstream's answer can't be read, and the request is retried elsewhere. An attempt that was given
+    up may run for as long as its connection is open, so two would run at once. Its connection has ended
+    before the next attempt leaves.
+    """
+
+    to_first_then_second(monkeypatch, heard)
+    ended: list[bool] = []
+    start = UpstreamConnection.start
+
+    async def test() -> None:
+        async with world(2, settings=PATIENT) as w:
+            first, second = w.upstreams
+            first.script = [b"\x00", spoilt]
+            assert (await w.ask("r1")).body == second.name.encode()  # a connection to it stands from now on
+
+            def watched(connection: UpstreamConnection, exchange: Exchange) -> None:
+                if b"X-Request-Id: r2" in exchange.request or b"x-request-id: r2" in exchange.request:
+                    transport = first.links[-1].transport
+                    assert transport is not None
+                    ended.append(peer_state(transport.get_extra_info("socket"))[0])
+                start(connection, exchange)
+
+            monkeypatch.setattr(UpstreamConnection, "start", watched)
+            assert (await w.ask("r2")).body == second.name.encode()
+            assert ended == [False, True]  # at the first send, and at the second
+
+    run(test())
--- /dev/null
+++ b/tests/net/test_dispatch.py
@@ -0,0 +1,80 @@
+"""Events handed to the decisions, and their actions carried out."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from lanelift import daemon
+from lanelift.net.dispatch import Dispatcher
+from lanelift.policy.actions import Action, StartAttempt
+from lanelift.policy.events import (
+    Event,
+    RequestArrived,
+)
+from tests.fakes import (
+    Heard,
+    puppet,
+    run,
+    world,
+)
+
+
+def test_a_failing_module_fails_the_request_and_is_logged(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    """The decisions raise an exception while they handle a request. It is answered with 502 and logged with
+    its identifier, and requests behind it are served.
+    """
+
+    def acts(event: Event, upstream: int) -> list[Action]:
+        if isinstance(event, RequestArrived) and event.request == "bad":
+            raise RuntimeError("out of its mind")
+        return [StartAttempt(event.request, upstream)] if isinstance(event, RequestArrived) else []
+
+    puppet(monkeypatch, Heard(), acts)
+
+    async def test() -> None:
+        async with world() as w:
+            assert (await w.ask("bad")).status == 502
+            assert (await w.ask("good")).status == 200
+        (record,) = [r for r in caplog.records if r.exc_info]
+        assert "bad" in record.getMessage()
+
+    run(test())
+
+
+def test_churn_leaves_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Upstreams come and go all the time, each under a new identifier. Were anything kept of those that are
+    gone, memory and connections would grow without end: nothing is.
+    """
+
+    built: list[Dispatcher] = []
+
+    def build(*args: Any) -> Dispatcher:
+        built.append(Dispatcher(*args))
+        return built[-1]
+
+    monkeypatch.setattr(daemon, "Dispatcher", build)
+
+    async def test() -> None:
+        async with world() as w:
+            upstream = w.upstreams[0]
+            for number in range(30):  # ever new ids at one address, each with its own connections
+                assert (await w.ask(f"r{number}", obj=number)).status == 200
+                before, upstream.name = upstream.row("Gone"), f"new-{number}"
+                await w.tell(before, upstream.row())
+            (balancer,) = built
+            await upstream.until(lambda: upstream.ended >= 30)
+            assert (await w.ask("last")).status == 200
+            assert len(balancer.upstreams.pool.targets) == len(balancer.balancer.fleet.servers) == 1
+            pool = balancer.upstreams.pool
+            assert pool.open_connections <= 2 and not pool.connect_tasks
+            assert (
+                not balancer.requests.by_id
+                and not balancer.requests.awaiting_answer
+                and not balancer.balancer.requests
+            )
+
+    run(test())
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -1,4 +1,4 @@
-"""A connection that does not come up is given up by what others take; its request goes elsewhere in time."""
+"""How long a request waits for a connection to come up."""
 
 from __future__ import annotations
 
@@ -39,6 +39,11 @@
 
 @pytest.mark.usefixtures("settled")
 def test_an_upstream_that_moved_further_away_is_learned_and_used(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An upstream's handshakes suddenly take longer than a request waits for one. Were a handshake ended
+    with its request's wait, nothing would be learned, and the upstream never be reached. It goes on, its
+    time is learned from, and its connection serves the next request.
+    """
+
     # Were a handshake ended with its request's patience, nothing would be learned, and it never be reached.
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -73,6 +78,10 @@
 
 
 def test_what_does_not_connect_is_given_up_long_before_the_limit() -> None:
+    """A handshake is not answered where others came up within milliseconds. Its request goes elsewhere long
+    before the settings' limit.
+    """
+
     async def test() -> None:
         upstreams = Upstreams(replace(SETTINGS.limits, connect_timeout_ns=60_000_000_000), 8, ())
         upstreams.pool.handshakes.record(0.001)  # others came up
--- a/tests/net/test_parse.py
+++ b/tests/net/test_http_parser.py
@@ -1,15 +1,32 @@
-"""What the reader of messages takes, and what it turns away: no sockets."""
+"""The parsers by themselves."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 import pytest
+from hypothesis import given
+from hypothesis import strategies as st
 
 from lanelift.net.http_parser import RequestParser, ResponseParser
-from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES, MAX_FRAMING_FACTOR, MAX_HEAD_BYTES
+from lanelift.net.message_parser import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_FRAMING_FACTOR,
+    MAX_HEAD_BYTES,
+)
+from tests.net.support import (
+    LONG,
+    OK,
+    chunked_request,
+    chunked_response,
+    request_with_length,
+    response_with_length,
+)
 
 HEAD = b"POST /pay HTTP/1.1\r\nHost: h\r\n"
+
+
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-OK = b"HTTP/1.1 200 OK\r\n"
 
 
 @pytest.mark.parametrize("step", [1, 7, 1_000_000])
@@ -75,6 +92,10 @@
     ],
 )
 def test_requests_that_are_turned_away(data: bytes, status: int) -> None:
+    """Requests are malformed, ambiguous, too large or of another protocol. Each is rejected with its
+    status, and nothing behind it is read.
+    """
+
     for step in (1000, 1_000_000_000):
         reader = RequestParser()
         for at in range(0, len(data), step):
@@ -85,6 +106,10 @@
 
 
 def test_a_wish_for_another_protocol_is_ignored_in_a_request_and_not_believed_in_an_answer() -> None:
+    """A request asks for another protocol: it is read as if it did not, and is the last on its connection.
+    A response that claims to change it is an error.
+    """
+
     wish = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader = RequestParser()
     reader.feed(HEAD + wish)
@@ -114,6 +139,10 @@
     ],
 )
 def test_an_answer_and_whether_anything_stands_behind_it(data: bytes, body: bytes, clean: bool) -> None:
+    """Something stands behind a response: noise, or a second response. It must be seen, as the next
+    request's response would be read from there.
+    """
+
     reader = ResponseParser()
     reader.feed(data)
     assert reader.messages.popleft().body == body
@@ -129,3 +158,103 @@
     reader.expect_response(MAX_BUFFERED_BODY_BYTES)
     reader.feed(long)
     assert reader.error is not None and not reader.messages
+
+
+@given(
+    st.integers(0, 3 * MAX_BUFFERED_BODY_BYTES),
+    st.lists(st.integers(1, 100_000), max_size=8),
+    st.sampled_from([response_with_length, chunked_response]),
+)
+def test_what_is_passed_on_does_not_depend_on_where_it_was_cut(
+    size: int, cuts: list[int], framed: Callable[[bytes], bytes]
+) -> None:
+    body = LONG[:size]
+    data = framed(body)
+    reader = ResponseParser()
+    reader.expect_response(MAX_BUFFERED_BODY_BYTES, True)
+    got, at = b"", 0
+    for step in [*cuts, len(data)]:
+        reader.feed(data[at : at + step])
+        at += step
+        assert reader.partial is None or len(reader.partial.body) <= MAX_BUFFERED_BODY_BYTES
+        if reader.streaming is not None:
+            got += reader.take_body()
+    assert reader.error is None and not reader.has_partial
+    whole = reader.messages.popleft()
+    assert (reader.streaming is not None) == (size > MAX_BUFFERED_BODY_BYTES)
+    assert (got or whole.body) == body and not (got and whole.body)
+
+
+def test_cut_at_every_byte_a_long_answer_in_chunks_is_never_whole() -> None:
+    """A connection ends in the middle of a response in chunks, at each possible byte. The response is never
+    taken for complete.
+    """
+
+    data = chunked_response(LONG[:2000], 700)
+    for at in range(len(data)):
+        reader = ResponseParser()
+        reader.expect_response(1000, True)
+        reader.feed(data[:at])
+        reader.connection_ended()
+        assert not reader.messages, at
+    reader.feed(data[at:])
+    assert reader.messages
+
+
+@pytest.mark.parametrize(
+    ("head", "believed"),
+    [
+        (b"Connection: close\r\n", True),
+        (b"Connection: Keep-Alive, Close\r\n", True),
+        (b"", False),
+        (b"Connection: keep-alive\r\n", False),
+        (b"Connection: close\r\nContent-Length: 4\r\n", False),
+    ],
+)
+def test_an_end_of_connection_ends_an_answer_only_where_it_says_so(head: bytes, believed: bool) -> None:
+    """A response has no length, and its connection ends. It may be complete or have been cut off. It is
+    taken for complete only if it said that the connection would close.
+    """
+
+    reader = ResponseParser()
+    reader.expect_response(MAX_BUFFERED_BODY_BYTES, True)
+    reader.feed(OK + head + b"\r\nabc")
+    reader.connection_ended()
+    assert [r.body for r in reader.messages] == ([b"abc"] if believed else [])
+
+
+@given(
+    st.lists(st.tuples(st.integers(0, 3 * MAX_BUFFERED_BODY_BYTES), st.booleans()), max_size=4),
+    st.integers(500, 16_384),
+)
+def test_messages_do_not_mix_however_long_and_however_they_are_cut(
+    wanted: list[tuple[int, bool]], step: int
+) -> None:
+    """Long and short requests stand close behind each other, and come in pieces of any size. Each gets its
+    own bytes, and only these.
+    """
+
+    data = b"".join(
+        (chunked_request if in_chunks else request_with_length)(f"r{number}", LONG[number : number + size])
+        for number, (size, in_chunks) in enumerate(wanted)
+    )
+    reader = RequestParser()
+    got: list[bytes] = []
+    long = b""
+    for start in range(0, len(data), step):
+        reader.feed(data[start : start + step])
+        while True:
+            if reader.messages and not reader.messages[0].streamed:
+                got.append(reader.messages.popleft().body)
+            elif reader.streaming is not None:
+                long += reader.take_body()
+                if not reader.messages:
+                    break
+                assert reader.messages.popleft().body == b""
+                reader.finish_streamed()
+                got.append(long)
+                long = b""
+            else:
+                break
+    assert reader.error is None
+    assert got == [LONG[number : number + size] for number, (size, _) in enumerate(wanted)]
--- /dev/null
+++ b/tests/net/test_peers.py
@@ -0,0 +1,70 @@
+"""Messages between replicas."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+
+from lanelift.net import dispatch
+from lanelift.policy.actions import Action, SendPeerMessage
+from lanelift.policy.balancer import Balancer
+from lanelift.policy.events import (
+    EndpointUpdate,
+    PeerMessageReceived,
+)
+from tests.fakes import (
+    Heard,
+    run,
+    world,
+)
+
+
+def test_peers(heard: Heard) -> None:
+    """Datagrams come from strangers, too large, and from a peer. Only the peer's is handed on."""
+
+    async def test() -> None:
+        with (
+            socket.socket(type=socket.SOCK_DGRAM) as peer,
+            socket.socket(type=socket.SOCK_DGRAM) as odd,
+            socket.socket(type=socket.SOCK_DGRAM) as own,
+        ):
+            for sock in (peer, odd, own):
+                sock.bind(("127.0.0.1", 0))
+                sock.setblocking(False)
+            address = own.getsockname()
+            own.close()
+            async with world(
+                peer_listen=address, peers=[address, peer.getsockname()], peers_all=peer.getsockname()
+            ):
+                await heard.until(lambda: heard.of(EndpointUpdate))
+                odd.sendto(b"from nobody", address)
+                peer.sendto(b"x" * 300, address)
+                peer.sendto(b"hello", address)
+                await heard.until(lambda: heard.of(PeerMessageReceived))
+                assert [(m.sender, m.data) for m in heard.of(PeerMessageReceived)] == [(1, b"hello")]
+
+    run(test())
+
+
+def test_a_message_is_told_to_one_peer_or_all(monkeypatch: pytest.MonkeyPatch) -> None:
+    class Teller(Balancer):
+        def handle(self, now: int, events: object) -> list[Action]:
+            return [SendPeerMessage(b"one", 0), SendPeerMessage(b"all")]
+
+    monkeypatch.setattr(dispatch, "Balancer", Teller)
+
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        with socket.socket(type=socket.SOCK_DGRAM) as peer, socket.socket(type=socket.SOCK_DGRAM) as everyone:
+            for sock in (peer, everyone):
+                sock.bind(("127.0.0.1", 0))
+                sock.setblocking(False)
+            async with world(
+                peer_listen=("127.0.0.1", 0), peers=[peer.getsockname()], peers_all=everyone.getsockname()
+            ):
+                assert await loop.sock_recv(peer, 300) == b"one"
+                assert await loop.sock_recv(everyone, 300) == b"all"
+
+    run(test())
--- /dev/null
+++ b/tests/net/test_request_head.py
@@ -0,0 +1,76 @@
+"""What is read from the head of a client's request."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from urllib.parse import quote
+
+import pytest
+
+from lanelift.policy.events import RequestArrived
+from lanelift.policy.settings import Tenant
+from tests.fakes import (
+    SETTINGS,
+    Heard,
+    run,
+    world,
+)
+
+
+def test_an_id_that_is_open_already() -> None:
+    """A request has the identifier of one that is open. Answers and events could not be told apart, so it
+    is answered with 409.
+    """
+
+    async def test() -> None:
+        async with world() as w:
+            first = await w.held("r1")
+            assert (await w.ask("r1")).status == 409
+            first.close()
+
+    run(test())
+
+
+@pytest.mark.parametrize("coding", ["utf-8", "latin-1"])
+@pytest.mark.parametrize("named", [True, False])
+def test_names_of_any_characters(heard: Heard, coding: str, named: bool) -> None:
+    """Classes and tenants are called what the settings say: headers carry that as bytes, paths quoted."""
+    kind, tenant = "prix d'\u00e9t\u00e9/1", "Zo\u00eb & fils"
+    settings = replace(
+        SETTINGS,
+        classes={kind: replace(SETTINGS.classes["quote"], name=kind)},
+        tenants={tenant: Tenant(tenant)},
+    )
+
+    async def test() -> None:
+        async with world(settings=settings) as w:
+            client = await w.client()
+            path = quote(kind, safe="")
+            given = f"X-Class: {kind}\r\n" if named else ""
+            got = await client.raw(
+                f"GET /{path}?obj=1 HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\n{given}"
+                f"X-Tenant: {tenant}\r\n\r\n".encode(coding)
+            )
+            assert got.status == 200
+            assert w.upstreams[0].seen[0].start[1] == f"/{path}?obj=1"
+            (arrived,) = heard.of(RequestArrived)
+            assert (arrived.class_name, arrived.tenant) == (kind, tenant)
+
+    run(test())
+
+
+def test_a_method_that_is_not_the_class_s_and_an_endless_id() -> None:
+    """Requests have a method or a body that their class does not have, or an identifier of a kilobyte. They
+    are rejected, and the connection goes on.
+    """
+
+    async def test() -> None:
+        async with world() as w:
+            client = await w.client()
+            assert (await client.ask("r1", "pay", "GET")).status == 405
+            assert (await client.ask("r1", "quote", "DELETE")).status == 405
+            assert (await client.ask("r1", "quote", "GET", b"body")).status == 400
+            assert (await client.ask("r" * 1000)).status == 400
+            assert (await client.ask("r1")).status == 200
+
+    run(test())
--- a/tests/net/test_repeats.py
+++ b/tests/net/test_retries.py
@@ -1,5 +1,4 @@
-"""Every way in which an attempt ends, against what repeating its request may do: judged at the upstreams, by
-the requests that came there and by whether the connection of the one before was still open."""
+"""What is sent again after an attempt, and what is not."""
 
 from __future__ import annotations
 
@@ -22,6 +21,8 @@
 from tests.fakes import MS, SECOND, SETTINGS, FakeUpstream, Message, World, answer, never, run, world
 
 SAFE, KEYED, UNSAFE = Idempotency
+
+
 CLASSES = {
     effect.value: RequestClass(
         effect.value,
@@ -32,8 +33,14 @@
     )
     for effect in Idempotency
 }
+
+
 LIMITS = replace(SETTINGS.limits, max_attempts=3, may_cancel=False, connect_timeout_ns=SECOND)
+
+
 WHOLE = answer(200, b"late")
+
+
 NEVER, MAY = True, False  # has it surely never run?
 
 
@@ -106,6 +113,10 @@
 @pytest.mark.parametrize("effect", Idempotency)
 @pytest.mark.parametrize("how", ENDS)
 def test_what_may_have_run_is_sent_again_only_where_that_is_harmless(how: str, effect: Idempotency) -> None:
+    """An attempt ends in one of many ways. A request is sent again only if it surely never ran, or if
+    running it twice does no harm, and never while the attempt before may still run.
+    """
+
     ending, never_ran = ENDS[how]
 
     async def test() -> None:
@@ -124,8 +135,10 @@
 
 @pytest.mark.parametrize("effect", Idempotency)
 def test_what_timed_out_is_not_sent_again_and_what_is_refused_never_ran(effect: Idempotency) -> None:
-    """An attempt runs as long as its client waits: a time-out is the end of both. A refusal says that trying
-    again is harmless, so an unsafe request that may have run is answered as failed."""
+    """An upstream says nothing until its client gives up. An attempt runs as long as its client waits, so a
+    time-out is the end of both. A rejection says that trying again is harmless, so a non-idempotent request
+    that may have run is answered as failed.
+    """
 
     async def test() -> None:
         async with world(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
@@ -142,6 +155,10 @@
 def test_an_attempt_that_found_nobody_is_made_again_elsewhere(
     monkeypatch: pytest.MonkeyPatch, effect: Idempotency
 ) -> None:
+    """Two of three upstreams refuse connections. Nothing of a request was written there, so whatever its
+    class it is sent to the third, and each client is served.
+    """
+
     monkeypatch.setattr(
         handshakes, "MIN_HANDSHAKE_TIMEOUT_S", 1.0
     )  # on a busy machine a good one may need more than 30 ms
@@ -161,7 +178,9 @@
 
 
 def test_an_answer_that_lies_here_when_its_time_is_over_is_served() -> None:
-    """Both in one turn of the loop, which was late: what was read goes before what is due."""
+    """The loop is late: a response and its attempt's time-out are found in one turn. What was read goes
+    before what is due, and the client gets the response.
+    """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
--- /dev/null
+++ b/tests/net/test_shutdown.py
@@ -0,0 +1,228 @@
+"""Drain and SIGTERM, in the orders of events in which something could be lost."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from lanelift.net import connection_phases, shutdown
+from lanelift.net.connection_phases import Phase
+from lanelift.net.frontend import Frontend
+from lanelift.net.shutdown import LONGEST_DEADLINE_S, GracefulShutdown
+from tests.fakes import (
+    SECOND,
+    SETTINGS,
+    TEST_S,
+    Heard,
+    World,
+    free_port,
+    never,
+    run,
+    world,
+)
+from tests.net.support import CHUNKED, R, terminate
+
+
+@pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 70_000])
+def test_what_would_wait_beyond_the_end_is_told_before_it(
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, begun: bytes
+) -> None:
+    """SIGTERM comes, and a client's deadline is later than the process may live: SIGKILL takes longer
+    deadlines for 3 s, and so must the end. The client gets a 504 before the end, or, with a response under
+    way, a reset that shows its break.
+    """
+
+    monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 0.1 - LONGEST_DEADLINE_S)
+    quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
+
+    async def test() -> None:
+        async with world(settings=replace(SETTINGS, classes={"quote": quote})) as w:
+            client = await w.held("r1", X_Deadline_Ms=90_000)
+            if begun:
+                w.upstreams[0].links[0].write(begun)
+                await client.reader.readexactly(70_000)
+            terminate()
+            if begun:
+                with pytest.raises(ConnectionError):
+                    while await client.reader.read(65536):
+                        pass
+            else:
+                assert (await client.answer()).status == 504
+
+    run(test())
+
+
+@pytest.mark.usefixtures("settled")
+def test_a_connection_whose_answer_ends_after_the_balancer_was_emptied_is_not_kept(
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
+    """A balancer drains while a response is being streamed. The response's head was written before, and did
+    not say that it is the last. Idle connections are closed meanwhile. The connection is closed behind the
+    response, and connections are kept again after a rejoin.
+    """
+
+    monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 2 * TEST_S)
+    emptied: list[GracefulShutdown] = []
+    close_idle, fronts = GracefulShutdown.close_idle, []
+    made = Frontend.__init__
+
+    def watched(ending: GracefulShutdown) -> None:
+        close_idle(ending)
+        emptied.append(ending)
+        heard.poke()
+
+    def seen(front: Frontend, *args: Any, **more: Any) -> None:
+        made(front, *args, **more)
+        fronts.append(front)
+
+    monkeypatch.setattr(GracefulShutdown, "close_idle", watched)
+    monkeypatch.setattr(Frontend, "__init__", seen)
+
+    async def test() -> None:
+        async with world() as w:
+            w.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
+            client = await w.client()
+            client.send("r1")
+            await client.reader.readuntil(b"one\r\n")
+            fronts[0].shutdown.drain()
+            await heard.until(lambda: emptied)
+            w.upstreams[0].links[0].write(b"0\r\n\r\n")
+            assert await client.reader.readuntil(b"0\r\n\r\n") == b"0\r\n\r\n"
+            await client.ended()
+            assert fronts[0].shutdown.rejoin()
+            kept = await w.client()
+            assert (await kept.ask("r2")).status == 200
+            assert (await kept.ask("r3")).status == 200
+
+    run(test())
+
+
+SIGTERM_AT_THE_LISTENER = """
+import os, signal, socket, sys
+from lanelift.net.frontend import Frontend
+import lanelift.__main__ as main
+made = Frontend.__init__
+def ended(front, driver, listener, *args, **more):
+    made(front, driver, listener, *args, **more)
+    with socket.create_connection(listener.getsockname()) as early:
+        early.sendall(b"GET /ready HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n")
+        kept.append(early.dup())
+    os.kill(os.getpid(), signal.SIGTERM)
+kept = []
+Frontend.__init__ = ended
+code = main.main()
+if kept:
+    print(kept[0].recv(12).decode(), flush=True)
+sys.exit(code)
+"""
+
+
+def test_sigterm_as_the_listener_opens_loses_nobody(tmp_path: Path) -> None:
+    """SIGTERM comes in the moment in which the listener opens, with a client connected. Before a handler
+    stood, the signal ended the process by itself, over that client. It is answered, and the exit code is 0.
+    """
+
+    async def test() -> None:
+        async with world() as w:
+            path = tmp_path / "config.json"
+            code, said = 2, b""
+            while code == 2:  # somebody else took the port meanwhile
+                path.write_text(config_text(f"127.0.0.1:{free_port()}", w))
+                process = await asyncio.create_subprocess_exec(
+                    sys.executable,
+                    "-c",
+                    SIGTERM_AT_THE_LISTENER,
+                    stdout=asyncio.subprocess.PIPE,
+                    env={**os.environ, "BALANCER_CONFIG": str(path)},
+                )
+                said, _ = await process.communicate()
+                assert process.returncode is not None
+                code = process.returncode
+            assert (code, said) == (0, b"HTTP/1.1 503\n")
+
+    run(test())
+
+
+def config_text(listen: str, w: World) -> str:
+    return json.dumps(
+        {
+            "listen": listen,
+            "discovery": f"127.0.0.1:{w.discovery.port}",
+            "seed": "7",
+            "settings": {"profiles": [{"name": "quote", "repeat": "read_like"}]},
+        }
+    )
+
+
+@asynccontextmanager
+async def leaving(monkeypatch: pytest.MonkeyPatch, ends_s: float) -> AsyncIterator[World]:
+    """A world in which SIGTERM closes the listener at once, and ends the process this much over 3 s later."""
+    monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
+    monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", ends_s)
+    async with world() as w:
+        yield w
+
+
+def test_a_request_that_comes_long_after_sigterm_is_answered_before_the_end(
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
+    """Half of a request has come when SIGTERM does, and the rest follows later. By its own deadline it
+    would wait for longer than the process lives. It is answered while there is somebody to answer it.
+    """
+
+    async def test() -> None:
+        async with leaving(monkeypatch, -2.0) as w:
+            w.upstreams[0].script = [never]
+            client = await w.client()
+            client.writer.write(b"GET /quote HTTP/1.1\r\nHost: origin.svc\r\n")
+            await w.watching()
+            os.kill(os.getpid(), signal.SIGTERM)
+            await asyncio.sleep(0)
+            assert (await client.raw(b"X-Request-Id: r1\r\nX-Deadline-Ms: 3000\r\n\r\n")).status in (503, 504)
+            assert heard.results() == [R.TIMEOUT]
+
+    run(test())
+
+
+@pytest.mark.usefixtures("settled")
+def test_a_connection_whose_last_answer_began_before_sigterm_is_not_kept(
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
+    """SIGTERM comes while a response is being streamed. Its head did not say that it is the last, and its
+    end comes when idle connections have been closed. Its connection is closed as well: kept, it would bring
+    requests up to the process's end.
+    """
+
+    async def test() -> None:
+        monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, connection_phases.Phase.IDLE, 2 * TEST_S)
+        async with leaving(monkeypatch, 2 * TEST_S) as w:
+            w.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
+            client = await w.client()
+            client.send("r1")
+            await client.reader.readuntil(b"one\r\n")
+            closed = asyncio.Event()
+            close_idle = shutdown.GracefulShutdown.close_idle
+
+            def watched(ending: shutdown.GracefulShutdown) -> None:
+                close_idle(ending)
+                closed.set()
+
+            monkeypatch.setattr(shutdown.GracefulShutdown, "close_idle", watched)
+            os.kill(os.getpid(), signal.SIGTERM)
+            await closed.wait()
+            w.upstreams[0].links[0].write(b"0\r\n\r\n")
+            assert await client.reader.readuntil(b"0\r\n\r\n") == b"0\r\n\r\n"
+            await client.ended()
+
+    run(test())
--- /dev/null
+++ b/tests/net/test_upload_breaks.py
@@ -0,0 +1,252 @@
+"""Request bodies that are streamed, and break off or meet an upstream that does."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager, suppress
+from dataclasses import replace
+
+import pytest
+
+from lanelift.net import connection_phases, exchange
+from lanelift.net.connection_phases import Phase
+from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES
+from lanelift.net.socket_options import KERNEL_BUFFER_BYTES
+from lanelift.net.upstream_connection import UpstreamConnection
+from lanelift.policy.events import (
+    AttemptFinished,
+    ClientDisconnected,
+)
+from lanelift.policy.settings import Idempotency
+from tests.fakes import (
+    CLASSES,
+    SETTINGS,
+    Heard,
+    World,
+    answer,
+    read_message,
+    run,
+    world,
+)
+from tests.net.support import LONG, PATIENT, Gate, R, chunked_request, ids, request_head, request_with_length
+
+BODY = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
+
+
+def test_a_client_that_leaves_while_it_is_held_back_is_noticed_before_its_request_is_sent(
+    heard: Heard,
+) -> None:
+    """A client with a long body disconnects while its upstream's connection comes up. Reading from it is
+    paused, so its leaving is not read either. The kernel is asked before its request is sent, and it is not
+    sent.
+    """
+
+    async def test() -> None:
+        async with world(settings=PATIENT) as w:
+            gate = Gate(w.upstreams[0])
+            client = await w.client()
+            client.send("r1", "pay", "POST", BODY)
+            await gate.reached.wait()
+            client.writer.transport.abort()
+            gate.open.set()
+            await heard.until(lambda: heard.of(ClientDisconnected) and heard.of(AttemptFinished))
+            assert heard.results() == [R.NOT_SENT]
+            assert (await w.ask("r2")).status == 200
+            assert ids(w.upstreams[0]) == ["r2"]
+
+    run(test())
+
+
+def test_a_request_whose_client_leaves_while_its_upstream_takes_no_more_never_gets_there_whole(
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
+    """A client disconnects while its upstream takes no more of its request. Its last byte has not been
+    written: it never ran, so it is cut off even where attempts may not be cancelled.
+    """
+
+    made = UpstreamConnection.connection_made
+
+    def narrow(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        made(connection, transport)
+
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        with socket.socket() as busy:
+            busy.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            busy.bind(("127.0.0.1", 0))
+            busy.listen()
+            busy.setblocking(False)
+            async with world(settings=PATIENT) as w:
+                w.upstreams[0].port = busy.getsockname()[1]
+                await w.tell(w.upstreams[0].row())
+                monkeypatch.setattr(UpstreamConnection, "connection_made", narrow)
+                client = await w.client()
+                client.send("r1", "pay", "POST", b"x" * MAX_BUFFERED_BODY_BYTES)
+                taken, _ = await loop.sock_accept(busy)
+                with taken:
+                    came = await loop.sock_recv(taken, 1)
+                    client.close()
+                    await heard.until(lambda: heard.of(ClientDisconnected) and heard.of(AttemptFinished))
+                    with suppress(ConnectionError):
+                        while data := await loop.sock_recv(taken, 65536):
+                            came += data
+                    assert len(came) < MAX_BUFFERED_BODY_BYTES
+                    assert heard.results() == [R.CANCELLED]
+
+    run(test())
+
+
+KEYED = replace(
+    SETTINGS,
+    classes={
+        **CLASSES,
+        "book": replace(CLASSES["quote"], name="book", idempotency=Idempotency.IDEMPOTENCY_KEY),
+    },
+    limits=replace(SETTINGS.limits, max_attempts=3),
+)
+
+
+@pytest.mark.parametrize("what", ["leaves", "noise", "silence"])
+def test_a_body_that_is_never_whole_is_never_run(
+    monkeypatch: pytest.MonkeyPatch, heard: Heard, what: str
+) -> None:
+    """A client disconnects in the middle of a long body, sends what is none, or nothing more. What was
+    forwarded is cut off, and no upstream takes it for a request.
+    """
+
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_BODY, 0.2)
+
+    async def test() -> None:
+        async with world(settings=replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=False))) as w:
+            client = await w.client()
+            client.writer.write(
+                chunked_request("r1", LONG)[: 200_000 if what != "noise" else 3000 + 3 * 30_000]
+            )
+            await w.upstreams[0].until(lambda: w.upstreams[0].links)
+            if what == "leaves":
+                client.writer.transport.abort()
+            else:
+                if what == "noise":
+                    client.writer.write(b"\r\nno chunk\r\n" * 3000)
+                got = await read_message(client.reader)
+                assert got.status == (400 if what == "noise" else 408)
+            await heard.until(lambda: heard.of(AttemptFinished))
+            assert heard.results() == [R.CANCELLED]
+            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+            assert not w.upstreams[0].seen
+            assert (await w.ask("r2")).status == 200
+
+    run(test())
+
+
+@asynccontextmanager
+async def deaf() -> AsyncIterator[tuple[str, int]]:
+    """A server that takes connections and reads nothing."""
+    links = []
+
+    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writer.transport.pause_reading()  # type: ignore[attr-defined]
+        links.append(writer)
+
+    server = await asyncio.start_server(hold, "127.0.0.1", 0, limit=1024)
+    try:
+        yield server.sockets[0].getsockname()
+    finally:
+        server.close()
+        for link in links:
+            link.transport.abort()
+
+
+async def at(w: World, address: tuple[str, int]) -> None:
+    row = w.upstreams[0].row() | {"addr": f"{address[0]}:{address[1]}"}
+    await w.tell(row)
+
+
+def test_an_upstream_that_takes_nothing_holds_its_client_back_and_is_given_up(
+    monkeypatch: pytest.MonkeyPatch, heard: Heard
+) -> None:
+    """An upstream takes nothing of a long body. Reading from its client is paused, so that memory is
+    bounded, and the attempt is given up after a while.
+    """
+
+    monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.5)
+
+    async def test() -> None:
+        async with world() as w, deaf() as address:
+            await at(w, address)
+            client = await w.client()
+            size = 30_000_000
+            client.writer.write(request_head("r1", "pay", f"Content-Length: {size}"))
+            client.writer.transport.set_write_buffer_limits(high=0)
+            sent = 0
+            while sent < size and not heard.of(AttemptFinished):
+                client.writer.write(LONG)
+                sent += len(LONG)
+                drained = asyncio.ensure_future(client.writer.drain())
+                ended = asyncio.ensure_future(heard.until(lambda: heard.of(AttemptFinished)))
+                await asyncio.wait((drained, ended), return_when=asyncio.FIRST_COMPLETED)
+                drained.cancel()
+                ended.cancel()
+            # The client's own buffer may grow to 4 MB, the deaf server's too; between them stand ours.
+            assert sent < 2 * 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2_000_000
+            assert heard.results() == [R.CONNECT_FAILED]  # its last byte was never written: it never ran
+            assert heard.of(AttemptFinished)[0].body_consumed
+
+    run(test())
+
+
+def test_what_has_not_left_yet_can_go_elsewhere_and_what_has_can_not(heard: Heard) -> None:
+    """An upstream of a long body can't be reached: nothing has left, and the request goes elsewhere.
+    Another breaks when part of the body has left: it can't be sent again, and as it never ran it is
+    rejected.
+    """
+
+    async def test() -> None:
+        async with world(2, settings=KEYED) as w:
+            w.upstreams[0].stop()  # nobody listens there
+            number = 0
+            while R.CONNECT_FAILED not in heard.results():  # until it was drawn
+                number += 1
+                got = await w.ask(f"r{number}", "book", "POST", LONG, Idempotency_Key=f"k{number}")
+                assert (got.status, got.body) == (200, b"s-1")
+            assert not any(o.body_consumed for o in heard.of(AttemptFinished) if o.result is R.CONNECT_FAILED)
+            # And one that breaks when some has gone: refused, since it never ran, and not sent again.
+            client = await w.client()
+            client.writer.write(chunked_request("last", LONG, "book")[:200_000])
+            links = w.upstreams[1].links
+            while not any(link.coming is not None for link in links):  # nothing tells of part of a request
+                await asyncio.sleep(0.001)
+            before = len(heard.results())
+            next(link for link in links if link.coming is not None).abort()
+            got = await read_message(client.reader)
+            assert (got.status, got.headers["connection"]) == (503, "close")
+            assert (
+                heard.results()[before:] == [R.CONNECT_FAILED] and heard.of(AttemptFinished)[-1].body_consumed
+            )
+
+    run(test())
+
+
+def test_an_answer_before_the_end_is_given_and_the_rest_is_not_read(heard: Heard) -> None:
+    """An upstream answers before a long body is complete. Its answer is given at once, as the last on its
+    connection, and the rest of the body is not read.
+    """
+
+    async def test() -> None:
+        async with world() as w:
+            client = await w.client()
+            client.writer.write(request_with_length("r1", LONG)[:200_000])
+            upstream = w.upstreams[0]
+            await upstream.until(lambda: upstream.links)
+            transport = upstream.links[0].transport
+            assert isinstance(transport, asyncio.Transport)
+            transport.write(answer(500))
+            got = await read_message(client.reader)
+            assert (got.status, got.headers["connection"]) == (502, "close")
+            await client.ended()
+            assert heard.results() == [R.ERROR]
+
+    run(test())
--- a/tests/operate/test_operator.py
+++ b/tests/operate/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: calls, callers that are in the way, figures, drains of a balancer."""
+"""The operators' address: calls, silent callers, metrics, and the drain of a balancer."""
 
 from __future__ import annotations
 
@@ -66,6 +66,10 @@
 
 
 def test_callers_that_say_nothing_keep_nobody_out() -> None:
+    """Callers connect and never complete a call. A new caller takes the place of the one that has waited
+    longest, so that operators are not locked out.
+    """
+
     async def test() -> None:
         async with operated() as (w, address):
             await w.watching()
@@ -84,6 +88,8 @@
 
 
 def test_a_call_that_is_never_whole_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A caller sends half a call and no more. Its connection is closed after a while."""
+
     monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -120,6 +126,8 @@
 
 
 def test_what_was_never_written_whole_is_no_attempt_in_the_figures(heard: Heard) -> None:
+    """An upstream refuses its connection. Nothing was written, so the attempt is not counted."""
+
     async def test() -> None:
         async with operated() as (w, address):
             w.upstreams[0].stop()
@@ -145,6 +153,10 @@
 
 
 def test_an_evacuated_balancer_answers_all_ends_its_connections_and_comes_back() -> None:
+    """A balancer is evacuated while clients are idle, busy, or still being routed to it. All are answered,
+    each answer is the last on its connection, and after a rejoin connections are kept again.
+    """
+
     async def test() -> None:
         async with operated() as (w, address):
             idle, busy = await w.client(), await w.held("r0")
@@ -173,6 +185,10 @@
 
 
 def test_rejoining_at_once_ends_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A balancer is evacuated and rejoins at once. Idle clients, who would have been closed a moment later,
+    are kept.
+    """
+
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.05)
 
     async def test() -> None:
@@ -191,6 +207,10 @@
 def test_a_request_that_crosses_the_end_of_its_connection_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A request lies in the kernel's buffer, unread, in the moment in which idle connections are closed.
+    Its connection is not idle: the request is answered.
+    """
+
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
 
     async def test() -> None:
--- a/tests/operate/test_succession.py
+++ b/tests/operate/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""The two processes of an upgrade know of each other, and share the balancer's descriptors."""
+"""Two processes of one balancer in a hot restart."""
 
 from __future__ import annotations
 
@@ -28,6 +28,10 @@
 
 
 def test_both_hear_of_each_other_and_of_the_end_of_either(tmp_path: Path) -> None:
+    """Two processes of one balancer run during a hot restart, and one of them ends or fails. Each knows of
+    the other, and of its end.
+    """
+
     async def test() -> None:
         old, new = Told(tmp_path, 1), Told(tmp_path, 2)
         await old.succession.start()
@@ -49,6 +53,10 @@
 
 
 def test_what_a_killed_process_left_behind_is_not_taken_for_one(tmp_path: Path) -> None:
+    """A process was killed and left its socket behind. Nobody listens there: it is not counted, and the
+    socket is removed.
+    """
+
     async def test() -> None:
         with socket.socket(socket.AF_UNIX) as left:
             left.bind(str(tmp_path / "lanelift-9.sock"))
@@ -65,6 +73,10 @@
 def test_a_process_that_does_not_answer_holds_up_no_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The other process hangs, and its backlog has no place. The start goes on after a moment, and its
+    socket stays, as it may run.
+    """
+
     monkeypatch.setattr(hot_restart, "CONNECT_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -90,6 +102,10 @@
 def test_a_folder_that_can_not_be_used_costs_a_line_and_no_start(
     tmp_path: Path, folder: str, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """The folder for the processes of a hot restart can't be used. That is logged once, and the start goes
+    on.
+    """
+
     async def test() -> None:
         told = Told(tmp_path / folder, 1)
         await told.succession.start()
@@ -110,6 +126,10 @@
 
 
 def test_links_are_bounded_by_processes_not_by_what_they_say(tmp_path: Path) -> None:
+    """Something connects to the socket of a hot restart and sends noise. What it sends is ignored, and its
+    end is noticed.
+    """
+
     async def test() -> None:
         told = Told(tmp_path, 1)
         await told.succession.start()
