--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -78,14 +78,7 @@
         if state.tick < self.bounds.ticks:
             yield "a tick", self._checked(state._replace(tick=state.tick + 1))
         yield from self._sending_steps(state)
-        remaining = state.sent
-        while remaining:
-            bit = remaining & -remaining
-            remaining ^= bit
-            if self.nodes.message(bit)[1] >= 0:
-                yield from self._voter_steps(state, bit)
-            else:
-                yield from self._proposer_steps(state, bit)
+        yield from self._receiving_steps(state)
         if state.restarts:
             for i in range(3):
                 restarted = _replaced(state.voters, i, self.nodes.restarted(i, state.voters[i], state.tick))
@@ -119,12 +112,28 @@
                 what = "renews" if act == "accept" and self.nodes.is_holding(number) else f"sends {act}"
                 yield f"p{i} {what}", self._checked(after)
 
-    def _voter_steps(self, state: State, bit: int) -> Iterator[tuple[str, State]]:
-        """A voter receives a message."""
+    def _receiving_steps(self, state: State) -> Iterator[tuple[str, State]]:
+        """Each message that was ever sent is received."""
+        tick, voters, proposers, sent, *_ = state
+        messages = self.nodes.messages
+        remaining = sent
+        while remaining:
+            bit = remaining & -remaining
+            remaining ^= bit
+            _, recipient, _ = messages[bit.bit_length() - 1]
+            if recipient >= 0:
+                number, responses = self.nodes.voter_receives(recipient, voters[recipient], bit, tick)
+                if number != voters[recipient] or responses & ~sent:
+                    yield self._voter_step(state, bit, number, responses)
+            else:
+                i = -recipient - 1
+                number = self.nodes.proposer_receives(i, proposers[i], bit, tick)
+                if number != proposers[i]:
+                    yield self._proposer_step(state, bit, number)
+
+    def _voter_step(self, state: State, bit: int, number: int, responses: int) -> tuple[str, State]:
+        """A voter receives a message; it is `number` after that, and sends `responses`."""
         sender, voter, message = self.nodes.message(bit)
-        number, responses = self.nodes.voter_receives(voter, state.voters[voter], bit, state.tick)
-        if number == state.voters[voter] and not responses & ~state.sent:
-            return
         proposers = state.proposers
         promise = self.nodes.promise(responses)
         if promise:
@@ -133,23 +142,17 @@
             responses &= ~promise
         if self.nodes.prepares_left(sender, state.proposers[sender]) <= 0:
             responses &= ~self.nodes.stale_ballot(responses)
-        after = state._replace(
-            voters=_replaced(state.voters, voter, number),
-            proposers=proposers,
-            sent=state.sent | responses,
-        )
-        yield f"{VOTERS[voter]} receives p{sender}'s {_described(message)}", self._checked(after)
-
-    def _proposer_steps(self, state: State, bit: int) -> Iterator[tuple[str, State]]:
-        """A proposer receives a response."""
+        voters = _replaced(state.voters, voter, number)
+        after = state._replace(voters=voters, proposers=proposers, sent=state.sent | responses)
+        return f"{VOTERS[voter]} receives p{sender}'s {_described(message)}", self._checked(after)
+
+    def _proposer_step(self, state: State, bit: int, number: int) -> tuple[str, State]:
+        """A proposer receives a response; it is `number` after that."""
         _, recipient, message = self.nodes.message(bit)
-        i = -recipient - 1
-        number = self.nodes.proposer_receives(i, state.proposers[i], bit, state.tick)
-        if number == state.proposers[i]:
-            return
         assert isinstance(message, Response)
+        i = -recipient - 1
         after = state._replace(proposers=_replaced(state.proposers, i, number))
-        yield f"p{i} receives from {message.voter}: {message.verdict}", self._checked(after)
+        return f"p{i} receives from {message.voter}: {message.verdict}", self._checked(after)
 
     def _checked(self, state: State) -> State:
         """Returns the state with the highest token of any holder."""
@@ -163,6 +166,8 @@
                     highest_token, holder = token, i
                 else:
                     holder = TOKEN_FELL
+        if (highest_token, holder) == (state.highest_token, state.holder):
+            return state
         return state._replace(highest_token=highest_token, holder=holder)
 
 
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -1,4 +1,4 @@
-"""The inequalities of the timings, and what members must know alike."""
+"""The inequalities of the timings, and what members must have alike."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
     ],
 )
 def test_what_does_not_fit_together_is_named(timing: LeaseTiming, key: str) -> None:
+    """An operator sets a margin or a timeout that leaves no time for renewals."""
     assert [found for found, *_ in timing.problems()] == ([key] if key else [])
 
 
--- a/tests/fleet/test_codec.py
+++ b/tests/fleet/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages as bytes: what was sent comes out, and any other bytes are dropped by a reason."""
+"""Messages as bytes: what was sent is received, and any other bytes are rejected with a reason."""
 
 from __future__ import annotations
 
@@ -58,12 +58,18 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_dropped(data: bytes) -> None:
+    """Anybody may send anything to the port: bytes that are no message are an error, and nothing else."""
     with pytest.raises(MessageDecodeError):
         decode(data)
 
 
 @given(st.sampled_from(MESSAGES), st.integers(0, 10_000), st.integers(1, 255))
 def test_a_changed_byte_is_seen(message: Message, at: int, change: int) -> None:
+    """A datagram is damaged on its way.
+
+    The checksum shows it; where it is the digest of the cluster that was changed, the transport drops the
+    message as another cluster's.
+    """
     data = bytearray(encode(DIGEST, message))
     at %= len(data)
     data[at] ^= change
@@ -79,6 +85,10 @@
 
 
 def test_what_a_later_release_sends_is_skipped() -> None:
+    """Half of the members were upgraded, and send fields and kinds that this release does not know.
+
+    More fields at the end are skipped, and unknown kinds and versions are an error of their own kind.
+    """
     longer = msgspec.msgpack.encode(["look", 5, "m", "more"])
     assert decode(framed(longer)) == (DIGEST, ListLeases(5, "m"))
     for data in (framed(msgspec.msgpack.encode(["rumour", 1])), framed(longer, version=2)):
@@ -87,6 +97,7 @@
 
 
 @pytest.mark.parametrize("row", [["look", -1], ["look", 2**62], ["look", "1"], ["ask", "", 1, 1, "p", 1]])
-def test_values_that_are_out_of_bounds_are_not_heard(row: list[object]) -> None:
+def test_values_out_of_bounds_are_rejected(row: list[object]) -> None:
+    """A message is well formed, and its numbers or names are out of bounds."""
     with pytest.raises(UnknownMessageError):
         decode(framed(msgspec.msgpack.encode(row)))
--- a/tests/fleet/test_state_file.py
+++ b/tests/fleet/test_state_file.py
@@ -1,4 +1,4 @@
-"""What a voter keeps: written as a whole or not at all, for one process at a time."""
+"""The state file of a voter: written as a whole or not at all, and for one process at a time."""
 
 from __future__ import annotations
 
@@ -21,9 +21,11 @@
     file.close()
 
 
-def test_cut_off_at_any_byte_it_is_refused_and_never_taken_for_another(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_file_cut_off_at_any_byte_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A crash of the machine leaves only a part of the file.
+
+    Wherever it was cut off, it is an error that names the file, and never taken for another state.
+    """
     file = StateFile(tmp_path, "a")
     file.write(STATE)
     whole = file.path.read_bytes()
@@ -35,6 +37,10 @@
 
 
 def test_a_write_that_fails_leaves_the_old_state(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The disk is full while the state is written.
+
+    The former state is still there, as a whole.
+    """
     file = StateFile(tmp_path, "a")
     file.write(STATE)
 
@@ -48,7 +54,11 @@
     file.close()
 
 
-def test_two_processes_under_one_id_are_refused(tmp_path: Path) -> None:
+def test_two_processes_under_one_id_are_rejected(tmp_path: Path) -> None:
+    """A member is started twice by mistake.
+
+    Both would vote on their own, each without the other's promises: the second one ends with an error.
+    """
     file = StateFile(tmp_path, "a")
     with pytest.raises(VoterStateError, match="another process runs as a"):
         StateFile(tmp_path, "a")
@@ -58,6 +68,7 @@
 
 
 def test_a_folder_that_can_not_be_had_is_named(tmp_path: Path) -> None:
+    """The state folder of the operator's file is a file."""
     (tmp_path / "file").write_text("")
     with pytest.raises(VoterStateError, match="file"):
         StateFile(tmp_path / "file", "a")
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -37,6 +37,7 @@
     "bounds", [HOLDS, RESTARTS, RELEASES, CLIMBS], ids=["holds", "restarts", "releases", "climbs"]
 )
 def test_nothing_is_wrong_in_any_state(bounds: Bounds) -> None:
+    """All states within the bounds are explored: in none do two hold at once, and tokens rise."""
     found = explored(bounds)
     assert found.whole and found.states > 1000
     assert not found.wrong, "\n".join(found.story)
@@ -56,6 +57,7 @@
 
 @pytest.mark.parametrize("mistake", [m for m in (*MEMBERS, *PROPOSERS) if m not in NOT_HERE])
 def test_a_planted_mistake_is_found(mistake: str) -> None:
+    """A mistake is planted (`mistakes.py`): the model finds it, by its shortest story."""
     bounds = WHERE.get(mistake, HOLDS)
     found = explored(bounds, MEMBERS.get(mistake, VotingMember), PROPOSERS.get(mistake, Proposer))
     assert found.wrong and found.story
--- a/tests/leases/test_node.py
+++ b/tests/leases/test_node.py
@@ -1,4 +1,4 @@
-"""Members and contenders with their sockets and disks, in this process."""
+"""Members and holders with their sockets and state files, in this process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from lanelift.fleet.log import logger
 from lanelift.fleet.recovery import PersistentState, VoterStateError
 from lanelift.fleet.state_file import StateFile
-from lanelift.leases import node as module
+from lanelift.leases import node as node_module
 from lanelift.leases.holder import LeaseHolder
 from lanelift.leases.listing import list_leases
 from lanelift.leases.node import FleetNode, FleetSource
@@ -64,21 +64,29 @@
 
 
 def test_two_hundred_leases_at_once_each_with_one_holder_and_a_token_of_its_own(tmp_path: Path) -> None:
+    """Two hundred holders want a lease each at the same time, and the lists of all voters are read."""
+
     async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
-        runners = [lease_holder(fleet, f"lease-{i:03}", f"p{i}") for i in range(200)]
-        for r in runners:
-            await r.__aenter__()
-        assert all(await asyncio.gather(*(r.acquire() for r in runners)))
-        tokens = [r.client.proposer.token for r in runners]
+        holders = [lease_holder(fleet, f"lease-{i:03}", f"p{i}") for i in range(200)]
+        for holder in holders:
+            await holder.__aenter__()
+        assert all(await asyncio.gather(*(holder.acquire() for holder in holders)))
+        tokens = [holder.client.proposer.token for holder in holders]
         assert all(tokens)
         rows = {
-            v: [s for page in pages for s in page.leases] for v, pages in (await list_leases(fleet)).items()
+            v: [status for page in pages for status in page.leases]
+            for v, pages in (await list_leases(fleet)).items()
         }
         assert set(rows) == set(fleet.voters)
-        seen = {s.lease: s.holder for found in rows.values() for s in found if s.holder}
+        seen = {status.lease: status.holder for found in rows.values() for status in found if status.holder}
         assert seen == {f"lease-{i:03}": f"p{i}" for i in range(200)}
-        await asyncio.gather(*(r.__aexit__() for r in runners))
-        assert not [s for pages in (await list_leases(fleet)).values() for page in pages for s in page.leases]
+        await asyncio.gather(*(holder.__aexit__() for holder in holders))
+        assert not [
+            status
+            for pages in (await list_leases(fleet)).values()
+            for page in pages
+            for status in page.leases
+        ]
 
     with_fleet(tmp_path, story)
 
@@ -86,6 +94,10 @@
 def test_a_full_disk_costs_the_others_nothing_but_its_vote(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """The disk of c is full when it is restarted, and is emptied later.
+
+    c can't persist its state, and does not vote until it can; the others are a majority meanwhile.
+    """
     full, write = [False], StateFile.write
 
     def limited(self: StateFile, kept: PersistentState) -> None:
@@ -94,30 +106,35 @@
         write(self, kept)
 
     monkeypatch.setattr(StateFile, "write", limited)
-    monkeypatch.setattr(module, "WRITE_RETRY_S", 0.02)
+    monkeypatch.setattr(node_module, "WRITE_RETRY_S", 0.02)
 
-    def seated(node: FleetNode) -> bool:
+    def may_vote(node: FleetNode) -> bool:
         return node.member is not None and node.member.recovery.may_vote
 
     async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
-        await until(lambda: all(map(seated, nodes.values())))
+        await until(lambda: all(map(may_vote, nodes.values())))
         await nodes["c"].close()
         full[0] = True
         nodes["c"] = FleetNode(FleetSource(fleet, "c", tmp_path, Clock(), "json"))
         await nodes["c"].start()
-        async with lease_holder(fleet, "x", "p1") as r:
-            assert await r.acquire()  # by a and b
-            assert not seated(nodes["c"])
+        async with lease_holder(fleet, "x", "p1") as holder:
+            assert await holder.acquire()  # by a and b
+            assert not may_vote(nodes["c"])
             full[0] = False
-            await until(lambda: seated(nodes["c"]))
+            await until(lambda: may_vote(nodes["c"]))
             # And once it votes, it is bound as well: the holder asks it for that, under a higher ballot.
-            await until(lambda: "c" in r.client.proposer.accepted_ns)
+            await until(lambda: "c" in holder.client.proposer.accepted_ns)
         assert "No space left on device" in capsys.readouterr().err
 
     with_fleet(tmp_path, story)
 
 
-def test_a_second_process_under_one_id_or_address_is_refused(tmp_path: Path) -> None:
+def test_a_second_process_under_one_id_or_address_is_rejected(tmp_path: Path) -> None:
+    """A member is started twice, with the same state folder or with another one.
+
+    Two acceptors would vote under one id: the second start ends with an error that names the cause.
+    """
+
     async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         with pytest.raises(VoterStateError, match="another process runs as a"):
             FleetNode(FleetSource(fleet, "a", tmp_path, Clock(), "json"))
@@ -129,7 +146,9 @@
     with_fleet(tmp_path, story)
 
 
-def test_handed_over_it_goes_to_the_named_one_past_who_waited_longer(tmp_path: Path) -> None:
+def test_a_lease_goes_to_the_named_successor_past_a_longer_waiter(tmp_path: Path) -> None:
+    """p2 waits longer than p3, and the holder names p3 as its successor: p3 gets the lease."""
+
     async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         first = LeaseHolder(fleet, Clock(), "x", "p1", logger("json"), successor="p3")
         async with first:
@@ -147,7 +166,9 @@
     with_fleet(tmp_path, story)
 
 
-def test_garbage_is_counted_and_costs_nobody_anything(tmp_path: Path) -> None:
+def test_datagrams_that_are_no_messages_are_counted(tmp_path: Path) -> None:
+    """Somebody sends datagrams that are no messages: they are counted, and a lease is given as always."""
+
     async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for data in (b"", b"x" * 14, b"x" * 1400, b"LF" + bytes(40)):
@@ -155,20 +176,22 @@
         await until(
             lambda: sum(c for w, c in nodes["a"].transport.counts.items() if w.startswith("dropped_")) >= 4
         )
-        async with lease_holder(fleet, "x", "p1") as r:
-            assert await r.acquire()
-        assert 'lanelift_fleet_messages_total{what="dropped_size"}' in nodes["a"].figures()
+        async with lease_holder(fleet, "x", "p1") as holder:
+            assert await holder.acquire()
+        assert 'lanelift_fleet_messages_total{what="dropped_size"}' in nodes["a"].metrics()
 
     with_fleet(tmp_path, story)
 
 
 def test_a_command_that_is_not_there_and_one_that_fails(tmp_path: Path) -> None:
+    """A command is not there, fails, or is ended by a signal: the exit code is that of a shell."""
+
     async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
-        async with lease_holder(fleet, "x", "p1") as r:
-            assert await r.acquire()
-            assert await r.run_command([str(tmp_path / "none")]) == 127
-            assert await r.run_command([sys.executable, "-c", "raise SystemExit(3)"]) == 3
-            assert await r.run_command(["sh", "-c", "kill -USR1 $$"]) == 128 + 10
+        async with lease_holder(fleet, "x", "p1") as holder:
+            assert await holder.acquire()
+            assert await holder.run_command([str(tmp_path / "none")]) == 127
+            assert await holder.run_command([sys.executable, "-c", "raise SystemExit(3)"]) == 3
+            assert await holder.run_command(["sh", "-c", "kill -USR1 $$"]) == 128 + 10
 
     with_fleet(tmp_path, story, "a")
 
@@ -185,14 +208,14 @@
 
 
 def test_what_a_command_leaves_behind_in_its_group_is_ended_with_it(tmp_path: Path) -> None:
-    """A child that heeds no SIGTERM and outlives the command must not outlive the lease."""
+    """A command ends and leaves a child behind that ignores SIGTERM: it must not outlive the lease."""
 
     async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         beats = tmp_path / "child.beats"
         child = f"{sys.executable} -m lanelift.faults.beats {beats} 60 stubborn"
-        async with lease_holder(fleet, "x", "p1") as r:
-            assert await r.acquire()
-            code = await r.run_command(
+        async with lease_holder(fleet, "x", "p1") as holder:
+            assert await holder.acquire()
+            code = await holder.run_command(
                 ["sh", "-c", f"{child} & while ! test -s {beats}; do sleep 0.01; done"]
             )
             assert code == 0
@@ -204,22 +227,29 @@
 
 def test_figures_name_the_holder_its_token_and_how_long(tmp_path: Path) -> None:
     async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
-        async with lease_holder(fleet, 'x"', "p1") as r:
-            assert await r.acquire()
-            figures = nodes["a"].figures()
-            assert f'lanelift_lease_token{{lease="x\\"",holder="p1"}} {r.client.proposer.token}\n' in figures
-            assert "lanelift_lease_changes_total 1" in figures and "lanelift_fleet_seated 1" in figures
-            again = nodes["a"].figures()
-            await until(lambda: nodes["a"].figures() != again)  # it is held for longer
+        async with lease_holder(fleet, 'x"', "p1") as holder:
+            assert await holder.acquire()
+            metrics = nodes["a"].metrics()
+            assert (
+                f'lanelift_lease_token{{lease="x\\"",holder="p1"}} {holder.client.proposer.token}\n'
+                in metrics
+            )
+            assert "lanelift_lease_changes_total 1" in metrics and "lanelift_fleet_seated 1" in metrics
+            again = nodes["a"].metrics()
+            await until(lambda: nodes["a"].metrics() != again)  # it is held for longer
 
     with_fleet(tmp_path, story, "a")
 
 
-def test_a_command_is_not_begun_and_is_ended_without_a_word_from_its_holder(tmp_path: Path) -> None:
-    """What a holder that stands still from the first moment on leaves to the warden alone."""
+def test_a_command_is_ended_without_a_word_from_its_holder(tmp_path: Path) -> None:
+    """The holder is stopped from the first moment on, and writes no deadline to its watchdog.
+
+    The watchdog has both deadlines from the start: it does not start a command after the first, and ends
+    one at the second.
+    """
     beats = tmp_path / "task.beats"
 
-    def warden(term_s: float, kill_s: float) -> int:
+    def watchdog(term_s: float, kill_s: float) -> int:
         now = boottime_ns()
         ends = [str(now + int(s * 1e9)) for s in (term_s, kill_s)]
         task = [sys.executable, "-m", "lanelift.faults.beats", str(beats), "60", "stubborn"]
@@ -231,7 +261,7 @@
             assert silent.stdin is not None
             silent.stdin.close()
 
-    assert warden(-0.1, 0.1) == 75 and not beats.exists()
-    assert warden(1.0, 1.4) == 75
+    assert watchdog(-0.1, 0.1) == 75 and not beats.exists()
+    assert watchdog(1.0, 1.4) == 75
     (stay,) = read(tmp_path)
     assert not stay.ended and not psutil.pid_exists(stay.pid)
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -1,6 +1,6 @@
-"""Leases among processes of the program: members, contenders and their tasks, with faults between them.
+"""Leases among processes of the program: members, holders and their tasks, with faults between them.
 
-Judged from outside: by what the tasks wrote of when they acted. Each test waits for events.
+Checked from outside, by what the tasks wrote of when they acted. Each test waits for events.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from lanelift.faults.schedule import Step
 from tests.fakes import run
 
-# What a guard that is planted off looks like: the warden ends nobody.
+# A planted mistake: the watchdog ends nobody.
 NO_GUARD = "import os\nos.killpg = lambda group, number: None\n"
 
 
@@ -54,7 +54,13 @@
     run(whole())
 
 
-def test_a_holder_that_stands_still_loses_it_and_its_task_has_ended_before(tmp_path: Path) -> None:
+def test_a_stopped_holder_loses_its_lease_and_its_task_has_ended_before(tmp_path: Path) -> None:
+    """SIGSTOP to the holder, whose task ignores SIGTERM.
+
+    Its watchdog ends the task in time, and only then another one acts. Continued, the holder says that it
+    lost the lease.
+    """
+
     async def story(fleet: Processes) -> None:
         await begin(fleet, "p1", "p2", words=("3600", "stubborn"))
         await fleet.step(Step(0, "stop", "p1"))
@@ -69,8 +75,11 @@
     judged(tmp_path)
 
 
-def test_a_warden_that_stands_still_is_ended_with_its_task_in_time(tmp_path: Path) -> None:
-    """SIGSTOP to the guard itself, and its holder is cut off: nobody but the holder can end the task."""
+def test_a_stopped_watchdog_is_ended_with_its_task_in_time(tmp_path: Path) -> None:
+    """SIGSTOP to the watchdog, and its holder is cut off from the voters.
+
+    Nobody but the holder can end the task: it kills the watchdog, and the task dies with that.
+    """
 
     async def story(fleet: Processes) -> None:
         await begin(fleet, "p1", "p2", words=("3600", "stubborn"))
@@ -84,8 +93,11 @@
     assert len(judged(tmp_path)) == 2
 
 
-def test_a_majority_of_members_stands_still_and_goes_on(tmp_path: Path) -> None:
-    """SIGSTOP to two of three voters for longer than a lease, SIGCONT, and the next one holds."""
+def test_a_majority_of_members_is_stopped_and_continued(tmp_path: Path) -> None:
+    """SIGSTOP to two of three voters for longer than a lease.
+
+    The holder can't renew, and ends. After SIGCONT the next one holds.
+    """
 
     async def story(fleet: Processes) -> None:
         await begin(fleet, "p1", "p2", words=("3600",))
@@ -102,6 +114,12 @@
 
 
 def test_a_holder_that_is_killed_takes_its_task_along(tmp_path: Path) -> None:
+    """SIGKILL to the holder, whose task ignores SIGTERM.
+
+    The watchdog sees the end of its input, and ends the task before anybody else acts. A restarted holder
+    counts no message of the first.
+    """
+
     async def story(fleet: Processes) -> None:
         await begin(fleet, "p1", "p2", words=("3600", "stubborn"))
         await fleet.step(Step(0, "kill", "p1"))
@@ -115,7 +133,12 @@
     assert [stay.file for stay in judged(tmp_path)][:2] == ["p1-1.beats", "p2-1.beats"]
 
 
-def test_all_members_are_started_anew_and_tokens_rise(tmp_path: Path) -> None:
+def test_all_members_are_restarted_and_tokens_rise(tmp_path: Path) -> None:
+    """All members are killed at once and restarted while a task runs.
+
+    The holder ends, as they are quiet; the next one's token is above all that they may have promised.
+    """
+
     async def story(fleet: Processes) -> None:
         await begin(fleet, "p1", "p2", words=("3600",))
         for voter in fleet.voters:
@@ -131,8 +154,11 @@
     assert second.token > first.token + 10_000  # above all that the members may have promised before
 
 
-def test_a_holder_that_nobody_hears_ends_in_time(tmp_path: Path) -> None:
-    """A one-way cut: it hears all answers that still come, and no voter hears it."""
+def test_a_holder_whose_messages_are_lost_ends_in_time(tmp_path: Path) -> None:
+    """A one-way cut, and clocks at the ends of the drift.
+
+    The holder receives all responses that are still sent, and no voter receives anything of it.
+    """
 
     async def story(fleet: Processes) -> None:
         await begin(fleet, "p1", "p2", words=("3600",))
@@ -146,6 +172,10 @@
 
 
 def test_the_reader_finds_what_happens_without_the_guard(tmp_path: Path) -> None:
+    """The watchdog is planted off, and the holder is stopped: two tasks act at once.
+
+    The reader of the tasks' files finds that, so that its silence elsewhere is believed.
+    """
     (tmp_path / "sitecustomize.py").write_text(NO_GUARD)
     environment = {**os.environ, "PYTHONPATH": str(tmp_path)}
 
@@ -161,6 +191,8 @@
 
 
 def test_a_lease_is_shown_by_members_and_given_back(tmp_path: Path) -> None:
+    """A lease is listed, shown, refused to another holder, and free at once after its holder's SIGTERM."""
+
     def lanelift(*words: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
             [Path(sys.executable).with_name("lanelift"), *words],
@@ -207,7 +239,12 @@
 
 
 @pytest.mark.parametrize("key", ["lease_ms = 900"])
-def test_who_has_another_plan_is_not_heard(tmp_path: Path, key: str) -> None:
+def test_a_holder_with_other_timings_is_ignored(tmp_path: Path, key: str) -> None:
+    """A holder's file has another `lease_ms`.
+
+    Its messages have another digest: the members ignore them, and say so in the log once.
+    """
+
     async def story(fleet: Processes) -> None:
         await begin(fleet)
         path = fleet.file("p1")
@@ -222,6 +259,8 @@
 
 
 def test_a_task_of_the_fleet_is_run_by_one_member_and_then_by_the_next(tmp_path: Path) -> None:
+    """The member that runs a task of the fleet is killed: another one runs it, and never two at once."""
+
     async def story(fleet: Processes) -> None:
         for voter in fleet.voters:
             beats = tmp_path / f"{voter}.beats"
--- a/tests/leases/test_proposer.py
+++ b/tests/leases/test_proposer.py
@@ -1,4 +1,4 @@
-"""One contender by itself: what it believes, and from when."""
+"""One proposer by itself: whether it holds, and from when."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 VALIDITY_NS = TIMING.validity_ns
 
 
-class Desk:
+class Driver:
     def __init__(self, voters: int = 3) -> None:
         self.proposer = Proposer("x", "p1", 7, TIMING, voters)
 
@@ -30,97 +30,117 @@
 
 
 def test_it_holds_from_the_sending_and_not_a_moment_longer() -> None:
-    desk = Desk()
-    desk.holds_since(5)
-    assert desk.proposer.until_ns == 5 + VALIDITY_NS
-    assert desk.proposer.holds(4 + VALIDITY_NS) and not desk.proposer.holds(5 + VALIDITY_NS)
-
-
-def test_an_answer_counts_for_the_question_that_it_answers() -> None:
-    """A majority that agreed to the first question, and one voter that agreed to the second: the first
-    counts."""
-    desk = Desk()
-    desk.holds_since(0)
-    second = desk.proposer.accept(400 * MS)
-    third = desk.proposer.accept(600 * MS)
-    desk.receive("a", Verdict.ACCEPTED, second.request_id, 650 * MS)
-    assert desk.proposer.until_ns == VALIDITY_NS
-    desk.receive("b", Verdict.ACCEPTED, third.request_id, 650 * MS)
-    assert desk.proposer.until_ns == 400 * MS + VALIDITY_NS
-    desk.receive("a", Verdict.ACCEPTED, 2, 700 * MS)  # an older one that comes late takes nothing back
-    assert desk.proposer.until_ns == 400 * MS + VALIDITY_NS
-
-
-def test_what_ran_out_is_not_revived_by_a_late_answer() -> None:
-    desk = Desk()
-    desk.holds_since(0)
-    accept = desk.proposer.accept(VALIDITY_NS - 1)
+    """It holds from when its accepted request was sent, and not from when the responses were received."""
+    driver = Driver()
+    driver.holds_since(5)
+    assert driver.proposer.until_ns == 5 + VALIDITY_NS
+    assert driver.proposer.holds(4 + VALIDITY_NS) and not driver.proposer.holds(5 + VALIDITY_NS)
+
+
+def test_a_response_counts_for_its_own_request() -> None:
+    """A majority accepted the first request, and only one voter each of the later ones.
+
+    The lease counts from the latest request that a majority has accepted, and a late response takes
+    nothing back.
+    """
+    driver = Driver()
+    driver.holds_since(0)
+    second = driver.proposer.accept(400 * MS)
+    third = driver.proposer.accept(600 * MS)
+    driver.receive("a", Verdict.ACCEPTED, second.request_id, 650 * MS)
+    assert driver.proposer.until_ns == VALIDITY_NS
+    driver.receive("b", Verdict.ACCEPTED, third.request_id, 650 * MS)
+    assert driver.proposer.until_ns == 400 * MS + VALIDITY_NS
+    driver.receive("a", Verdict.ACCEPTED, 2, 700 * MS)  # an older one that comes late takes nothing back
+    assert driver.proposer.until_ns == 400 * MS + VALIDITY_NS
+
+
+def test_an_expired_lease_is_not_revived_by_a_late_response() -> None:
+    """The responses to a renewal are received at the moment when the lease ends.
+
+    Its task was ended by then: the proposer is over for good.
+    """
+    driver = Driver()
+    driver.holds_since(0)
+    accept = driver.proposer.accept(VALIDITY_NS - 1)
     for voter in "ab":
-        desk.receive(voter, Verdict.ACCEPTED, accept.request_id, VALIDITY_NS)
-    assert desk.proposer.phase is Phase.OVER and not desk.proposer.holds(VALIDITY_NS)
-
-
-def test_an_answer_that_comes_twice_counts_once() -> None:
-    desk = Desk()
-    prepare = desk.proposer.prepare(0)
-    desk.receive("a", Verdict.PROMISED, prepare.request_id, 0)
-    desk.receive("a", Verdict.PROMISED, prepare.request_id, 0)
-    assert desk.proposer.phase is Phase.PREPARING
-
-
-def test_answers_to_an_earlier_ballot_or_another_contender_count_for_nothing() -> None:
-    desk = Desk()
-    first = desk.proposer.prepare(0)
-    desk.receive("a", Verdict.PROMISED, first.request_id, 0)
-    second = desk.proposer.prepare(0)
-    desk.receive("b", Verdict.PROMISED, first.request_id, 0, ballot=first.ballot)
-    desk.proposer.receive(Response("x", 8, second.request_id, "c", Verdict.PROMISED, second.ballot), 0)
-    desk.proposer.receive(Response("y", 7, second.request_id, "c", Verdict.PROMISED, second.ballot), 0)
-    assert not desk.proposer.promised_by and second.ballot > first.ballot
-
-
-def test_the_next_ballot_passes_what_was_heard_of() -> None:
-    desk = Desk()
-    prepare = desk.proposer.prepare(0)
-    desk.receive("a", Verdict.STALE_BALLOT, prepare.request_id, 0, ballot=65_536)
-    assert desk.proposer.prepare(0).ballot == 65_537
-
-
-def test_questions_under_way_are_bounded() -> None:
-    desk = Desk()
-    desk.holds_since(0)
+        driver.receive(voter, Verdict.ACCEPTED, accept.request_id, VALIDITY_NS)
+    assert driver.proposer.phase is Phase.OVER and not driver.proposer.holds(VALIDITY_NS)
+
+
+def test_a_response_that_is_received_twice_counts_once() -> None:
+    """The network doubles a promise: it is one voter's still."""
+    driver = Driver()
+    prepare = driver.proposer.prepare(0)
+    driver.receive("a", Verdict.PROMISED, prepare.request_id, 0)
+    driver.receive("a", Verdict.PROMISED, prepare.request_id, 0)
+    assert driver.proposer.phase is Phase.PREPARING
+
+
+def test_responses_to_an_earlier_ballot_or_another_proposer_count_for_nothing() -> None:
+    """Late responses are received: of its former ballot, of another proposer, of another lease."""
+    driver = Driver()
+    first = driver.proposer.prepare(0)
+    driver.receive("a", Verdict.PROMISED, first.request_id, 0)
+    second = driver.proposer.prepare(0)
+    driver.receive("b", Verdict.PROMISED, first.request_id, 0, ballot=first.ballot)
+    driver.proposer.receive(Response("x", 8, second.request_id, "c", Verdict.PROMISED, second.ballot), 0)
+    driver.proposer.receive(Response("y", 7, second.request_id, "c", Verdict.PROMISED, second.ballot), 0)
+    assert not driver.proposer.promised_by and second.ballot > first.ballot
+
+
+def test_the_next_ballot_passes_what_a_rejection_named() -> None:
+    """A voter was restarted and promises only above its ceiling: the next ballot passes that at once."""
+    driver = Driver()
+    prepare = driver.proposer.prepare(0)
+    driver.receive("a", Verdict.STALE_BALLOT, prepare.request_id, 0, ballot=65_536)
+    assert driver.proposer.prepare(0).ballot == 65_537
+
+
+def test_open_requests_are_bounded() -> None:
+    """No voter responds for long, and the proposer sends on: it remembers only the last requests."""
+    driver = Driver()
+    driver.holds_since(0)
     for now in range(100):
-        desk.proposer.accept(now)
-    assert len(desk.proposer.sent_ns) == MAX_OPEN_REQUESTS
+        driver.proposer.accept(now)
+    assert len(driver.proposer.sent_ns) == MAX_OPEN_REQUESTS
 
 
-def test_released_it_holds_no_more_whatever_comes() -> None:
-    desk = Desk()
-    desk.holds_since(0)
-    accept = desk.proposer.accept(1)
-    desk.proposer.release()
+def test_after_a_release_it_holds_no_more_whatever_is_received() -> None:
+    """Responses to a renewal are received after the release."""
+    driver = Driver()
+    driver.holds_since(0)
+    accept = driver.proposer.accept(1)
+    driver.proposer.release()
     for voter in "ab":
-        desk.receive(voter, Verdict.ACCEPTED, accept.request_id, 2)
-    assert not desk.proposer.holds(3)
-
-
-def test_it_climbs_past_voters_that_were_started_anew_and_holds_on_meanwhile() -> None:
-    desk = Desk()
-    desk.holds_since(0)
-    token = desk.proposer.token
-    accept = desk.proposer.accept(300 * MS)
-    desk.receive("a", Verdict.ACCEPTED, accept.request_id, 310 * MS)
-    desk.receive("b", Verdict.STALE_BALLOT, accept.request_id, 310 * MS, ballot=65_536)
-    prepare = desk.proposer.prepare_next_ballot(320 * MS)
+        driver.receive(voter, Verdict.ACCEPTED, accept.request_id, 2)
+    assert not driver.proposer.holds(3)
+
+
+def test_it_passes_the_ballots_of_restarted_voters_and_holds_on_meanwhile() -> None:
+    """Two of three voters are restarted one after the other while it holds; their ballots start higher.
+
+    It prepares a higher ballot, holds on under the former one meanwhile, and keeps its token. A promise
+    binds nobody: only what was accepted counts.
+    """
+    driver = Driver()
+    driver.holds_since(0)
+    token = driver.proposer.token
+    accept = driver.proposer.accept(300 * MS)
+    driver.receive("a", Verdict.ACCEPTED, accept.request_id, 310 * MS)
+    driver.receive("b", Verdict.STALE_BALLOT, accept.request_id, 310 * MS, ballot=65_536)
+    prepare = driver.proposer.prepare_next_ballot(320 * MS)
     assert (
-        prepare.ballot == 65_537 and desk.proposer.holds(320 * MS) and desk.proposer.until_ns == VALIDITY_NS
+        prepare.ballot == 65_537
+        and driver.proposer.holds(320 * MS)
+        and driver.proposer.until_ns == VALIDITY_NS
     )
     for voter in "bc":
-        desk.receive(voter, Verdict.PROMISED, prepare.request_id, 330 * MS, ballot=65_537)
-    assert desk.proposer.until_ns == VALIDITY_NS  # a promise binds nobody
-    accept = desk.proposer.accept(340 * MS)
+        driver.receive(voter, Verdict.PROMISED, prepare.request_id, 330 * MS, ballot=65_537)
+    assert driver.proposer.until_ns == VALIDITY_NS  # a promise binds nobody
+    accept = driver.proposer.accept(340 * MS)
     assert accept.ballot == 65_537
-    desk.receive("b", Verdict.ACCEPTED, accept.request_id, 350 * MS)
-    assert desk.proposer.until_ns == 300 * MS + VALIDITY_NS  # a under the former ballot, b under this one
-    desk.receive("c", Verdict.ACCEPTED, accept.request_id, 350 * MS)
-    assert desk.proposer.until_ns == 340 * MS + VALIDITY_NS and desk.proposer.token == token
+    driver.receive("b", Verdict.ACCEPTED, accept.request_id, 350 * MS)
+    assert driver.proposer.until_ns == 300 * MS + VALIDITY_NS  # a under the former ballot, b under this one
+    driver.receive("c", Verdict.ACCEPTED, accept.request_id, 350 * MS)
+    assert driver.proposer.until_ns == 340 * MS + VALIDITY_NS and driver.proposer.token == token
--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules in simulated time: overlaps in true time, tokens, liveness; shrinking; the same trace."""
+"""Seeded schedules in simulated time: no overlap, rising tokens, liveness; shrinking; the same trace."""
 
 from __future__ import annotations
 
@@ -31,6 +31,10 @@
 
 
 def test_no_two_hold_at_once(long_runs: bool) -> None:
+    """Processes are killed, stopped and cut off, clocks drift, messages are lost, doubled and late.
+
+    In true time no two hold at once and tokens rise, in each of the seeded schedules.
+    """
     holdings = late = fenced = 0
     for seed in range(SEEDS * (20 if long_runs else 1)):
         found = simulate(schedule(seed), TIMING)
@@ -54,11 +58,16 @@
 
 @pytest.mark.parametrize("mistake", FOUND)
 def test_planted_mistakes_are_found_by_schedules(mistake: str) -> None:
+    """A mistake is planted (`mistakes.py`): some schedule breaks a rule.
+
+    That none is broken elsewhere is believed since these are found.
+    """
     world = planted(mistake)
     assert any(simulate(schedule(seed), TIMING, world).breaches for seed in range(150))
 
 
 def test_no_two_hold_at_once_while_the_list_of_voters_changes(long_runs: bool) -> None:
+    """The same faults, while the voters are restarted under one list of voters after the other."""
     holdings = 0
     for seed in range(SEEDS * (20 if long_runs else 1)):
         changing = drawn(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True)
@@ -68,8 +77,8 @@
     assert holdings > SEEDS
 
 
-class Unmoved(VoterRecovery):
-    """A voter votes under another plan without waiting for the former voters to come over."""
+class JoinsAtOnce(VoterRecovery):
+    """A planted mistake: it votes under another configuration without waiting for the former voters."""
 
     def __init__(
         self, cluster: ClusterConfiguration, voter: str, nonce: int, persisted: PersistentState | None
@@ -80,8 +89,9 @@
         super().__init__(cluster, voter, nonce, persisted)
 
 
-def test_a_seat_that_waits_for_nobody_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(member, "VoterRecovery", Unmoved)
+def test_a_recovery_that_waits_for_nobody_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A voter that joins a changed voter set at once lets two majorities live: the schedules find it."""
+    monkeypatch.setattr(member, "VoterRecovery", JoinsAtOnce)
     seeds = (
         drawn(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True) for seed in range(200)
     )
@@ -114,6 +124,7 @@
     ],
 )
 def test_what_is_no_schedule_is_named(text: str, wrong: str) -> None:
+    """A schedule file is cut off, lacks a key, or names a fault, a node or a type that there is not."""
     whole = '{"seed": 1, "voters": ["a"], "contenders": ["p1"], "until_ms": 1, '
     with pytest.raises(Unplayable, match=wrong):
         from_json((whole + text[1:] if "steps" in text else text).encode())
@@ -160,6 +171,10 @@
 
 
 def test_a_death_passes_the_lease_on_within_the_bound() -> None:
+    """The holder is killed while others wait and nothing else is wrong.
+
+    Another one holds within `failover_bound_ns`.
+    """
     waits = []
     for seed in range(40):
         world = Waiting(replace(calm(voters=5), seed=seed), TIMING)
@@ -171,7 +186,11 @@
     assert max(waits) <= TIMING.failover_bound_ns
 
 
-def test_all_voters_started_anew_at_once_give_no_lower_token() -> None:
+def test_all_voters_restarted_at_once_give_no_lower_token() -> None:
+    """All voters are killed and restarted within 50 ms: what they promised is forgotten everywhere.
+
+    Their persisted ceilings keep tokens rising, and the quiet period keeps the former holder alone.
+    """
     steps = [Step(5_000, "kill", v) for v in "abc"] + [Step(5_050, "start", v) for v in "abc"]
     found = simulate(calm(*steps), TIMING)
     assert not found.breaches
@@ -180,7 +199,11 @@
     ]
 
 
-def test_a_voter_that_lost_its_disk_is_seated_by_the_others() -> None:
+def test_a_voter_that_lost_its_state_votes_again_by_the_others() -> None:
+    """A voter is killed and its disk is lost; later another voter dies for good.
+
+    By then the first one votes again, since the others had told it their ballots: both are a majority.
+    """
     steps = [Step(4_000, "lose", "a"), Step(4_100, "start", "a"), Step(8_000, "kill", "b")]
     found = simulate(calm(*steps), TIMING)
     assert not found.breaches
@@ -188,26 +211,31 @@
 
 
 def test_no_majority_no_holder() -> None:
+    """Two of three voters are killed: nobody holds after the lease has run out."""
     steps = [Step(4_000, "kill", "a"), Step(4_000, "kill", "b")]
     found = simulate(calm(*steps), TIMING)
     assert not [h for h in found.holdings if h[0] > 5_000 * MS]
 
 
 @pytest.mark.parametrize("voters", [3, 5])
-def test_a_holder_keeps_its_lease_while_all_members_are_started_anew_in_turn(voters: int) -> None:
-    """Slower than a lease: each is bound again, under a higher ballot, before the next one goes."""
+def test_a_holder_keeps_its_lease_while_all_members_are_restarted_in_turn(voters: int) -> None:
+    """A rolling restart of all members, slower than a lease.
+
+    Each voter accepts the holder again, under a higher ballot, before the next one goes: there is one
+    holding.
+    """
     names = "abcde"[:voters]
     steps = [
         step
         for i, name in enumerate(names)
         for step in (Step(4_000 + 2_000 * i, "kill", name), Step(4_100 + 2_000 * i, "start", name))
     ]
-    world = Keeps(calm(*steps, voters=voters, until_ms=6_000 + 2_000 * voters), TIMING)
+    world = EndlessTask(calm(*steps, voters=voters, until_ms=6_000 + 2_000 * voters), TIMING)
     world.play()
     assert not world.found.breaches and len(world.found.holdings) == 1 and world.held_tokens
 
 
-class Keeps(LeaseSimulation):
+class EndlessTask(LeaseSimulation):
     """One holder whose task does not end, and others that wait."""
 
     wait_timeouts = (None,)
@@ -216,6 +244,10 @@
 
 @pytest.mark.parametrize("voters", [1, 2])
 def test_fleets_of_one_and_of_two(voters: int) -> None:
+    """The only voter, or one of two, is killed and restarted.
+
+    Nobody gets the lease while it is quiet, and somebody does after that.
+    """
     found = simulate(calm(Step(5_000, "kill", "a"), Step(6_000, "start", "a"), voters=voters), TIMING)
     assert not found.breaches
     assert not [h for h in found.holdings if 6_100 * MS < h[0] < 6_900 * MS]  # a is silent, and needed
