--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -18,9 +18,9 @@
 
 from lanelift.faults.schedule import Step
 from lanelift.faults.simulated import MS, Place, Said
-from lanelift.membership.detector import ProbeTiming
 from lanelift.membership.gossip import MemberState
 from lanelift.membership.simulation import MembershipSimulation, StateChange, membership_schedule
+from lanelift.membership.timing import ProbeTiming
 
 UNTIL_S, KILLED_S = 90, 20
 LOSSES = (0.0, 0.05, 0.3)
--- a/lanelift/membership/detector.py
+++ b/lanelift/membership/detector.py
@@ -22,7 +22,6 @@
 import random
 from collections import Counter
 from collections.abc import Sequence
-from dataclasses import dataclass
 
 from lanelift.membership.dissemination import Dissemination
 from lanelift.membership.gossip import (
@@ -42,8 +41,8 @@
 )
 from lanelift.membership.records import MemberRecord, PendingProbe
 from lanelift.membership.suspicion import CONFIRMATIONS_NEEDED, suspicion_timeout_ns, zone_is_partitioned
+from lanelift.membership.timing import ProbeTiming
 
-MILLISECOND_NS = 1_000_000
 MAX_MEMBERS = 4096  # bounds the tables of one member; numbers on the wire could be 16 times as high
 INDIRECT_PROBES = 3  # members that are asked to ping in one's place: one lossy path is no suspicion
 MAX_HEALTH_PENALTY = 4  # an unhealthy member waits up to five times as long before it accuses (Lifeguard)
@@ -55,21 +54,6 @@
 Outgoing = list[tuple[int, bytes]]  # messages: to which member, and their bytes
 
 
-@dataclass(frozen=True, slots=True)
-class ProbeTiming:
-    """How long things take, in nanoseconds.
-
-    Attributes:
-        period_ns: Between two probes of one member.
-        ack_timeout_ns: An acknowledgement takes no longer while the network is healthy.
-        death_ns: No partition lasts longer; a member that was unreachable for so long counts as dead.
-    """
-
-    period_ns: int = 1000 * MILLISECOND_NS
-    ack_timeout_ns: int = 200 * MILLISECOND_NS
-    death_ns: int = 60_000 * MILLISECOND_NS
-
-
 class FailureDetector:
     """One member's view of all others.
 
--- a/lanelift/membership/simulation.py
+++ b/lanelift/membership/simulation.py
@@ -7,9 +7,10 @@
 
 from lanelift.faults.schedule import Schedule
 from lanelift.faults.simulated import Place, Said, World
-from lanelift.membership.detector import FailureDetector, ProbeTiming
+from lanelift.membership.detector import FailureDetector
 from lanelift.membership.gossip import MemberState, MemberUpdate
 from lanelift.membership.records import MemberRecord
+from lanelift.membership.timing import ProbeTiming
 
 
 class StateChange(NamedTuple):
--- a/tests/membership/test_budgets.py
+++ b/tests/membership/test_budgets.py
@@ -12,10 +12,10 @@
 
 from lanelift.faults.schedule import Step
 from lanelift.faults.simulated import MS
-from lanelift.membership.detector import ProbeTiming
 from lanelift.membership.gossip import MemberState
 from lanelift.membership.records import MemberRecord
 from lanelift.membership.simulation import MembershipSimulation, RecordingDetector, membership_schedule
+from lanelift.membership.timing import ProbeTiming
 
 TIMING = ProbeTiming(death_ns=40_000 * MS)
 COUNT = 8
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -8,7 +8,7 @@
 
 from lanelift.faults.schedule import Step
 from lanelift.faults.simulated import MS, Clock, Place
-from lanelift.membership.detector import FailureDetector, ProbeTiming
+from lanelift.membership.detector import FailureDetector
 from lanelift.membership.gossip import (
     HEADER,
     MAX_MESSAGE_BYTES,
@@ -24,6 +24,7 @@
 )
 from lanelift.membership.records import MemberRecord
 from lanelift.membership.simulation import MembershipSimulation, RecordingDetector, membership_schedule
+from lanelift.membership.timing import ProbeTiming
 
 TIMING = ProbeTiming(death_ns=40_000 * MS)
 N = 24
--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -22,8 +22,8 @@
 from lanelift.fleet.state_file import StateFile
 from lanelift.leases.simulation import LeaseSimulation, VoterNode
 from lanelift.membership import gossip
-from lanelift.membership.detector import ProbeTiming
 from lanelift.membership.simulation import MembershipSimulation, membership_schedule
+from lanelift.membership.timing import ProbeTiming
 
 # Modules that are started by their path while another release runs: this path must stay.
 WARDEN_MODULE = "lanelift.leases.warden"
