--- a/tests/leases/test_node.py
+++ b/tests/leases/test_node.py
@@ -139,7 +139,7 @@
         with pytest.raises(VoterStateError, match="another process runs as a"):
             FleetNode(FleetSource(fleet, "a", tmp_path, Clock(), "json"))
         other = FleetNode(FleetSource(fleet, "a", tmp_path / "other", Clock(), "json"))
-        with pytest.raises(VoterStateError, match="fleet member a at 127.0.0.1"):
+        with pytest.raises(VoterStateError, match=r"fleet member a at 127.0.0.1"):
             await other.start()
         await other.close()
 
--- a/tests/operate/test_hot_restart.py
+++ b/tests/operate/test_hot_restart.py
@@ -133,7 +133,7 @@
     async def test() -> None:
         told = Told(tmp_path, 1)
         await told.succession.start()
-        reader, writer = await asyncio.open_unix_connection(str(told.succession.path))
+        _, writer = await asyncio.open_unix_connection(str(told.succession.path))
         await told.until(lambda: told.heard == [2])
         writer.write(b"noise" * 1000)
         writer.close()
--- a/tests/policy/test_deadlines.py
+++ b/tests/policy/test_deadlines.py
@@ -34,7 +34,7 @@
     the body is complete.
     """
     desk = Desk(servers=1)
-    came, upstream = pending_body(desk)
+    _, upstream = pending_body(desk)
     server = desk.balancer.registry.upstreams[upstream]
     desk.advance(20 * SECOND)
     assert "r1" not in desk.answer and server.consecutive_ejections == 0
--- a/tests/policy/test_directory.py
+++ b/tests/policy/test_directory.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    "tenant,why",
+    ("tenant", "why"),
     [
         (Tenant("ash", denial_reason="suspended"), "suspended"),
         (Tenant("ash", classes=frozenset({"history"})), "class not allowed"),
