--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -48,7 +48,7 @@
     "a restart, a second try": Bounds(ticks=3, restarts=1, prepares=(1, 2)),
     "a release": Bounds(ticks=2, restarts=0, releases=(1, 0)),
     "a renewal": RENEWS,
-    "each voter hears both": Bounds(ticks=2, restarts=0, reached=((0, 1, 2), (0, 1, 2))),
+    "each voter reached by both": Bounds(ticks=2, restarts=0, reached=((0, 1, 2), (0, 1, 2))),
     "clocks apart the other way": Bounds(
         ticks=4, restarts=0, voter_rates=(SLOW, EVEN, FAST), proposer_rates=(SLOW, FAST)
     ),
