--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -256,7 +256,7 @@
     process.stdin.write(b"%d\n" % changed)
     await process.stdout.readline()
     began = time.monotonic()
-    while sum(t.barred != "" for t in dispatcher.tenants.values()) < changed:
+    while sum(t.denial_reason != "" for t in dispatcher.tenants.values()) < changed:
         await asyncio.sleep(0.05)
     found["change_s"] = round(time.monotonic() - began, 2)
     found["change"] = beat.taken()
--- a/lanelift/cli/main.py
+++ b/lanelift/cli/main.py
@@ -22,7 +22,7 @@
     "lease": ("lanelift.cli.lease", "Run commands under leases of the fleet, and show them."),
     "rehearse": ("lanelift.cli.rehearse", "Play a day on loopback sockets and judge it."),
 }
-FILE = click.Path(path_type=Path)  # whether it can be read is told by the reader, with its other mistakes
+FILE = click.Path(path_type=Path)  # whether it can be read is reported with its other problems
 CONFIG = click.option(
     "--config",
     "-c",
--- a/lanelift/cli/serve.py
+++ b/lanelift/cli/serve.py
@@ -1,4 +1,4 @@
-"""`lanelift serve`: the daemon, told what to do by the operator's file."""
+"""`lanelift serve`: the daemon, configured by the operator's file."""
 
 from __future__ import annotations
 
--- a/lanelift/net/__init__.py
+++ b/lanelift/net/__init__.py
@@ -1,1 +1,3 @@
-"""The real balancer's sockets. Nothing here decides: the driver asks the decision module."""
+"""The daemon's sockets. Nothing here decides: `dispatch.py` hands events to the balancer and carries out its
+actions.
+"""
--- a/lanelift/net/frontend.py
+++ b/lanelift/net/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side: listener, connections and their end, held together."""
+"""The clients' side: listener, connections and shutdown."""
 
 from __future__ import annotations
 
--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -29,9 +29,8 @@
 # are closed after that and not before: their clients would come straight back.
 ACCEPT_WHILE_DRAINING_S = 0.5
 LONGEST_DEADLINE_S = 3.0  # longer deadlines count as this at SIGTERM
-EXIT_AFTER_DEADLINE_S = (
-    0.6  # the process ends this long after the longest deadline; SIGKILL comes 0.7 s after it
-)
+# The process ends this long after the longest deadline; SIGKILL comes 0.7 s after it.
+EXIT_AFTER_DEADLINE_S = 0.6
 FINAL_ANSWER_MARGIN_S = 0.03  # requests that would wait beyond the end are answered this long before it
 CLOSE_IDLE_DELAY_S = 0.02  # between the listener's stop and the end of idle connections
 
--- a/tests/config/test_checked.py
+++ b/tests/config/test_checked.py
@@ -57,6 +57,9 @@
 
 @pytest.mark.parametrize(("line", "instead", "said"), MISTAKES)
 def test_each_mistake_is_named(line: str, instead: str, said: str) -> None:
+    """A good file gets one line that is wrong. The problem is named with its place, what was found and what
+    is allowed, and nothing else is reported.
+    """
     only_mistake(GOOD, line, instead, said)
 
 
@@ -70,6 +73,7 @@
 
 
 def test_all_mistakes_at_once() -> None:
+    """A file has several problems. All are reported at once, so that one start is enough to see them."""
     text = (
         GOOD.replace("listen", "lisen")
         .replace('"safe"', '"saef"')
@@ -99,6 +103,7 @@
     ],
 )
 def test_a_file_that_is_none(tmp_path: Path, content: bytes | None, said: str) -> None:
+    """A file can't be read, is no UTF-8 or no TOML. That is one problem of the file as a whole."""
     path = tmp_path / "f.toml"
     if content is not None:
         path.write_bytes(content)
@@ -115,7 +120,9 @@
 
 @given(st.dictionaries(TABLES, PLAIN | ROWS, max_size=3))
 def test_whatever_stands_there_is_read_or_refused(raw: dict[str, object]) -> None:
-    """Checks across keys meet raw input of any type, and must not fall over it."""
+    """Checks across keys get raw input of any type, also where single keys are wrong. They must not fall
+    over it.
+    """
     for mistake in OperatorFile.across(raw):
         assert mistake.place and mistake.allowed
 
--- a/tests/config/test_fleet.py
+++ b/tests/config/test_fleet.py
@@ -74,6 +74,7 @@
     ],
 )
 def test_mistakes_are_named(tmp_path: Path, text: str, mistake: str) -> None:
+    """`[fleet]` has keys that do not go together. The problem is named with its place."""
     with pytest.raises(FileValidationError) as found:
         read(tmp_path, text)
     assert mistake in str(found.value)
@@ -81,6 +82,9 @@
 
 @pytest.mark.parametrize(("members", "warned"), [(ABC, False), (ABC + member("d", 4), True)])
 def test_an_even_number_of_voters_is_warned_of(tmp_path: Path, members: str, warned: bool) -> None:
+    """An even number of members votes. That works and bears no more failures than one fewer, so it is a
+    warning.
+    """
     fleet = read(tmp_path, FLEET + members).fleet
     assert fleet is not None
     assert any("an odd number is better" in text for text in fleet.warnings()) == warned
--- a/tests/config/test_tenants.py
+++ b/tests/config/test_tenants.py
@@ -76,11 +76,13 @@
 
 @pytest.mark.parametrize(("line", "instead", "said"), MISTAKES)
 def test_each_mistake_is_named(line: str, instead: str, said: str) -> None:
+    """`[tenants]` has a line that is wrong. The problem is named with its place."""
     only_mistake(GOOD, line, instead, said)
 
 
 @pytest.mark.parametrize("raw", ["tenants = 3", "tenants = []", "[tenants]\nmap = 3\ndirectory = 5"])
 def test_whatever_stands_there_is_refused(raw: str) -> None:
+    """`tenants` in the file is no table. That is a problem of the file, and no crash."""
     text = raw + "\n" + GOOD[: GOOD.index("[tenants]")] if "=" in raw.split("\n")[0] else ""
     text = text or GOOD[: GOOD.index("[tenants]")] + raw
     with pytest.raises(FileValidationError, match="tenants"):
@@ -119,6 +121,9 @@
 
 
 def test_without_the_client_library_that_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The file asks for directories, and the LDAP client is not installed. The message says how to install
+    it.
+    """
     monkeypatch.setattr(importlib.util, "find_spec", lambda name: None)
     with pytest.raises(SettingsError, match=r"pip install 'lanelift\[tenants\]'"):
         told(GOOD)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What several test files start from."""
+"""Fixtures that several test files start from: events that are watched, and settled connections."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from lanelift.net import connection_pool, dispatch
 from lanelift.policy.balancer import Balancer
-from tests.fakes import Heard
+from tests.worlds import Heard
 
 
 @pytest.fixture
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""The other ends of the balancer's sockets, on loopback: upstreams, discovery and clients, and a balancer.
+"""The other ends of the balancer's sockets, on loopback: scripted upstreams and discovery, and a client.
 
 Everything waits on events: `until` returns once its condition holds, and `run` bounds a whole test.
 """
@@ -9,40 +9,21 @@
 import json
 import socket
 import struct
-from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine, Iterable, Iterator, Sequence
-from contextlib import asynccontextmanager, contextmanager, suppress
-from dataclasses import dataclass, replace
+from collections.abc import Awaitable, Callable, Coroutine, Iterable, Iterator
+from contextlib import contextmanager, suppress
+from dataclasses import dataclass
 from typing import Any
 
-import pytest
-
-from lanelift.__main__ import listening_socket
-from lanelift.daemon import serve
-from lanelift.daemon_config import Config
-from lanelift.net import dispatch
-from lanelift.policy.actions import Action
-from lanelift.policy.balancer import Balancer
-from lanelift.policy.events import AttemptFinished, AttemptResult, EndpointUpdate, Event
-from lanelift.policy.settings import Idempotency, Limits, RequestClass, Settings, Tenant
 from lanelift.settings import Json
 from lanelift.standins import http
 
 MS = 1_000_000
+
+
 SECOND = 1000 * MS
+
+
 TEST_S = 60.0
-CLASSES = {
-    "quote": RequestClass(
-        "quote", Idempotency.IDEMPOTENT, latency_objective_ns=2 * SECOND, deadline_ns=3 * SECOND
-    ),
-    "pay": RequestClass(
-        "pay", Idempotency.NON_IDEMPOTENT, latency_objective_ns=2 * SECOND, deadline_ns=3 * SECOND
-    ),
-}
-SETTINGS = Settings(
-    classes=CLASSES,
-    tenants={"ash": Tenant("ash")},
-    limits=Limits(max_attempts=1, may_cancel=True, retry_after=True, peer_messages=True),
-)
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
@@ -275,122 +256,6 @@
         self.writer.transport.abort()
 
 
-class Heard(Watched):
-    """The events that the module is handed."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.events: list[Event] = []
-
-    def of(self, kind: type) -> list[Any]:
-        return [event for event in self.events if isinstance(event, kind)]
-
-    def results(self) -> list[AttemptResult]:
-        return [event.result for event in self.of(AttemptFinished)]
-
-    def listen(self, module: type[Balancer]) -> type[Balancer]:
-        heard = self
-
-        class Listening(module):  # type: ignore[misc, valid-type]
-            def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-                taken = list(events)
-                actions: list[Action] = super().handle(now, taken)
-                heard.events += taken
-                heard.poke()
-                return actions
-
-        return Listening
-
-
-class Puppet(Balancer):
-    """A module that does what a test says."""
-
-    acts: Callable[[Event], list[Action]]
-
-    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-        return [action for event in events for action in type(self).acts(event)]
-
-
-def puppet(monkeypatch: pytest.MonkeyPatch, heard: Heard, acts: Callable[[Event, int], list[Action]]) -> None:
-    """Have `acts` decide: it gets the event and the number of the first upstream listed."""
-    known: list[int] = []
-
-    def decide(event: Event) -> list[Action]:
-        if isinstance(event, EndpointUpdate):
-            known.extend(u.id for u in event.endpoints)
-        return acts(event, known[0]) if known else []
-
-    monkeypatch.setattr(Puppet, "acts", staticmethod(decide), raising=False)
-    monkeypatch.setattr(dispatch, "Balancer", heard.listen(Puppet))
-
-
-class World:
-    """A balancer in this process, its upstreams and discovery."""
-
-    def __init__(self, upstreams: Sequence[FakeUpstream], discovery: FakeDiscovery) -> None:
-        self.upstreams = upstreams
-        self.discovery = discovery
-        self.address = ("127.0.0.1", 0)
-
-    async def client(self) -> Client:
-        return await Client.to(self.address)
-
-    async def held(self, name: str, **more: Any) -> Client:
-        """A client whose request is at the first upstream, which says nothing to it."""
-        upstream = self.upstreams[0]
-        upstream.script, before = [never], len(upstream.seen)
-        client = await self.client()
-        client.send(name, **more)
-        await upstream.until(lambda: len(upstream.seen) > before)
-        return client
-
-    async def tell(self, *rows: Json) -> None:
-        """Have discovery tell a change, and wait until the balancer has it: it then watches from there on."""
-        await self.watching()
-        self.discovery.change(*rows)
-        await self.watching()
-
-    async def watching(self) -> None:
-        target = f"from={self.discovery.version}&"
-        await self.discovery.until(lambda: any(target in m.start[1] for m in self.discovery.seen))
-
-    async def ask(self, name: str, *args: Any, **more: Any) -> Message:
-        client = await self.client()
-        try:
-            return await client.ask(name, *args, **more)
-        finally:
-            client.close()
-
-
-@asynccontextmanager
-async def world(
-    count: int = 1,
-    settings: Settings = SETTINGS,
-    sockets: int = 1024,
-    operators: socket.socket | None = None,
-    **config: Any,
-) -> AsyncIterator[World]:
-    upstreams = [FakeUpstream(f"s-{i}") for i in range(count)]
-    for upstream in upstreams:
-        await upstream.start()
-    discovery = FakeDiscovery(upstream.row() for upstream in upstreams)
-    await discovery.start()
-    w = World(upstreams, discovery)
-    listener = listening_socket(("127.0.0.1", 0))
-    listener.listen()  # connections wait for the balancer
-    w.address = listener.getsockname()
-    plain = Config(w.address, discovery.where, 7, sockets, settings, discovery.whole(), None, [], None)
-    task = asyncio.create_task(serve(replace(plain, **config), listener, lambda: plain, operators))
-    try:
-        yield w
-    finally:
-        task.cancel()
-        with suppress(asyncio.CancelledError):
-            await task
-        for server in (*upstreams, discovery):
-            server.stop()
-
-
 @contextmanager
 def deaf() -> Iterator[tuple[str, int]]:
     """The address of a listener whose backlog is full: it answers nothing to the next connection."""
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -25,18 +25,8 @@
     RequestArrived,
 )
 from lanelift.standins.http import Connection
-from tests.fakes import (
-    SECOND,
-    SETTINGS,
-    TEST_S,
-    Client,
-    FakeUpstream,
-    Heard,
-    World,
-    answer,
-    puppet,
-    world,
-)
+from tests.fakes import SECOND, TEST_S, Client, FakeUpstream, answer
+from tests.worlds import SETTINGS, Heard, World, puppet, world
 
 
 @asynccontextmanager
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -18,17 +18,9 @@
     Event,
     RequestArrived,
 )
-from tests.fakes import (
-    CLASSES,
-    SETTINGS,
-    Heard,
-    answer,
-    never,
-    puppet,
-    run,
-    world,
-)
+from tests.fakes import answer, never, run
 from tests.net.support import OK, PATIENT, Gate, R, ids, to_first_then_second
+from tests.worlds import CLASSES, SETTINGS, Heard, puppet, world
 
 AIM_NS = CLASSES["quote"].latency_objective_ns
 
@@ -154,7 +146,6 @@
     """The decisions ask for attempts that are not allowed: a second one beside the first, and one at an
     upstream that nobody listed. Nothing is sent, and each has the outcome NOT_SENT.
     """
-
     heard = Heard()
 
     def acts(event: Event, upstream: int) -> list[Action]:
@@ -217,7 +208,6 @@
     up may run for as long as its connection is open, so two would run at once. Its connection has ended
     before the next attempt leaves.
     """
-
     to_first_then_second(monkeypatch, heard)
     ended: list[bool] = []
     start = UpstreamConnection.start
--- a/tests/net/test_backlog_at_shutdown.py
+++ b/tests/net/test_backlog_at_shutdown.py
@@ -13,8 +13,9 @@
 from lanelift.net import client_responses, connection_phases, discovery
 from lanelift.net.connection_phases import Phase
 from lanelift.net.frontend import Frontend
-from tests.fakes import TEST_S, World, run
+from tests.fakes import TEST_S, run
 from tests.net.support import ending, terminate
+from tests.worlds import World
 
 TWO_PLACES = RESERVED_SOCKETS + 2 * 2  # two clients, two connections to upstreams
 
@@ -62,7 +63,6 @@
     """SIGTERM comes while a client waits in the backlog of a listener that another process shares. This
     process closes its copy at once, and the client is served by the other.
     """
-
     listeners: list[socket.socket] = []
     fronts: list[Frontend] = []
     made = Frontend.__init__
@@ -107,7 +107,6 @@
     all of these are free, and no end of a client is to come that would have the listener looked at again.
     The client behind them is answered nevertheless.
     """
-
     monkeypatch.setattr(discovery, "START_TIMEOUT_S", 2 * TEST_S)
 
     async def test() -> None:
@@ -133,7 +132,6 @@
     """SIGTERM comes while all places are taken by clients that send nothing and are not closed for others.
     The listener's stop closes them, and who waits in the backlog is answered.
     """
-
     monkeypatch.setattr(
         connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 2 * TEST_S), (Phase.READING_HEAD, 2 * TEST_S))
     )
@@ -142,9 +140,8 @@
 
     async def test() -> None:
         async with ending(monkeypatch, sockets=TWO_PLACES) as (w, stopped):
-            monkeypatch.setattr(
-                client_responses, "MAX_FILL", 9.0
-            )  # answers end no connection for want of places
+            # Answers end no connection for want of places.
+            monkeypatch.setattr(client_responses, "MAX_FILL", 9.0)
             silent = [await w.client() for _ in range(2)]
             if rest:
                 for number, client in enumerate(silent):
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -13,16 +13,9 @@
     ClientDisconnected,
     RequestArrived,
 )
-from tests.fakes import (
-    CLASSES,
-    SECOND,
-    Heard,
-    answer,
-    read_message,
-    run,
-    world,
-)
+from tests.fakes import SECOND, answer, read_message, run
 from tests.net.support import LEAVES, PATIENT, R, ids
+from tests.worlds import CLASSES, Heard, world
 
 
 def test_ready_once_the_module_can_serve() -> None:
--- a/tests/net/test_client_responses.py
+++ b/tests/net/test_client_responses.py
@@ -14,14 +14,9 @@
 from lanelift.policy.events import (
     RequestArrived,
 )
-from tests.fakes import (
-    Client,
-    Heard,
-    answer,
-    run,
-    world,
-)
+from tests.fakes import Client, answer, run
 from tests.net.support import LONG, response_with_length
+from tests.worlds import Heard, world
 
 
 @pytest.mark.parametrize("when", ["before", "behind"])
@@ -32,7 +27,6 @@
     connection and takes the last response along. Only the sending ends, so the client reads its response
     whether they come before or behind that.
     """
-
     leave = ClientConnection._close_after_response
     peers: list[socket.socket] = []
 
@@ -65,7 +59,6 @@
     """A client does not close its connection behind its last response, and sends on. A half-closed
     connection would take that for ever, so it is closed after a while.
     """
-
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.0)
 
     async def test() -> None:
@@ -88,7 +81,6 @@
     """A client sends request after request and reads no responses. They would pile up in memory. Its
     requests are not begun any more, and its connection is ended.
     """
-
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.5)
 
     async def test() -> None:
@@ -117,7 +109,6 @@
     """A client reads its last response slowly. The connection ends behind the response, and what is still
     in the buffers is not thrown away with it, however long the client takes.
     """
-
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.05)
 
     async def test() -> None:
@@ -142,7 +133,6 @@
     """A client reads no more of a long response. Its connection would stay for ever, so it is ended by a
     reset, which shows that the response is incomplete.
     """
-
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.FLUSHING, 0.1)
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(exchange, "CLIENT_STALL_TIMEOUT_S", 0.1)
--- a/tests/net/test_connection_phases.py
+++ b/tests/net/test_connection_phases.py
@@ -10,13 +10,8 @@
 from lanelift.net import connection_phases
 from lanelift.net.connection_phases import Phase
 from lanelift.policy.events import RequestArrived
-from tests.fakes import (
-    FakeUpstream,
-    Heard,
-    read_message,
-    run,
-    world,
-)
+from tests.fakes import FakeUpstream, read_message, run
+from tests.worlds import Heard, world
 
 
 def test_at_the_cap_idle_clients_make_room_and_busy_ones_are_kept(
@@ -25,7 +20,6 @@
     """All places are taken, by idle clients and by some whose requests are open. An idle one is closed for
     a newcomer; a busy one never is, and a newcomer waits in the backlog instead.
     """
-
     monkeypatch.setattr(connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 0.0),))
 
     async def test() -> None:
@@ -75,13 +69,11 @@
     """All places are taken, and newcomers that send nothing keep coming. An idle client is not closed
     before its time for them.
     """
-
     monkeypatch.setattr(
         connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 1000.0), (Phase.READING_HEAD, 0.0))
     )
-    monkeypatch.setitem(
-        connection_phases.PHASE_TIMEOUT_S, Phase.READING_HEAD, 0.1
-    )  # the last newcomer is driven out by nobody
+    # The last newcomer is driven out by nobody.
+    monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_HEAD, 0.1)
 
     async def test() -> None:
         async with world(sockets=RESERVED_SOCKETS + 2 * 2) as w:
@@ -99,7 +91,6 @@
     """There are more clients than places. Idle connections are left some seconds, so each newcomer would
     wait for that. Above a part of the cap an answer ends its connection, and all are served soon.
     """
-
     # Idle connections are left their 2 s: with more clients than places, each newcomer waited for that.
     (leaving,) = (row for row in connection_phases.EVICTION_ORDER if row[0] is Phase.CLOSING)
     monkeypatch.setattr(connection_phases, "EVICTION_ORDER", (leaving, (Phase.IDLE, 1000.0)))
@@ -131,7 +122,6 @@
     """A client sends part of a request, or nothing, and then no more. Its connection is ended after a
     while, with 408 if part of a request had come.
     """
-
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_HEAD, 0.2)
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.3)
 
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -20,20 +20,9 @@
     Event,
     RequestArrived,
 )
-from tests.fakes import (
-    SECOND,
-    SETTINGS,
-    TEST_S,
-    FakeUpstream,
-    Heard,
-    Puppet,
-    answer,
-    never,
-    puppet,
-    run,
-    world,
-)
+from tests.fakes import SECOND, TEST_S, FakeUpstream, answer, never, run
 from tests.net.support import PATIENT, Gate, R, to_first_then_second
+from tests.worlds import SETTINGS, Heard, Puppet, puppet, world
 
 
 @pytest.mark.parametrize("state", ["Terminating", "Gone"])
@@ -43,7 +32,6 @@
     """Discovery says that an upstream drains while a request waits for a connection to it. Its handshake
     would take the request past the drain's grace, so it goes elsewhere.
     """
-
     to_first_then_second(monkeypatch, heard)
 
     async def test() -> None:
@@ -113,7 +101,6 @@
     connection. Only time tells it from that one's response. A connection that has not settled is used for
     idempotent requests only, and what comes on it too soon is not believed.
     """
-
     assert connection_pool.SETTLE_S >= 0.01  # some milliseconds, with room
     monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)  # however slow the machine is
     monkeypatch.setattr(connection_pool, "MIN_RESPONSE_TO_SETTLE_RATIO", 0 if slow else 1)
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -17,17 +17,8 @@
     Event,
 )
 from lanelift.policy.settings import Rules
-from tests.fakes import (
-    SECOND,
-    SETTINGS,
-    FakeDiscovery,
-    Heard,
-    answer,
-    never,
-    puppet,
-    run,
-    world,
-)
+from tests.fakes import SECOND, FakeDiscovery, answer, never, run
+from tests.worlds import SETTINGS, Heard, puppet, world
 
 
 def test_an_outage_keeps_the_old_list_and_the_whole_one_comes_after_it(heard: Heard) -> None:
@@ -60,7 +51,6 @@
     """A watch call hangs, and its update never comes. After some seconds updates count as notified, whether
     or not they came. The watch is given up before, and a fetch of the snapshot brings it.
     """
-
     for hold_ms, answer_s in (discovery.PUSH_TIMING, discovery.POLL_TIMING):
         assert hold_ms / 1000 + answer_s < 5  # and a second to open it anew
     monkeypatch.setattr(discovery, "PUSH_TIMING", discovery.WatchTiming(100, 0.1))
@@ -134,7 +124,6 @@
     """A watch call of polled discovery hangs. The decisions would wait for up to 1.5 s, as for discovery
     that is down, and the update count as notified by then. The watch is opened anew at once.
     """
-
     hold_ms, answer_s = discovery.POLL_TIMING
     assert hold_ms / 1000 + answer_s + discovery.RETRY_INTERVAL_S + 1.25 <= 6
     monkeypatch.setattr(discovery, "POLL_TIMING", discovery.WatchTiming(100, 0.1))
@@ -157,7 +146,6 @@
     """Discovery is down, and its address changes. The decisions wait for seconds before they try one that
     is down, but not for the new one: it is called at once.
     """
-
     obeying_nobody(monkeypatch, heard)
     watchers: list[discovery.Discovery] = []
     start = discovery.Discovery.start
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -16,23 +16,14 @@
     EndpointState,
     EndpointUpdate,
 )
-from tests.fakes import (
-    SETTINGS,
-    TEST_S,
-    Heard,
-    Message,
-    answer,
-    never,
-    run,
-    world,
-)
+from tests.fakes import TEST_S, Message, answer, never, run
+from tests.worlds import SETTINGS, Heard, world
 
 
 def test_agents_that_fail_are_called_often_and_not_in_step() -> None:
     """The agents of all balancers fail at once. Each balancer calls the agent of its own machine often
     enough to notice a return within a drain's grace, and they do not all call in step.
     """
-
     waits: list[list[float]] = []
 
     async def test() -> None:
@@ -101,7 +92,6 @@
     """An agent stays silent for long. Calls to it are repeated, but only a few are open at once, and one
     that is answered late counts.
     """
-
     monkeypatch.setattr(discovery, "RETRY_INTERVAL_S", 0.02)
 
     async def test() -> None:
@@ -119,9 +109,8 @@
             await w.discovery.until(
                 lambda: len(w.discovery.links) - before >= 3 * discovery.MAX_PARALLEL_CALLS
             )
-            assert (
-                len(w.discovery.connections) <= discovery.MAX_PARALLEL_CALLS + 2
-            )  # ends of those let go are under way
+            # Ends of those let go are under way.
+            assert len(w.discovery.connections) <= discovery.MAX_PARALLEL_CALLS + 2
             late.set()
             await heard.until(lambda: len(heard.of(EndpointUpdate)) > len(told))
             await w.discovery.until(lambda: len(w.discovery.connections) == 1)
@@ -136,7 +125,6 @@
     notified from the process's first moment on, whatever versions it counts. Nothing is sent before the
     agent has been asked.
     """
-
     monkeypatch.setattr(discovery, "START_TIMEOUT_S", TEST_S)
 
     async def test() -> None:
@@ -200,7 +188,6 @@
     """An agent ends its connection behind a response, and the next handshake hangs. The call is given up
     soon, and the watch is opened anew.
     """
-
     monkeypatch.setattr(discovery, "SNAPSHOT_TIMEOUT_S", 2 * TEST_S)
 
     async def test() -> None:
--- a/tests/net/test_dispatch.py
+++ b/tests/net/test_dispatch.py
@@ -13,12 +13,8 @@
     Event,
     RequestArrived,
 )
-from tests.fakes import (
-    Heard,
-    puppet,
-    run,
-    world,
-)
+from tests.fakes import run
+from tests.worlds import Heard, puppet, world
 
 
 def test_a_failing_module_fails_the_request_and_is_logged(
@@ -49,7 +45,6 @@
     """Upstreams come and go all the time, each under a new identifier. Were anything kept of those that are
     gone, memory and connections would grow without end: nothing is.
     """
-
     built: list[Dispatcher] = []
 
     def build(*args: Any) -> Dispatcher:
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -14,14 +14,8 @@
     EndpointUpdate,
 )
 from lanelift.settings import SettingsError
-from tests.fakes import (
-    SECOND,
-    Heard,
-    Message,
-    answer,
-    run,
-    world,
-)
+from tests.fakes import SECOND, Message, answer, run
+from tests.worlds import Heard, world
 
 
 def test_a_list_entry() -> None:
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -12,7 +12,8 @@
 from lanelift.net.handshakes import MIN_HANDSHAKE_TIMEOUT_S, HandshakeEstimator
 from lanelift.net.upstreams import Upstreams
 from lanelift.policy.events import AttemptResult, Endpoint
-from tests.fakes import SETTINGS, FakeUpstream, deaf, run
+from tests.fakes import FakeUpstream, deaf, run
+from tests.worlds import SETTINGS
 
 LIMIT_S = 5.0
 
--- a/tests/net/test_http_parser.py
+++ b/tests/net/test_http_parser.py
@@ -95,7 +95,6 @@
     """Requests are malformed, ambiguous, too large or of another protocol. Each is rejected with its
     status, and nothing behind it is read.
     """
-
     for step in (1000, 1_000_000_000):
         reader = RequestParser()
         for at in range(0, len(data), step):
@@ -109,7 +108,6 @@
     """A request asks for another protocol: it is read as if it did not, and is the last on its connection.
     A response that claims to change it is an error.
     """
-
     wish = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader = RequestParser()
     reader.feed(HEAD + wish)
@@ -142,7 +140,6 @@
     """Something stands behind a response: noise, or a second response. It must be seen, as the next
     request's response would be read from there.
     """
-
     reader = ResponseParser()
     reader.feed(data)
     assert reader.messages.popleft().body == body
@@ -189,7 +186,6 @@
     """A connection ends in the middle of a response in chunks, at each possible byte. The response is never
     taken for complete.
     """
-
     data = chunked_response(LONG[:2000], 700)
     for at in range(len(data)):
         reader = ResponseParser()
@@ -215,7 +211,6 @@
     """A response has no length, and its connection ends. It may be complete or have been cut off. It is
     taken for complete only if it said that the connection would close.
     """
-
     reader = ResponseParser()
     reader.expect_response(MAX_BUFFERED_BODY_BYTES, True)
     reader.feed(OK + head + b"\r\nabc")
@@ -233,7 +228,6 @@
     """Long and short requests stand close behind each other, and come in pieces of any size. Each gets its
     own bytes, and only these.
     """
-
     data = b"".join(
         (chunked_request if in_chunks else request_with_length)(f"r{number}", LONG[number : number + size])
         for number, (size, in_chunks) in enumerate(wanted)
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -10,13 +10,9 @@
 from lanelift.policy.events import (
     RequestArrived,
 )
-from tests.fakes import (
-    Heard,
-    answer,
-    run,
-    world,
-)
+from tests.fakes import answer, run
 from tests.net.support import LEAVES, PATIENT
+from tests.worlds import Heard, world
 
 
 @pytest.mark.parametrize("how", LEAVES)
--- a/tests/net/test_load_reports.py
+++ b/tests/net/test_load_reports.py
@@ -26,5 +26,4 @@
     """A load report has values that are not numbers, not finite or negative, or of other names. What can be
     believed of it is used, and the rest is not.
     """
-
     assert read_load_report(text, ("inflight", "queue")) == report
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -14,11 +14,8 @@
     EndpointUpdate,
     PeerMessageReceived,
 )
-from tests.fakes import (
-    Heard,
-    run,
-    world,
-)
+from tests.fakes import run
+from tests.worlds import Heard, world
 
 
 def test_peers(heard: Heard) -> None:
--- a/tests/net/test_request_head.py
+++ b/tests/net/test_request_head.py
@@ -9,12 +9,8 @@
 
 from lanelift.policy.events import RequestArrived
 from lanelift.policy.settings import Tenant
-from tests.fakes import (
-    SETTINGS,
-    Heard,
-    run,
-    world,
-)
+from tests.fakes import run
+from tests.worlds import SETTINGS, Heard, world
 
 
 def test_an_id_that_is_open_already() -> None:
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_requests.py
@@ -12,16 +12,9 @@
 from lanelift.policy.events import (
     ClientDisconnected,
 )
-from tests.fakes import (
-    SETTINGS,
-    Heard,
-    answer,
-    puppet,
-    read_message,
-    run,
-    world,
-)
+from tests.fakes import answer, read_message, run
 from tests.net.support import R
+from tests.worlds import SETTINGS, Heard, puppet, world
 
 
 def test_more_open_requests_than_allowed_are_refused() -> None:
@@ -62,7 +55,6 @@
     """The decisions never answer a request. Its client would wait for ever, so it is answered with 504 just
     after its deadline, the error is logged, and the decisions are notified that it is over.
     """
-
     heard = Heard()
     puppet(monkeypatch, heard, lambda event, upstream: [])
 
@@ -79,7 +71,6 @@
     """Writing one answer raises an exception. That client's connection is closed; the events behind it are
     handled, and other clients are answered.
     """
-
     from lanelift.net.client_connection import ClientConnection
 
     served = ClientConnection.respond
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -21,14 +21,7 @@
     RequestArrived,
     ResponseStarted,
 )
-from tests.fakes import (
-    SETTINGS,
-    TEST_S,
-    Heard,
-    puppet,
-    run,
-    world,
-)
+from tests.fakes import TEST_S, run
 from tests.net.support import (
     CHUNKED,
     LONG,
@@ -41,13 +34,13 @@
     response_with_length,
     stepwise,
 )
+from tests.worlds import SETTINGS, Heard, puppet, world
 
 
 def test_an_answer_that_stands_still_is_given_up(monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
     """An upstream sends part of a response and then nothing more. The attempt is given up after a while,
     and the client can see that its response is incomplete.
     """
-
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.1)
 
     async def test() -> None:
@@ -86,7 +79,6 @@
     """A response is longer than what may be streamed. It is an error if it says so beforehand; else it is
     cut at the limit, and the client can tell.
     """
-
     monkeypatch.setattr("lanelift.net.message_parser.MAX_STREAMED_BODY_BYTES", 300_000)
 
     async def test() -> None:
@@ -118,7 +110,6 @@
     """A response does not state its length, begins, and never ends. It is streamed as a long one would be,
     and its client would wait for ever. It is cut when its time is over and it makes no progress.
     """
-
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 2 * TEST_S)
     assert 2 * exchange.MIN_PROGRESS_INTERVAL_S < 0.5  # in which an answer that is late still counts as one
 
@@ -143,7 +134,6 @@
     """Two responses without a stated length go on past their time, one with some bytes now and then, one
     steadily. The first is cut, the second is not.
     """
-
     puppet(
         monkeypatch,
         heard,
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -18,7 +18,8 @@
 from lanelift.net.socket_options import peer_state
 from lanelift.policy.settings import Idempotency, RequestClass
 from lanelift.standins.http import Connection
-from tests.fakes import MS, SECOND, SETTINGS, FakeUpstream, Message, World, answer, never, run, world
+from tests.fakes import MS, SECOND, FakeUpstream, Message, answer, never, run
+from tests.worlds import SETTINGS, World, world
 
 SAFE, KEYED, UNSAFE = Idempotency
 
@@ -116,7 +117,6 @@
     """An attempt ends in one of many ways. A request is sent again only if it surely never ran, or if
     running it twice does no harm, and never while the attempt before may still run.
     """
-
     ending, never_ran = ENDS[how]
 
     async def test() -> None:
@@ -158,10 +158,8 @@
     """Two of three upstreams refuse connections. Nothing of a request was written there, so whatever its
     class it is sent to the third, and each client is served.
     """
-
-    monkeypatch.setattr(
-        handshakes, "MIN_HANDSHAKE_TIMEOUT_S", 1.0
-    )  # on a busy machine a good one may need more than 30 ms
+    # On a busy machine a good one may need more than 30 ms.
+    monkeypatch.setattr(handshakes, "MIN_HANDSHAKE_TIMEOUT_S", 1.0)
 
     async def test() -> None:
         limits = replace(LIMITS, max_attempts=50)  # a pause of the machine may outlast the bars of both
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -19,18 +19,9 @@
 from lanelift.net.connection_phases import Phase
 from lanelift.net.frontend import Frontend
 from lanelift.net.shutdown import LONGEST_DEADLINE_S, GracefulShutdown
-from tests.fakes import (
-    SECOND,
-    SETTINGS,
-    TEST_S,
-    Heard,
-    World,
-    free_port,
-    never,
-    run,
-    world,
-)
+from tests.fakes import SECOND, TEST_S, free_port, never, run
 from tests.net.support import CHUNKED, R, terminate
+from tests.worlds import SETTINGS, Heard, World, world
 
 
 @pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 70_000])
@@ -41,7 +32,6 @@
     deadlines for 3 s, and so must the end. The client gets a 504 before the end, or, with a response under
     way, a reset that shows its break.
     """
-
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 0.1 - LONGEST_DEADLINE_S)
     quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
 
@@ -70,7 +60,6 @@
     not say that it is the last. Idle connections are closed meanwhile. The connection is closed behind the
     response, and connections are kept again after a rejoin.
     """
-
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 2 * TEST_S)
     emptied: list[GracefulShutdown] = []
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -12,8 +12,9 @@
 from lanelift.net.socket_options import KERNEL_BUFFER_BYTES
 from lanelift.net.upstream_connection import READ_BUFFER
 from lanelift.policy.events import AttemptFinished, ClientDisconnected, ResponseStarted
-from tests.fakes import Heard, answer, read_message, run, world
+from tests.fakes import answer, read_message, run
 from tests.net.support import LONG, OK, R, Steps, body_of, chunked_response, response_with_length, stepwise
+from tests.worlds import Heard, world
 
 
 def response_until_close(body: bytes) -> bytes:
@@ -134,7 +135,6 @@
     """A client does not read a long response. 32 MB wait at the upstream; of them no more than the buffers
     on the way have left it. The rest comes once the client reads.
     """
-
     size = 32_000_000
 
     async def test() -> None:
--- a/tests/net/test_upload.py
+++ b/tests/net/test_upload.py
@@ -11,14 +11,9 @@
 from lanelift.net.connection_phases import Phase
 from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES
 from lanelift.policy.events import AttemptFinished, BodyReceived, RequestArrived
-from tests.fakes import (
-    Client,
-    Heard,
-    read_message,
-    run,
-    world,
-)
+from tests.fakes import Client, read_message, run
 from tests.net.support import LONG, R, chunked_request, request_head, request_with_length
+from tests.worlds import Heard, world
 
 
 @pytest.mark.parametrize("chunked", [False, True])
@@ -26,7 +21,6 @@
     """A body is longer than any may be, by its stated length or in a chunk. It is answered with 413, and no
     upstream gets a complete request.
     """
-
     monkeypatch.setattr("lanelift.net.message_parser.MAX_STREAMED_BODY_BYTES", 69_000)
 
     async def test() -> None:
@@ -142,7 +136,6 @@
     """A client sends a long body in small pieces, for several times the time that a body may stand still.
     It makes progress, so it is waited for.
     """
-
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_BODY, 0.2)
 
     async def test() -> None:
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -20,17 +20,9 @@
     ClientDisconnected,
 )
 from lanelift.policy.settings import Idempotency
-from tests.fakes import (
-    CLASSES,
-    SETTINGS,
-    Heard,
-    World,
-    answer,
-    read_message,
-    run,
-    world,
-)
+from tests.fakes import answer, read_message, run
 from tests.net.support import LONG, PATIENT, Gate, R, chunked_request, ids, request_head, request_with_length
+from tests.worlds import CLASSES, SETTINGS, Heard, World, world
 
 BODY = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
 
@@ -65,7 +57,6 @@
     """A client disconnects while its upstream takes no more of its request. Its last byte has not been
     written: it never ran, so it is cut off even where attempts may not be cancelled.
     """
-
     made = UpstreamConnection.connection_made
 
     def narrow(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
@@ -116,7 +107,6 @@
     """A client disconnects in the middle of a long body, sends what is none, or nothing more. What was
     forwarded is cut off, and no upstream takes it for a request.
     """
-
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_BODY, 0.2)
 
     async def test() -> None:
@@ -171,7 +161,6 @@
     """An upstream takes nothing of a long body. Reading from its client is paused, so that memory is
     bounded, and the attempt is given up after a while.
     """
-
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.5)
 
     async def test() -> None:
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -14,13 +14,9 @@
 from lanelift.policy.events import (
     AttemptResult,
 )
-from tests.fakes import (
-    Heard,
-    answer,
-    run,
-    world,
-)
+from tests.fakes import answer, run
 from tests.net.support import R
+from tests.worlds import Heard, world
 
 
 @pytest.mark.parametrize("extra", [answer(200, b"again"), b"\x00noise\r\n", b"H"])
--- a/tests/net/test_upstreams.py
+++ b/tests/net/test_upstreams.py
@@ -7,15 +7,9 @@
 from lanelift.policy.events import (
     LoadProbeFinished,
 )
-from tests.fakes import (
-    SETTINGS,
-    Heard,
-    deaf,
-    free_port,
-    run,
-    world,
-)
+from tests.fakes import deaf, free_port, run
 from tests.net.support import R
+from tests.worlds import SETTINGS, Heard, world
 
 
 def test_refused_connection(heard: Heard) -> None:
--- a/tests/operate/test_admin.py
+++ b/tests/operate/test_admin.py
@@ -13,7 +13,8 @@
 from lanelift.net import admin, shutdown
 from lanelift.net.shutdown import ACCEPT_WHILE_DRAINING_S
 from lanelift.policy.events import AttemptResult
-from tests.fakes import Client, Heard, Message, World, answer, run, world
+from tests.fakes import Client, Message, answer, run
+from tests.worlds import Heard, World, world
 
 
 @asynccontextmanager
@@ -89,7 +90,6 @@
 
 def test_a_call_that_is_never_whole_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """A caller sends half a call and no more. Its connection is closed after a while."""
-
     monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -188,7 +188,6 @@
     """A balancer is evacuated and rejoins at once. Idle clients, who would have been closed a moment later,
     are kept.
     """
-
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.05)
 
     async def test() -> None:
@@ -210,7 +209,6 @@
     """A request lies in the kernel's buffer, unread, in the moment in which idle connections are closed.
     Its connection is not idle: the request is answered.
     """
-
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
 
     async def test() -> None:
--- a/tests/operate/test_hot_restart.py
+++ b/tests/operate/test_hot_restart.py
@@ -76,7 +76,6 @@
     """The other process hangs, and its backlog has no place. The start goes on after a moment, and its
     socket stays, as it may run.
     """
-
     monkeypatch.setattr(hot_restart, "CONNECT_TIMEOUT_S", 0.05)
 
     async def test() -> None:
--- a/tests/operate/test_lifecycle.py
+++ b/tests/operate/test_lifecycle.py
@@ -36,6 +36,9 @@
 def test_there_is_no_way_back_from_leaving_and_ready_is_never_said_of_one_that_cannot_serve(
     calls: list[str], shared: bool, serves: bool
 ) -> None:
+    """Operators' calls and SIGTERM come in any order. After SIGTERM nothing brings the balancer back, and
+    `/ready` never says yes of one that can't serve.
+    """
     life = Lifecycle(shared)
     for number, call in enumerate(calls):
         getattr(life, call)()
@@ -48,6 +51,9 @@
 
 
 def test_on_a_shared_address_the_successor_answers_for_the_one_that_leaves() -> None:
+    """Two processes share the clients' address. One that shuts down still says yes on `/ready`, as its
+    successor answers there; one that can't serve accepts nobody.
+    """
     for shared in (False, True):
         life = Lifecycle(shared)
         assert life.accepts_connections(True) and life.accepts_connections(False) is not shared
--- a/tests/program/test_end.py
+++ b/tests/program/test_end.py
@@ -74,7 +74,10 @@
 
 
 def test_from_sigterm_to_its_end_every_request_is_answered(tmp_path: Path) -> None:
-    """Half of the upstreams hang from just then on. Nothing is open when SIGKILL would come."""
+    """SIGTERM comes while clients ask on and on, on old connections and new ones, and half of the upstreams
+    hang from just then on. Each request has its answer, no request that must not run twice does, and
+    nothing is open when SIGKILL would come.
+    """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -50,6 +50,7 @@
     ],
 )
 def test_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str | None) -> None:
+    """The configuration can't be read or used. The process says so in one line and exits with code 2."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -66,6 +67,7 @@
 
 
 def test_no_configuration() -> None:
+    """No configuration is named. The process says so in one line and exits with code 2."""
     environ = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
     done = subprocess.run(
         [sys.executable, "-m", "lanelift"],
@@ -106,6 +108,10 @@
 
 
 def test_sigterm_answers_what_is_open_and_what_still_comes(tmp_path: Path) -> None:
+    """SIGTERM comes while a request is open, and new connections and requests still come. All are answered,
+    each answer is the last on its connection, and the process then exits with code 0.
+    """
+
     async def test() -> None:
         upstream = FakeUpstream("s-0")
         await upstream.start()
@@ -144,6 +150,10 @@
 
 @pytest.mark.parametrize("old", ["holds a watch", "holds its first call", "refuses"])
 def test_sighup_moves_to_another_discovery(tmp_path: Path, old: str) -> None:
+    """Discovery moves, and the old one hangs or refuses. After SIGHUP the new one is used at once, though
+    it counts its versions from lower. A file that can't be used changes nothing and costs a line.
+    """
+
     async def test() -> None:
         first, second = FakeUpstream("s-0"), FakeUpstream("s-1")
         await first.start()
@@ -190,6 +200,9 @@
 
 @pytest.mark.parametrize("descriptor", ["seven", "-1", "99", "0", "datagrams"])
 def test_a_descriptor_that_is_no_listening_socket(tmp_path: Path, descriptor: str) -> None:
+    """The descriptor that should be the clients' socket is none. The process says so in one line and exits
+    with code 2.
+    """
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config()))
     with socket.socket(type=socket.SOCK_DGRAM) as datagrams:
@@ -213,8 +226,10 @@
 
 
 def test_an_upgrade_loses_no_request(tmp_path: Path) -> None:
-    """Two processes on one inherited socket. The second takes nothing until it can serve; the first is told
-    to go while clients ask on and on, on connections of both and on new ones."""
+    """Two processes share one inherited socket during a hot restart. The second accepts nothing until it
+    can serve; the first gets SIGTERM while clients ask on and on, on connections of both and on new ones.
+    Every request is answered.
+    """
 
     async def test() -> None:
         upstream = FakeUpstream("s-0")
--- a/tests/program/test_serve.py
+++ b/tests/program/test_serve.py
@@ -38,6 +38,7 @@
 
 
 def test_check_says_what_is_wrong_and_serve_does_not_start(tmp_path: Path) -> None:
+    """The operator's file has a mistake. `config check` names it, and `serve` does not start with it."""
     path = tmp_path / "f.toml"
     path.write_text("[serve]\nlisten = 3\n")
     for words in (("config", "check", str(path)), ("serve", "--config", str(path))):
@@ -57,7 +58,9 @@
 
 @pytest.mark.parametrize("mistake", [False, True])
 def test_sighup_applies_a_changed_list(tmp_path: Path, mistake: bool) -> None:
-    """What was removed finishes what it holds and gets nothing new; a file with a mistake changes nothing."""
+    """The file's list of upstreams changes, and later has a mistake. After SIGHUP an upstream that was
+    removed finishes what it is doing and gets nothing new; a file with a mistake changes nothing.
+    """
 
     async def test() -> None:
         old, new = FakeUpstream("old"), FakeUpstream("new")
@@ -102,6 +105,10 @@
 
 
 def test_another_kind_of_source_waits_for_a_restart(tmp_path: Path) -> None:
+    """The file names discovery where it listed upstreams. That is not applied to a running balancer: it is
+    logged, and the old list stays.
+    """
+
     async def test() -> None:
         box = FakeUpstream("box")
         await box.start()
--- a/tests/program/test_tenants.py
+++ b/tests/program/test_tenants.py
@@ -159,6 +159,8 @@
 
 @pytest.mark.parametrize("trouble", ["refused", "silent", "garbage"])
 def test_an_outage_costs_nobody_a_quote(trouble: str, tmp_path: Path) -> None:
+    """The directory refuses calls, is silent or sends garbage. Tenants are served by what was read before."""
+
     async def test() -> None:
         directory = Directory(town("ash", "elm"), {READER: SECRET})
         async with shop(tmp_path, directory, top='unknown = "deny"') as s:
@@ -175,6 +177,8 @@
 
 
 def test_a_start_without_a_directory_serves_by_the_settings(tmp_path: Path) -> None:
+    """A balancer starts while its directory is down. It serves by the tenants of its settings."""
+
     async def test() -> None:
         async with shop(tmp_path, top='unknown = "deny"', begun="connect") as s:
             for name in ("ash", "nobody"):
@@ -184,6 +188,10 @@
 
 
 def test_a_start_that_waits_is_not_ready_until_then_or_its_time_is_over(tmp_path: Path) -> None:
+    """A balancer is to wait for its directory, and that is late. `/ready` says no until tenants are read or
+    the time for that is over.
+    """
+
     async def test() -> None:
         async with shop(tmp_path, top='start = "wait"\nwait_s = 1.0', begun="connect") as s:
             assert (await s.client.ask("r", path="/ready")).status == 503
@@ -195,6 +203,8 @@
 
 
 def test_a_reader_that_is_killed_comes_back_and_costs_nothing(tmp_path: Path) -> None:
+    """The process that reads directories is killed. It is started anew, and requests are served meanwhile."""
+
     async def test() -> None:
         tree = town("ash", "elm")
         tree.change(dn("elm"), at(50), agentStanding="suspended")
@@ -228,6 +238,10 @@
 
 
 def test_what_was_sent_when_the_suspension_came_has_its_own_outcome(tmp_path: Path) -> None:
+    """A tenant is suspended while a request of it is at an upstream. That request has its own outcome; the
+    next is rejected.
+    """
+
     async def test() -> None:
         go_on = asyncio.Event()
 
--- a/tests/sim/test_wirehost.py
+++ b/tests/sim/test_wirehost.py
@@ -151,6 +151,9 @@
 
 
 def test_power_off_forgets_the_balancer() -> None:
+    """A balancer is powered off, and an event for it comes later. It is unknown then: the host ends with a
+    plain message.
+    """
     now = 2 * 10**9
     done = run(
         [
@@ -221,11 +224,15 @@
     ],
 )
 def test_malformed_input_stops_with_a_plain_message(line: str, says: str) -> None:
+    """A line on the wire is not a batch, or an event in it can't be read. The host ends with a plain
+    message and exit status 2.
+    """
     done = run([line])
     assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr
 
 
 def test_bad_utf_8_is_malformed() -> None:
+    """A line on the wire is not UTF-8. That is bad input like any other, and no crash."""
     done = subprocess.run(
         [sys.executable, "-m", "lanelift.wirehost"],
         input=b'{"round": "\xff"}\n',
@@ -237,6 +244,10 @@
 
 
 def test_an_exception_in_the_module_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The decisions raise an exception. It is reported as that balancer's fault with the place where it
+    happened, and the host goes on.
+    """
+
     def broken(self: Balancer, now: int, events: object) -> list[Action]:
         raise IndexError("no such place")
 
@@ -272,6 +283,7 @@
 
 
 def test_events_of_what_is_over_are_ignored() -> None:
+    """Events come for requests and attempts that are over. They are ignored."""
     now = 2 * 10**9
     gone = {"t": "dropped", "balancer": 0, "ticket": "t1"}
     late = {
