--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -36,9 +36,27 @@
     "release": messages.Release,
     "answer": messages.Response,
     "look": messages.ListLeases,
+    "seen": messages.LeaseStatus,  # a row of a view, and no message of its own
     "view": messages.LeaseList,
     "hello": messages.VoterStatus,
 }
+# What each position on the wire means, by the name of its field. A rename changes a word here, and no order.
+FLEET_FIELDS: dict[str, tuple[str, ...]] = {
+    "ask": ("lease", "ballot", "nonce", "proposer", "request_id", "waited_ns", "wants_queue"),
+    "take": ("lease", "ballot", "nonce", "proposer", "request_id"),
+    "release": ("lease", "ballot", "nonce", "request_id", "successor"),
+    "answer": (
+        *("lease", "nonce", "request_id", "voter", "verdict"),
+        *("ballot", "holder", "token", "remaining_ns", "queue_position"),
+    ),
+    "look": ("request_id", "after"),
+    "seen": ("lease", "holder", "token", "remaining_ns", "waiters"),
+    "view": ("request_id", "voter", "quiet_ns", "leases", "more"),
+    "hello": (
+        *("voter", "nonce", "may_vote", "lost_state", "ballot_floor"),
+        *("is_reply", "former_voter_sets"),
+    ),
+}
 VERDICTS = tuple(messages.Verdict)
 
 
@@ -47,30 +65,44 @@
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, msgspec.Struct):
-        return tuple(plain(getattr(value, field)) for field in value.__struct_fields__)
+        return tuple(plain(getattr(value, field)) for field in FLEET_FIELDS[kind_of(value)])
     if isinstance(value, list | tuple):
         return tuple(map(plain, value))
     return value
 
 
+def kind_of(message: msgspec.Struct) -> str:
+    """The word of its kind."""
+    return next(word for word, struct in FLEET_KINDS.items() if type(message) is struct)
+
+
+def message_kinds() -> set[str]:
+    """The words of all kinds that may come as a message."""
+    return set(FLEET_KINDS) - {"seen"}
+
+
 def verdict_words() -> tuple[str, ...]:
-    """Every verdict that this release sends, as its word on the codec."""
+    """Every verdict that this release sends, as its word on the wire."""
     return tuple(plain(verdict) for verdict in VERDICTS)
 
 
+def made_message(kind: str, *values: Any) -> Any:
+    """A message from its values in the order of the wire; those left out at the end are its defaults."""
+    about = dict(zip(FLEET_FIELDS[kind], values, strict=False))
+    if kind == "view":
+        about["leases"] = [made_message("seen", *row) for row in about["leases"]]
+    return FLEET_KINDS[kind](**about)
+
+
 def encode_fleet(digest: bytes, kind: str, *values: Any) -> bytes:
-    """A fleet message as a datagram; its values in the order of its fields."""
-    if kind == "view" and len(values) > 3:
-        rows = [messages.LeaseStatus(*row) for row in values[3]]
-        values = (*values[:3], rows, *values[4:])
-    return codec.encode(digest, FLEET_KINDS[kind](*values))  # type: ignore[arg-type]
+    """A fleet message as a datagram."""
+    return codec.encode(digest, made_message(kind, *values))
 
 
 def decode_fleet(data: bytes) -> tuple[bytes, str, tuple[Any, ...]]:
     """The digest of the plan, the kind, and the values of all fields, defaults among them."""
     digest, message = codec.decode(data)
-    kind = next(word for word, struct in FLEET_KINDS.items() if type(message) is struct)
-    return digest, kind, plain(message)
+    return digest, kind_of(message), plain(message)
 
 
 def fleet_refusal(data: bytes) -> tuple[str, str]:
@@ -116,11 +148,21 @@
     kind: int, sender: int, incarnation: int, number: int, about: int, updates: Iterable[Sequence[int]] = ()
 ) -> bytes:
     """`updates`: whom, which state, under which incarnation, seen by whom."""
-    rows = tuple(
-        gossip.MemberUpdate(whom, gossip.MemberState(state), inc, by) for whom, state, inc, by in updates
+    message = gossip.GossipMessage(
+        kind=gossip.MessageKind(kind),
+        sender=sender,
+        incarnation=incarnation,
+        sequence=number,
+        subject=about,
+        updates=tuple(_update(row) for row in updates),
     )
-    return gossip.encode(
-        gossip.GossipMessage(gossip.MessageKind(kind), sender, incarnation, number, about, rows)
+    return gossip.encode(message)
+
+
+def _update(row: Sequence[int]) -> gossip.MemberUpdate:
+    whom, state, incarnation, by = row
+    return gossip.MemberUpdate(
+        member=whom, state=gossip.MemberState(state), incarnation=incarnation, reported_by=by
     )
 
 
@@ -140,11 +182,7 @@
 
 def update_replaces(update: Sequence[int], known: Sequence[int]) -> bool:
     """Does an update take the place of what is known of the same member?"""
-    one, other = (
-        gossip.MemberUpdate(whom, gossip.MemberState(state), inc, by)
-        for whom, state, inc, by in (update, known)
-    )
-    return gossip.supersedes(one, other)
+    return gossip.supersedes(_update(update), _update(known))
 
 
 # A voter's state file.
@@ -236,10 +274,9 @@
         recovery = VoterRecovery(plan, member, 7, state_file.read())
         _written(recovery, state_file)
         for answer in heard:
-            said = (answer["voter"], 7, answer["voting"], answer["blank"], answer["floor"], True)
-            recovery.receive_status(
-                messages.VoterStatus(*said, former_voter_sets=[list(row) for row in answer["left"]])
-            )
+            left = [list(row) for row in answer["left"]]
+            said = (answer["voter"], 7, answer["voting"], answer["blank"], answer["floor"], True, left)
+            recovery.receive_status(made_message("hello", *said))
             _written(recovery, state_file)
         if wanted:
             recovery.extend_ceiling(wanted)
