--- a/lanelift/config/directories.py
+++ b/lanelift/config/directories.py
@@ -39,9 +39,8 @@
     depth, is_enclosed = 0, len(text) > 2
     for at, char in enumerate(text):
         depth += (char == "(") - (char == ")")
-        is_enclosed = is_enclosed and (
-            depth > 0 or at == len(text) - 1
-        )  # one pair of parentheses round all of it
+        # One pair of parentheses encloses all of it.
+        is_enclosed = is_enclosed and (depth > 0 or at == len(text) - 1)
     if depth or not is_enclosed:
         raise ValueError("allowed: one filter in parentheses (RFC 4515), like (objectClass=person)")
     return text
