--- a/lanelift/fleet/codec.py
+++ b/lanelift/fleet/codec.py
@@ -32,6 +32,7 @@
     """
 
     def __init__(self, reason: str) -> None:
+        """Creates the error; the reason is its message as well."""
         super().__init__(reason)
         self.reason = reason
 
--- a/lanelift/fleet/recovery.py
+++ b/lanelift/fleet/recovery.py
@@ -40,6 +40,7 @@
     """
 
     def __init__(self, message: str, subject: object = "") -> None:
+        """Creates the error from its message, and what it concerns."""
         super().__init__(message)
         self.subject = subject
 
--- a/lanelift/fleet/state_file.py
+++ b/lanelift/fleet/state_file.py
@@ -70,6 +70,7 @@
             ) from error
 
     def __enter__(self) -> StateFile:
+        """Returns this file, which is locked already."""
         return self
 
     def __exit__(
@@ -78,6 +79,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
+        """Unlocks the file."""
         self.close()
 
     def read(self) -> PersistentState | None:
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -65,6 +65,7 @@
     proposer_class: ClassVar[type[Proposer]] = Proposer
 
     def __post_init__(self) -> None:
+        """Begins with an empty table of nodes."""
         self.nodes = NodeTable(self.bounds, self.member_class, self.proposer_class)
 
     def begin(self) -> list[State]:
--- a/tests/leases/test_node.py
+++ b/tests/leases/test_node.py
@@ -265,3 +265,18 @@
     assert watchdog(1.0, 1.4) == 75
     (stay,) = read(tmp_path)
     assert not stay.ended and not psutil.pid_exists(stay.pid)
+
+
+@pytest.mark.parametrize("module", ["lanelift.leases.warden", "lanelift.leases.watchdog"])
+def test_the_watchdog_starts_under_its_former_and_its_present_name(module: str) -> None:
+    """The files are replaced by another release's while a holder runs: it starts its watchdog from them.
+
+    Holders of the releases before know it as `warden` only, with the same arguments.
+    """
+    ends = [str(boottime_ns() + 60 * 10**9)] * 2
+    for script, code in (("exit 3", 3), ("kill -USR1 $$", 128 + 10)):
+        command = [sys.executable, "-m", module, *ends, "sh", "-c", script]
+        with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as watchdog:
+            assert watchdog.stdout is not None
+            assert int(watchdog.stdout.readline()) > 0
+            assert watchdog.wait(30) == code
