--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -56,6 +56,7 @@
 
 
 def model() -> int:
+    """The small model within each of `BOUNDS`; returns 1 where something is wrong."""
     wrong = 0
     for name, bounds in BOUNDS.items():
         began = time.monotonic()
@@ -99,6 +100,7 @@
 
 
 def one(seed: int) -> tuple[int, list[str], int, int, int, int, int, float]:
+    """Plays one schedule; returns what is summed up of it."""
     world = LeaseSimulation(schedule(seed), TIMING)
     world.play()
     found = world.found
@@ -167,6 +169,7 @@
 
 
 def schedules(count: int, jobs: int) -> int:
+    """Seeded schedules, deaths, and what holding costs; returns 1 where a rule was broken."""
     began = time.monotonic()
     with multiprocessing.Pool(jobs) as pool:
         rows = pool.map(one, range(count), chunksize=20)
@@ -223,6 +226,7 @@
 
 
 def run(seed: int, until_ms: int) -> dict[str, object]:
+    """Runs processes once under random faults; returns what was counted."""
     rng = random.Random(seed)
     voters, contenders = "abcde", [f"p{i}" for i in range(1, rng.randint(3, 8) + 1)]
     plan = tuple(sorted(steps(rng, voters, contenders, until_ms), key=lambda s: s.at_ms))
@@ -255,6 +259,7 @@
 
 
 def processes(count: int, jobs: int, until_ms: int, first: int) -> int:
+    """Runs of processes; returns 1 for an overlap, a token that fell, or a late act."""
     began = time.monotonic()
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
         rows = pool.starmap(run, [(seed, until_ms) for seed in range(first, first + count)], chunksize=1)
@@ -267,6 +272,8 @@
 
 
 def idle(seconds: float) -> int:
+    """CPU and messages of three members with nothing to do."""
+
     async def whole(folder: Path) -> None:
         async with Processes(folder, "abc", ()) as fleet:
             for voter in fleet.voters:
@@ -289,18 +296,18 @@
 
 def play(file: Path, world: str) -> int:
     """One schedule, which is read from a file, in one of the two worlds."""
-    told = from_json(file.read_bytes())
+    given = from_json(file.read_bytes())
     if world == "simulated":
-        leases = LeaseSimulation(told, TIMING, keep_trace=True)
+        leases = LeaseSimulation(given, TIMING, keep_trace=True)
         leases.play()
         print("\n".join(leases.trace or []))
         print(leases.found.breaches or "no breach")
         return int(bool(leases.found.breaches))
 
     async def whole(folder: Path) -> int:
-        rates = {who: int(part * 1e6) for who, part in told.rates}
-        async with Processes(folder, told.voters, told.contenders, Times(), told.seed, rates) as fleet:
-            await fleet.play(told)
+        rates = {who: int(part * 1e6) for who, part in given.rates}
+        async with Processes(folder, given.voters, given.contenders, Times(), given.seed, rates) as fleet:
+            await fleet.play(given)
         stays = read(folder)
         print("\n".join(map(str, stays)))
         return int(bool(overlaps(stays) or falls(stays)))
