--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -13,7 +13,7 @@
 import click
 
 from lanelift.cli.main import CONFIG, FELL_SHORT, refuse
-from lanelift.config.checked import Mistakes
+from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 from lanelift.fleet.cluster import majority
 from lanelift.fleet.log import logger
@@ -22,7 +22,7 @@
 from lanelift.leases.listing import list_leases
 from lanelift.leases.node import FleetSource
 from lanelift.leases.watchdog import NOT_HELD
-from lanelift.settings import Malformed
+from lanelift.settings import SettingsError
 
 
 @click.group()
@@ -104,7 +104,7 @@
     """Returns the fleet of the operator's file; ends the program with its mistakes, if it has any."""
     try:
         source: FleetSource | None = read_operator_file(path).fleet_source()
-    except (Mistakes, Malformed) as error:
+    except (FileValidationError, SettingsError) as error:
         refuse(error)
     if source is None:
         refuse(f"{path}: fleet: missing; leases need it (docs/operating/leases.md)")
--- a/lanelift/cli/rehearse.py
+++ b/lanelift/cli/rehearse.py
@@ -13,7 +13,7 @@
 import click
 
 from lanelift.cli.main import FELL_SHORT, FILE, refuse
-from lanelift.config.checked import Mistakes
+from lanelift.config.checked import FileValidationError
 from lanelift.rehearsal.conductor import Failed, Options
 from lanelift.rehearsal.conductor import rehearse as play
 from lanelift.rehearsal.report import (
@@ -61,7 +61,7 @@
 def _read(name: str, changes: dict[str, Any]) -> Scenario:
     try:
         return read_scenario(name, {key: value for key, value in changes.items() if value is not None})
-    except Mistakes as mistakes:
+    except FileValidationError as mistakes:
         refuse(mistakes)
 
 
--- a/lanelift/cli/tenants.py
+++ b/lanelift/cli/tenants.py
@@ -11,9 +11,9 @@
 import click
 
 from lanelift.cli.main import CONFIG, FELL_SHORT, FILE, refuse
-from lanelift.config.checked import Mistakes
+from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
-from lanelift.settings import Malformed
+from lanelift.settings import SettingsError
 from lanelift.tenants.entries import Parsed
 from lanelift.tenants.feed import TenantSource
 from lanelift.tenants.job import Job
@@ -99,7 +99,7 @@
 def _source(path: Path) -> TenantSource:
     try:
         source = read_operator_file(path).config().tenants
-    except (Mistakes, Malformed) as error:
+    except (FileValidationError, SettingsError) as error:
         refuse(error)
     if not isinstance(source, TenantSource):
         refuse(f"{path}: tenants: missing; the file names no directory")
--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -80,11 +80,6 @@
         return "\n".join(f"{self.file}: {problem}" for problem in self.problems)
 
 
-# For modules that still import these under their former names.
-Mistake = ValidationProblem
-Mistakes = FileValidationError
-
-
 def read_file(path: Path, model: type[T], changes: Mapping[str, Any] | None = None) -> T:
     """The file's content as a `model`.
 
--- a/lanelift/fleet/recovery.py
+++ b/lanelift/fleet/recovery.py
@@ -24,13 +24,13 @@
 
 from lanelift.fleet.cluster import ClusterConfiguration, majority
 from lanelift.fleet.messages import VoterStatus
-from lanelift.settings import Malformed
+from lanelift.settings import SettingsError
 
 BALLOT_BLOCK = 1 << 16  # ballots that one write of the state makes room for
 MAX_FORMER_VOTER_SETS = 8  # changes of the voters without voting in between
 
 
-class VoterStateError(Malformed):
+class VoterStateError(SettingsError):
     """The persisted state, this configuration and this address do not go together.
 
     The message is for the operator.
--- a/lanelift/net/admin.py
+++ b/lanelift/net/admin.py
@@ -39,7 +39,7 @@
     def view(self) -> bytes:
         """What it knows of leases, as JSON."""
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """Its metrics, in the text form of `net/metrics.py`."""
 
 
@@ -100,7 +100,7 @@
         return (200, [], b"ready\n") if is_ready else (503, [], b"not ready\n")
 
     def _telemetry(self) -> Answer:
-        text = self._dispatcher.metrics_text() + (self._fleet.figures() if self._fleet is not None else "")
+        text = self._dispatcher.metrics_text() + (self._fleet.metrics() if self._fleet is not None else "")
         return 200, [(b"Content-Type", CONTENT_TYPE)], text.encode()
 
     def _leases(self) -> Answer:
--- a/lanelift/rehearsal/scenario.py
+++ b/lanelift/rehearsal/scenario.py
@@ -15,9 +15,9 @@
 from pydantic import AfterValidator, Field
 
 from lanelift.config.checked import (
-    Mistake,
-    Mistakes,
+    FileValidationError,
     Table,
+    ValidationProblem,
     named_twice,
     not_above,
     number,
@@ -307,7 +307,7 @@
     faults: Annotated[list[Fault], Field(alias="fault", max_length=1000)] = []
 
     @classmethod
-    def across(cls, raw: dict[str, Any]) -> Iterable[Mistake]:
+    def across(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
         for key in ("class", "tenant"):
             yield from named_twice(raw, key)
         length_s = number(raw, "length_s", cls.model_fields["length_s"].default)
@@ -315,20 +315,26 @@
         yield from not_above(raw, "class", "aim_ms", "deadline_ms", ClassTable)
         for path, row in tables(raw, "fault"):
             if number(row, "at_s", 0) >= length_s:
-                yield Mistake(f"{path}.at_s", f"{row['at_s']:g}", f"allowed: under length_s ({length_s:g})")
+                yield ValidationProblem(
+                    f"{path}.at_s", f"{row['at_s']:g}", f"allowed: under length_s ({length_s:g})"
+                )
             if row.get("kind") == "heavy" and isinstance(row.get("name"), str) and row["name"] not in names:
-                yield Mistake(f"{path}.name", repr(row["name"]), "allowed: the name of one of the classes")
+                yield ValidationProblem(
+                    f"{path}.name", repr(row["name"]), "allowed: the name of one of the classes"
+                )
             if row.get("kind") in ("suspend", "directory") and "directory" not in raw:
-                yield Mistake(f"{path}.kind", repr(row["kind"]), "allowed: where the file has [directory]")
+                yield ValidationProblem(
+                    f"{path}.kind", repr(row["kind"]), "allowed: where the file has [directory]"
+                )
             agents = [t.get("name") for _, t in tables(raw, "tenant")] or [t.name for t in TENANTS]
             if row.get("kind") == "suspend" and row.get("tenant", agents[0]) not in agents:
-                yield Mistake(
+                yield ValidationProblem(
                     f"{path}.tenant", repr(row["tenant"]), "allowed: the name of one of the tenants"
                 )
         load = raw.get("load")
         rate = number(load, "rate", 0) if isinstance(load, dict) else 0
         if rate * length_s > MAX_REQUESTS:
-            yield Mistake(
+            yield ValidationProblem(
                 "load.rate", f"{rate:g} for {length_s:g} s", f"allowed: {MAX_REQUESTS:,} requests a day"
             )
 
@@ -345,11 +351,11 @@
 
 def read_scenario(name: str, changes: Mapping[str, Any] | None = None) -> Scenario:
     """By the name of a shipped one, or by a file's path; `changes` are put in place of what the file says, by
-    the key's path (`load.rate`), and checked with it. Raises Mistakes."""
+    the key's path (`load.rate`), and checked with it. Raises FileValidationError."""
     known = shipped()
     if name in known:
         return read_text(known[name], Scenario, f"{name} (shipped)", changes)
     if "/" not in name and not name.endswith(".toml"):
         allowed = f"shipped: {', '.join(known)}; or a path, FILE.toml"
-        raise Mistakes(name, [Mistake("", "", f"no such scenario; {allowed}")])
+        raise FileValidationError(name, [ValidationProblem("", "", f"no such scenario; {allowed}")])
     return read_file(Path(name), Scenario, changes)
--- a/lanelift/settings.py
+++ b/lanelift/settings.py
@@ -86,9 +86,6 @@
     """Input that is not what the wire, or the platform's configuration, allows."""
 
 
-Malformed = SettingsError  # for modules that still import it under its former name
-
-
 def require(row: Json, key: str, kind: type) -> Any:
     """A field that must be there, of this type; a whole number is no bool.
 
