--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -288,10 +288,16 @@
     return recovery.may_vote, recovery.ready_ns, recovery.ballot_floor
 
 
+MAX_WRITES = 8  # of a voter's state, after one message
+
+
 def _written(recovery: VoterRecovery, state_file: StateFile) -> None:
-    while recovery.pending_state is not None:
+    for _ in range(MAX_WRITES):
+        if recovery.pending_state is None:
+            return
         state_file.write(recovery.pending_state)
         recovery.state_written(recovery.pending_state, 0)
+    raise AssertionError(f"the state is written without end: {recovery.pending_state}")
 
 
 # Traces of schedules. A line is: true time in ns, what, and about whom; messages as their bytes.
