--- a/lanelift/policy/__init__.py
+++ b/lanelift/policy/__init__.py
@@ -47,8 +47,7 @@
 Peer load            peer_load.py           price, degree, messages            MAX_RECIPIENTS,
                                                                                MAX_ANNOUNCEMENT_PRICE
 Endpoint list        registry.py            snapshots and deltas               each update
-Subscription         subscription.py        failures of calls                  BACKOFF_BASE_NS,
-                                                                               BACKOFF_FACTOR
+Subscription         subscription.py        failures of calls                  FIRST_BACKOFF_NS
 Feedback             feedback.py            what was counted                   FEEDBACK_INTERVAL_NS
 ==================== ====================== ================================== =============================
 
--- a/lanelift/policy/admission.py
+++ b/lanelift/policy/admission.py
@@ -6,7 +6,7 @@
 3. It was received so long ago that its answer would miss the latency objective: shed.
 4. It is not the first of its ordering key: it waits for that (`ordering.py`).
 5. No upstream that it may go to is listed, or its tenant's token bank and buffer are used up: shed; a
-   client's retry takes spare tokens only, lest retries starve fresh requests (`token_bank.py`).
+   client's retry takes spare tokens only, so that retries do not starve fresh requests (`token_bank.py`).
 6. Its pool is saturated and the queue longer than `QUEUE_TIME_SHARE` of its time allows: shed. Of a tenant
    that is over its share, `OVER_SHARE_QUEUE_TIME_SHARE`.
 7. Else it joins the queue of its pool (`placement.py`).
@@ -142,14 +142,16 @@
     @staticmethod
     def _token_verdict(request: PendingRequest, now: int) -> TokenVerdict:
         if not request.pool.subset.order:
-            return TokenVerdict.OVERFLOW  # no upstream that it may go to is listed: said without a token
+            return (
+                TokenVerdict.OVERFLOW
+            )  # no upstream that it may go to is listed: no token is needed to say so
         if request.client_retry:
             spare = request.token_bank.take_spare_token(now)
             return TokenVerdict.ADMITTED if spare else TokenVerdict.OVERFLOW
         return request.token_bank.offer(request, now)
 
     def release_buffered(self, bank: TokenBank, now: int) -> None:
-        """Let buffered requests whose tokens have come go on, and look again when the next one comes."""
+        """Let buffered requests whose tokens have come go on, and check again when the next one comes."""
         for request in bank.release_buffered(now):
             self._join_queue(request, now)
         if bank.buffered and now >= bank.wake_at_ns:
--- a/lanelift/policy/answers.py
+++ b/lanelift/policy/answers.py
@@ -1,4 +1,4 @@
-"""Final answers: what a request that is not served is told, and what is left of it afterwards.
+"""Final answers: what the client of a request that is not served gets, and what is left of it then.
 
 Inputs: the request, what `legality.may_reject` says of it, the limits on Retry-After. It is rejected where
 that is true (a retry is harmless), else it fails. Retry-After is drawn at random: clients must not return
@@ -44,7 +44,7 @@
         self.finish(request, now)
 
     def finish(self, request: PendingRequest, now: int) -> None:
-        """End a request that has its final answer, or whose client has gone."""
+        """End a request that has its final answer, or whose client has disconnected."""
         if request.place is WaitingPlace.TOKEN_BUFFER:
             request.token_bank.remove_buffered(request)
         elif request.place is WaitingPlace.POOL_QUEUE:
--- a/lanelift/policy/concurrency.py
+++ b/lanelift/policy/concurrency.py
@@ -13,20 +13,21 @@
 from lanelift.policy.attempts import Attempt
 from lanelift.policy.units import SECOND_NS
 
-MIN_CONGESTION_THRESHOLD, MAX_CONGESTION_THRESHOLD = 0.35, 0.8  # shares of the latency objective
+MIN_CONGESTION_THRESHOLD = 0.35  # share of the latency objective
+MAX_CONGESTION_THRESHOLD = 0.8  # the same
 CONGESTION_MULTIPLE = 3.0  # times the latency ratio of quiet times
 # Time, not a number of responses, in which congestion is seen and in which it passes for normal: where
 # responses are many, congestion would else pass for normal within a second, and one slow response for
 # congestion.
 CONGESTION_SEEN_NS = SECOND_NS // 4
 BASELINE_RISE_NS = 60 * SECOND_NS
-MAX_RATIO_SMOOTHING = 0.1
-MAX_BASELINE_RISE = 0.002
-BASELINE_FALL = 0.05  # smoothing of the baseline on its way down
-INTERVAL_SMOOTHING = 0.05
+MAX_RATIO_SMOOTHING = 0.1  # weight of the latest latency ratio, at most
+MAX_BASELINE_RISE = 0.002  # weight of the smoothed ratio in a baseline on its way up, at most
+BASELINE_FALL = 0.05  # and in one on its way down
+INTERVAL_SMOOTHING = 0.05  # weight of the latest interval between outcomes
 MAX_LATENCY_RATIO = 1.5  # a worse one counts no more than this
 WINDOW_STEP = 0.5  # of the window for each outcome
-DEFAULT_WINDOW = 0.5
+DEFAULT_WINDOW = 0.5  # attempts for each upstream, before there is an endpoint list
 INITIAL_MEAN_SERVICE_TIME_NS = SECOND_NS / 50
 MAX_INITIAL_SERVICE_TIME_SHARE = 0.08  # of the shortest latency objective
 MIN_SERVICE_TIME_SMOOTHING = 0.05  # weight of the latest sample; the first ones count more
@@ -93,7 +94,7 @@
         )
 
     def set_initial_window(self, window: float) -> None:
-        """An endpoint list came: set what the window starts from and returns to."""
+        """Set, at an update of the endpoint list, what the window starts from and returns to."""
         self.initial_window = window
         if not self.samples:
             self.window = window
--- a/lanelift/policy/deadlines.py
+++ b/lanelift/policy/deadlines.py
@@ -29,7 +29,7 @@
         self.hedging = hedging
 
     def set_wait_timeout(self, request: PendingRequest, now: int) -> None:
-        """Set when a request is given up; whatever happens, one that waits is looked at then."""
+        """Set when a request is given up; whatever happens, one that waits is checked then."""
         service_times = self.state.service_times
         estimate_ns = service_times.estimate_ns(request.request_class, request.cost_hint_ns)
         need_ns = estimate_ns * (DURATION_MARGIN + service_times.relative_deviation)
--- a/lanelift/policy/ejection.py
+++ b/lanelift/policy/ejection.py
@@ -5,10 +5,11 @@
 - for an attempt that was rejected, timed out, could not connect or is overdue;
 - for a connection that broke, unless more than `SHARED_RESET_RATE` of all break: the way there is at fault
   then, unless so many broke at it in a row;
-- for an error response, when nearly all of its responses are errors, and not those of all upstreams.
+- for an error response, when nearly all of its responses are errors (`ERROR_EJECTION_RATE`), and not those of
+  all upstreams (`SHARED_ERROR_RATE`): then the requests or the way there are at fault.
 
-It comes back when its time is over, to one attempt at a time until one succeeds. Reason: an upstream that
-only fails, and at once, looks the least loaded of all.
+It returns when its time is over, at most `MAX_EJECTION_NS` before jitter, to one attempt at a time until one
+succeeds. Reason: an upstream that only fails, and at once, looks the least loaded of all.
 """
 
 from __future__ import annotations
@@ -23,14 +24,16 @@
 
 MAX_EJECTION_NS = 3 * SECOND_NS  # before jitter
 MAX_DOUBLINGS = 5
-MIN_JITTER, MAX_JITTER = 0.75, 1.25  # factors of its length: replicas must not return in step
+MIN_LENGTH_FACTOR = 0.75  # of the drawn length: replicas must not return in step
+MAX_LENGTH_FACTOR = 1.25
 MAX_EJECTED_SHARE = 0.7  # of the upstreams that are drawn from; beyond, no more are ejected
-ERROR_EJECTION_RATE = 0.95  # share of an upstream's responses that are errors above which it is ejected,
-SHARED_ERROR_RATE = 0.8  # unless that of all is this much: the requests or the way there are at fault
-SHARED_RESET_RATE = 0.05  # share of all attempts that break above which a break says nothing of an upstream,
-MIN_CONSECUTIVE_RESETS = 3  # unless so many broke at it in a row
-SMOOTHING_OF_ALL = 0.02
-SMOOTHING_OF_ONE = 0.05
+ERROR_EJECTION_RATE = 0.95  # share of an upstream's responses that are errors above which it is ejected
+# Share of all responses that are errors from which on no upstream is ejected for them.
+SHARED_ERROR_RATE = 0.8
+SHARED_RESET_RATE = 0.05  # share of all attempts that break from which on one break ejects no upstream
+MIN_CONSECUTIVE_RESETS = 3  # breaks in a row at one upstream that eject it all the same
+SMOOTHING_OF_ALL = 0.02  # weight of the latest response or break in the rates of all upstreams
+SMOOTHING_OF_ONE = 0.05  # and in those of one
 
 
 class OutlierEjection:
@@ -51,7 +54,7 @@
         self.reset_rate = 0.0
 
     def eject(self, attempt: Attempt, now: int, base_ns: float) -> None:
-        """Eject an attempt's upstream, and be awake when it comes back.
+        """Eject an attempt's upstream, and be awake when it returns.
 
         Args:
             attempt: The attempt that failed or is overdue.
@@ -65,7 +68,7 @@
         """Eject an upstream, unless that would leave hardly any.
 
         What was in flight there when it stopped fails together, though not at once: all that was sent before
-        the ejection counts as one failure. A crowd of eight would else be seven ejections in a row, the
+        the ejection counts as one failure. Eight attempts would else be seven ejections in a row, the
         upstream would be left idle for seconds, and its load would congest the next. A stall that lasts is
         seen by the next attempt.
         """
@@ -80,7 +83,9 @@
         if ejected < MAX_EJECTED_SHARE * len(drawn_from):
             doublings = min(upstream.consecutive_ejections - 1, MAX_DOUBLINGS)
             length_ns = min(base_ns * 2**doublings, MAX_EJECTION_NS)
-            upstream.ejected_until_ns = now + int(length_ns * self.rng.uniform(MIN_JITTER, MAX_JITTER))
+            upstream.ejected_until_ns = now + int(
+                length_ns * self.rng.uniform(MIN_LENGTH_FACTOR, MAX_LENGTH_FACTOR)
+            )
 
     def record_response(self, upstream: Upstream, is_error: bool) -> bool:
         """Note a response; return whether its upstream is to be ejected for it.
--- a/lanelift/policy/events.py
+++ b/lanelift/policy/events.py
@@ -1,4 +1,4 @@
-"""What a `Balancer` is told: one frozen value for each kind of event.
+"""What a `Balancer` handles: one frozen value for each kind of event.
 
 All times are whole nanoseconds on the caller's clock. Nothing here decides.
 """
@@ -24,8 +24,8 @@
     """What an update of the endpoint list carries."""
 
     DELTA = 0  # only changed entries
-    SNAPSHOT = 1  # the whole list
-    CACHED = 2  # the whole list as last known before a restart, perhaps outdated
+    SNAPSHOT = 1  # all entries
+    CACHED = 2  # all entries as last known before a restart, perhaps outdated
     FAILED = 3  # a call failed or the subscription broke; no entries
 
 
@@ -68,7 +68,7 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """A snapshot or delta of the endpoint list, or the news that getting one failed."""
+    """A snapshot or delta of the endpoint list, or that getting one failed."""
 
     kind: EndpointUpdateKind
     endpoints: Sequence[Endpoint] = ()
@@ -127,7 +127,7 @@
         duration_ns: How long it took.
         request_complete: The request is over.
         report: The upstream's load report, where it came with the response.
-        body_consumed: Part of a body that is not kept went with it: the request can't be sent again.
+        body_consumed: Part of a body that is not buffered went with it: the request can't be sent again.
     """
 
     request: str
--- a/lanelift/policy/forwarding.py
+++ b/lanelift/policy/forwarding.py
@@ -1,6 +1,6 @@
 """Starting an attempt: what is counted, reserved and announced as a request is forwarded.
 
-Inputs: the request and the upstream that was chosen; whether the attempt is legal was asked before. The
+Inputs: the request and the upstream that was chosen; whether the attempt is legal was checked before. The
 attempt counts against the concurrency window and its upstream until it ends or its response starts; its
 work is reserved at the upstream and announced to the replicas that share it; an upstream that is warming up
 gets nothing more before its pacing interval has passed.
--- a/lanelift/policy/outcomes.py
+++ b/lanelift/policy/outcomes.py
@@ -19,9 +19,8 @@
 from lanelift.policy.units import SECOND_NS
 
 FAILURE_EJECTION_NS = SECOND_NS / 4  # first ejection for a failure that says nothing of the upstream's load
-REJECTION_LATENCY_RATIO = (
-    1.0  # a rejection by an upstream counts as a response that took all of its objective
-)
+# An upstream's rejection counts as a response that took all of its latency objective.
+REJECTION_LATENCY_RATIO = 1.0
 FAILED = frozenset(
     {
         AttemptResult.REJECTED,
@@ -31,7 +30,7 @@
     }
 )
 LOADED = frozenset({AttemptResult.REJECTED, AttemptResult.TIMEOUT})  # failures that a loaded upstream shows
-NOT_HELD_AGAINST_UPSTREAM = frozenset({AttemptResult.OK, AttemptResult.CANCELLED})
+NOT_A_FAILURE = frozenset({AttemptResult.OK, AttemptResult.CANCELLED})
 
 
 class Outcomes:
@@ -61,7 +60,7 @@
         if request is None or request.attempts[event.attempt].result is not None:
             return
         attempt = request.attempts[event.attempt]
-        upstream = attempt.upstream  # also of one that is no longer listed: counts must come out even
+        upstream = attempt.upstream  # also of one that is no longer listed: counts must balance
         attempt.result = event.result
         upstream.unreachable = event.result is AttemptResult.CONNECT_FAILED
         request.body_consumed = request.body_consumed or event.body_consumed
@@ -81,7 +80,7 @@
 
     def _response_ended(self, request: PendingRequest, event: AttemptFinished, now: int) -> None:
         """End an attempt whose response was passed on: what it held was released as that started."""
-        self.state.rate.late_or_failed += event.result not in NOT_HELD_AGAINST_UPSTREAM
+        self.state.rate.late_or_failed += event.result not in NOT_A_FAILURE
         if event.request_complete:
             self.answers.finish(request, now)
         self.answers.forget_if_over(request, now)
--- a/lanelift/policy/queued_work.py
+++ b/lanelift/policy/queued_work.py
@@ -13,9 +13,8 @@
 from lanelift.policy.units import SECOND_NS
 
 MAX_RESERVATIONS = 64  # attempts remembered of an upstream; more than its queue holds
-MAX_QUEUED_WORK_NS = (
-    SECOND_NS  # work counts no further: a wrong announcement must not idle an upstream for long
-)
+# Work counts no further than this: a wrong announcement must not idle an upstream for long.
+MAX_QUEUED_WORK_NS = SECOND_NS
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
--- a/lanelift/policy/rate_control.py
+++ b/lanelift/policy/rate_control.py
@@ -1,7 +1,7 @@
 """The rate R of this replica: what it forwards each second, and its division among the tenants.
 
 Inputs, each half second: attempts that ended in time and late, requests that no upstream had capacity for,
-and by how much the latency of responses exceeds what counts as congested. R comes down where that excess
+and by how much the latency of responses exceeds what counts as congested. R is lowered where that excess
 (with the share of unplaceable requests, where work is not announced between replicas) is more than
 `TOLERATED_EXCESS`, and goes up where tenants find no token. Reason: what is rejected at once costs a client
 less than a late answer.
@@ -20,13 +20,16 @@
 TOLERATED_EXCESS = 0.2  # share of the objective above the congestion threshold that lowers nothing
 QUICK_EXCESS = -0.1  # excess below which what is forwarded is answered quickly
 GROWTH = 1.1  # factor of R in one interval
+MIN_GROWTH_PER_S = 0.5  # added to R in one interval besides
 GROWTH_PER_SLACK = 2.0  # more of it for each share of their objective that responses leave
 MIN_SHARE_OF_BEST = 0.2  # of the goodput of good times: R keeps as much
 BEST_DECAY = 0.98  # of that goodput remembered after one interval: forgotten in a minute
 MAX_CUT = 0.3  # of R in one interval
 MIN_SHARE_OF_GOODPUT = 0.9  # of the goodput of this interval: R keeps as much
-ATTEMPT_RATE_HEADROOM = 1.2  # R comes down to this multiple of the attempt rate first
-MIN_TENANT_RATE_PER_S = 0.05
+ATTEMPT_RATE_HEADROOM = 1.2  # a cut starts from this multiple of the attempt rate, if R is above it
+ATTEMPT_RATE_MARGIN_PER_S = 1  # and this much more
+MIN_TENANT_RATE_PER_S = 0.05  # of a token bank, however little of R is its share
+MIN_WEIGHTS_LEFT = 1e-9  # guards the last division by what is left of the weights, which rounds to 0
 DEMAND_SMOOTHING = 0.5  # weight of the latest interval
 OVER_SHARE_FACTOR = 1.1  # a tenant is over its share when it wants so much more
 
@@ -125,13 +128,15 @@
     def _lower(self, excess: float, quick: bool) -> None:
         """Cut R by the excess, at most by `MAX_CUT`.
 
-        When upstreams go, R is far above what is served: it comes down to the attempt rate first. But where
+        When upstreams are lost, R is far above the goodput: the cut starts from the attempt rate. But where
         responses are quick, few attempts were made because little was admitted, as in the rush of a start.
         """
         top = (
             self.rate_per_s
             if quick
-            else min(self.rate_per_s, ATTEMPT_RATE_HEADROOM * self.attempt_rate_per_s + 1)
+            else min(
+                self.rate_per_s, ATTEMPT_RATE_HEADROOM * self.attempt_rate_per_s + ATTEMPT_RATE_MARGIN_PER_S
+            )
         )
         cut = top * (1 - min(MAX_CUT, excess))
         self.rate_per_s = max(
@@ -141,7 +146,7 @@
     def _raise(self, excess: float) -> None:
         """Grow R, the sooner the further from congestion: what is short after a cut is R itself."""
         growth = GROWTH + GROWTH_PER_SLACK * max(0.0, -excess - TOLERATED_EXCESS)
-        self.rate_per_s = min(INITIAL_RATE_PER_S, self.rate_per_s * growth + 0.5)
+        self.rate_per_s = min(INITIAL_RATE_PER_S, self.rate_per_s * growth + MIN_GROWTH_PER_S)
 
     def _divide(self, now: int) -> None:
         """Give each bank its fair share of R by weight; what quiet tenants leave is lent to the others."""
@@ -161,5 +166,5 @@
         )
         for i, bank in by_demand:
             shares[i] = min(bank.demand_per_s, left * bank.weight / weights)
-            left, weights = max(0.0, left - shares[i]), max(1e-9, weights - bank.weight)
+            left, weights = max(0.0, left - shares[i]), max(MIN_WEIGHTS_LEFT, weights - bank.weight)
         return [share + left for share in shares]
--- a/lanelift/policy/service_time.py
+++ b/lanelift/policy/service_time.py
@@ -23,10 +23,12 @@
 UNKNOWN_CLASS_DIVISOR = 8  # a class without a sample takes this part (1/8) of its latency objective
 CLASS_SMOOTHING = 0.05  # weight of the latest sample of a class
 MAX_CLASS_GROWTH = 8  # a sample counts for at most this multiple of the estimate
-DEVIATION_SMOOTHING = 0.05
-MAX_DEVIATION = 3.0
-FACTOR_SMOOTHING = 0.2  # of an upstream's service time factor
-MIN_FACTOR, MAX_FACTOR = 0.1, 10.0  # the range of one sample of it
+INITIAL_DEVIATION = 0.5  # share of the expected time
+DEVIATION_SMOOTHING = 0.05  # weight of the latest sample
+MAX_DEVIATION = 3.0  # a greater sample counts no more than this
+FACTOR_SMOOTHING = 0.2  # weight of the latest sample of an upstream's service time factor
+MIN_FACTOR = 0.1  # least sample of an upstream's service time factor that counts as it stands
+MAX_FACTOR = 10.0  # and the greatest one
 
 
 class HintRegression:
@@ -83,7 +85,7 @@
     def __init__(self) -> None:
         self.by_class_ns: dict[str, float] = {}
         self.by_hint = HintRegression()
-        self.relative_deviation = 0.5
+        self.relative_deviation = INITIAL_DEVIATION
 
     def estimate_ns(self, request_class: RequestClass, hint_ns: int) -> float:
         """Return what a request takes beside the work that is queued before it."""
--- a/lanelift/policy/subscription.py
+++ b/lanelift/policy/subscription.py
@@ -1,4 +1,4 @@
-"""How the endpoint list is asked for, where it is not pushed.
+"""How the endpoint list is subscribed to, where it is not pushed.
 
 Inputs: whether discovery pushes the list, updates and failures of calls, the notification deadline. The
 first call is made at a random time in the first quarter of that deadline, a call after failures with
@@ -14,10 +14,11 @@
 from lanelift.policy.units import SECOND_NS
 
 FIRST_CALL_DIVISOR = 4  # the first call comes within this part (1/4) of the notification deadline
-BACKOFF_BASE_NS = SECOND_NS
-BACKOFF_FACTOR = 2.0
-MAX_BACKOFF_MULTIPLE = 8.0  # of the base, before jitter
-MIN_JITTER, MAX_JITTER = 0.5, 1.5
+FIRST_BACKOFF_NS = SECOND_NS
+BACKOFF_BASE = 2.0  # the delay grows by this factor with each failure
+MAX_BACKOFF_MULTIPLE = 8.0  # of the first backoff, before jitter
+MIN_BACKOFF_FACTOR = 0.5  # of the delay: replicas must not call in step
+MAX_BACKOFF_FACTOR = 1.5
 MAX_BACKOFF_SHARE = 0.8  # of the notification deadline
 
 
@@ -53,8 +54,8 @@
         state = self.state
         self.subscribed = False
         self.failures += 1
-        multiple = min(MAX_BACKOFF_MULTIPLE, BACKOFF_FACTOR ** (self.failures - 1))
-        delay_ns = BACKOFF_BASE_NS * multiple * state.rng.uniform(MIN_JITTER, MAX_JITTER)
+        multiple = min(MAX_BACKOFF_MULTIPLE, BACKOFF_BASE ** (self.failures - 1))
+        delay_ns = FIRST_BACKOFF_NS * multiple * state.rng.uniform(MIN_BACKOFF_FACTOR, MAX_BACKOFF_FACTOR)
         longest_ns = state.settings.rules.notification_deadline_ns * MAX_BACKOFF_SHARE
         state.timers.call_at(now + int(min(delay_ns, longest_ns)), self._subscribe)
 
--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -138,8 +138,8 @@
     def update(self, event: TenantUpdate, now: int) -> set[str] | None:
         """Take in a directory's update.
 
-        Banks keep their tokens and buffered requests. R is divided anew at once, lest what a tenant left be
-        lent twice.
+        Banks keep their tokens and buffered requests. R is divided anew at once: what a tenant
+        left must not be lent twice.
 
         Returns:
             The names of the tenants that it is about; None: all.
--- a/lanelift/policy/token_bank.py
+++ b/lanelift/policy/token_bank.py
@@ -51,7 +51,7 @@
         buffered: Requests that wait for their tokens, in order; what they are is no matter here.
         offered: Requests offered since R was last divided.
         demand_per_s: Requests a second that its tenant wants, smoothed.
-        wake_at_ns: When it is next looked at, as its next token comes.
+        wake_at_ns: When it is checked next, as its next token comes.
         over_share: Its tenant wants more than its share of what is served.
         ran_dry: A request found no token since R was last divided.
     """
--- a/lanelift/policy/upstreams.py
+++ b/lanelift/policy/upstreams.py
@@ -1,4 +1,4 @@
-"""What this replica knows of one upstream. No rule stands here: each field names the module that sets it."""
+"""What this replica knows of one upstream. No rule is here: each field names the module that sets it."""
 
 from __future__ import annotations
 
