--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -25,7 +25,7 @@
 )
 
 
-def test_a_served_request_needs_nothing_more() -> None:
+def test_a_request_with_a_response_needs_nothing_more() -> None:
     """One attempt, one response: no other answer follows."""
     checked = CheckedBalancer()
     assert len(of(StartAttempt, checked.give(arrival(1, checked.now)))) == 1
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("answers", [4, 400])
-def test_congestion_does_not_pass_for_normal_however_many_responses_come(answers: int) -> None:
+def test_congestion_does_not_pass_for_normal_however_many_responses_there_are(answers: int) -> None:
     """Responses take most of their objective for seconds: few or many, they must not become the baseline."""
     concurrency = CheckedBalancer().balancer.state.concurrency
     for second, latency_ratio in enumerate([0.15] * 10 + [0.7] * 5):
--- a/tests/policy/test_directory.py
+++ b/tests/policy/test_directory.py
@@ -89,7 +89,7 @@
         assert plain.request(name)[0] == Fail(f"r{plain.count}", "unknown tenant")
 
 
-def test_where_no_tenant_is_listed_all_are_served_until_all_are_named() -> None:
+def test_where_no_tenant_is_listed_all_are_admitted_until_all_are_named() -> None:
     """No tenant is in the settings: all share one bank until the directory has named all, and unknown
     ones share a small one afterwards.
     """
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -38,7 +38,7 @@
     return [LoadProbeFinished(u, AttemptResult.OK, MS, {"inflight": in_flight}) for u in upstreams]
 
 
-def test_probes_the_drawn_upstreams_and_forwards_to_the_least_loaded() -> None:
+def test_probes_a_few_upstreams_and_forwards_to_the_least_loaded() -> None:
     """Where replicas are many, own counts say little: the load reports of upstreams decide."""
     checked = probing_desk()
     probed = [a.upstream for a in checked.give(arrival(1, checked.now)) if isinstance(a, ProbeLoad)]
