--- a/lanelift/__init__.py
+++ b/lanelift/__init__.py
@@ -1,1 +1,1 @@
-"""lanelift: the decisions of an HTTP load balancer run as a bank of proxies."""
+"""lanelift: an HTTP load balancer that runs as many replicas, its decisions kept in one pure package."""
