--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,16 +6,16 @@
 
 from lanelift.net import connection_pool, dispatch
 from lanelift.policy.balancer import Balancer
+from tests.in_process import EventRecorder
 from tests.known_red import KnownRed
-from tests.worlds import Heard
 
 
 @pytest.fixture
-def heard(monkeypatch: pytest.MonkeyPatch) -> Heard:
+def recorded(monkeypatch: pytest.MonkeyPatch) -> EventRecorder:
     """The events that the module of each balancer started from here on is handed."""
-    heard = Heard()
-    monkeypatch.setattr(dispatch, "Balancer", heard.listen(Balancer))
-    return heard
+    recorded = EventRecorder()
+    monkeypatch.setattr(dispatch, "Balancer", recorded.listen(Balancer))
+    return recorded
 
 
 @pytest.fixture
--- a/tests/worlds.py
+++ b/tests/in_process.py
@@ -1,7 +1,7 @@
-"""A whole balancer in this process, with scripted upstreams and discovery; and what its decisions are handed.
+"""A whole balancer in this process, with scripted upstreams and discovery.
 
-`world` starts and ends one. `heard` (a fixture) keeps the events that its decisions get; `puppet` has a test
-decide.
+`in_process_balancer` starts and ends one. `recorded` (a fixture) keeps the events that its decisions are given;
+with `script_balancer` a test decides in their place.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 )
 
 
-class Heard(Watched):
+class EventRecorder(Watched):
     """The events that the module is handed."""
 
     def __init__(self) -> None:
@@ -57,20 +57,20 @@
         return [event.result for event in self.of(AttemptFinished)]
 
     def listen(self, module: type[Balancer]) -> type[Balancer]:
-        heard = self
+        recorded = self
 
         class Listening(module):  # type: ignore[misc, valid-type]
             def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
                 taken = list(events)
                 actions: list[Action] = super().handle(now, taken)
-                heard.events += taken
-                heard.poke()
+                recorded.events += taken
+                recorded.poke()
                 return actions
 
         return Listening
 
 
-class Puppet(Balancer):
+class ScriptedBalancer(Balancer):
     """A module that does what a test says."""
 
     acts: Callable[[Event], list[Action]]
@@ -79,7 +79,9 @@
         return [action for event in events for action in type(self).acts(event)]
 
 
-def puppet(monkeypatch: pytest.MonkeyPatch, heard: Heard, acts: Callable[[Event, int], list[Action]]) -> None:
+def script_balancer(
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, acts: Callable[[Event, int], list[Action]]
+) -> None:
     """Have `acts` decide: it gets the event and the number of the first upstream listed."""
     known: list[int] = []
 
@@ -88,11 +90,11 @@
             known.extend(u.id for u in event.endpoints)
         return acts(event, known[0]) if known else []
 
-    monkeypatch.setattr(Puppet, "acts", staticmethod(decide), raising=False)
-    monkeypatch.setattr(dispatch, "Balancer", heard.listen(Puppet))
+    monkeypatch.setattr(ScriptedBalancer, "acts", staticmethod(decide), raising=False)
+    monkeypatch.setattr(dispatch, "Balancer", recorded.listen(ScriptedBalancer))
 
 
-class World:
+class InProcessBalancer:
     """A balancer in this process, its upstreams and discovery."""
 
     def __init__(self, upstreams: Sequence[FakeUpstream], discovery: FakeDiscovery) -> None:
@@ -131,19 +133,19 @@
 
 
 @asynccontextmanager
-async def world(
+async def in_process_balancer(
     count: int = 1,
     settings: Settings = SETTINGS,
     sockets: int = 1024,
     operators: socket.socket | None = None,
     **config: Any,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[InProcessBalancer]:
     upstreams = [FakeUpstream(f"s-{i}") for i in range(count)]
     for upstream in upstreams:
         await upstream.start()
     discovery = FakeDiscovery(upstream.row() for upstream in upstreams)
     await discovery.start()
-    w = World(upstreams, discovery)
+    w = InProcessBalancer(upstreams, discovery)
     listener = listening_socket(("127.0.0.1", 0))
     listener.listen()  # connections wait for the balancer
     w.address = listener.getsockname()
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -26,12 +26,14 @@
 )
 from lanelift.standins.http import Connection
 from tests.fakes import SECOND, TEST_S, Client, FakeUpstream, answer
-from tests.worlds import SETTINGS, Heard, World, puppet, world
+from tests.in_process import SETTINGS, EventRecorder, InProcessBalancer, in_process_balancer, script_balancer
 
 
 @asynccontextmanager
-async def ending(monkeypatch: pytest.MonkeyPatch, **more: Any) -> AsyncIterator[tuple[World, asyncio.Event]]:
-    """A world in which SIGTERM stops the listener at once, and an event that says when that was tried."""
+async def ending(
+    monkeypatch: pytest.MonkeyPatch, **more: Any
+) -> AsyncIterator[tuple[InProcessBalancer, asyncio.Event]]:
+    """A balancer in which SIGTERM stops the listener at once, and an event that says when that was tried."""
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 2 * TEST_S)
     stopped = asyncio.Event()
@@ -42,7 +44,7 @@
         stopped.set()
 
     monkeypatch.setattr(GracefulShutdown, "stop_listening", watched)
-    async with world(**more) as w:
+    async with in_process_balancer(**more) as w:
         yield w, stopped
 
 
@@ -87,7 +89,7 @@
 class Steps:
     """An upstream's answer that is written step by step; `link` is the connection that it goes to."""
 
-    def __init__(self, w: World) -> None:
+    def __init__(self, w: InProcessBalancer) -> None:
         self.w = w
         self.asked = asyncio.Event()
         w.upstreams[0].script = [self._reply]
@@ -112,8 +114,8 @@
 
 
 @asynccontextmanager
-async def stepwise(**more: Any) -> AsyncIterator[tuple[World, Client, Steps]]:
-    async with world(**more) as w:
+async def stepwise(**more: Any) -> AsyncIterator[tuple[InProcessBalancer, Client, Steps]]:
+    async with in_process_balancer(**more) as w:
         steps = Steps(w)
         client = await w.client()
         client.send("r1")
@@ -148,7 +150,7 @@
         loop.create_connection = held  # type: ignore[method-assign, assignment]
 
 
-def to_first_then_second(monkeypatch: pytest.MonkeyPatch, heard: Heard) -> None:
+def to_first_then_second(monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder) -> None:
     """A module that sends each request to `s-0`, and to `s-1` once that has come to nothing."""
 
     def acts(event: Event, _: int) -> list[Action]:
@@ -158,7 +160,7 @@
             return [] if event.request_complete else [StartAttempt(event.request, upstream_number("s-1"))]
         return []
 
-    puppet(monkeypatch, heard, acts)
+    script_balancer(monkeypatch, recorded, acts)
 
 
 def ids(seen: FakeUpstream) -> list[str]:
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -19,15 +19,17 @@
     RequestArrived,
 )
 from tests.fakes import answer, never, run
+from tests.in_process import CLASSES, SETTINGS, EventRecorder, in_process_balancer, script_balancer
 from tests.net.support import OK, PATIENT, Gate, R, ids, to_first_then_second
-from tests.worlds import CLASSES, SETTINGS, Heard, puppet, world
 
 AIM_NS = CLASSES["quote"].latency_objective_ns
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back(heard: Heard) -> None:
+def test_a_request_goes_on_unchanged_and_its_answer_comes_back(recorded: EventRecorder) -> None:
     async def test() -> None:
-        async with world(settings=replace(SETTINGS, load_report_fields=("inflight", "util"))) as w:
+        async with in_process_balancer(
+            settings=replace(SETTINGS, load_report_fields=("inflight", "util"))
+        ) as w:
             body = bytes(range(256)) * 256  # 64 KiB
             load = "X-Load: inflight=7,util=0.5"
             w.upstreams[0].script = [answer(200, body[::-1], "Content-Type: text/x", load)]
@@ -46,10 +48,10 @@
             assert seen.start[:2] == ["POST", "/pay/a%20b?x=1&obj=7f&y="] and seen.body == body
             assert seen.headers["x-request-id"] == "r1" and seen.headers["idempotency-key"] == "k1"
             assert 0 < int(seen.headers["x-deadline-ms"]) <= 3000
-            (arrived,) = heard.of(RequestArrived)
+            (arrived,) = recorded.of(RequestArrived)
             assert (arrived.cost_hint_ns, arrived.key, arrived.retry) == (12_000_000, "7f", True)
-            await heard.until(lambda: heard.of(AttemptFinished))
-            (outcome,) = heard.of(AttemptFinished)
+            await recorded.until(lambda: recorded.of(AttemptFinished))
+            (outcome,) = recorded.of(AttemptFinished)
             assert (outcome.result, outcome.request_complete) == (R.OK, True)
             assert outcome.report == {"inflight": 7.0, "util": 0.5}
 
@@ -78,14 +80,14 @@
     ],
 )
 @pytest.mark.parametrize("kind", ["quote", "pay"])
-def test_outcomes(heard: Heard, reply: Any, result: AttemptResult, kind: str) -> None:
+def test_outcomes(recorded: EventRecorder, reply: Any, result: AttemptResult, kind: str) -> None:
     """An upstream answers with an error, breaks off, sends what can't be read, or says nothing. Each
     attempt has exactly one outcome, and its client is told honestly: a rejection where nothing can have
     run, else a failure.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             w.upstreams[0].script = [reply]
             got = await w.ask(
                 "r1",
@@ -93,8 +95,8 @@
                 "GET" if kind == "quote" else "POST",
                 X_Deadline_Ms=400 if result is R.TIMEOUT else 3000,
             )
-            await heard.until(lambda: heard.of(AttemptFinished))
-            (outcome,) = heard.of(AttemptFinished)
+            await recorded.until(lambda: recorded.of(AttemptFinished))
+            (outcome,) = recorded.of(AttemptFinished)
             assert (outcome.request, outcome.attempt, outcome.result) == ("r1", 0, result)
             assert not outcome.request_complete
             if kind == "quote" or result is R.REJECTED:
@@ -106,18 +108,18 @@
     run(test())
 
 
-def test_the_deadline_cuts_the_attempt_and_the_answer_comes_in_time(heard: Heard) -> None:
+def test_the_deadline_cuts_the_attempt_and_the_answer_comes_in_time(recorded: EventRecorder) -> None:
     """An upstream never answers. The attempt ends at its client's deadline and its connection is closed, so
     that the upstream knows, and a late response answers nobody else.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             w.upstreams[0].script = [never]
             got = await w.ask("r1", X_Deadline_Ms=300)
             assert got.status == 503
             assert int(w.upstreams[0].seen[-1].headers["x-deadline-ms"]) < 300
-            (outcome,) = heard.of(AttemptFinished)
+            (outcome,) = recorded.of(AttemptFinished)
             assert outcome.result is R.TIMEOUT and outcome.duration_ns < AIM_NS
             # Giving up an attempt closes its connection: the upstream knows, and a late answer hits nobody.
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
@@ -125,17 +127,17 @@
     run(test())
 
 
-def test_a_client_that_leaves(heard: Heard) -> None:
+def test_a_client_that_leaves(recorded: EventRecorder) -> None:
     """A client disconnects while its request is at an upstream. The attempt is cancelled, and the
     upstream's connection is closed.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             client = await w.held("r1")
             client.close()
-            await heard.until(lambda: heard.of(ClientDisconnected) and heard.of(AttemptFinished))
-            (outcome,) = heard.of(AttemptFinished)
+            await recorded.until(lambda: recorded.of(ClientDisconnected) and recorded.of(AttemptFinished))
+            (outcome,) = recorded.of(AttemptFinished)
             assert (outcome.result, outcome.request_complete) == (R.CANCELLED, True)
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
@@ -146,21 +148,21 @@
     """The decisions ask for attempts that are not allowed: a second one beside the first, and one at an
     upstream that nobody listed. Nothing is sent, and each has the outcome NOT_SENT.
     """
-    heard = Heard()
+    recorded = EventRecorder()
 
     def acts(event: Event, upstream: int) -> list[Action]:
         if isinstance(event, RequestArrived):  # a second copy is not allowed, nor an upstream nobody listed
             return [StartAttempt("r1", upstream), StartAttempt("r1", upstream), StartAttempt("r1", 99)]
         return []
 
-    puppet(monkeypatch, heard, acts)
+    script_balancer(monkeypatch, recorded, acts)
 
     async def test() -> None:
         limits = replace(SETTINGS.limits, max_attempts=5)
-        async with world(settings=replace(SETTINGS, limits=limits)) as w:
+        async with in_process_balancer(settings=replace(SETTINGS, limits=limits)) as w:
             assert (await w.ask("r1")).status == 200
-            await heard.until(lambda: len(heard.of(AttemptFinished)) == 3)
-            assert {o.attempt: o.result for o in heard.of(AttemptFinished)} == {
+            await recorded.until(lambda: len(recorded.of(AttemptFinished)) == 3)
+            assert {o.attempt: o.result for o in recorded.of(AttemptFinished)} == {
                 0: R.OK,
                 1: R.NOT_SENT,
                 2: R.NOT_SENT,
@@ -171,23 +173,25 @@
 
 
 @pytest.mark.usefixtures("settled")
-def test_a_request_whose_client_leaves_while_its_connection_comes_up_is_not_sent(heard: Heard) -> None:
+def test_a_request_whose_client_leaves_while_its_connection_comes_up_is_not_sent(
+    recorded: EventRecorder,
+) -> None:
     """A client disconnects while the connection for its request is being opened. The request is not sent
     when the connection is up, no upstream is blamed, and the connection serves the next request.
     """
 
     async def test() -> None:
-        async with world(settings=PATIENT) as w:
+        async with in_process_balancer(settings=PATIENT) as w:
             gate = Gate(w.upstreams[0])
             client = await w.client()
             client.send("r1")
             await gate.reached.wait()
             client.close()
-            await heard.until(lambda: heard.of(ClientDisconnected))
+            await recorded.until(lambda: recorded.of(ClientDisconnected))
             gate.open.set()
             assert (await w.ask("r2")).status == 200
             assert ids(w.upstreams[0]) == ["r2"]
-            assert heard.results() == [R.NOT_SENT, R.OK]  # of no upstream's making
+            assert recorded.results() == [R.NOT_SENT, R.OK]  # of no upstream's making
 
     run(test())
 
@@ -202,18 +206,18 @@
     ],
 )
 def test_an_attempt_has_ended_at_its_upstream_before_the_next_one_leaves(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard, spoilt: bytes
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, spoilt: bytes
 ) -> None:
     """An upstream's answer can't be read, and the request is retried elsewhere. An attempt that was given
     up may run for as long as its connection is open, so two would run at once. Its connection has ended
     before the next attempt leaves.
     """
-    to_first_then_second(monkeypatch, heard)
+    to_first_then_second(monkeypatch, recorded)
     ended: list[bool] = []
     start = UpstreamConnection.start
 
     async def test() -> None:
-        async with world(2, settings=PATIENT) as w:
+        async with in_process_balancer(2, settings=PATIENT) as w:
             first, second = w.upstreams
             first.script = [b"\x00", spoilt]
             assert (await w.ask("r1")).body == second.name.encode()  # a connection to it stands from now on
--- a/tests/net/test_backlog_at_shutdown.py
+++ b/tests/net/test_backlog_at_shutdown.py
@@ -14,8 +14,8 @@
 from lanelift.net.connection_phases import Phase
 from lanelift.net.frontend import Frontend
 from tests.fakes import TEST_S, run
+from tests.in_process import InProcessBalancer
 from tests.net.support import ending, terminate
-from tests.worlds import World
 
 TWO_PLACES = RESERVED_SOCKETS + 2 * 2  # two clients, two connections to upstreams
 
@@ -92,7 +92,7 @@
     run(test())
 
 
-async def refused(w: World) -> None:
+async def refused(w: InProcessBalancer) -> None:
     """Returns once the listener is closed, by way of its error."""
     while True:
         client = await w.client()
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -14,13 +14,13 @@
     RequestArrived,
 )
 from tests.fakes import SECOND, answer, read_message, run
+from tests.in_process import CLASSES, EventRecorder, in_process_balancer
 from tests.net.support import LEAVES, PATIENT, R, ids
-from tests.worlds import CLASSES, Heard, world
 
 
 def test_ready_once_the_module_can_serve() -> None:
     async def test() -> None:
-        async with world(cached_endpoints=None) as w:
+        async with in_process_balancer(cached_endpoints=None) as w:
             await w.watching()
             assert (await w.ask("r", path="/ready")).status == 200
             await w.tell(w.upstreams[0].row("Terminating"))
@@ -35,7 +35,7 @@
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             other = await w.client()
             other.send("r0")
             for junk, status in [
@@ -64,7 +64,7 @@
 
 def test_requests_follow_each_other_on_a_connection_also_when_sent_ahead() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             client = await w.client()
             client.send("r1")
             client.send("r2")
@@ -81,7 +81,7 @@
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             client = await w.held("r1")
             client.writer.write(b"x" * 1_000_000)
             await client.ended()
@@ -91,13 +91,13 @@
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-def test_a_client_that_left_before_it_was_read_is_not_served(heard: Heard) -> None:
+def test_a_client_that_left_before_it_was_read_is_not_served(recorded: EventRecorder) -> None:
     """A client sends a request and disconnects before the loop reads it, on a new connection or one that
     was used before. Work for it would make those behind it late. Its request is not begun.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             used = await w.client()
             assert (await used.ask("r0")).status == 200
             # No turn of the loop between a client's request and its leaving: the balancer finds both at once,
@@ -108,20 +108,20 @@
             with socket.create_connection(w.address) as early:
                 early.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: early\r\n\r\n")
             assert (await w.ask("r1")).status == 200
-            assert [e.request for e in heard.of(RequestArrived)] == ["r0", "r1"]
+            assert [e.request for e in recorded.of(RequestArrived)] == ["r0", "r1"]
             assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r0", "r1"]
 
     run(test())
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-def test_a_request_counts_from_when_it_came_not_from_when_it_was_read(heard: Heard) -> None:
+def test_a_request_counts_from_when_it_came_not_from_when_it_was_read(recorded: EventRecorder) -> None:
     """The loop is late, and requests lie in the kernel for a while. Their deadlines count from when they
     came, not from when they were read.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             late = 0.2
             used = await w.client()
             assert (await used.ask("r0")).status == 200
@@ -130,8 +130,8 @@
                 new.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n")
                 sent_ns = time.monotonic_ns()
                 time.sleep(late)  # the loop stands still
-                await heard.until(lambda: len(heard.of(RequestArrived)) == 3)
-            for arrival in heard.of(RequestArrived)[1:]:
+                await recorded.until(lambda: len(recorded.of(RequestArrived)) == 3)
+            for arrival in recorded.of(RequestArrived)[1:]:
                 assert arrival.received_ns < sent_ns + late / 2 * SECOND
                 assert arrival.deadline_ns < sent_ns + CLASSES["quote"].deadline_ns + late / 2 * SECOND
 
@@ -173,7 +173,7 @@
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             client = await w.client()
             assert (await client.raw(data)).status == status
             await client.ended()
@@ -183,32 +183,32 @@
     run(test())
 
 
-def test_a_request_of_a_client_that_reset_its_connection_is_not_begun(heard: Heard) -> None:
+def test_a_request_of_a_client_that_reset_its_connection_is_not_begun(recorded: EventRecorder) -> None:
     """A client sends a request and resets its connection, and the loop finds both in one turn. The kernel
     is asked, and the request is not begun.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             assert (await w.ask("r0")).status == 200
             client = await w.client()
-            await heard.until(lambda: heard.results() == [R.OK])
+            await recorded.until(lambda: recorded.results() == [R.OK])
             client.send("r1")
             client.reset()
             assert (await w.ask("r2")).status == 200
-            assert [e.request for e in heard.of(RequestArrived)] == ["r0", "r2"]
+            assert [e.request for e in recorded.of(RequestArrived)] == ["r0", "r2"]
 
     run(test())
 
 
 @pytest.mark.parametrize("how", LEAVES)
-def test_what_a_client_sent_ahead_is_not_begun_once_it_has_left(heard: Heard, how: str) -> None:
+def test_what_a_client_sent_ahead_is_not_begun_once_it_has_left(recorded: EventRecorder, how: str) -> None:
     """A client sends two requests and disconnects while the first is open. Attempts may not be cancelled,
     so the first goes on at its upstream. Its end must not begin the second.
     """
 
     async def test() -> None:
-        async with world(settings=PATIENT) as w:
+        async with in_process_balancer(settings=PATIENT) as w:
             go_on = asyncio.Event()
 
             async def slow() -> bytes:
@@ -221,9 +221,9 @@
             client.send("ahead")
             await w.upstreams[0].until(lambda: len(w.upstreams[0].seen) == 1)
             LEAVES[how](client)
-            await heard.until(lambda: heard.of(ClientDisconnected))
+            await recorded.until(lambda: recorded.of(ClientDisconnected))
             go_on.set()
-            await heard.until(lambda: heard.results() == [R.OK])
+            await recorded.until(lambda: recorded.results() == [R.OK])
             assert (await w.ask("last")).status == 200
             assert ids(w.upstreams[0]) == ["first", "last"]
 
--- a/tests/net/test_client_responses.py
+++ b/tests/net/test_client_responses.py
@@ -15,8 +15,8 @@
     RequestArrived,
 )
 from tests.fakes import Client, answer, run
+from tests.in_process import EventRecorder, in_process_balancer
 from tests.net.support import LONG, response_with_length
-from tests.worlds import Heard, world
 
 
 @pytest.mark.parametrize("when", ["before", "behind"])
@@ -39,7 +39,7 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        async with world() as w:
+        async with in_process_balancer() as w:
             monkeypatch.setattr(ClientConnection, "_close_after_response", crossed)
             with socket.create_connection(w.address) as sock:
                 peers.append(sock)
@@ -62,7 +62,7 @@
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.0)
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             client = await w.client()
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
             assert (await client.answer()).status == 200
@@ -76,7 +76,7 @@
 
 
 def test_a_client_that_does_not_read_gets_no_more_answers_piled_up(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """A client sends request after request and reads no responses. They would pile up in memory. Its
     requests are not begun any more, and its connection is ended.
@@ -84,7 +84,7 @@
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.5)
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             body = b"x" * 60_000
             w.upstreams[0].script = [answer(200, body) for _ in range(1000)]
             reader, writer = await asyncio.open_connection(*w.address, limit=1)
@@ -99,7 +99,7 @@
                     await asyncio.sleep(0.01)
                     if writer.transport.is_closing():
                         break
-            assert len(heard.of(RequestArrived)) < 900
+            assert len(recorded.of(RequestArrived)) < 900
             assert (await w.ask("last")).status == 200
 
     run(test())
@@ -112,7 +112,7 @@
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.05)
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             w.upstreams[0].script = [response_with_length(LONG)]
             loop = asyncio.get_running_loop()
             with socket.socket() as slow:
@@ -138,7 +138,7 @@
     monkeypatch.setattr(exchange, "CLIENT_STALL_TIMEOUT_S", 0.1)
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             w.upstreams[0].script = [response_with_length(LONG * 4)]
             loop = asyncio.get_running_loop()
             with socket.socket() as deaf:
--- a/tests/net/test_connection_phases.py
+++ b/tests/net/test_connection_phases.py
@@ -11,11 +11,11 @@
 from lanelift.net.connection_phases import Phase
 from lanelift.policy.events import RequestArrived
 from tests.fakes import FakeUpstream, read_message, run
-from tests.worlds import Heard, world
+from tests.in_process import EventRecorder, in_process_balancer
 
 
 def test_at_the_cap_idle_clients_make_room_and_busy_ones_are_kept(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """All places are taken, by idle clients and by some whose requests are open. An idle one is closed for
     a newcomer; a busy one never is, and a newcomer waits in the backlog instead.
@@ -23,7 +23,9 @@
     monkeypatch.setattr(connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 0.0),))
 
     async def test() -> None:
-        async with world(sockets=RESERVED_SOCKETS + 2 * 2) as w:  # two clients, two connections to upstreams
+        async with in_process_balancer(
+            sockets=RESERVED_SOCKETS + 2 * 2
+        ) as w:  # two clients, two connections to upstreams
             go_on = asyncio.Event()
             upstream: FakeUpstream = w.upstreams[0]
 
@@ -37,7 +39,7 @@
             busy = [await w.client(), await w.client()]
             for number, client in enumerate(busy):
                 client.send(f"b{number}")
-            await heard.until(lambda: len(heard.of(RequestArrived)) == 3)
+            await recorded.until(lambda: len(recorded.of(RequestArrived)) == 3)
             await idle.ended()
             late = await w.client()  # it waits in the backlog, and is answered once there is room
             late.send("r1")
@@ -55,7 +57,7 @@
     """
 
     async def test() -> None:
-        async with world(sockets=RESERVED_SOCKETS + 2 * 2) as w:
+        async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as w:
             silent = [await w.client() for _ in range(20)]
             asking = await w.client()
             assert (await asking.ask("r1")).status == 200
@@ -76,7 +78,7 @@
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_HEAD, 0.1)
 
     async def test() -> None:
-        async with world(sockets=RESERVED_SOCKETS + 2 * 2) as w:
+        async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as w:
             idle = await w.client()
             assert (await idle.ask("r0")).status == 200
             newcomers = [await w.client() for _ in range(9)]
@@ -96,7 +98,7 @@
     monkeypatch.setattr(connection_phases, "EVICTION_ORDER", (leaving, (Phase.IDLE, 1000.0)))
 
     async def test() -> None:
-        async with world(sockets=RESERVED_SOCKETS + 2 * 2) as w:
+        async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as w:
             clients = [await w.client() for _ in range(20)]
             for number, client in enumerate(clients):
                 client.send(f"r{number}")
@@ -126,7 +128,7 @@
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.3)
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             client = await w.client()
             if used:
                 assert (await client.ask("r1")).status == 200
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -21,21 +21,21 @@
     RequestArrived,
 )
 from tests.fakes import SECOND, TEST_S, FakeUpstream, answer, never, run
+from tests.in_process import SETTINGS, EventRecorder, ScriptedBalancer, in_process_balancer, script_balancer
 from tests.net.support import PATIENT, Gate, R, to_first_then_second
-from tests.worlds import SETTINGS, Heard, Puppet, puppet, world
 
 
 @pytest.mark.parametrize("state", ["Terminating", "Gone"])
 def test_a_request_that_waits_for_a_connection_to_what_drains_goes_elsewhere(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard, state: str
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, state: str
 ) -> None:
     """Discovery says that an upstream drains while a request waits for a connection to it. Its handshake
     would take the request past the drain's grace, so it goes elsewhere.
     """
-    to_first_then_second(monkeypatch, heard)
+    to_first_then_second(monkeypatch, recorded)
 
     async def test() -> None:
-        async with world(2, settings=PATIENT) as w:
+        async with in_process_balancer(2, settings=PATIENT) as w:
             first, second = w.upstreams
             gate = Gate(first)
             client = await w.client()
@@ -44,7 +44,7 @@
             await w.tell(first.row(state))
             gate.open.set()
             assert (await client.answer()).body == second.name.encode()
-            assert not first.seen and heard.results() == [R.NOT_SENT, R.OK]
+            assert not first.seen and recorded.results() == [R.NOT_SENT, R.OK]
 
     run(test())
 
@@ -52,7 +52,7 @@
 @pytest.mark.usefixtures("settled")
 @pytest.mark.parametrize("comes", ["end", "noise"])
 def test_a_connection_to_which_something_came_in_the_turn_in_which_it_is_taken_is_not_used(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard, comes: str
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, comes: str
 ) -> None:
     """An idle connection ends, or noise comes on it, in the same turn of the loop in which a request takes
     it. The loop has not read that yet. A request written there is lost, and may not be sent again. The
@@ -60,7 +60,7 @@
     """
 
     async def test() -> None:
-        async with world(settings=PATIENT) as w:
+        async with in_process_balancer(settings=PATIENT) as w:
             box = w.upstreams[0]
 
             def acts(event: Event, to: int) -> list[Action]:
@@ -76,13 +76,13 @@
                 return [StartAttempt(event.request, to)]
 
             monkeypatch.setattr(
-                Puppet, "acts", staticmethod(lambda event: acts(event, upstream_number("s-0")))
+                ScriptedBalancer, "acts", staticmethod(lambda event: acts(event, upstream_number("s-0")))
             )
             assert (await w.ask("r1", "pay", "POST", b"x")).status == 200
             assert (await w.ask("r2", "pay", "POST", b"x")).status == 200
-            assert [m.link for m in box.seen] == [1, 2] and heard.results() == [R.OK, R.OK]
+            assert [m.link for m in box.seen] == [1, 2] and recorded.results() == [R.OK, R.OK]
 
-    puppet(monkeypatch, heard, lambda event, to: [])
+    script_balancer(monkeypatch, recorded, lambda event, to: [])
     run(test())
 
 
@@ -95,7 +95,12 @@
     ],
 )
 def test_a_second_answer_that_comes_late_answers_no_other_request(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard, slow: bool, kind: str, method: str, links: list[int]
+    monkeypatch: pytest.MonkeyPatch,
+    recorded: EventRecorder,
+    slow: bool,
+    kind: str,
+    method: str,
+    links: list[int],
 ) -> None:
     """An upstream sends a second response behind its first, when the next request is under way on the same
     connection. Only time tells it from that one's response. A connection that has not settled is used for
@@ -112,10 +117,10 @@
             return [StartAttempt(event.request, to)]
         return []
 
-    puppet(monkeypatch, heard, acts)
+    script_balancer(monkeypatch, recorded, acts)
 
     async def test() -> None:
-        async with world(settings=PATIENT) as w:
+        async with in_process_balancer(settings=PATIENT) as w:
             box = w.upstreams[0]
 
             async def behind_the_first_s() -> bytes | None:
@@ -131,11 +136,11 @@
 
 
 @pytest.mark.usefixtures("settled")
-def test_connections_are_kept_and_a_stale_one_is_not_used(heard: Heard) -> None:
+def test_connections_are_kept_and_a_stale_one_is_not_used(recorded: EventRecorder) -> None:
     """An upstream closes an idle connection. The next request is not written to it, but to a new one."""
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             upstream = w.upstreams[0]
             for name in ("r1", "r2"):
                 assert (await w.ask(name)).status == 200
@@ -144,7 +149,7 @@
             await upstream.until(lambda: upstream.ended == 1)
             assert (await w.ask("r3")).status == 200
             assert upstream.seen[-1].link == 2
-            assert heard.results() == [AttemptResult.OK] * 3
+            assert recorded.results() == [AttemptResult.OK] * 3
 
     run(test())
 
@@ -156,7 +161,7 @@
 
     async def test() -> None:
         limits = replace(SETTINGS.limits, upstream_idle_timeout_ns=SECOND // 5)
-        async with world(settings=replace(SETTINGS, limits=limits)) as w:
+        async with in_process_balancer(settings=replace(SETTINGS, limits=limits)) as w:
             assert (await w.ask("r1")).status == 200
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
@@ -170,7 +175,7 @@
     """
 
     async def test() -> None:
-        async with world(2) as w:
+        async with in_process_balancer(2) as w:
             upstream, other = w.upstreams
             while not upstream.seen:  # the module picks at random
                 assert (await w.ask(f"r{len(other.seen)}")).status == 200
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -17,7 +17,7 @@
     EndpointUpdate,
 )
 from tests.fakes import TEST_S, Message, answer, never, run
-from tests.worlds import SETTINGS, Heard, world
+from tests.in_process import SETTINGS, EventRecorder, in_process_balancer
 
 
 def test_agents_that_fail_are_called_often_and_not_in_step() -> None:
@@ -54,13 +54,15 @@
     assert discovery.SNAPSHOT_TIMEOUT_S + discovery.RETRY_INTERVAL_S < 6
 
 
-def test_a_call_that_came_while_discovery_was_down_is_not_waited_for_at_its_return(heard: Heard) -> None:
+def test_a_call_that_came_while_discovery_was_down_is_not_waited_for_at_its_return(
+    recorded: EventRecorder,
+) -> None:
     """An agent is silent in an outage, and never answers the calls that came then. Calls made after its
     return are answered at once, and one is made soon.
     """
 
     async def test() -> None:
-        async with world(2) as w:
+        async with in_process_balancer(2) as w:
             await w.watching()
             tell, lost, back = w.discovery.reply, asyncio.Event(), False
 
@@ -76,9 +78,11 @@
             w.discovery.change(w.upstreams[0].row("Terminating"))
             back = True
             back_s = asyncio.get_running_loop().time()
-            await heard.until(
+            await recorded.until(
                 lambda: any(
-                    u.state is EndpointState.DRAINING for e in heard.of(EndpointUpdate) for u in e.endpoints
+                    u.state is EndpointState.DRAINING
+                    for e in recorded.of(EndpointUpdate)
+                    for u in e.endpoints
                 )
             )
             assert asyncio.get_running_loop().time() - back_s < 0.5  # the least grace of a drain
@@ -87,7 +91,7 @@
 
 
 def test_calls_to_a_silent_agent_are_few_at_once_and_one_that_is_answered_late_counts(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """An agent stays silent for long. Calls to it are repeated, but only a few are open at once, and one
     that is answered late counts.
@@ -95,9 +99,9 @@
     monkeypatch.setattr(discovery, "RETRY_INTERVAL_S", 0.02)
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             await w.watching()
-            late, told = asyncio.Event(), [e.kind for e in heard.of(EndpointUpdate)]
+            late, told = asyncio.Event(), [e.kind for e in recorded.of(EndpointUpdate)]
 
             async def reply(message: Message) -> bytes | None:
                 await late.wait()
@@ -112,7 +116,7 @@
             # Ends of those let go are under way.
             assert len(w.discovery.connections) <= discovery.MAX_PARALLEL_CALLS + 2
             late.set()
-            await heard.until(lambda: len(heard.of(EndpointUpdate)) > len(told))
+            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) > len(told))
             await w.discovery.until(lambda: len(w.discovery.connections) == 1)
 
     run(test())
@@ -128,7 +132,7 @@
     monkeypatch.setattr(discovery, "START_TIMEOUT_S", TEST_S)
 
     async def test() -> None:
-        async with world(2) as w:
+        async with in_process_balancer(2) as w:
             drains, stays = w.upstreams
             told = asyncio.Event()
             reply = w.discovery.reply
@@ -152,7 +156,7 @@
     known = {"version": 50, "full": True, "servers": []}
 
     async def counted_otherwise() -> None:
-        async with world(cached_endpoints=known) as w:
+        async with in_process_balancer(cached_endpoints=known) as w:
             assert (await w.ask("r1")).body == w.upstreams[0].name.encode()
 
     run(test())
@@ -160,22 +164,24 @@
 
 
 def test_a_watch_of_an_agent_that_is_reset_is_opened_anew_at_once(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """The connection of a watch that has worked is reset. What the agent has counts as notified, whether or
     not a watch is open, so it is opened anew without a pause.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             await w.watching()
             monkeypatch.setattr(discovery, "RETRY_INTERVAL_S", 1e6)
             await w.tell(w.upstreams[0].row())  # the watch has been answered once
             w.discovery.close_links()
             w.discovery.change(w.upstreams[0].row("Terminating"))
-            await heard.until(
+            await recorded.until(
                 lambda: any(
-                    u.state is EndpointState.DRAINING for e in heard.of(EndpointUpdate) for u in e.endpoints
+                    u.state is EndpointState.DRAINING
+                    for e in recorded.of(EndpointUpdate)
+                    for u in e.endpoints
                 )
             )
 
@@ -183,7 +189,7 @@
 
 
 def test_a_watch_whose_connection_to_its_agent_does_not_come_up_is_opened_anew(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """An agent ends its connection behind a response, and the next handshake hangs. The call is given up
     soon, and the watch is opened anew.
@@ -201,7 +207,7 @@
             return await connect(factory, host, port)
 
         loop.create_connection = once  # type: ignore[method-assign, assignment]
-        async with world() as w:
+        async with in_process_balancer() as w:
             await w.watching()
             tell = w.discovery.reply
 
@@ -215,9 +221,11 @@
             w.discovery.close_links()  # the watch that is out would be answered as before
             await w.discovery.until(lambda: w.discovery.reply == tell)
             w.discovery.change(w.upstreams[0].row("Terminating"))
-            await heard.until(
+            await recorded.until(
                 lambda: any(
-                    u.state is EndpointState.DRAINING for e in heard.of(EndpointUpdate) for u in e.endpoints
+                    u.state is EndpointState.DRAINING
+                    for e in recorded.of(EndpointUpdate)
+                    for u in e.endpoints
                 )
             )
             assert not hangs[0]
--- a/tests/net/test_dispatch.py
+++ b/tests/net/test_dispatch.py
@@ -14,7 +14,7 @@
     RequestArrived,
 )
 from tests.fakes import run
-from tests.worlds import Heard, puppet, world
+from tests.in_process import EventRecorder, in_process_balancer, script_balancer
 
 
 def test_a_failing_module_fails_the_request_and_is_logged(
@@ -29,10 +29,10 @@
             raise RuntimeError("out of its mind")
         return [StartAttempt(event.request, upstream)] if isinstance(event, RequestArrived) else []
 
-    puppet(monkeypatch, Heard(), acts)
+    script_balancer(monkeypatch, EventRecorder(), acts)
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             assert (await w.ask("bad")).status == 502
             assert (await w.ask("good")).status == 200
         (record,) = [r for r in caplog.records if r.exc_info]
@@ -54,7 +54,7 @@
     monkeypatch.setattr(daemon, "Dispatcher", build)
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             upstream = w.upstreams[0]
             for number in range(30):  # ever new ids at one address, each with its own connections
                 assert (await w.ask(f"r{number}", obj=number)).status == 200
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -15,7 +15,7 @@
 )
 from lanelift.settings import SettingsError
 from tests.fakes import SECOND, Message, answer, run
-from tests.worlds import Heard, world
+from tests.in_process import EventRecorder, in_process_balancer
 
 
 def test_a_list_entry() -> None:
@@ -44,14 +44,14 @@
 
 
 def test_a_list_with_entries_that_cannot_be_read_is_one_line_and_the_rest_is_used(
-    heard: Heard, caplog: pytest.LogCaptureFixture
+    recorded: EventRecorder, caplog: pytest.LogCaptureFixture
 ) -> None:
     """A list has a thousand entries that can't be read. They are skipped and logged in one line, and the
     rest is used.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             good = w.upstreams[0].row()
             await w.watching()
             caplog.clear()
@@ -60,8 +60,8 @@
             w.discovery.version = 9
             w.discovery.reply = _only(answer(200, json.dumps(told, indent=4).encode()), w.discovery.reply)
             w.discovery.close_links()
-            await heard.until(lambda: len(heard.of(EndpointUpdate)) == 3)  # as last known, one, this
-            assert {u.id for u in heard.of(EndpointUpdate)[2].endpoints} == {upstream_number("s-0")}
+            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) == 3)  # as last known, one, this
+            assert {u.id for u in recorded.of(EndpointUpdate)[2].endpoints} == {upstream_number("s-0")}
             lines = [r.getMessage() for r in caplog.records if "skipped" in r.getMessage()]
             assert lines == ["discovery: entries skipped: 1002; the first: 'nowhere' is not HOST:PORT"]
             assert (await w.ask("r1")).status == 200
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -13,7 +13,7 @@
 from lanelift.net.upstreams import Upstreams
 from lanelift.policy.events import AttemptResult, Endpoint
 from tests.fakes import FakeUpstream, deaf, run
-from tests.worlds import SETTINGS
+from tests.in_process import SETTINGS
 
 LIMIT_S = 5.0
 
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -11,18 +11,20 @@
     RequestArrived,
 )
 from tests.fakes import answer, run
+from tests.in_process import EventRecorder, in_process_balancer
 from tests.net.support import LEAVES, PATIENT
-from tests.worlds import Heard, world
 
 
 @pytest.mark.parametrize("how", LEAVES)
-def test_a_request_whose_client_leaves_the_backlog_is_not_begun(heard: Heard, how: str) -> None:
+def test_a_request_whose_client_leaves_the_backlog_is_not_begun(recorded: EventRecorder, how: str) -> None:
     """All places are taken, and a client waits in the backlog with its request sent. It leaves before it is
     accepted. Its request is not begun, and the client behind it is served.
     """
 
     async def test() -> None:
-        async with world(settings=PATIENT, sockets=RESERVED_SOCKETS + 2 * 2) as w:  # two clients
+        async with in_process_balancer(
+            settings=PATIENT, sockets=RESERVED_SOCKETS + 2 * 2
+        ) as w:  # two clients
             go_on = asyncio.Event()
 
             async def slow() -> bytes:
@@ -33,13 +35,13 @@
             busy = [await w.client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(f"b{number}")
-            await heard.until(lambda: len(heard.of(RequestArrived)) == 2)
+            await recorded.until(lambda: len(recorded.of(RequestArrived)) == 2)
             leaves, stays = await w.client(), await w.client()
             leaves.send("gone")
             LEAVES[how](leaves)
             stays.send("last")
             go_on.set()
             assert (await stays.answer()).status == 200
-            assert [e.request for e in heard.of(RequestArrived)] == ["b0", "b1", "last"]
+            assert [e.request for e in recorded.of(RequestArrived)] == ["b0", "b1", "last"]
 
     run(test())
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -15,10 +15,10 @@
     PeerMessageReceived,
 )
 from tests.fakes import run
-from tests.worlds import Heard, world
+from tests.in_process import EventRecorder, in_process_balancer
 
 
-def test_peers(heard: Heard) -> None:
+def test_peers(recorded: EventRecorder) -> None:
     """Datagrams come from strangers, too large, and from a peer. Only the peer's is handed on."""
 
     async def test() -> None:
@@ -32,15 +32,15 @@
                 sock.setblocking(False)
             address = own.getsockname()
             own.close()
-            async with world(
+            async with in_process_balancer(
                 peer_listen=address, peers=[address, peer.getsockname()], peers_all=peer.getsockname()
             ):
-                await heard.until(lambda: heard.of(EndpointUpdate))
+                await recorded.until(lambda: recorded.of(EndpointUpdate))
                 odd.sendto(b"from nobody", address)
                 peer.sendto(b"x" * 300, address)
                 peer.sendto(b"hello", address)
-                await heard.until(lambda: heard.of(PeerMessageReceived))
-                assert [(m.sender, m.data) for m in heard.of(PeerMessageReceived)] == [(1, b"hello")]
+                await recorded.until(lambda: recorded.of(PeerMessageReceived))
+                assert [(m.sender, m.data) for m in recorded.of(PeerMessageReceived)] == [(1, b"hello")]
 
     run(test())
 
@@ -58,7 +58,7 @@
             for sock in (peer, everyone):
                 sock.bind(("127.0.0.1", 0))
                 sock.setblocking(False)
-            async with world(
+            async with in_process_balancer(
                 peer_listen=("127.0.0.1", 0), peers=[peer.getsockname()], peers_all=everyone.getsockname()
             ):
                 assert await loop.sock_recv(peer, 300) == b"one"
--- a/tests/net/test_request_head.py
+++ b/tests/net/test_request_head.py
@@ -10,7 +10,7 @@
 from lanelift.policy.events import RequestArrived
 from lanelift.policy.settings import Tenant
 from tests.fakes import run
-from tests.worlds import SETTINGS, Heard, world
+from tests.in_process import SETTINGS, EventRecorder, in_process_balancer
 
 
 def test_an_id_that_is_open_already() -> None:
@@ -19,7 +19,7 @@
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             first = await w.held("r1")
             assert (await w.ask("r1")).status == 409
             first.close()
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("coding", ["utf-8", "latin-1"])
 @pytest.mark.parametrize("named", [True, False])
-def test_names_of_any_characters(heard: Heard, coding: str, named: bool) -> None:
+def test_names_of_any_characters(recorded: EventRecorder, coding: str, named: bool) -> None:
     """Classes and tenants are called what the settings say: headers carry that as bytes, paths quoted."""
     kind, tenant = "prix d'\u00e9t\u00e9/1", "Zo\u00eb & fils"
     settings = replace(
@@ -39,7 +39,7 @@
     )
 
     async def test() -> None:
-        async with world(settings=settings) as w:
+        async with in_process_balancer(settings=settings) as w:
             client = await w.client()
             path = quote(kind, safe="")
             given = f"X-Class: {kind}\r\n" if named else ""
@@ -49,7 +49,7 @@
             )
             assert got.status == 200
             assert w.upstreams[0].seen[0].start[1] == f"/{path}?obj=1"
-            (arrived,) = heard.of(RequestArrived)
+            (arrived,) = recorded.of(RequestArrived)
             assert (arrived.class_name, arrived.tenant) == (kind, tenant)
 
     run(test())
@@ -61,7 +61,7 @@
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             client = await w.client()
             assert (await client.ask("r1", "pay", "GET")).status == 405
             assert (await client.ask("r1", "quote", "DELETE")).status == 405
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -19,7 +19,7 @@
 from lanelift.policy.settings import Idempotency, RequestClass
 from lanelift.standins.http import Connection
 from tests.fakes import MS, SECOND, FakeUpstream, Message, answer, never, run
-from tests.worlds import SETTINGS, World, world
+from tests.in_process import SETTINGS, InProcessBalancer, in_process_balancer
 
 SAFE, KEYED, UNSAFE = Idempotency
 
@@ -85,7 +85,7 @@
 class Judge:
     """Counts attempts over all upstreams, and has the first of each request end as it is told."""
 
-    def __init__(self, w: World, how: Any) -> None:
+    def __init__(self, w: InProcessBalancer, how: Any) -> None:
         self.w = w
         self.how = how
         self.came: list[str] = []
@@ -120,7 +120,7 @@
     ending, never_ran = ENDS[how]
 
     async def test() -> None:
-        async with world(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
+        async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
             judge = Judge(w, ending)
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
             more = {"Idempotency_Key": "k"} if effect is KEYED else {}
@@ -141,7 +141,7 @@
     """
 
     async def test() -> None:
-        async with world(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
+        async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
             judge = Judge(w, lambda link: None)
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
             got = await w.ask("r1", effect.value, method, body, X_Deadline_Ms=100)
@@ -163,7 +163,7 @@
 
     async def test() -> None:
         limits = replace(LIMITS, max_attempts=50)  # a pause of the machine may outlast the bars of both
-        async with world(3, settings=replace(SETTINGS, classes=CLASSES, limits=limits)) as w:
+        async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=limits)) as w:
             for box in w.upstreams[:2]:
                 box.stop()  # its port refuses from now on
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
@@ -182,7 +182,7 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        async with world(settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
+        async with in_process_balancer(settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
             box = w.upstreams[0]
             box.script = [never]
             client = await w.client()
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -20,13 +20,13 @@
 from lanelift.net.frontend import Frontend
 from lanelift.net.shutdown import LONGEST_DEADLINE_S, GracefulShutdown
 from tests.fakes import SECOND, TEST_S, free_port, never, run
+from tests.in_process import SETTINGS, EventRecorder, InProcessBalancer, in_process_balancer
 from tests.net.support import CHUNKED, R, terminate
-from tests.worlds import SETTINGS, Heard, World, world
 
 
 @pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 70_000])
 def test_what_would_wait_beyond_the_end_is_told_before_it(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard, begun: bytes
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, begun: bytes
 ) -> None:
     """SIGTERM comes, and a client's deadline is later than the process may live: SIGKILL takes longer
     deadlines for 3 s, and so must the end. The client gets a 504 before the end, or, with a response under
@@ -36,7 +36,7 @@
     quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
 
     async def test() -> None:
-        async with world(settings=replace(SETTINGS, classes={"quote": quote})) as w:
+        async with in_process_balancer(settings=replace(SETTINGS, classes={"quote": quote})) as w:
             client = await w.held("r1", X_Deadline_Ms=90_000)
             if begun:
                 w.upstreams[0].links[0].write(begun)
@@ -54,7 +54,7 @@
 
 @pytest.mark.usefixtures("settled")
 def test_a_connection_whose_answer_ends_after_the_balancer_was_emptied_is_not_kept(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """A balancer drains while a response is being streamed. The response's head was written before, and did
     not say that it is the last. Idle connections are closed meanwhile. The connection is closed behind the
@@ -69,7 +69,7 @@
     def watched(ending: GracefulShutdown) -> None:
         close_idle(ending)
         emptied.append(ending)
-        heard.poke()
+        recorded.poke()
 
     def seen(front: Frontend, *args: Any, **more: Any) -> None:
         made(front, *args, **more)
@@ -79,13 +79,13 @@
     monkeypatch.setattr(Frontend, "__init__", seen)
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             w.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
             client = await w.client()
             client.send("r1")
             await client.reader.readuntil(b"one\r\n")
             fronts[0].shutdown.drain()
-            await heard.until(lambda: emptied)
+            await recorded.until(lambda: emptied)
             w.upstreams[0].links[0].write(b"0\r\n\r\n")
             assert await client.reader.readuntil(b"0\r\n\r\n") == b"0\r\n\r\n"
             await client.ended()
@@ -123,7 +123,7 @@
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             path = tmp_path / "config.json"
             code, said = 2, b""
             while code == 2:  # somebody else took the port meanwhile
@@ -143,7 +143,7 @@
     run(test())
 
 
-def config_text(listen: str, w: World) -> str:
+def config_text(listen: str, w: InProcessBalancer) -> str:
     return json.dumps(
         {
             "listen": listen,
@@ -155,16 +155,16 @@
 
 
 @asynccontextmanager
-async def leaving(monkeypatch: pytest.MonkeyPatch, ends_s: float) -> AsyncIterator[World]:
+async def leaving(monkeypatch: pytest.MonkeyPatch, ends_s: float) -> AsyncIterator[InProcessBalancer]:
     """A world in which SIGTERM closes the listener at once, and ends the process this much over 3 s later."""
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", ends_s)
-    async with world() as w:
+    async with in_process_balancer() as w:
         yield w
 
 
 def test_a_request_that_comes_long_after_sigterm_is_answered_before_the_end(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """Half of a request has come when SIGTERM does, and the rest follows later. By its own deadline it
     would wait for longer than the process lives. It is answered while there is somebody to answer it.
@@ -179,14 +179,14 @@
             os.kill(os.getpid(), signal.SIGTERM)
             await asyncio.sleep(0)
             assert (await client.raw(b"X-Request-Id: r1\r\nX-Deadline-Ms: 3000\r\n\r\n")).status in (503, 504)
-            assert heard.results() == [R.TIMEOUT]
+            assert recorded.results() == [R.TIMEOUT]
 
     run(test())
 
 
 @pytest.mark.usefixtures("settled")
 def test_a_connection_whose_last_answer_began_before_sigterm_is_not_kept(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """SIGTERM comes while a response is being streamed. Its head did not say that it is the last, and its
     end comes when idle connections have been closed. Its connection is closed as well: kept, it would bring
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -13,8 +13,8 @@
 from lanelift.net.upstream_connection import READ_BUFFER
 from lanelift.policy.events import AttemptFinished, ClientDisconnected, ResponseStarted
 from tests.fakes import answer, read_message, run
+from tests.in_process import EventRecorder, in_process_balancer
 from tests.net.support import LONG, OK, R, Steps, body_of, chunked_response, response_with_length, stepwise
-from tests.worlds import Heard, world
 
 
 def response_until_close(body: bytes) -> bytes:
@@ -27,10 +27,10 @@
     "body", [LONG, LONG[: MAX_BUFFERED_BODY_BYTES + 1], LONG[:MAX_BUFFERED_BODY_BYTES], b"short", b""]
 )
 def test_an_answer_of_any_length_and_framing_arrives_whole(
-    heard: Heard, framed: Callable[[bytes], bytes], body: bytes
+    recorded: EventRecorder, framed: Callable[[bytes], bytes], body: bytes
 ) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             if framed is response_until_close:
 
                 async def reply() -> bytes:
@@ -47,10 +47,10 @@
             client.send("r1")
             headers, got = await body_of(client)
             assert got == body and "x-trailer" not in headers
-            await heard.until(lambda: heard.of(AttemptFinished))
-            (outcome,) = heard.of(AttemptFinished)
+            await recorded.until(lambda: recorded.of(AttemptFinished))
+            (outcome,) = recorded.of(AttemptFinished)
             assert (outcome.result, outcome.request_complete) == (R.OK, True)
-            begun = heard.of(ResponseStarted)
+            begun = recorded.of(ResponseStarted)
             assert len(begun) == (len(body) > MAX_BUFFERED_BODY_BYTES)
             assert all(e.duration_ns <= outcome.duration_ns for e in begun)
             # The connections go on: the client's, and the upstream's unless it ended the answer.
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("framed", [response_with_length, chunked_response])
 def test_a_client_of_http_1_0_reads_to_the_end_of_its_connection(framed: Callable[[bytes], bytes]) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             w.upstreams[0].script = [framed(LONG)]
             client = await w.client()
             client.writer.write(b"GET /quote HTTP/1.0\r\nHost: o\r\nX-Request-Id: r1\r\n\r\n")
@@ -92,14 +92,14 @@
     + [("chunked", "noise")],
 )
 def test_a_break_behind_the_beginning_shows_and_is_no_whole_answer(
-    heard: Heard, how: str, ending: str
+    recorded: EventRecorder, how: str, ending: str
 ) -> None:
     """An upstream breaks off in the middle of a response that is being streamed. The client's connection
     ends by a reset: a plain end would look like the end of the response to some. Nothing is sent again.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             steps = Steps(w)
             client = await w.client()
             version = b"1.0" if how == "1.0" else b"1.1"
@@ -123,22 +123,22 @@
                 while await client.reader.read(65536):
                     pass
                 raise AssertionError("it ended as if it were whole")
-            await heard.until(lambda: heard.of(AttemptFinished))
-            assert heard.results() == [R.ERROR if ending == "noise" else R.RESET]
-            assert heard.of(AttemptFinished)[0].request_complete  # nothing is sent again
+            await recorded.until(lambda: recorded.of(AttemptFinished))
+            assert recorded.results() == [R.ERROR if ending == "noise" else R.RESET]
+            assert recorded.of(AttemptFinished)[0].request_complete  # nothing is sent again
             assert (await w.ask("r2")).body == b"s-0"
 
     run(test())
 
 
-def test_a_client_that_does_not_read_holds_its_upstream_and_little_memory(heard: Heard) -> None:
+def test_a_client_that_does_not_read_holds_its_upstream_and_little_memory(recorded: EventRecorder) -> None:
     """A client does not read a long response. 32 MB wait at the upstream; of them no more than the buffers
     on the way have left it. The rest comes once the client reads.
     """
     size = 32_000_000
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             steps = Steps(w)
             with socket.socket() as slow:
                 slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32_768)
@@ -168,15 +168,15 @@
                 got = b""
                 while got.count(piece) < sent // len(piece):  # what was written comes once it reads
                     got += await loop.sock_recv(slow, 1 << 20)
-            await heard.until(lambda: heard.of(ClientDisconnected))
-            await heard.until(lambda: heard.of(AttemptFinished))
-            assert heard.results() == [R.CANCELLED]
+            await recorded.until(lambda: recorded.of(ClientDisconnected))
+            await recorded.until(lambda: recorded.of(AttemptFinished))
+            assert recorded.results() == [R.CANCELLED]
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
     run(test())
 
 
-def test_a_client_that_leaves_while_it_reads_ends_the_attempt(heard: Heard) -> None:
+def test_a_client_that_leaves_while_it_reads_ends_the_attempt(recorded: EventRecorder) -> None:
     """A client disconnects in the middle of a streamed response. Its attempt is cancelled, and its
     upstream's connection is closed.
     """
@@ -186,8 +186,8 @@
             await steps.write(OK + b"Content-Length: 500000\r\n\r\n" + LONG[:100_000])
             await client.reader.readexactly(1000)
             client.writer.transport.abort()
-            await heard.until(lambda: heard.of(AttemptFinished))
-            assert heard.results() == [R.CANCELLED]
+            await recorded.until(lambda: recorded.of(AttemptFinished))
+            assert recorded.results() == [R.CANCELLED]
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
             assert (await w.ask("r2")).status == 200
 
@@ -195,16 +195,16 @@
 
 
 @pytest.mark.parametrize("status", [500, 404])
-def test_a_long_error_is_an_error_and_is_not_read_on(heard: Heard, status: int) -> None:
+def test_a_long_error_is_an_error_and_is_not_read_on(recorded: EventRecorder, status: int) -> None:
     """An upstream answers with an error of many megabytes. The status says all that is needed: its body is
     not read, and its connection is closed.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             w.upstreams[0].script = [b"HTTP/1.1 %d X\r\nContent-Length: 9000000\r\n\r\n" % status + LONG]
             assert (await w.ask("r1")).status == 503  # tried once, which is all that is allowed
-            assert heard.results() == [R.ERROR]
+            assert recorded.results() == [R.ERROR]
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
     run(test())
@@ -212,7 +212,7 @@
 
 def test_requests_sent_ahead_wait_for_a_long_answer() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             w.upstreams[0].script = [response_with_length(LONG), answer(200, b"second")]
             client = await w.client()
             client.send("r1")
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -21,14 +21,14 @@
 )
 from lanelift.policy.settings import Idempotency
 from tests.fakes import answer, read_message, run
+from tests.in_process import CLASSES, SETTINGS, EventRecorder, InProcessBalancer, in_process_balancer
 from tests.net.support import LONG, PATIENT, Gate, R, chunked_request, ids, request_head, request_with_length
-from tests.worlds import CLASSES, SETTINGS, Heard, World, world
 
 BODY = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
 
 
 def test_a_client_that_leaves_while_it_is_held_back_is_noticed_before_its_request_is_sent(
-    heard: Heard,
+    recorded: EventRecorder,
 ) -> None:
     """A client with a long body disconnects while its upstream's connection comes up. Reading from it is
     paused, so its leaving is not read either. The kernel is asked before its request is sent, and it is not
@@ -36,15 +36,15 @@
     """
 
     async def test() -> None:
-        async with world(settings=PATIENT) as w:
+        async with in_process_balancer(settings=PATIENT) as w:
             gate = Gate(w.upstreams[0])
             client = await w.client()
             client.send("r1", "pay", "POST", BODY)
             await gate.reached.wait()
             client.writer.transport.abort()
             gate.open.set()
-            await heard.until(lambda: heard.of(ClientDisconnected) and heard.of(AttemptFinished))
-            assert heard.results() == [R.NOT_SENT]
+            await recorded.until(lambda: recorded.of(ClientDisconnected) and recorded.of(AttemptFinished))
+            assert recorded.results() == [R.NOT_SENT]
             assert (await w.ask("r2")).status == 200
             assert ids(w.upstreams[0]) == ["r2"]
 
@@ -52,7 +52,7 @@
 
 
 def test_a_request_whose_client_leaves_while_its_upstream_takes_no_more_never_gets_there_whole(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """A client disconnects while its upstream takes no more of its request. Its last byte has not been
     written: it never ran, so it is cut off even where attempts may not be cancelled.
@@ -70,7 +70,7 @@
             busy.bind(("127.0.0.1", 0))
             busy.listen()
             busy.setblocking(False)
-            async with world(settings=PATIENT) as w:
+            async with in_process_balancer(settings=PATIENT) as w:
                 w.upstreams[0].port = busy.getsockname()[1]
                 await w.tell(w.upstreams[0].row())
                 monkeypatch.setattr(UpstreamConnection, "connection_made", narrow)
@@ -80,12 +80,14 @@
                 with taken:
                     came = await loop.sock_recv(taken, 1)
                     client.close()
-                    await heard.until(lambda: heard.of(ClientDisconnected) and heard.of(AttemptFinished))
+                    await recorded.until(
+                        lambda: recorded.of(ClientDisconnected) and recorded.of(AttemptFinished)
+                    )
                     with suppress(ConnectionError):
                         while data := await loop.sock_recv(taken, 65536):
                             came += data
                     assert len(came) < MAX_BUFFERED_BODY_BYTES
-                    assert heard.results() == [R.CANCELLED]
+                    assert recorded.results() == [R.CANCELLED]
 
     run(test())
 
@@ -102,7 +104,7 @@
 
 @pytest.mark.parametrize("what", ["leaves", "noise", "silence"])
 def test_a_body_that_is_never_whole_is_never_run(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard, what: str
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, what: str
 ) -> None:
     """A client disconnects in the middle of a long body, sends what is none, or nothing more. What was
     forwarded is cut off, and no upstream takes it for a request.
@@ -110,7 +112,9 @@
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_BODY, 0.2)
 
     async def test() -> None:
-        async with world(settings=replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=False))) as w:
+        async with in_process_balancer(
+            settings=replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=False))
+        ) as w:
             client = await w.client()
             client.writer.write(
                 chunked_request("r1", LONG)[: 200_000 if what != "noise" else 3000 + 3 * 30_000]
@@ -123,8 +127,8 @@
                     client.writer.write(b"\r\nno chunk\r\n" * 3000)
                 got = await read_message(client.reader)
                 assert got.status == (400 if what == "noise" else 408)
-            await heard.until(lambda: heard.of(AttemptFinished))
-            assert heard.results() == [R.CANCELLED]
+            await recorded.until(lambda: recorded.of(AttemptFinished))
+            assert recorded.results() == [R.CANCELLED]
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
             assert not w.upstreams[0].seen
             assert (await w.ask("r2")).status == 200
@@ -150,13 +154,13 @@
             link.transport.abort()
 
 
-async def at(w: World, address: tuple[str, int]) -> None:
+async def at(w: InProcessBalancer, address: tuple[str, int]) -> None:
     row = w.upstreams[0].row() | {"addr": f"{address[0]}:{address[1]}"}
     await w.tell(row)
 
 
 def test_an_upstream_that_takes_nothing_holds_its_client_back_and_is_given_up(
-    monkeypatch: pytest.MonkeyPatch, heard: Heard
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """An upstream takes nothing of a long body. Reading from its client is paused, so that memory is
     bounded, and the attempt is given up after a while.
@@ -164,68 +168,71 @@
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.5)
 
     async def test() -> None:
-        async with world() as w, deaf() as address:
+        async with in_process_balancer() as w, deaf() as address:
             await at(w, address)
             client = await w.client()
             size = 30_000_000
             client.writer.write(request_head("r1", "pay", f"Content-Length: {size}"))
             client.writer.transport.set_write_buffer_limits(high=0)
             sent = 0
-            while sent < size and not heard.of(AttemptFinished):
+            while sent < size and not recorded.of(AttemptFinished):
                 client.writer.write(LONG)
                 sent += len(LONG)
                 drained = asyncio.ensure_future(client.writer.drain())
-                ended = asyncio.ensure_future(heard.until(lambda: heard.of(AttemptFinished)))
+                ended = asyncio.ensure_future(recorded.until(lambda: recorded.of(AttemptFinished)))
                 await asyncio.wait((drained, ended), return_when=asyncio.FIRST_COMPLETED)
                 drained.cancel()
                 ended.cancel()
             # The client's own buffer may grow to 4 MB, the deaf server's too; between them stand ours.
             assert sent < 2 * 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2_000_000
-            assert heard.results() == [R.CONNECT_FAILED]  # its last byte was never written: it never ran
-            assert heard.of(AttemptFinished)[0].body_consumed
+            assert recorded.results() == [R.CONNECT_FAILED]  # its last byte was never written: it never ran
+            assert recorded.of(AttemptFinished)[0].body_consumed
 
     run(test())
 
 
-def test_what_has_not_left_yet_can_go_elsewhere_and_what_has_can_not(heard: Heard) -> None:
+def test_what_has_not_left_yet_can_go_elsewhere_and_what_has_can_not(recorded: EventRecorder) -> None:
     """An upstream of a long body can't be reached: nothing has left, and the request goes elsewhere.
     Another breaks when part of the body has left: it can't be sent again, and as it never ran it is
     rejected.
     """
 
     async def test() -> None:
-        async with world(2, settings=KEYED) as w:
+        async with in_process_balancer(2, settings=KEYED) as w:
             w.upstreams[0].stop()  # nobody listens there
             number = 0
-            while R.CONNECT_FAILED not in heard.results():  # until it was drawn
+            while R.CONNECT_FAILED not in recorded.results():  # until it was drawn
                 number += 1
                 got = await w.ask(f"r{number}", "book", "POST", LONG, Idempotency_Key=f"k{number}")
                 assert (got.status, got.body) == (200, b"s-1")
-            assert not any(o.body_consumed for o in heard.of(AttemptFinished) if o.result is R.CONNECT_FAILED)
+            assert not any(
+                o.body_consumed for o in recorded.of(AttemptFinished) if o.result is R.CONNECT_FAILED
+            )
             # And one that breaks when some has gone: refused, since it never ran, and not sent again.
             client = await w.client()
             client.writer.write(chunked_request("last", LONG, "book")[:200_000])
             links = w.upstreams[1].links
             while not any(link.coming is not None for link in links):  # nothing tells of part of a request
                 await asyncio.sleep(0.001)
-            before = len(heard.results())
+            before = len(recorded.results())
             next(link for link in links if link.coming is not None).abort()
             got = await read_message(client.reader)
             assert (got.status, got.headers["connection"]) == (503, "close")
             assert (
-                heard.results()[before:] == [R.CONNECT_FAILED] and heard.of(AttemptFinished)[-1].body_consumed
+                recorded.results()[before:] == [R.CONNECT_FAILED]
+                and recorded.of(AttemptFinished)[-1].body_consumed
             )
 
     run(test())
 
 
-def test_an_answer_before_the_end_is_given_and_the_rest_is_not_read(heard: Heard) -> None:
+def test_an_answer_before_the_end_is_given_and_the_rest_is_not_read(recorded: EventRecorder) -> None:
     """An upstream answers before a long body is complete. Its answer is given at once, as the last on its
     connection, and the rest of the body is not read.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             client = await w.client()
             client.writer.write(request_with_length("r1", LONG)[:200_000])
             upstream = w.upstreams[0]
@@ -236,6 +243,6 @@
             got = await read_message(client.reader)
             assert (got.status, got.headers["connection"]) == (502, "close")
             await client.ended()
-            assert heard.results() == [R.ERROR]
+            assert recorded.results() == [R.ERROR]
 
     run(test())
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -15,24 +15,24 @@
     AttemptResult,
 )
 from tests.fakes import answer, run
+from tests.in_process import EventRecorder, in_process_balancer
 from tests.net.support import R
-from tests.worlds import Heard, world
 
 
 @pytest.mark.parametrize("extra", [answer(200, b"again"), b"\x00noise\r\n", b"H"])
-def test_what_stands_behind_an_answer_answers_no_other_request(heard: Heard, extra: bytes) -> None:
+def test_what_stands_behind_an_answer_answers_no_other_request(recorded: EventRecorder, extra: bytes) -> None:
     """A second response, or noise, stands behind a response. The connection is closed, and the next request
     is answered by its own response.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             upstream = w.upstreams[0]
             upstream.script = [answer(200, b"first") + extra, answer(200, b"second")]
             assert (await w.ask("r1")).body == b"first"
             assert (await w.ask("r2")).body == b"second"
             assert [m.link for m in upstream.seen] == [1, 2]  # nothing more comes on the first connection
-            assert heard.results() == [R.OK, R.OK]
+            assert recorded.results() == [R.OK, R.OK]
 
     run(test())
 
@@ -41,7 +41,7 @@
     """A second response comes on an idle connection. Nobody asked for it: the connection is closed."""
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             upstream = w.upstreams[0]
             assert (await w.ask("r1")).status == 200
             upstream.links[0].write(answer(200, b"again"))
@@ -53,7 +53,7 @@
 
 def test_interim_answers_are_let_pass() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             hints = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
             w.upstreams[0].script = [hints + answer(200, b"at last")]
             assert (await w.ask("r1")).body == b"at last"
--- a/tests/net/test_upstreams.py
+++ b/tests/net/test_upstreams.py
@@ -8,26 +8,26 @@
     LoadProbeFinished,
 )
 from tests.fakes import deaf, free_port, run
+from tests.in_process import SETTINGS, EventRecorder, in_process_balancer
 from tests.net.support import R
-from tests.worlds import SETTINGS, Heard, world
 
 
-def test_refused_connection(heard: Heard) -> None:
+def test_refused_connection(recorded: EventRecorder) -> None:
     """An upstream's port refuses connections. The request never ran, and whatever its class it may be
     rejected.
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with in_process_balancer() as w:
             w.upstreams[0].port = free_port()
             await w.tell(w.upstreams[0].row())
             assert (await w.ask("r1", "pay", "POST")).status == 503  # never ran: it may be refused
-            assert heard.results() == [R.CONNECT_FAILED]
+            assert recorded.results() == [R.CONNECT_FAILED]
 
     run(test())
 
 
-def test_a_connection_that_never_comes_up(heard: Heard) -> None:
+def test_a_connection_that_never_comes_up(recorded: EventRecorder) -> None:
     """A handshake is never answered. The attempt is given up at the settings' limit, and the request is
     rejected, as it never ran.
     """
@@ -35,27 +35,27 @@
     async def test() -> None:
         limits = replace(SETTINGS.limits, connect_timeout_ns=100_000_000)
         with deaf() as address:
-            async with world(settings=replace(SETTINGS, limits=limits)) as w:
+            async with in_process_balancer(settings=replace(SETTINGS, limits=limits)) as w:
                 w.upstreams[0].port = address[1]
                 await w.tell(w.upstreams[0].row())
                 assert (await w.ask("r1", "pay", "POST")).status == 503
-                assert heard.results() == [R.CONNECT_FAILED]
+                assert recorded.results() == [R.CONNECT_FAILED]
 
     run(test())
 
 
-def test_each_probe_has_one_result(heard: Heard) -> None:
+def test_each_probe_has_one_result(recorded: EventRecorder) -> None:
     async def test() -> None:
         settings = replace(
             SETTINGS,
             limits=replace(SETTINGS.limits, load_probes=True),
             load_report_fields=("inflight", "queue"),
         )
-        async with world(settings=settings) as w:
+        async with in_process_balancer(settings=settings) as w:
             assert (await w.ask("r1")).status == 200
             probes = [m for m in w.upstreams[0].seen if m.start[1] == "/status/load"]
             assert probes and "x-request-id" not in probes[0].headers
-            results = heard.of(LoadProbeFinished)
+            results = recorded.of(LoadProbeFinished)
             assert len(results) == len(probes)
             assert results[0].result is R.OK and results[0].report == {"inflight": 3.0, "queue": 1.0}
 
--- a/tests/operate/test_admin.py
+++ b/tests/operate/test_admin.py
@@ -14,14 +14,14 @@
 from lanelift.net.shutdown import ACCEPT_WHILE_DRAINING_S
 from lanelift.policy.events import AttemptResult
 from tests.fakes import Client, Message, answer, run
-from tests.worlds import Heard, World, world
+from tests.in_process import EventRecorder, InProcessBalancer, in_process_balancer
 
 
 @asynccontextmanager
-async def operated(count: int = 1) -> AsyncIterator[tuple[World, tuple[str, int]]]:
+async def operated(count: int = 1) -> AsyncIterator[tuple[InProcessBalancer, tuple[str, int]]]:
     operators = listening_socket(("127.0.0.1", 0))
     operators.listen()  # calls wait for the balancer
-    async with world(count, operators=operators) as w:
+    async with in_process_balancer(count, operators=operators) as w:
         yield w, operators.getsockname()
 
 
@@ -125,14 +125,14 @@
     run(test())
 
 
-def test_what_was_never_written_whole_is_no_attempt_in_the_figures(heard: Heard) -> None:
+def test_what_was_never_written_whole_is_no_attempt_in_the_figures(recorded: EventRecorder) -> None:
     """An upstream refuses its connection. Nothing was written, so the attempt is not counted."""
 
     async def test() -> None:
         async with operated() as (w, address):
             w.upstreams[0].stop()
             assert (await w.ask("r1")).status == 503
-            assert heard.results() == [AttemptResult.CONNECT_FAILED]
+            assert recorded.results() == [AttemptResult.CONNECT_FAILED]
             got = await figures(address)
             assert (got["relayed_total"], got[operations("throttled")]) == (0, 1)
 
