--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -1,6 +1,6 @@
 """A whole balancer in this process, with scripted upstreams and discovery.
 
-`in_process_balancer` starts and ends one. `recorded` (a fixture) keeps the events that its decisions are given;
+`in_process_balancer` starts and ends one. `recorded` (a fixture) keeps the events that its decisions get;
 with `script_balancer` a test decides in their place.
 """
 
