--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -33,8 +33,9 @@
 from lanelift.standins.directory import Directory as StandIn
 from lanelift.standins.ldap import Tree
 from lanelift.tenants.entries import AttributeMap
-from lanelift.tenants.feed import Feed, TenantSource
-from lanelift.tenants.job import Directory, Job, Search
+from lanelift.tenants.sync_config import Directory, Search, SyncConfig
+from lanelift.tenants.sync_messages import Configure, SyncMessage, decoded, encoded
+from lanelift.tenants.sync_process import SyncProcess, TenantSource
 
 BASE = "ou=agents,dc=trust,dc=example"
 MAP = AttributeMap(standing="agentStanding", share="agentShare", quota="agentQuota", classes="agentClass")
@@ -179,40 +180,40 @@
         }
 
 
-def a_job(port: int) -> Job:
+def sync_config(port: int) -> SyncConfig:
     at = Directory("127.0.0.1", port, "none", True, "", "", "", 10.0)
     search = Search(BASE, "(objectClass=agent)", tuple(MAP.wanted()), 500)
-    return Job((at,), search, MAP, 1.0, 3600.0, 300.0, 0.1, frozenset())
+    return SyncConfig((at,), search, MAP, 1.0, 3600.0, 300.0, 0.1, frozenset())
 
 
-class InThread(Feed):
+class InThread(SyncProcess):
     """The other way that was weighed: the reader as a thread of the balancer's own process."""
 
     def start(self) -> None:
-        from lanelift.tenants.reader import Reader
+        from lanelift.tenants.sync_worker import SyncWorker
 
         loop = asyncio.get_running_loop()
-        lines: queue.SimpleQueue[str] = queue.SimpleQueue()
+        lines: queue.SimpleQueue[bytes] = queue.SimpleQueue()
 
         def take() -> None:
             with suppress(queue.Empty):
-                self._hear(json.loads(lines.get_nowait()))
+                self._receive(decoded(lines.get_nowait()))
 
-        def tell(message: dict[str, Any]) -> None:
-            lines.put(json.dumps(message))
+        def send(message: SyncMessage) -> None:
+            lines.put(encoded(message))
             loop.call_soon_threadsafe(take)
 
-        reader = Reader(tell)
-        reader.events.put(lambda: reader.message({"job": self.source.job.to_json()}))
+        worker = SyncWorker(send)
+        worker.events.put(lambda: worker.configure(Configure(self.source.config)))
 
         def work() -> None:
-            while not reader.over:
-                reader.step()
+            while not worker.stopping:
+                worker.step()
 
         threading.Thread(target=work, daemon=True).start()
 
 
-async def one_large(count: int, changed: int, kind: type[Feed], settle_s: float) -> dict[str, Any]:
+async def one_large(count: int, changed: int, kind: type[SyncProcess], settle_s: float) -> dict[str, Any]:
     process = await asyncio.create_subprocess_exec(
         sys.executable, __file__, "standin", str(count),
         stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
@@ -225,20 +226,20 @@
     gc.collect()
     gc.freeze()  # as the balancer does at its start
     before = me.memory_info().rss
-    feed = kind(dispatcher, TenantSource(a_job(port), UnknownTenants.DENY, 0.0))
+    sync = kind(dispatcher, TenantSource(sync_config(port), UnknownTenants.DENY, 0.0))
     beat = Loop()
     task = asyncio.create_task(beat.beat())
     await asyncio.sleep(IDLE_S)
     found: dict[str, Any] = {"idle": beat.taken()}
     began = time.monotonic()
-    feed.start()
-    while not feed.complete:
+    sync.start()
+    while not sync.first_read_complete:
         await asyncio.sleep(0.02)
     await asyncio.sleep(0.2)
     found["first_reading_s"] = round(time.monotonic() - began - 0.2, 2)
     found["first_reading"] = beat.taken()
     found["memory_kb_per_10000"] = round((me.memory_info().rss - before) / 1024 / count * 10_000)
-    reader = psutil.Process(feed.process.pid) if feed.process else None
+    reader = psutil.Process(sync.process.pid) if sync.process else None
     await asyncio.sleep(settle_s + 0.1)
     found["after"] = beat.taken()
     if reader:
@@ -261,7 +262,7 @@
     found["change_s"] = round(time.monotonic() - began, 2)
     found["change"] = beat.taken()
     task.cancel()
-    feed.close()
+    sync.close()
     process.kill()
     await process.wait()
     return found
@@ -282,7 +283,7 @@
         if thread:  # each in a process of its own: memory counts
             found.append(asyncio.run(one_large(count, changed, InThread, settle_s)))
         else:
-            found.append(asyncio.run(one_large(count, changed, Feed, settle_s)))
+            found.append(asyncio.run(one_large(count, changed, SyncProcess, settle_s)))
         click.echo(json.dumps(found[-1]))
     write(out, found)
     os._exit(0)  # threads of the other way go on
--- a/lanelift/cli/tenants.py
+++ b/lanelift/cli/tenants.py
@@ -6,7 +6,7 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
@@ -14,10 +14,13 @@
 from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 from lanelift.settings import SettingsError
-from lanelift.tenants.entries import Parsed
-from lanelift.tenants.feed import TenantSource
-from lanelift.tenants.job import Job
-from lanelift.tenants.register import Reading, Register, Tenant
+from lanelift.tenants.store import Reading, TenantStore
+from lanelift.tenants.sync_config import SyncConfig
+from lanelift.tenants.sync_process import TenantSource
+from lanelift.tenants.tenant_state import Changes, TenantState
+
+if TYPE_CHECKING:
+    from lanelift.tenants.replica_reader import ReadResult
 
 
 @click.group()
@@ -33,16 +36,16 @@
 
     Exit code 1: no directory could be read whole.
     """
-    job = _source(path).job
-    for number in range(len(job.directories)):
-        found, why = _read(job, number)
-        if not why:
-            register = Register()
-            register.merge(Reading(number, found, True), time.time())
-            rows = [t for t in register.told.values() if t is not None]
+    config = _source(path).config
+    for number, directory in enumerate(config.directories):
+        found, failure = _read(config, number)
+        if not failure:
+            store = TenantStore()
+            store.merge(Reading(number, found, complete=True), time.time())
+            rows = [tenant for tenant in store.sent.values() if tenant is not None]
             click.echo(_as_json(rows) if as_json else _table(rows))
             return
-        click.echo(f"{job.directories[number]}: {why}", err=True)
+        click.echo(f"{directory}: {failure}", err=True)
     sys.exit(FELL_SHORT)
 
 
@@ -59,41 +62,46 @@
     Exit code 0: all were read whole and no entry has a mistake. 1: something is wrong.
     """
     source = _source(path)
-    job = source.job
     before = _before(source, against)
-    wrong = False
-    for number, directory in enumerate(job.directories):
-        found, why = _read(job, number)
-        wrong = wrong or bool(why)
-        click.echo(f"{directory}: {len(found)} entries" + (f"; not whole: {why}" if why else ""))
-        if why and not found:
-            continue
-        # Seeded with what holds now, so that removals past the share are seen as a balancer would see them.
-        notes: list[str] = []
-        register = Register(job.removal_part, job.confirm, lambda _, text: notes.append(text))  # noqa: B023
-        register.seed((t.name, t.barred == "suspended", t.share) for t in before.values())
-        changes = register.merge(Reading(number, found, not why, register.revision), time.time())
-        mistakes = [p for p in found if p.problems]
-        for parsed in mistakes:
-            click.echo(f"  {parsed.dn}: {'; '.join(parsed.problems)}")
-        for note in notes:
-            if not note.startswith("entry ") and "more entries with mistakes" not in note:
-                click.echo(f"  {note}")
-        wrong = (
-            wrong
-            or bool(mistakes)
-            or bool(register.pending)
-            or any(len(ids) > 1 for ids in register.claims.values())
-        )
-        for tenant in changes.tenants:
-            was = before.get(tenant.name)
-            if was is None:
-                click.echo(f"  + {tenant.name}: {_words(tenant)}")
-            elif was != tenant:
-                click.echo(f"  ~ {tenant.name}: {_words(was)} -> {_words(tenant)}")
-        for name in changes.gone:
-            click.echo(f"  - {name}")
-    sys.exit(FELL_SHORT if wrong else 0)
+    all_valid = True
+    for number in range(len(source.config.directories)):
+        valid = _check_directory(source.config, number, before)
+        all_valid = all_valid and valid
+    sys.exit(0 if all_valid else FELL_SHORT)
+
+
+def _check_directory(config: SyncConfig, number: int, before: dict[str, TenantState]) -> bool:
+    """Print what one directory shows against the tenants of before; return whether all of it is valid."""
+    found, failure = _read(config, number)
+    incomplete = f"; not whole: {failure}" if failure else ""
+    click.echo(f"{config.directories[number]}: {len(found)} entries{incomplete}")
+    if failure and not found:
+        return False
+    # Seeded with what holds now, so that removals past the share are seen as a balancer would see them.
+    notices: list[str] = []
+    store = TenantStore(config.removal_part, config.confirmed, lambda _, text: notices.append(text))
+    store.seed((tenant.name, tenant.denial_reason == "suspended", tenant.share) for tenant in before.values())
+    changes = store.merge(Reading(number, found, not failure, store.revision), time.time())
+    invalid = [entry for entry in found if entry.problems]
+    for entry in invalid:
+        click.echo(f"  {entry.dn}: {'; '.join(entry.problems)}")
+    for notice in notices:
+        if not notice.startswith("entry ") and "more entries with mistakes" not in notice:
+            click.echo(f"  {notice}")
+    _print_changes(changes, before)
+    conflicts = any(len(ids) > 1 for ids in store.claims.values())
+    return not (failure or invalid or store.guard.pending or conflicts)
+
+
+def _print_changes(changes: Changes, before: dict[str, TenantState]) -> None:
+    for tenant in changes.tenants:
+        old = before.get(tenant.name)
+        if old is None:
+            click.echo(f"  + {tenant.name}: {_summary(tenant)}")
+        elif old != tenant:
+            click.echo(f"  ~ {tenant.name}: {_summary(old)} -> {_summary(tenant)}")
+    for name in changes.removed:
+        click.echo(f"  - {name}")
 
 
 def _source(path: Path) -> TenantSource:
@@ -106,53 +114,62 @@
     return source
 
 
-def _read(job: Job, number: int) -> tuple[list[Parsed], str]:
+def _read(config: SyncConfig, number: int) -> ReadResult:
     # Only here: without the extra `tenants` there is no client, and `_source` has said so by now.
-    from lanelift.tenants.client import Failed, Session
-    from lanelift.tenants.reader import read_all
+    from lanelift.tenants.client import DirectoryError, Session
+    from lanelift.tenants.replica_reader import ReadResult, read_all
 
-    session = Session(job.directories[number])
+    session = Session(config.directories[number])
     try:
         session.open()
-        return read_all(session, job.search, job.map)
-    except Failed as error:
-        return [], str(error)
+        return read_all(session, config.search, config.map)
+    except DirectoryError as error:
+        return ReadResult([], str(error))
     finally:
         session.close()
 
 
-def _before(source: TenantSource, against: Path | None) -> dict[str, Tenant]:
+def _before(source: TenantSource, against: Path | None) -> dict[str, TenantState]:
+    """Return the tenants to compare with, by name."""
     if against is None:
-        return {t.name: Tenant(t.name, "", t.share, None, (), ()) for t in source.settings.values()}
+        listed = source.settings.values()
+        return {tenant.name: TenantState(tenant.name, "", tenant.share, None, (), ()) for tenant in listed}
     try:
         rows = json.loads(against.read_text(encoding="utf-8"))["tenants"]
-        return {row["name"]: _tenant(row) for row in rows}
+        return {row["name"]: _from_json(row) for row in rows}
     except (OSError, ValueError, KeyError, TypeError) as error:
         refuse(f"{against}: found no tenants ({error!r}); allowed: what `lanelift tenants show --json` wrote")
 
 
-def _tenant(row: dict[str, Any]) -> Tenant:
-    limits = tuple((str(cls), float(rate)) for cls, rate in row["limits"])
-    return Tenant(row["name"], row["barred"], row["share"], row["quota_per_s"], tuple(row["classes"]), limits)
+def _from_json(row: dict[str, Any]) -> TenantState:
+    limits = tuple((str(class_name), float(rate)) for class_name, rate in row["limits"])
+    classes = tuple(row["classes"])
+    return TenantState(row["name"], row["barred"], row["share"], row["quota_per_s"], classes, limits)
+
+
+def _to_json(tenant: TenantState) -> dict[str, Any]:
+    """Return a tenant under the names that `show --json` prints; files of before have them, too."""
+    fields = tenant._asdict()
+    return {"barred" if name == "denial_reason" else name: value for name, value in fields.items()}
 
 
-def _as_json(rows: list[Tenant]) -> str:
-    return json.dumps({"tenants": [t._asdict() for t in rows]}, indent=1, ensure_ascii=False)
+def _as_json(rows: list[TenantState]) -> str:
+    return json.dumps({"tenants": [_to_json(tenant) for tenant in rows]}, indent=1, ensure_ascii=False)
 
 
-def _table(rows: list[Tenant]) -> str:
-    width = max([len(t.name) for t in rows], default=0)
-    lines = [f"{t.name:{width}}  {_words(t)}" for t in rows]
-    barred = sum(bool(t.barred) for t in rows)
-    return "\n".join([*lines, f"{len(rows)} tenants, {barred} of them not served"])
+def _table(rows: list[TenantState]) -> str:
+    width = max([len(tenant.name) for tenant in rows], default=0)
+    lines = [f"{tenant.name:{width}}  {_summary(tenant)}" for tenant in rows]
+    denied = sum(bool(tenant.denial_reason) for tenant in rows)
+    return "\n".join([*lines, f"{len(rows)} tenants, {denied} of them not served"])
 
 
-def _words(t: Tenant) -> str:
-    """One tenant at a glance."""
-    parts = [t.barred or "served", f"share {t.share:g}"]
-    if t.quota_per_s is not None:
-        parts.append(f"at most {t.quota_per_s:g}/s")
-    if t.classes:
-        parts.append("only " + ", ".join(t.classes))
-    parts += [f"{cls} at most {rate:g}/s" for cls, rate in t.limits]
+def _summary(tenant: TenantState) -> str:
+    """Return one tenant at a glance."""
+    parts = [tenant.denial_reason or "served", f"share {tenant.share:g}"]
+    if tenant.quota_per_s is not None:
+        parts.append(f"at most {tenant.quota_per_s:g}/s")
+    if tenant.classes:
+        parts.append("only " + ", ".join(tenant.classes))
+    parts += [f"{class_name} at most {rate:g}/s" for class_name, rate in tenant.limits]
     return ", ".join(parts)
--- a/lanelift/config/directories.py
+++ b/lanelift/config/directories.py
@@ -151,15 +151,15 @@
         if importlib.util.find_spec("ldap3") is None:
             raise SettingsError("[tenants] needs the LDAP client: pip install 'lanelift[tenants]'")
         from lanelift.tenants.entries import AttributeMap
-        from lanelift.tenants.feed import TenantSource
-        from lanelift.tenants.job import Job, Search
+        from lanelift.tenants.sync_config import Search, SyncConfig
+        from lanelift.tenants.sync_process import TenantSource
 
         words = self.map.model_dump()
         words["suspended"], words["good"] = (
             frozenset(folded(word) for word in words[key]) for key in ("suspended", "good")
         )
         attributes = AttributeMap(**words)
-        job = Job(
+        config = SyncConfig(
             tuple(_directory(row) for row in self.directories),
             Search(self.base, self.filter, tuple(attributes.wanted()), self.page),
             attributes,
@@ -170,11 +170,11 @@
             frozenset(self.confirm),
         )
         wait_s = self.wait_s if self.start == "wait" else 0.0
-        return TenantSource(job, policy.UnknownTenants(self.unknown), wait_s, known)
+        return TenantSource(config, policy.UnknownTenants(self.unknown), wait_s, known)
 
 
 def _directory(row: LdapDirectory) -> Any:
-    from lanelift.tenants.job import Directory
+    from lanelift.tenants.sync_config import Directory
 
     scheme, _, rest = row.url.partition("://")
     host, _, port = rest.rpartition(":")
--- a/lanelift/reload.py
+++ b/lanelift/reload.py
@@ -58,7 +58,7 @@
             self._discovery.change_source(new.discovery)
             self._config = dataclasses.replace(self._config, discovery=new.discovery)
         if "tenants" in applied:
-            self._tenants.move(new.tenants)
+            self._tenants.reconfigure(new.tenants)
             self._config = dataclasses.replace(self._config, tenants=new.tenants)
         source = self._config.discovery
         logging.info(
--- a/lanelift/tenants/client.py
+++ b/lanelift/tenants/client.py
@@ -1,6 +1,7 @@
-"""One connection to an LDAP directory, by `ldap3`, blocking: it runs in threads of the reader's own process.
+"""One connection to an LDAP directory, by `ldap3`.
 
-Referrals are reported and never followed; nothing is retried here.
+It blocks, so it runs in threads of the sync process. Referrals are reported and never followed; nothing is
+retried here.
 """
 
 from __future__ import annotations
@@ -9,94 +10,129 @@
 import re
 import socket
 import ssl
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from pathlib import Path
 from typing import Any
 
 import ldap3
 from ldap3.core.exceptions import LDAPException
 
-from lanelift.tenants.job import Directory, Search
+from lanelift.errors import LaneliftError
+from lanelift.tenants.sync_config import Directory, Search
 
-SUCCESS, TIME_LIMIT, SIZE_LIMIT, REFERRAL, ADMIN_LIMIT = 0, 3, 4, 10, 11  # RFC 4511, appendix A
+# Result codes (RFC 4511, appendix A).
+SUCCESS, TIME_LIMIT, SIZE_LIMIT, REFERRAL, ADMIN_LIMIT = 0, 3, 4, 10, 11
 INCOMPLETE = {
     TIME_LIMIT: "its time limit",
     SIZE_LIMIT: "its size limit",
     ADMIN_LIMIT: "an administrative limit",
 }
-MAX_PASSWORD = 4096  # bytes of a password file: a longer one is the wrong file
-SHOWN = 200  # characters of a directory's own words that are shown
+PAGED_RESULTS = "1.2.840.113556.1.4.319"  # the control of RFC 2696
+MAX_PASSWORD_BYTES = 4096  # of a password file: a longer one is the wrong file
+MAX_MESSAGE_CHARACTERS = 200  # of the server's own text that are shown
 
+Row = tuple[str, dict[str, list[bytes]]]  # an entry's name, and its values by lower-case attribute
 
-class Failed(Exception):
-    """The directory could not be read; the message says why, without the password."""
 
+class DirectoryError(LaneliftError):
+    """A directory could not be read to its end.
 
-Row = tuple[str, dict[str, list[bytes]]]  # an entry's name, and its values by lower-case attribute
+    Attributes:
+        server: The directory's address, as a URL; empty where a password file was read by itself.
+    """
+
+    def __init__(self, message: str, server: str) -> None:
+        """Take the reason, without the password, and the failing server."""
+        super().__init__(message)
+        self.server = server
+
+
+def read_password(path: str, server: str = "") -> str:
+    """Return what a password file holds, without its line end.
 
+    Args:
+        path: The file.
+        server: The directory that the password is for.
 
-def password(path: str) -> str:
-    """What the file holds, but for one line's end. Raises Failed."""
+    Raises:
+        DirectoryError: The file can't be read, or is not one line of UTF-8 of a sensible length.
+    """
     try:
         with Path(path).open("rb") as file:
-            content = file.read(MAX_PASSWORD + 1)
+            content = file.read(MAX_PASSWORD_BYTES + 1)
     except OSError as error:
-        raise Failed(f"password file {path}: {error.strerror}") from None
+        raise DirectoryError(f"password file {path}: {error.strerror}", server) from error
     text = content.decode("utf-8", "replace").removesuffix("\n").removesuffix("\r")
-    if not text or len(content) > MAX_PASSWORD or "\ufffd" in text or "\n" in text:
-        raise Failed(f"password file {path}: allowed is one line of UTF-8, 1 to {MAX_PASSWORD} bytes")
+    if not text or len(content) > MAX_PASSWORD_BYTES or "\ufffd" in text or "\n" in text:
+        allowed = f"allowed is one line of UTF-8, 1 to {MAX_PASSWORD_BYTES} bytes"
+        raise DirectoryError(f"password file {path}: {allowed}", server)
     return text
 
 
 class Session:
-    """A connection, from its opening until it fails or is closed."""
+    """A connection to one directory, from its opening until it fails or is closed."""
 
     def __init__(self, directory: Directory) -> None:
+        """Prepare a connection; nothing is sent before `open`."""
         self.directory = directory
         self.connection: ldap3.Connection | None = None
         self.closed = False
 
     def open(self) -> None:
-        """Connect, secure and bind. Raises Failed."""
-        at = self.directory
+        """Connect, secure the connection and bind.
+
+        Raises:
+            DirectoryError: One of them failed, or the session was closed meanwhile.
+        """
+        self.connection = connection = self._new_connection()
+        with self._converted_errors("connect"):
+            connection.open(read_server_info=False)
+            if self.closed:
+                raise self._error("given up on")
+            if self.directory.tls == "starttls" and not connection.start_tls(read_server_info=False):
+                raise self._error(f"StartTLS: {_description(connection.result)}")
+            if not connection.bind(read_server_info=False):
+                raise self._error(f"bind: {_description(connection.result)}")
+
+    def _new_connection(self) -> ldap3.Connection:
+        directory = self.directory
         tls = ldap3.Tls(
-            validate=ssl.CERT_REQUIRED if at.verify else ssl.CERT_NONE,
-            ca_certs_file=at.ca_file or None,
+            validate=ssl.CERT_REQUIRED if directory.verify else ssl.CERT_NONE,
+            ca_certs_file=directory.ca_file or None,
             version=ssl.PROTOCOL_TLS_CLIENT,
         )
         server = ldap3.Server(
-            at.host,
-            at.port,
-            use_ssl=at.tls == "ldaps",
+            directory.host,
+            directory.port,
+            use_ssl=directory.tls == "ldaps",
             tls=tls,
             get_info=ldap3.NONE,
-            connect_timeout=at.timeout_s,  # the socket keeps it: each receive is held to it, too
+            # It stays set on the socket, so that each receive is held to it, too.
+            connect_timeout=directory.timeout_s,
         )
-        secret = password(at.password_file) if at.password_file else None
-        self.connection = connection = ldap3.Connection(
+        password = None
+        if directory.password_file:
+            password = read_password(directory.password_file, str(directory))
+        return ldap3.Connection(
             server,
-            user=at.user or None,
-            password=secret,
+            user=directory.user or None,
+            password=password,
             client_strategy=ldap3.SYNC,
             auto_referrals=False,
             check_names=False,
             return_empty_attributes=False,
         )
-        with self._failures("connect"):
-            connection.open(read_server_info=False)
-            if self.closed:
-                raise Failed("given up on")
-            if at.tls == "starttls" and not connection.start_tls(read_server_info=False):
-                raise Failed(f"StartTLS: {_words(connection.result)}")
-            if not connection.bind(read_server_info=False):
-                raise Failed(f"bind: {_words(connection.result)}")
 
     def pages(self, search: Search) -> Iterator[list[Row]]:
-        """The entries found, page by page. Raises Failed; what came before still counts."""
+        """Yield the entries found, page by page.
+
+        Raises:
+            DirectoryError: The rest can't be read; the pages before it still count.
+        """
         connection, cookie = self.connection, None
         assert connection is not None
         while True:
-            with self._failures("search"):
+            with self._converted_errors("search"):
                 connection.search(
                     search.base,
                     search.filter,
@@ -106,31 +142,30 @@
                     paged_cookie=cookie,
                 )
             result, response = connection.result, connection.response or []
-            rows = [
-                (row["dn"], {k.lower(): list(v) for k, v in row["raw_attributes"].items()})
-                for row in response
-                if row["type"] == "searchResEntry"
-            ]
+            rows = _rows(response)
             if rows:
                 yield rows
-            if any(row["type"] == "searchResRef" for row in response):
-                raise Failed("it sends on to other directories for a part, which is not followed")
-            code = result["result"]
-            if code == REFERRAL:
-                raise Failed(
-                    f"it sends on to {', '.join(result['referrals'] or ['?'])}, which is not followed"
-                )
-            if code in INCOMPLETE:
-                raise Failed(f"search: {INCOMPLETE[code]} was reached")
-            if code != SUCCESS:
-                raise Failed(f"search: {_words(result)}")
-            control = (result.get("controls") or {}).get("1.2.840.113556.1.4.319")
+            self._require_complete(result, response)
+            control = (result.get("controls") or {}).get(PAGED_RESULTS)
             cookie = control["value"]["cookie"] if control else None
             if not cookie:
                 return
 
+    def _require_complete(self, result: dict[str, Any], response: Sequence[dict[str, Any]]) -> None:
+        """Raise DirectoryError unless the server has sent all of this page, and refers to nobody else."""
+        if any(row["type"] == "searchResRef" for row in response):
+            raise self._error("it sends on to other directories for a part, which is not followed")
+        code = result["result"]
+        if code == REFERRAL:
+            servers = ", ".join(result["referrals"] or ["?"])
+            raise self._error(f"it sends on to {servers}, which is not followed")
+        if code in INCOMPLETE:
+            raise self._error(f"search: {INCOMPLETE[code]} was reached")
+        if code != SUCCESS:
+            raise self._error(f"search: {_description(result)}")
+
     def close(self) -> None:
-        """End it, from any thread; whoever waits in it fails at once."""
+        """End the connection, from any thread; a thread that waits in it fails at once."""
         self.closed = True
         sock: socket.socket | None = getattr(self.connection, "socket", None)
         if sock is not None:
@@ -139,23 +174,39 @@
             with contextlib.suppress(OSError):
                 sock.close()
 
+    def _error(self, message: str) -> DirectoryError:
+        return DirectoryError(message, str(self.directory))
+
     @contextlib.contextmanager
-    def _failures(self, doing: str) -> Iterator[None]:
-        """ldap3 fails in many ways on what is no LDAP; all of them are one to whoever reads."""
+    def _converted_errors(self, action: str) -> Iterator[None]:
+        """Raise whatever ldap3 raises as a DirectoryError.
+
+        On bytes that are no LDAP ldap3 fails with errors of many types (IndexError, struct.error, ...). One
+        that passed here would end the thread that reads, and the directory would not be read any more.
+        """
         try:
             yield
-        except Failed:
+        except DirectoryError:
             raise
         except LDAPException as error:
-            raise Failed(f"{doing}: {_short(str(error)) or type(error).__name__}") from None
+            raise self._error(f"{action}: {_shortened(str(error)) or type(error).__name__}") from error
         except Exception as error:
-            raise Failed(f"{doing}: {type(error).__name__}: {_short(str(error))}") from None
+            raise self._error(f"{action}: {type(error).__name__}: {_shortened(str(error))}") from error
+
+
+def _rows(response: Sequence[dict[str, Any]]) -> list[Row]:
+    return [
+        (row["dn"], {name.lower(): list(values) for name, values in row["raw_attributes"].items()})
+        for row in response
+        if row["type"] == "searchResEntry"
+    ]
 
 
-def _words(result: dict[str, Any]) -> str:
-    message = _short(str(result.get("message") or ""))
+def _description(result: dict[str, Any]) -> str:
+    """The result's name, and the server's own text where it sent one."""
+    message = _shortened(str(result.get("message") or ""))
     return f"{result['description']}" + (f" ({message})" if message else "")
 
 
-def _short(text: str) -> str:
-    return re.sub(r"\s+", " ", text)[:SHOWN]
+def _shortened(text: str) -> str:
+    return re.sub(r"\s+", " ", text)[:MAX_MESSAGE_CHARACTERS]
--- a/lanelift/tenants/names.py
+++ b/lanelift/tenants/names.py
@@ -1,5 +1,8 @@
-"""When two names are one tenant's: as directories compare them, without regard to case, Unicode form or runs
-of spaces (caseIgnoreMatch, RFC 4517, 4.2.11, with the preparation of RFC 4518)."""
+"""When two names are the same tenant's.
+
+Names are compared as directories compare them, without regard to case, Unicode form or runs of spaces
+(caseIgnoreMatch, RFC 4517, 4.2.11, with the preparation of RFC 4518).
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,10 @@
 
 
 def folded(text: str) -> str:
-    """The form under which a tenant is kept and looked up."""
+    """Return the form under which a tenant is stored and looked up."""
     if not text.isascii():
-        # Folding can undo the form and the form the folding: `ﬀ`, `İ` and their like want both twice.
+        # Case folding can undo the normal form, and normalizing the folding: `ﬀ`, `İ` and others need both
+        # twice.
         text = unicodedata.normalize("NFKC", unicodedata.normalize("NFKC", text).casefold())
         return " ".join(unicodedata.normalize("NFKC", text.casefold()).split())
     return " ".join(text.lower().split())
--- /dev/null
+++ b/lanelift/tenants/sync_process.py
@@ -0,0 +1,210 @@
+"""The balancer's side of tenants from directories.
+
+It keeps the sync process (`sync_worker.py`) running, and posts what that sends to the dispatcher as
+`TenantUpdate`. Nothing here blocks, whatever the directories do: they are the other process's business, and
+its lines are taken in one a turn of the loop.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import sys
+from collections.abc import Mapping
+from contextlib import suppress
+from dataclasses import dataclass, field
+from functools import lru_cache
+
+from lanelift.net.dispatch import Dispatcher
+from lanelift.policy.events import TenantUpdate
+from lanelift.policy.settings import Tenant, UnknownTenants
+from lanelift.tenants.names import folded
+from lanelift.tenants.sync_config import SyncConfig
+from lanelift.tenants.sync_messages import (
+    MAX_LINE_BYTES,
+    Configure,
+    FirstReadComplete,
+    LogLine,
+    SyncMessage,
+    TenantsChanged,
+    TenantsRemoved,
+    decoded,
+    encoded,
+)
+from lanelift.tenants.tenant_state import TenantState
+
+log = logging.getLogger(__name__)
+
+# Until a process that ended is started again, by ends in a row without an update: it should not end at all.
+RESTART_BACKOFF_S = (0.2, 1.0, 5.0, 30.0)
+MAX_SHARED_SETS = 4096  # of classes, and of limits, that tenants share: most have one of a few
+LOG_LEVELS = {"info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
+
+
+@dataclass(frozen=True, slots=True)
+class TenantSource:
+    """Stands in a configuration; `attach` puts it to work.
+
+    Attributes:
+        config: What to read, and when.
+        unknown_tenants: What is done with a tenant that no directory shows.
+        wait_s: How long /ready waits for the first reading, in seconds; 0: not at all.
+        settings: The tenants to begin with.
+    """
+
+    config: SyncConfig
+    unknown_tenants: UnknownTenants
+    wait_s: float
+    settings: Mapping[str, Tenant] = field(default_factory=dict)
+
+    def attach(self, dispatcher: Dispatcher) -> SyncProcess:
+        """Return what reads these directories for a dispatcher; `start` begins it."""
+        return SyncProcess(dispatcher, self)
+
+
+class SyncProcess:
+    """Keeps a sync process for as long as the balancer lives.
+
+    Attributes:
+        dispatcher: Where updates are posted.
+        source: What to read.
+        process: The process that runs, if any.
+        task: Starts the process, and starts it again.
+        first_read_complete: A directory was read to its end once.
+        garbage_frozen: What was there after the first reading is kept from collections.
+        updates: Messages that told of tenants.
+    """
+
+    def __init__(self, dispatcher: Dispatcher, source: TenantSource) -> None:
+        """Prepare it; from now on the dispatcher compares tenants' names as directories do."""
+        self.dispatcher = dispatcher
+        self.source = source
+        self.process: asyncio.subprocess.Process | None = None
+        self.task: asyncio.Task[None] | None = None
+        self.first_read_complete = False
+        self.garbage_frozen = False
+        self.updates = 0
+        dispatcher.tenant_name = folded
+
+    def start(self) -> None:
+        """Start the process, and the wait for the first reading where there is one."""
+        loop = asyncio.get_running_loop()
+        if self.source.wait_s > 0:
+            self.dispatcher.awaits_tenants = True
+            loop.call_later(self.source.wait_s, self._wait_ended)
+        self.task = loop.create_task(self._keep_running())
+
+    def reconfigure(self, source: TenantSource) -> None:
+        """Read other directories, or in another way; tenants stay until these show otherwise."""
+        changed = source.unknown_tenants is not self.source.unknown_tenants
+        self.source = source
+        if changed and self.first_read_complete:
+            self.dispatcher.post(TenantUpdate(unknown_tenants=source.unknown_tenants))
+        if self.process is not None:
+            self._send(self.process, Configure(source.config))
+
+    def close(self) -> None:
+        """End the process."""
+        if self.task is not None:
+            self.task.cancel()
+        if self.process is not None:
+            _kill(self.process)
+
+    def _wait_ended(self) -> None:
+        if self.dispatcher.awaits_tenants:
+            self.dispatcher.end_tenant_wait()
+            log.warning(
+                "no directory was read within %g s: tenants are those of the settings", self.source.wait_s
+            )
+
+    async def _keep_running(self) -> None:
+        ends_in_a_row = 0
+        while True:
+            updates = self.updates
+            try:
+                await self._run()
+            except Exception:  # whatever it is, tenants stay as they are, and it is tried again
+                log.exception("the reader of directories failed")
+            ends_in_a_row = 1 if self.updates > updates else ends_in_a_row + 1
+            log.error("the reader of directories has ended; tenants stay as they are until it is back")
+            await asyncio.sleep(RESTART_BACKOFF_S[min(ends_in_a_row, len(RESTART_BACKOFF_S)) - 1])
+
+    async def _run(self) -> None:
+        """Start the process, and receive until it ends."""
+        process = self.process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "lanelift.tenants.sync_worker",
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            limit=MAX_LINE_BYTES,
+        )
+        assert process.stdout is not None
+        tenants = self.dispatcher.tenants.values()
+        known = [(tenant.name, tenant.denial_reason == "suspended", tenant.share) for tenant in tenants]
+        self._send(process, Configure(self.source.config, known))
+        try:
+            while line := await process.stdout.readline():
+                self._receive(decoded(line))
+                await asyncio.sleep(0)  # a line a turn: requests must not wait behind 50,000 tenants
+        except ValueError as error:
+            log.error("the reader of directories told what can't be read: %s", error)
+        finally:
+            _kill(process)
+            self.process = None
+
+    def _send(self, process: asyncio.subprocess.Process, message: Configure) -> None:
+        assert process.stdin is not None
+        if not process.stdin.is_closing():
+            process.stdin.write(encoded(message))
+
+    def _receive(self, message: SyncMessage | None) -> None:
+        match message:
+            case TenantsChanged(tenants):
+                self.updates += 1
+                self.dispatcher.post(TenantUpdate([policy_tenant(state) for state in tenants]))
+            case TenantsRemoved(names):
+                self.updates += 1
+                self.dispatcher.post(TenantUpdate(removed=names))
+            case FirstReadComplete(count):
+                self.updates += 1
+                self._complete_first_read(count)
+            case LogLine(level, text):
+                log.log(LOG_LEVELS[level], "tenants: %s", text)
+
+    def _complete_first_read(self, count: int) -> None:
+        self.first_read_complete = True
+        self.dispatcher.end_tenant_wait()
+        log.info("tenants read from a directory: %d", count)
+        self.dispatcher.post(TenantUpdate(unknown_tenants=self.source.unknown_tenants))
+        if not self.garbage_frozen:
+            # As at the start: what is there now stays, and a collection that walked through 50,000 tenants
+            # would stop the loop for 30 ms. Once only: garbage of this moment stays, too.
+            self.garbage_frozen = True
+            gc.freeze()
+
+
+def policy_tenant(state: TenantState) -> Tenant:
+    """Return a tenant as the policy takes it; tenants share their sets of classes and of limits."""
+    limits = _limits(state.quota_per_s, state.limits)
+    return Tenant(state.name, state.share, 0.0, state.denial_reason, _classes(state.classes), limits)
+
+
+def _kill(process: asyncio.subprocess.Process) -> None:
+    if process.returncode is None:
+        with suppress(ProcessLookupError):
+            process.kill()
+
+
+@lru_cache(MAX_SHARED_SETS)
+def _classes(names: tuple[str, ...]) -> frozenset[str]:
+    return frozenset(names)
+
+
+@lru_cache(MAX_SHARED_SETS)
+def _limits(
+    quota_per_s: float | None, limits: tuple[tuple[str, float], ...]
+) -> tuple[tuple[str, float], ...]:
+    """Return the limits with the quota before them, as a limit of the empty class."""
+    return limits if quota_per_s is None else (("", quota_per_s), *limits)
--- /dev/null
+++ b/lanelift/tenants/validity.py
@@ -0,0 +1,56 @@
+"""When tenants' validity begins or ends next. Pure: the caller hands it the time."""
+
+from __future__ import annotations
+
+import heapq
+from dataclasses import dataclass, field
+
+from lanelift.tenants.entries import Record
+
+MIN_HEAP_SLACK = 3  # outdated boundaries that are never worth a rebuild of the heap
+
+
+@dataclass(slots=True)
+class ValidityTimer:
+    """The next boundary of each tenant's validity, in seconds since 1970.
+
+    Attributes:
+        due: By tenant: when its validity begins or ends next.
+        boundaries: The same as a heap. Outdated ones stay in it until it has twice as many as there are
+            tenants in `due`: values that change all the time must not fill it.
+    """
+
+    due: dict[str, float] = field(default_factory=dict)
+    boundaries: list[tuple[float, str]] = field(default_factory=list)
+
+    def schedule(self, record: Record, now_s: float) -> None:
+        """Note when the validity of a record's tenant begins or ends next."""
+        limits = (record.valid_from_s, record.valid_until_s)
+        ahead = [limit_s for limit_s in limits if limit_s is not None and limit_s > now_s]
+        if not ahead:
+            self.clear(record.name)
+            return
+        if self.due.get(record.name) == min(ahead):
+            return
+        self.due[record.name] = min(ahead)
+        heapq.heappush(self.boundaries, (min(ahead), record.name))
+        if len(self.boundaries) > 2 * len(self.due) + MIN_HEAP_SLACK:
+            self.boundaries = [(due_s, name) for name, due_s in self.due.items()]
+            heapq.heapify(self.boundaries)
+
+    def clear(self, name: str) -> None:
+        """Forget a tenant's boundary."""
+        self.due.pop(name, None)
+
+    def pop_due(self, now_s: float) -> set[str]:
+        """Take out the boundaries that have passed, and return whose they were."""
+        passed = set()
+        while self.boundaries and self.boundaries[0][0] <= now_s:
+            due_s, name = heapq.heappop(self.boundaries)
+            if self.due.get(name) == due_s:
+                passed.add(name)
+        return passed
+
+    def next_s(self) -> float | None:
+        """Return when the next boundary passes, at the earliest."""
+        return self.boundaries[0][0] if self.boundaries else None
--- a/tests/config/test_tenants.py
+++ b/tests/config/test_tenants.py
@@ -11,8 +11,8 @@
 from lanelift.config.operator import OperatorFile
 from lanelift.policy.settings import UnknownTenants
 from lanelift.settings import SettingsError
-from lanelift.tenants.feed import TenantSource
-from lanelift.tenants.job import Job
+from lanelift.tenants.sync_config import SyncConfig
+from lanelift.tenants.sync_process import TenantSource
 from tests.config.test_checked import only_mistake
 
 GOOD = """
@@ -97,13 +97,13 @@
     config = told(GOOD)
     source = config.tenants
     assert isinstance(source, TenantSource)
-    first, second = source.job.directories
+    first, second = source.config.directories
     assert (first.host, first.port, first.tls, first.verify) == ("::1", 636, "ldaps", True)
     assert (second.host, second.tls, second.user) == ("ldap-2.example", "starttls", "cn=x")
-    assert source.job.map.suspended == {"blocked", "off"}
-    assert source.strangers is UnknownTenants.SHARE and source.wait_s == 0
+    assert source.config.map.suspended == {"blocked", "off"}
+    assert source.unknown_tenants is UnknownTenants.SHARE and source.wait_s == 0
     assert config.settings.tenants.keys() == {"miami desk"} == source.settings.keys()
-    assert Job.from_json(source.job.to_json()) == source.job
+    assert SyncConfig.from_json(source.config.to_json()) == source.config
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
 )
 def test_tls(url: str, tls: str, how: str) -> None:
     changed = GOOD.replace('url = "ldaps://[::1]:636"', f'url = "{url}"\ntls = "{tls}"')
-    first = told(changed).tenants.job.directories[0]
+    first = told(changed).tenants.config.directories[0]
     assert (first.tls, first.verify) == (how, False)
 
 
--- a/tests/tenants/test_client.py
+++ b/tests/tenants/test_client.py
@@ -13,8 +13,8 @@
 
 from lanelift.standins.directory import Directory, Trouble
 from lanelift.standins.ldap import Code, Manners
-from lanelift.tenants.client import Failed, Session, password
-from lanelift.tenants.job import changed_since
+from lanelift.tenants.client import DirectoryError, Session, read_password
+from lanelift.tenants.sync_config import changed_since
 from tests.fakes import free_port, run
 from tests.tenants.town import MAP, READER, SECRET, agent, at, certificates, read, search, town, where
 
@@ -184,7 +184,7 @@
             try:
                 session.open()
                 list(session.pages(search()))
-            except Failed as error:
+            except DirectoryError as error:
                 return str(error)
             return "read"
 
@@ -213,10 +213,10 @@
     path = tmp_path / "secret"
     if content is not None:
         path.write_bytes(content)
-    with pytest.raises(Failed, match="password file"):
-        password(str(path))
+    with pytest.raises(DirectoryError, match="password file"):
+        read_password(str(path))
     path.write_bytes(b"open sesame\r\n")
-    assert password(str(path)) == "open sesame"
+    assert read_password(str(path)) == "open sesame"
     with contextlib.suppress(FileNotFoundError):
         path.unlink()
 
--- a/tests/tenants/town.py
+++ b/tests/tenants/town.py
@@ -13,10 +13,10 @@
 
 from lanelift.standins.directory import Directory as StandIn
 from lanelift.standins.ldap import Tree
-from lanelift.tenants.client import Failed, Session
+from lanelift.tenants.client import DirectoryError, Session
 from lanelift.tenants.entries import AttributeMap, Parsed
-from lanelift.tenants.job import Directory, Job, Search
-from lanelift.tenants.reader import read_all
+from lanelift.tenants.replica_reader import read_all
+from lanelift.tenants.sync_config import Directory, Search, SyncConfig
 
 BASE = "ou=agents,dc=trust,dc=example"
 READER, SECRET = "cn=reader,dc=trust,dc=example", "open sesame"
@@ -65,17 +65,17 @@
     return Search(BASE, filter, tuple(map.wanted()), page)
 
 
-def job(*directories: Directory, **changes: Any) -> Job:
+def sync_config(*directories: Directory, **changes: Any) -> SyncConfig:
     given: dict[str, Any] = {
         "search": search(),
         "map": MAP,
-        "every_s": 0.1,
-        "whole_s": 1.0,
-        "reading_s": 30.0,
+        "change_interval_s": 0.1,
+        "full_interval_s": 1.0,
+        "full_timeout_s": 30.0,
         "removal_part": 0.1,
-        "confirm": frozenset(),
+        "confirmed": frozenset(),
     }
-    return Job(directories, **(given | changes))
+    return SyncConfig(directories, **(given | changes))
 
 
 async def read(at: Directory, found: Search | None = None) -> tuple[list[Parsed], str]:
@@ -86,7 +86,7 @@
         try:
             session.open()
             return read_all(session, found or search(), MAP)
-        except Failed as error:
+        except DirectoryError as error:
             return [], str(error)
         finally:
             session.close()
