--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -182,7 +182,7 @@
 
 def sync_config(port: int) -> SyncConfig:
     at = Directory("127.0.0.1", port, "none", True, "", "", "", 10.0)
-    search = Search(BASE, "(objectClass=agent)", tuple(MAP.wanted()), 500)
+    search = Search(BASE, "(objectClass=agent)", tuple(MAP.attribute_names()), 500)
     return SyncConfig((at,), search, MAP, 1.0, 3600.0, 300.0, 0.1, frozenset())
 
 
--- a/lanelift/config/directories.py
+++ b/lanelift/config/directories.py
@@ -161,7 +161,7 @@
         attributes = AttributeMap(**words)
         config = SyncConfig(
             tuple(_directory(row) for row in self.directories),
-            Search(self.base, self.filter, tuple(attributes.wanted()), self.page),
+            Search(self.base, self.filter, tuple(attributes.attribute_names()), self.page),
             attributes,
             self.every_s,
             self.whole_s,
--- a/lanelift/tenants/entries.py
+++ b/lanelift/tenants/entries.py
@@ -1,4 +1,7 @@
-"""What one directory entry says of a tenant: its attributes against the operator's map. Pure."""
+"""What one directory entry says of a tenant: its attributes against the operator's map. Pure.
+
+A new tenant attribute takes a field of `AttributeMap` and one of `Record`, and its reading in `parse`.
+"""
 
 from __future__ import annotations
 
@@ -12,20 +15,37 @@
 
 Attributes = Mapping[str, Sequence[bytes]]  # by lower-case name
 MAX_CLASSES = 64  # classes or limits of one tenant: more is a slip
-SHARE_MAX, LIMIT_MAX = 1e6, 1e9  # as in the operator's file
-LONGEST_VALUE = 256  # characters: what is read here is a name, a word, a number or a time
-SHOWN = 40  # characters of a wrong value that are shown
-TIME = re.compile(r"(\d{8})(\d\d)(?:(\d\d)(\d\d)?)?(?:[.,](\d{1,9}))?(Z|[+-]\d\d(?:\d\d)?)", re.ASCII)
-NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
+MAX_SHARE, MAX_LIMIT_PER_S = 1e6, 1e9  # as in the operator's file
+MAX_VALUE_CHARACTERS = 256  # what is read here is a name, a word, a number or a time
+SHOWN_CHARACTERS = 40  # of an invalid value
+GENERALIZED_TIME = re.compile(
+    r"(\d{8})(\d\d)(?:(\d\d)(\d\d)?)?(?:[.,](\d{1,9}))?(Z|[+-]\d\d(?:\d\d)?)", re.ASCII
+)
+DECIMAL_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
 
 
 @dataclass(frozen=True, slots=True)
 class AttributeMap:
-    """Which attribute holds what; an empty name: it is not read."""
+    """Which attribute holds what; an empty name: it is not read. The fields are the operator's keys.
+
+    Attributes:
+        name: The tenant's name.
+        standing: Whether it is suspended, as a word.
+        suspended: Folded words of `standing` that suspend.
+        good: Folded words of `standing` that do not.
+        share: Its part of the capacity, beside the others'.
+        quota: Requests per second, of all classes together.
+        classes: The only classes it may ask for, a value each.
+        limits: `CLASS=REQUESTS_PER_S`, a value each.
+        valid_from: When its validity begins.
+        valid_until: When its validity ends.
+        stamp: The entry's last change: set by the server (RFC 4512, 3.4).
+        id: What stays for the entry's life (RFC 4530).
+    """
 
     name: str = "cn"
     standing: str = ""
-    suspended: frozenset[str] = frozenset({"suspended"})  # folded values of `standing`
+    suspended: frozenset[str] = frozenset({"suspended"})
     good: frozenset[str] = frozenset({"active"})
     share: str = ""
     quota: str = ""
@@ -33,36 +53,60 @@
     limits: str = ""
     valid_from: str = ""
     valid_until: str = ""
-    stamp: str = "modifyTimestamp"  # RFC 4512, 3.4: set by the server at each change
-    id: str = "entryUUID"  # RFC 4530: stays for the entry's life
+    stamp: str = "modifyTimestamp"
+    id: str = "entryUUID"
 
-    def wanted(self) -> list[str]:
-        """The attributes to ask a directory for."""
-        every = (self.name, self.standing, self.share, self.quota, self.classes, self.limits)
-        return [a for a in (*every, self.valid_from, self.valid_until, self.stamp, self.id) if a]
+    def attribute_names(self) -> list[str]:
+        """Return the attributes to request from a directory."""
+        described = (self.name, self.standing, self.share, self.quota, self.classes, self.limits)
+        every = (*described, self.valid_from, self.valid_until, self.stamp, self.id)
+        return [name for name in every if name]
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What an entry says, whole. Times are seconds since 1970 on the directory's clock."""
+    """What an entry says, all of it valid. Times are seconds since 1970 on the directory's clock.
+
+    Attributes:
+        id: What stays for the entry's life.
+        name: The tenant's folded name.
+        suspended: Its standing is a word that suspends.
+        share: Its part of the capacity, beside the others'.
+        quota_per_s: Requests per second, of all classes together; None: not limited.
+        classes: The only classes it may ask for; empty: any.
+        limits: Requests per second by class, in the order of the classes' names.
+        valid_from_s: When its validity begins; None: always valid before `valid_until_s`.
+        valid_until_s: When its validity ends; None: never.
+        stamp_us: Its last change, in microseconds since 1970; 0: the directory does not show it.
+        present: Attributes of the map that had a value, in lower case.
+    """
 
     id: str
-    name: str  # folded
+    name: str
     suspended: bool = False
     share: float = 1.0
-    quota_per_s: float | None = None  # None: not limited
-    classes: frozenset[str] = frozenset()  # the only ones it may ask for; empty: any
-    limits: tuple[tuple[str, float], ...] = ()  # requests a second, by class, in the order of their names
+    quota_per_s: float | None = None
+    classes: frozenset[str] = frozenset()
+    limits: tuple[tuple[str, float], ...] = ()
     valid_from_s: float | None = None
     valid_until_s: float | None = None
-    stamp_us: int = 0  # its last change; 0: not told
-    present: frozenset[str] = frozenset()  # attributes of the map that had a value
+    stamp_us: int = 0
+    present: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class Parsed:
-    """An entry as read: its `record`, or None and what is wrong with it. `suspended`, `name` and `stamp_us`
-    are told where they could be read, whatever else is wrong."""
+    """An entry as read. `name`, `suspended` and `stamp_us` are read even if other attributes are invalid.
+
+    Attributes:
+        dn: Its distinguished name.
+        id: What stays for the entry's life; its folded distinguished name where it shows no id.
+        name: The tenant's folded name; empty: it can't be read.
+        suspended: Its standing suspends.
+        stamp_us: Its last change, in microseconds since 1970; 0: not shown.
+        record: What it says; None: it is invalid.
+        problems: What is invalid.
+    """
 
     dn: str
     id: str
@@ -73,120 +117,156 @@
     problems: list[str] = field(default_factory=list)
 
 
-def parse(dn: str, attributes: Attributes, map: AttributeMap) -> Parsed:
-    """Read one entry."""
-    entry = _Entry(attributes)
-    name = folded(entry.one(map.name, "name") or "")
-    if not name and not entry.problems:
-        entry.wrong(map.name, "", "a name")
-    standing = entry.one(map.standing, "standing")
-    suspended = any(folded(text) in map.suspended for text in entry.texts(map.standing))
-    if standing is not None and not suspended and folded(standing) not in map.good:
-        entry.wrong(map.standing, standing, " or ".join(sorted(map.suspended | map.good)))
-    share = entry.number(map.share, SHARE_MAX)
-    if share == 0:
-        entry.wrong(map.share, "0", "more than 0 (a tenant is stopped by its standing, or by a quota of 0)")
-    classes = entry.texts(map.classes)
-    if len(classes) > MAX_CLASSES:
-        entry.wrong(map.classes, f"{len(classes)} values", f"at most {MAX_CLASSES}")
-    quota, limits = entry.number(map.quota, LIMIT_MAX), entry.limits(map.limits)
-    stamp, since, until = (entry.time(a) for a in (map.stamp, map.valid_from, map.valid_until))
-    if since is not None and until is not None and since >= until:
-        entry.wrong(
-            map.valid_until, entry.texts(map.valid_until)[0], "a time after that of " + map.valid_from
-        )
-    stamp_us = round((stamp or 0.0) * 1e6)
-    identity = folded(entry.one(map.id, "id") or "") or folded(dn)
+def parse(dn: str, attributes: Attributes, attribute_map: AttributeMap) -> Parsed:
+    """Read and validate one entry."""
+    values = _EntryValues(attributes)
+    name = _name(values, attribute_map)
+    suspended = _is_suspended(values, attribute_map)
+    share = _share(values, attribute_map)
+    classes = _classes(values, attribute_map)
+    quota_per_s = values.number(attribute_map.quota, MAX_LIMIT_PER_S)
+    limits = values.limits(attribute_map.limits)
+    stamp_us = round((values.time(attribute_map.stamp) or 0.0) * 1e6)
+    valid_from_s, valid_until_s = _validity(values, attribute_map)
+    entry_id = folded(values.single(attribute_map.id, "id") or "") or folded(dn)
     record = None
-    if not entry.problems:
+    if not values.problems:
+        present = frozenset(
+            attribute.lower() for attribute in attribute_map.attribute_names() if values.texts(attribute)
+        )
         record = Record(
-            identity,
-            name,
-            suspended,
-            1.0 if share is None else share,
-            quota,
-            frozenset(classes),
-            limits,
-            since,
-            until,
-            stamp_us,
-            frozenset(a.lower() for a in map.wanted() if entry.texts(a)),
+            id=entry_id,
+            name=name,
+            suspended=suspended,
+            share=share,
+            quota_per_s=quota_per_s,
+            classes=classes,
+            limits=limits,
+            valid_from_s=valid_from_s,
+            valid_until_s=valid_until_s,
+            stamp_us=stamp_us,
+            present=present,
+        )
+    return Parsed(dn, entry_id, name, suspended, stamp_us, record, values.problems)
+
+
+def _name(values: _EntryValues, attribute_map: AttributeMap) -> str:
+    name = folded(values.single(attribute_map.name, "name") or "")
+    if not name and not values.problems:
+        values.add_problem(attribute_map.name, "", "a name")
+    return name
+
+
+def _is_suspended(values: _EntryValues, attribute_map: AttributeMap) -> bool:
+    """Tell whether any standing suspends; other words than those of the map are invalid."""
+    standing = values.single(attribute_map.standing, "standing")
+    suspended = any(folded(text) in attribute_map.suspended for text in values.texts(attribute_map.standing))
+    if standing is not None and not suspended and folded(standing) not in attribute_map.good:
+        words = " or ".join(sorted(attribute_map.suspended | attribute_map.good))
+        values.add_problem(attribute_map.standing, standing, words)
+    return suspended
+
+
+def _share(values: _EntryValues, attribute_map: AttributeMap) -> float:
+    share = values.number(attribute_map.share, MAX_SHARE)
+    if share == 0:
+        allowed = "more than 0 (a tenant is stopped by its standing, or by a quota of 0)"
+        values.add_problem(attribute_map.share, "0", allowed)
+    return 1.0 if share is None else share
+
+
+def _classes(values: _EntryValues, attribute_map: AttributeMap) -> frozenset[str]:
+    classes = values.texts(attribute_map.classes)
+    if len(classes) > MAX_CLASSES:
+        values.add_problem(attribute_map.classes, f"{len(classes)} values", f"at most {MAX_CLASSES}")
+    return frozenset(classes)
+
+
+def _validity(values: _EntryValues, attribute_map: AttributeMap) -> tuple[float | None, float | None]:
+    """Return when the tenant's validity begins and ends."""
+    from_s, until_s = values.time(attribute_map.valid_from), values.time(attribute_map.valid_until)
+    if from_s is not None and until_s is not None and from_s >= until_s:
+        found = values.texts(attribute_map.valid_until)[0]
+        values.add_problem(
+            attribute_map.valid_until, found, "a time after that of " + attribute_map.valid_from
         )
-    return Parsed(dn, identity, name, suspended, stamp_us, record, entry.problems)
+    return from_s, until_s
 
 
-class _Entry:
-    """One entry's values, and what is found to be wrong with them."""
+class _EntryValues:
+    """One entry's values, and what is found to be invalid in them."""
 
     def __init__(self, attributes: Attributes) -> None:
-        self.attributes = attributes
         self.problems: list[str] = []
-        self.read: dict[str, list[str]] = {}
+        self._attributes = attributes
+        self._texts: dict[str, list[str]] = {}  # what was read: its problems are added only once
 
-    def wrong(self, attribute: str, found: str, allowed: str) -> None:
-        shown = found if len(found) <= SHOWN else found[:SHOWN] + "…"
+    def add_problem(self, attribute: str, found: str, allowed: str) -> None:
+        shown = found if len(found) <= SHOWN_CHARACTERS else found[:SHOWN_CHARACTERS] + "…"
         self.problems.append(f"{attribute}: found {shown!r}; allowed: {allowed}")
 
     def texts(self, attribute: str) -> list[str]:
-        """The values that are text, and not only spaces."""
-        if attribute in self.read:
-            return self.read[attribute]
-        found = self.read[attribute] = []
-        for value in self.attributes.get(attribute.lower(), ()) if attribute else ():
+        """Return the values that are text, and not only spaces."""
+        if attribute in self._texts:
+            return self._texts[attribute]
+        found = self._texts[attribute] = []
+        for value in self._attributes.get(attribute.lower(), ()) if attribute else ():
             text = value.decode("utf-8", "replace").strip()
-            if len(text) > LONGEST_VALUE:
-                self.wrong(attribute, text, f"at most {LONGEST_VALUE} characters")
+            if len(text) > MAX_VALUE_CHARACTERS:
+                self.add_problem(attribute, text, f"at most {MAX_VALUE_CHARACTERS} characters")
             elif "\ufffd" in text:
-                self.wrong(attribute, text, "UTF-8")
+                self.add_problem(attribute, text, "UTF-8")
             elif text:
                 found.append(text)
         return found
 
-    def one(self, attribute: str, what: str) -> str | None:
+    def single(self, attribute: str, what: str) -> str | None:
         found = self.texts(attribute)
         if len(found) > 1:
-            self.wrong(attribute, ", ".join(found), f"one {what}")
+            self.add_problem(attribute, ", ".join(found), f"one {what}")
         return found[0] if found else None
 
-    def number(self, attribute: str, most: float) -> float | None:
-        text = self.one(attribute, "number")
-        return None if text is None else self._number(attribute, text, text, most)
+    def number(self, attribute: str, maximum: float) -> float | None:
+        text = self.single(attribute, "number")
+        return None if text is None else self._number(attribute, text, text, maximum)
 
-    def _number(self, attribute: str, text: str, shown: str, most: float) -> float | None:
-        value = float(text) if NUMBER.fullmatch(text) else -1.0
-        if not 0 <= value <= most:
-            self.wrong(attribute, shown, f"a decimal number from 0 to {most:g}")
+    def _number(self, attribute: str, text: str, shown: str, maximum: float) -> float | None:
+        value = float(text) if DECIMAL_NUMBER.fullmatch(text) else -1.0
+        if not 0 <= value <= maximum:
+            self.add_problem(attribute, shown, f"a decimal number from 0 to {maximum:g}")
             return None
         return value
 
     def limits(self, attribute: str) -> tuple[tuple[str, float], ...]:
+        """Return requests per second by class, in the order of the classes' names."""
         found: dict[str, float] = {}
         for text in self.texts(attribute):
-            name, equals, figure = (part.strip() for part in text.partition("="))
-            value = self._number(attribute, figure, text, LIMIT_MAX) if name and equals else None
-            if not (name and equals):
-                self.wrong(attribute, text, "CLASS=REQUESTS_PER_S")
-            elif name in found:
-                self.wrong(attribute, text, "one limit for each class")
-            elif value is not None:
-                found[name] = value
+            class_name, equals, number = (part.strip() for part in text.partition("="))
+            if not (class_name and equals):
+                self.add_problem(attribute, text, "CLASS=REQUESTS_PER_S")
+                continue
+            limit_per_s = self._number(attribute, number, text, MAX_LIMIT_PER_S)
+            if class_name in found:
+                self.add_problem(attribute, text, "one limit for each class")
+            elif limit_per_s is not None:
+                found[class_name] = limit_per_s
         if len(found) > MAX_CLASSES:
-            self.wrong(attribute, f"{len(found)} values", f"at most {MAX_CLASSES}")
+            self.add_problem(attribute, f"{len(found)} values", f"at most {MAX_CLASSES}")
         return tuple(sorted(found.items()))
 
     def time(self, attribute: str) -> float | None:
-        text = self.one(attribute, "time")
+        text = self.single(attribute, "time")
         if text is None:
             return None
-        value = generalized_time(text)
-        if value is None:
-            self.wrong(attribute, text, "a GeneralizedTime like 20261231235959Z")
-        return value
+        value_s = generalized_time(text)
+        if value_s is None:
+            self.add_problem(attribute, text, "a GeneralizedTime like 20261231235959Z")
+        return value_s
 
 
 def generalized_time(text: str) -> float | None:
-    """Seconds since 1970 of a GeneralizedTime (RFC 4517, 3.3.13); None: it is none."""
-    found = TIME.fullmatch(text)
+    """Return the seconds since 1970 of a GeneralizedTime (RFC 4517, 3.3.13); None: it is none."""
+    found = GENERALIZED_TIME.fullmatch(text)
     if found is None:
         return None
     date, hour, minute, second, fraction, zone = found.groups()
@@ -197,11 +277,20 @@
     hours, minutes, seconds = int(hour), int(minute or 0), int(second or 0)
     if hours > 23 or minutes > 59 or seconds > 60 or day.year < 1970:
         return None
-    unit_s = 1 if second else 60 if minute else 3600  # a fraction is of the last unit told
-    value = calendar.timegm(day.timetuple()) + hours * 3600 + minutes * 60 + min(seconds, 59)
-    if zone != "Z":
-        ahead_h, ahead_m = int(zone[1:3]), int(zone[3:5] or 0)
-        if ahead_h > 23 or ahead_m > 59:
-            return None
-        value -= (1 if zone[0] == "+" else -1) * (ahead_h * 3600 + ahead_m * 60)
-    return value + (float(f"0.{fraction}") * unit_s if fraction else 0.0)
+    offset_s = _zone_offset_s(zone)
+    if offset_s is None:
+        return None
+    time_s = calendar.timegm(day.timetuple()) + hours * 3600 + minutes * 60 + min(seconds, 59)
+    time_s -= offset_s
+    unit_s = 1 if second else 60 if minute else 3600  # a fraction is of the last unit that is there
+    return time_s + (float(f"0.{fraction}") * unit_s if fraction else 0.0)
+
+
+def _zone_offset_s(zone: str) -> int | None:
+    """Return how far a zone ("Z", "+HH" or "+HHMM") is ahead of UTC, in seconds; None: it is none."""
+    if zone == "Z":
+        return 0
+    hours, minutes = int(zone[1:3]), int(zone[3:5] or 0)
+    if hours > 23 or minutes > 59:
+        return None
+    return (1 if zone[0] == "+" else -1) * (hours * 3600 + minutes * 60)
--- a/tests/tenants/test_entries.py
+++ b/tests/tenants/test_entries.py
@@ -12,8 +12,8 @@
 
 from lanelift.net.http_messages import decode_text as said
 from lanelift.tenants.entries import (
-    LONGEST_VALUE,
     MAX_CLASSES,
+    MAX_VALUE_CHARACTERS,
     AttributeMap,
     Parsed,
     generalized_time,
@@ -74,8 +74,8 @@
     [
         ("cn", None, "a name"),
         ("cn", ["ash", "elm"], "one name"),
-        ("cn", "x" * (LONGEST_VALUE + 1), f"at most {LONGEST_VALUE}"),
-        ("agentClass", "x" * (LONGEST_VALUE + 1), f"at most {LONGEST_VALUE}"),
+        ("cn", "x" * (MAX_VALUE_CHARACTERS + 1), f"at most {MAX_VALUE_CHARACTERS}"),
+        ("agentClass", "x" * (MAX_VALUE_CHARACTERS + 1), f"at most {MAX_VALUE_CHARACTERS}"),
         ("cn", b"\xff\xfe", "UTF-8"),
         ("agentStanding", "tired", "active or suspended"),
         ("agentShare", "0", "more than 0"),
@@ -86,7 +86,7 @@
         ("agentQuota", "many", "a decimal number"),
         ("agentQuota", "٣", "a decimal number"),
         ("agentQuota", "9" * 50, "a decimal number"),
-        ("agentQuota", "9" * 400, f"at most {LONGEST_VALUE}"),
+        ("agentQuota", "9" * 400, f"at most {MAX_VALUE_CHARACTERS}"),
         ("agentLimit", "fee-quote", "CLASS=REQUESTS_PER_S"),
         ("agentLimit", "=5", "CLASS=REQUESTS_PER_S"),
         ("agentLimit", "fee-quote=lots", "a decimal number"),
--- a/tests/tenants/town.py
+++ b/tests/tenants/town.py
@@ -62,7 +62,7 @@
 
 
 def search(page: int = 500, filter: str = "(objectClass=agent)", map: AttributeMap = MAP) -> Search:
-    return Search(BASE, filter, tuple(map.wanted()), page)
+    return Search(BASE, filter, tuple(map.attribute_names()), page)
 
 
 def sync_config(*directories: Directory, **changes: Any) -> SyncConfig:
