--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -17,7 +17,7 @@
 from lanelift.config.operator import read_operator_file
 from lanelift.fleet.cluster import majority
 from lanelift.fleet.log import logger
-from lanelift.fleet.messages import MAX_NAME, NAME, LeaseList, LeaseStatus
+from lanelift.fleet.messages import MAX_NAME_CHARACTERS, NAME, LeaseList, LeaseStatus
 from lanelift.leases.holder import LeaseHolder
 from lanelift.leases.listing import list_leases
 from lanelift.leases.node import FleetSource
@@ -82,10 +82,17 @@
     lease not be renewed in time, it is sent SIGTERM and then SIGKILL, both before anybody else can hold it.
     Exit code: the command's own; 75 where the lease was not held, or not to its end.
     """
-    who = who or f"{socket.gethostname()}:{os.getpid()}"[-MAX_NAME:]
+    who = who or f"{socket.gethostname()}:{os.getpid()}"[-MAX_NAME_CHARACTERS:]
     for what, text in (("NAME", name), ("--who", who), ("--hand-to", hand_to)):
-        if len(text) > MAX_NAME or not re.fullmatch(NAME, text) or (not text and what != "--hand-to"):
-            refuse(f"{what}: found {text!r}; allowed: 1 to {MAX_NAME} printable ASCII characters, no spaces")
+        if (
+            len(text) > MAX_NAME_CHARACTERS
+            or not re.fullmatch(NAME, text)
+            or (not text and what != "--hand-to")
+        ):
+            refuse(
+                f"{what}: found {text!r}; allowed: 1 to {MAX_NAME_CHARACTERS} printable ASCII characters,"
+                " no spaces"
+            )
     source = _source(path)
     wait_timeout_ns = None if wait_s is None else int(wait_s * 1e9)
 
--- a/lanelift/config/fleet.py
+++ b/lanelift/config/fleet.py
@@ -17,9 +17,7 @@
     from lanelift.leases.node import FleetSource
 
 MS = 1_000_000
-MOST_MEMBERS = (
-    256  # `lanelift.fleet.cluster.MAX_MEMBERS`: not imported, as that is only where the fleet is on
-)
+MAX_MEMBERS = 256  # checked here alone; a request goes to each voter: more would cost too many messages
 
 
 def _bare(text: str) -> str:
@@ -32,7 +30,7 @@
 
 
 class FleetMember(Table):
-    """One member. Who votes takes part in every decision; three or five do."""
+    """One member; `votes`: whether it is a voter. Three or five voters suffice."""
 
     id: Id
     address: Address
@@ -53,7 +51,7 @@
 
     name: Id
     me: Id
-    members: Annotated[list[FleetMember], Field(min_length=1, max_length=MOST_MEMBERS, alias="member")]
+    members: Annotated[list[FleetMember], Field(min_length=1, max_length=MAX_MEMBERS, alias="member")]
     tasks: Annotated[list[FleetTask], Field(max_length=64, alias="task")] = []  # noqa: RUF012  pydantic copies defaults
     state: str = ""
     lease_ms: Annotated[float, Field(ge=100, le=3_600_000)] = 10_000.0
@@ -113,7 +111,7 @@
         return sum(m.votes for m in self.members)
 
     def warnings(self) -> Iterable[str]:
-        """What works, and is probably not meant."""
+        """Warnings: settings that are valid and probably not intended."""
         if self.voters % 2 == 0:
             yield (
                 f"fleet.member: {self.voters} voters bear the loss of {(self.voters - 1) // 2}, no more than"
@@ -123,7 +121,7 @@
             yield "fleet: clock_ahead_ms and clock_ppm are for rehearsals; this clock is wrong by them"
 
     def summary(self) -> str:
-        """What the fleet would do, in a line."""
+        """The fleet's timings and majority, in a line."""
         from lanelift.fleet.cluster import majority
 
         timing = self._timing()
@@ -135,7 +133,7 @@
         )
 
     def source(self) -> FleetSource:
-        """What the daemon attaches. The fleet's own modules are imported here: only where this is set."""
+        """The member that the daemon attaches. Imports the fleet's modules: only where `[fleet]` is set."""
         from lanelift.fleet.clocks import Clock
         from lanelift.fleet.cluster import ClusterConfiguration, Member
         from lanelift.leases.node import FleetSource
--- a/lanelift/fleet/cluster.py
+++ b/lanelift/fleet/cluster.py
@@ -10,7 +10,6 @@
 from dataclasses import dataclass
 
 MS = 1_000_000  # nanoseconds in a millisecond
-MAX_MEMBERS = 256  # a request goes to each voter: more would make each of them a flood
 MAX_DRIFT = 0.1  # a clock that is a tenth too fast is broken; real ones stay under 0.0005 even while slewed
 RENEWALS_PER_VALIDITY = 4  # renewals in the time that a lease is held: three of them may get lost
 
--- a/lanelift/fleet/codec.py
+++ b/lanelift/fleet/codec.py
@@ -28,7 +28,8 @@
     """Bytes that are no message.
 
     Attributes:
-        reason: One word, as the `what` of the metric `lanelift_fleet_messages_total` has it.
+        reason: One word: "size", "magic", "version", "checksum", "kind" or "encoding". The metric
+            `lanelift_fleet_messages_total` counts it under `what="dropped_REASON"`.
     """
 
     def __init__(self, reason: str) -> None:
@@ -38,7 +39,11 @@
 
 
 class UnknownMessageError(MessageDecodeError):
-    """A message of another version, or of a kind that this release does not know: it is skipped."""
+    """A message of another version, or of a kind that this release does not know: it is skipped.
+
+    Its reason is "kind" as well for a kind that this release knows whose fields have values that are not
+    allowed: a later release may have allowed them.
+    """
 
 
 def encode(digest: bytes, message: Message) -> bytes:
--- a/lanelift/fleet/messages.py
+++ b/lanelift/fleet/messages.py
@@ -16,14 +16,16 @@
 
 from msgspec import Meta, Struct
 
-MAX_NAME = 64  # characters of the name of a lease, of a voter and of a proposer
-MAX_LISTED = 6  # leases in one `LeaseList`: as many as fit a datagram with names at their longest
-MAX_VOTERS = 64  # voters in one of the `former_voter_sets`
+MAX_NAME_CHARACTERS = 64  # of a lease, a voter and a proposer
+MAX_LEASES_PER_PAGE = 6  # leases in one `LeaseList`: as many as fit a datagram with names at their longest
+# Voters in one of the `former_voter_sets`. Receivers drop a status with a larger set, so that its voter can't
+# finish a change of configuration (docs/operating/leases.md, known limits).
+MAX_VOTERS = 64
 MAX_VOTER_SETS = 16  # `former_voter_sets` in one message
 
 NAME = r"^[!-~]*\Z"  # printable ASCII without spaces: the same in a log, a shell and a datagram
-Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME, pattern=NAME)]
-OptionalName = Annotated[str, Meta(max_length=MAX_NAME, pattern=NAME)]  # empty for none
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS, pattern=NAME)]
+OptionalName = Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS, pattern=NAME)]  # empty for none
 Count = Annotated[int, Meta(ge=0, lt=2**62)]  # ballots, times, identifiers
 
 
@@ -110,11 +112,12 @@
         request_id: Of the request.
         voter: Who responds.
         verdict: A `Verdict`. It is typed as a plain string, since a later release may send further words;
-            these are ignored.
+            these are ignored. To a `Release` any verdict is a response: the voter released the lease, or was
+            not bound under that ballot (`LeaseHolder.receive`).
         ballot: What was promised or accepted; for STALE_BALLOT that which must be passed.
         holder: Name of the present holder.
-        token: Its token.
-        remaining_ns: Time until it may be worth while to try again.
+        token: The ballot of the voter's vote for that holder: the holder's token, or a ballot above it.
+        remaining_ns: Time until another attempt may succeed; 0 also where that is unknown.
         queue_position: Position in the queue, from 1.
     """
 
@@ -148,7 +151,7 @@
     Attributes:
         lease: Name of the lease.
         holder: Whom this voter is bound to; empty for nobody.
-        token: The ballot under which it is bound.
+        token: The ballot of its vote, which may be above the holder's token; 0 where it is not bound.
         remaining_ns: For how long it still is.
         waiters: How many wait for the lease.
     """
@@ -166,15 +169,16 @@
     Attributes:
         request_id: Of the `ListLeases`.
         voter: Who responds.
-        quiet_ns: How long this voter will not vote yet; 0 if it votes.
-        leases: At most `MAX_LISTED`.
+        quiet_ns: How long this voter will not vote yet; 0 if it votes, 1 also where the time is unknown (it
+            may not vote yet).
+        leases: At most `MAX_LEASES_PER_PAGE`.
         more: Whether there is another page.
     """
 
     request_id: Count
     voter: Name
     quiet_ns: Count
-    leases: Annotated[list[LeaseStatus], Meta(max_length=MAX_LISTED)]
+    leases: Annotated[list[LeaseStatus], Meta(max_length=MAX_LEASES_PER_PAGE)]
     more: bool = False
 
 
@@ -184,9 +188,11 @@
     Attributes:
         voter: Whose status it is.
         nonce: Of the start of the voter that asked.
-        may_vote: Whether it has finished its recovery.
-        lost_state: Whether it has no state from an earlier start.
-        ballot_floor: It has promised no ballot above this.
+        may_vote: Whether it has finished its recovery. It votes once its quiet period is over, too.
+        lost_state: `PersistentState.lost_state`: it has joined its configuration and has never been able to
+            vote under any, so that it knows of no ballot; also a new voter. False while it has
+            `former_voter_sets`.
+        ballot_ceiling: It has promised no ballot above this.
         is_reply: A reply is not replied to.
         former_voter_sets: `PersistentState.former_voter_sets`.
     """
@@ -195,7 +201,7 @@
     nonce: Count
     may_vote: bool
     lost_state: bool
-    ballot_floor: Count
+    ballot_ceiling: Count
     is_reply: bool = False
     former_voter_sets: Annotated[
         list[Annotated[list[Name], Meta(max_length=MAX_VOTERS)]], Meta(max_length=MAX_VOTER_SETS)
--- a/lanelift/fleet/recovery.py
+++ b/lanelift/fleet/recovery.py
@@ -55,7 +55,8 @@
         quiet_ns: The longest quiet period of all configurations whose votes may still bind it.
         ballot_ceiling: It has promised no ballot above this, whatever it forgot since.
         former_voter_sets: The voters of former configurations, until it may vote again.
-        lost_state: It has joined its configuration and never voted: it knows of no ballot.
+        lost_state: It has joined its configuration and has never been able to vote under any, as far as
+            its disk knows, so that it knows of no ballot; also a new voter.
     """
 
     cluster_digest: str
@@ -70,8 +71,8 @@
     """One voter's way from its start until it may vote.
 
     Attributes:
-        may_vote: Whether the recovery has finished. It votes from `ready_ns` on.
-        ready_ns: End of its quiet period, on its clock; None while nobody can say.
+        may_vote: Whether the recovery has finished. It then votes from `ready_ns` on.
+        ready_ns: End of its quiet period, from when on it votes, on its clock; None while that is unknown.
         ballot_floor: Ballots up to this may have been promised by it, or by others if it lost its state.
         pending_state: To be persisted by the caller, who then calls `state_written`; None for nothing.
         persisted: What is on disk.
@@ -176,9 +177,9 @@
         )
 
     def _try_to_finish(self) -> None:
-        """Finishes the recovery if the replies suffice.
+        """Sets the ballot floor and a `pending_state` if the replies suffice; changes nothing otherwise.
 
-        Its state under this configuration is persisted first: it may vote once that is on disk.
+        The recovery finishes with `state_written`: it may vote once that state is on disk.
         """
         persisted = self.persisted
         assert persisted is not None
@@ -188,7 +189,7 @@
             return
         # One of those whom it counts was in each majority of the configurations that are over, so that no
         # ballot promised there is above these.
-        floor = max(persisted.ballot_ceiling, *(reply.ballot_floor for reply in self.replies.values()), 0)
+        floor = max(persisted.ballot_ceiling, *(reply.ballot_ceiling for reply in self.replies.values()), 0)
         self.ballot_floor = floor
         quiet_ns = max(persisted.quiet_ns, self.cluster.timing.restart_quiet_ns)
         self.pending_state = PersistentState(
--- a/lanelift/fleet/transport.py
+++ b/lanelift/fleet/transport.py
@@ -18,7 +18,7 @@
     """Sends and receives messages of one cluster.
 
     Attributes:
-        counts: Datagrams by what became of them. The words are those of the metric
+        counts: Datagrams by their outcome: sent, received or dropped. The words are those of the metric
             `lanelift_fleet_messages_total{what}`, which operators read: they stay as they are.
     """
 
@@ -44,7 +44,7 @@
         """Binds the socket.
 
         Raises:
-            OSError: The address can't be had.
+            OSError: The socket can't be bound to this address.
         """
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=address)
 
@@ -84,7 +84,7 @@
         self.receive(message, source)
 
     def error_received(self, error: Exception) -> None:
-        """An earlier datagram met nobody (asyncio): the same as if it had been lost."""
+        """Nobody listened where an earlier datagram was sent (asyncio): the same as if it had been lost."""
         self.counts["refused"] += 1
 
     def _drop_foreign(self, source: Address) -> None:
--- a/lanelift/leases/acceptor.py
+++ b/lanelift/leases/acceptor.py
@@ -19,7 +19,7 @@
 
 from lanelift.fleet.cluster import LeaseTiming
 from lanelift.fleet.messages import (
-    MAX_LISTED,
+    MAX_LEASES_PER_PAGE,
     Accept,
     LeaseList,
     LeaseStatus,
@@ -75,7 +75,7 @@
     """What an acceptor knows of one lease.
 
     Attributes:
-        free_since_ns: When it became free.
+        free_since_ns: When it became free; for a new record, when the acceptor was created.
         promised_ballot: The last ballot that was promised.
         promised_nonce: To whom; 0 for nobody any more.
         promise_until_ns: Others are not promised anything before this.
@@ -137,9 +137,9 @@
 
         Returns:
             None where the ballot is above the ceiling: it may not promise, and has no reason to reject. The
-            proposer will ask again.
+            proposer will send its request again.
         """
-        record = self._record(message.lease, now)
+        record = self._current_record(message.lease, now)
         if record is None:
             return self._reject(message, Verdict.AT_CAPACITY)
         position = self._queue_position(record, message, source, now)
@@ -174,7 +174,7 @@
 
     def accept(self, message: Accept, now: int) -> Response:
         """Accepts a proposer that it promised this ballot: binds itself, or renews that."""
-        record = self._record(message.lease, now)
+        record = self._current_record(message.lease, now)
         if record is None:
             return self._reject(message, Verdict.AT_CAPACITY)
         if (record.promised_ballot, record.promised_nonce) != (message.ballot, message.nonce):  # rule 3
@@ -195,7 +195,7 @@
         Returns:
             Responses, and where each goes; None: to whom released it.
         """
-        record = self._record(message.lease, now)
+        record = self._current_record(message.lease, now)
         if record is not None:
             record.queue = [waiter for waiter in record.queue if waiter.nonce != message.nonce]
         if record is None or (record.promised_ballot, record.promised_nonce) != (
@@ -218,10 +218,13 @@
         return responses
 
     def lease_statuses(self, now: int) -> list[LeaseStatus]:
-        """Returns the leases that it is bound for, or that are waited for, in order of their names."""
+        """Returns the leases that it is bound for, or that are waited for, in order of their names.
+
+        Votes, reservations and queue positions that have expired by `now` are dropped from its records.
+        """
         statuses = []
         for name in sorted(self.leases):
-            record = self._record(name, now)
+            record = self._current_record(name, now)
             if record is not None and (record.vote is not None or record.queue):
                 vote = record.vote or Vote(0, 0, "", now, now)
                 statuses.append(
@@ -230,12 +233,20 @@
         return statuses
 
     def list_leases(self, after: str, request_id: int, now: int) -> LeaseList:
-        """Returns one page of `lease_statuses`: as many after this name as one message holds."""
+        """Returns one page of `lease_statuses`: as many after this name as one message holds.
+
+        As there, what has expired is dropped.
+        """
         statuses = [status for status in self.lease_statuses(now) if status.lease > after]
-        return LeaseList(request_id, self.voter, 0, statuses[:MAX_LISTED], len(statuses) > MAX_LISTED)
+        return LeaseList(
+            request_id, self.voter, 0, statuses[:MAX_LEASES_PER_PAGE], len(statuses) > MAX_LEASES_PER_PAGE
+        )
+
+    def _current_record(self, name: str, now: int) -> LeaseRecord | None:
+        """Returns the record of a lease: creates it, and ends what has expired.
 
-    def _record(self, name: str, now: int) -> LeaseRecord | None:
-        """Returns what is known of a lease, as it is now; None: there is no capacity for it."""
+        Votes, reservations and queue positions end here. None: there is no capacity for another record.
+        """
         record = self.leases.get(name)
         if record is None:
             if len(self.leases) >= MAX_LEASES and not self._forget_idle(now):
@@ -253,13 +264,15 @@
     def _forget_idle(self, now: int) -> bool:
         """Makes room by forgetting idle leases; no ballot up to theirs is promised again (rule 1).
 
+        A reservation (`Release.successor`) is dropped with its record: another proposer may then be first.
+
         Returns:
             Whether there is room now.
         """
         idle = [
             name
             for name in list(self.leases)
-            if (record := self._record(name, now))
+            if (record := self._current_record(name, now))
             and not record.vote
             and not record.queue
             and now >= record.promise_until_ns
--- a/lanelift/leases/client.py
+++ b/lanelift/leases/client.py
@@ -13,17 +13,19 @@
 from lanelift.leases.proposer import Phase, Proposer
 
 JITTER = (0.5, 1.5)  # factor of a pause: two proposers that collided must not collide again
-MAX_ATTEMPTS = 8  # of a client that does not wait, without a clear response
+# A client that does not wait makes so many attempts before it is rejected, unless a majority of the voters is
+# bound to another holder: then it is rejected at once.
+MIN_ATTEMPTS_WITHOUT_WAIT = 8
 Outgoing = tuple[str | None, Prepare | Accept]  # to which voter; None: to each
 REJECTIONS = (Verdict.HELD, Verdict.QUEUED, Verdict.STALE_BALLOT, Verdict.AT_CAPACITY)
 
 
 class ClientState(Enum):
-    """What has become of a client's wish for the lease."""
+    """Whether a client is acquiring the lease, holds it, or has ended, and how."""
 
     ACQUIRING = "seeking"
     HOLDING = "holds"
-    REJECTED = "refused"  # it does not wait, and another holds it or it found no majority
+    REJECTED = "refused"  # its wait is over, and another holds the lease or it was not accepted by a majority
     LOST = "lost"  # it held, and could not renew in time
     RELEASED = "released"
 
@@ -35,12 +37,13 @@
 
     Attributes:
         proposer: Its proposer.
-        state: What has become of it.
+        state: Whether it is acquiring or holding the lease, or how it ended.
         due_ns: When `tick` is due, on its clock; None for never.
-        started_ns: Since when it has been waiting.
+        started_ns: When it was created: it has been waiting for the lease since.
         attempts: Ballots tried so far.
         rejections: The rejections of the present attempt, by voter.
-        reason: Why it does not hold, in words for the log.
+        reason: Why it does not hold, in words for the log. While it holds, what it was before: why the last
+            attempt that failed did.
         next_ballot_after_ns: No higher ballot is prepared while it holds before this time.
     """
 
@@ -143,7 +146,7 @@
         return len(self.rejections) > self.voters - majority(self.voters)
 
     def _has_waited_enough(self, waited_ns: int) -> bool:
-        min_attempts = 1 if self.wait_timeout_ns else MAX_ATTEMPTS
+        min_attempts = 1 if self.wait_timeout_ns else MIN_ATTEMPTS_WITHOUT_WAIT
         return (
             self.wait_timeout_ns is not None
             and waited_ns > self.wait_timeout_ns
@@ -153,8 +156,9 @@
     def _bind_remaining_voters(self, response: Response, former_ballot: int, now: int) -> list[Outgoing]:
         """While it holds: returns what makes the other voters accept it as well.
 
-        All voters shall accept it, so that any majority of them will do for a renewal. A voter that promised
-        nothing yet is asked to; past one that is ahead, as it was restarted, a higher ballot is prepared.
+        All voters shall accept it, so that any majority of them suffices for a renewal. A voter that has not
+        promised this ballot is sent a prepare; for one that has promised a higher ballot, or was restarted
+        above this one, a higher ballot is prepared.
         """
         proposer = self.proposer
         if proposer.phase is not Phase.HOLDING:
@@ -191,7 +195,7 @@
         if self.wait_timeout_ns == 0 and len(held) > self.voters - majority(self.voters):
             self._end(ClientState.REJECTED, self.reason)
         elif held or queued:
-            # A holder may renew: a waiter asks now and then, and just when the votes would end.
+            # A holder may renew: a waiter retries at each poll interval, and when the votes would end.
             remaining_ns = (response.remaining_ns for response in held + queued if response.remaining_ns)
             soon_ns = min(remaining_ns, default=self.timing.poll_interval_ns)
             pause_ns = min(soon_ns, self.timing.poll_interval_ns) + self.rng.randrange(jitter_range_ns)
--- a/lanelift/leases/holder.py
+++ b/lanelift/leases/holder.py
@@ -76,7 +76,7 @@
         self._released_by: set[str] = set()  # voters that responded to the release
         self._release_request_id = -1
         self.watchdog: asyncio.subprocess.Process | None = None
-        self._deadline_sent_ns = 0  # end of the lease, as the watchdog knows it
+        self._until_sent_ns = 0  # end of the lease for which the watchdog has deadlines
         self._killed_watchdog = False
         self._command_group: int | None = None  # its process group, once the watchdog has written it
         self._watchdog_timer: asyncio.TimerHandle | None = (
@@ -88,7 +88,7 @@
         """Opens the socket.
 
         Raises:
-            OSError: There is none to be had.
+            OSError: The socket can't be opened.
         """
         if self._owns_transport:
             await self.transport.open(("0.0.0.0", 0))
@@ -167,7 +167,8 @@
             return
         own = message.nonce == self.client.proposer.nonce
         if own and message.request_id == self._release_request_id:
-            self._released_by.add(message.voter)  # or it was not bound under that ballot: free as well
+            # Whatever the verdict: it released the lease, or it was not bound under that ballot.
+            self._released_by.add(message.voter)
         self._send(self.client.receive(message, self.clock()))
         self._after_event()
 
@@ -176,7 +177,7 @@
     async def _start_watchdog(self, command: Sequence[str], token: int) -> asyncio.subprocess.Process:
         """Starts the watchdog, which starts the command with the deadlines that are known now."""
         remaining_ms = max(0, self._deadlines_ns()[0] - self.clock()) // 1_000_000
-        self._deadline_sent_ns, self._killed_watchdog = self.client.proposer.until_ns, False
+        self._until_sent_ns, self._killed_watchdog = self.client.proposer.until_ns, False
         deadlines = [str(self.clock.to_boottime_ns(at)) for at in self._deadlines_ns()]
         environment = {
             **os.environ,
@@ -219,8 +220,8 @@
         watchdog = self.watchdog
         if watchdog is None or watchdog.stdin is None or watchdog.stdin.is_closing():
             return
-        if self.client.proposer.until_ns > self._deadline_sent_ns:
-            self._deadline_sent_ns = self.client.proposer.until_ns
+        if self.client.proposer.until_ns > self._until_sent_ns:
+            self._until_sent_ns = self.client.proposer.until_ns
             term_ns, kill_ns = (self.clock.to_boottime_ns(at) for at in self._deadlines_ns())
             watchdog.stdin.write(f"{term_ns} {kill_ns}\n".encode())
         self._arm_watchdog_timer(watchdog)
--- a/lanelift/leases/listing.py
+++ b/lanelift/leases/listing.py
@@ -9,7 +9,7 @@
 from lanelift.fleet.messages import LeaseList, ListLeases, Message
 from lanelift.fleet.transport import Address, DatagramTransport
 
-RESPONSE_TIMEOUTS = 4  # of `response_timeout_ns`, for all pages together
+LISTING_TIMEOUT_FACTOR = 4  # `response_timeout_ns` for all pages together
 
 
 async def list_leases(cluster: ClusterConfiguration, after: str = "") -> dict[str, list[LeaseList]]:
@@ -20,7 +20,7 @@
         after: Only leases whose names come after this one.
 
     Raises:
-        OSError: There is no socket to be had.
+        OSError: The socket can't be opened.
     """
     found: dict[str, list[LeaseList]] = {}
     changed = asyncio.Event()
@@ -40,7 +40,7 @@
     await transport.open(("0.0.0.0", 0))
     try:
         with suppress(TimeoutError):
-            async with asyncio.timeout(RESPONSE_TIMEOUTS * cluster.timing.response_timeout_ns / 1e9):
+            async with asyncio.timeout(LISTING_TIMEOUT_FACTOR * cluster.timing.response_timeout_ns / 1e9):
                 for address in voter_ids:
                     transport.send(ListLeases(0, after), address)
                 while len(found) < len(voter_ids) or any(pages[-1].more for pages in found.values()):
--- a/lanelift/leases/member.py
+++ b/lanelift/leases/member.py
@@ -25,7 +25,7 @@
 from lanelift.fleet.recovery import PersistentState, VoterRecovery
 from lanelift.leases.acceptor import Acceptor, Source
 
-STATUS_RESPONSE_TIMEOUTS = 2  # of `response_timeout_ns` between two statuses of a voter that may not vote
+STATUS_INTERVAL_IN_TIMEOUTS = 2  # `response_timeout_ns` between two statuses of a voter that may not vote
 
 
 class VotingMember:
@@ -79,7 +79,7 @@
             self.acceptor = self.acceptor_class(self.voter, self.cluster.timing, floor, ceiling, now)
 
     def remaining_quiet_ns(self, now: int) -> int | None:
-        """Returns how long it will not vote yet; None: nobody can say."""
+        """Returns for how many nanoseconds it will not vote yet; None: its recovery has not finished."""
         return None if self.recovery.ready_ns is None else max(0, self.recovery.ready_ns - now)
 
     def tick(self, now: int) -> list[tuple[str, VoterStatus]]:
@@ -88,7 +88,7 @@
             self.due_ns = None
         if self.due_ns is None or now < self.due_ns:
             return []
-        self.due_ns = now + STATUS_RESPONSE_TIMEOUTS * self.cluster.timing.response_timeout_ns
+        self.due_ns = now + STATUS_INTERVAL_IN_TIMEOUTS * self.cluster.timing.response_timeout_ns
         if not self.recovery.may_send_status:
             return []
         return [(voter, self.recovery.status) for voter in sorted(self.recovery.other_voters)]
--- a/lanelift/leases/node.py
+++ b/lanelift/leases/node.py
@@ -102,7 +102,7 @@
         """Opens the socket, and starts the tasks and the voter's recovery.
 
         Raises:
-            VoterStateError: The address can't be had.
+            VoterStateError: The socket can't be bound to the member's address.
         """
         if self.member is not None or self.supervisor.tasks:
             try:
@@ -154,8 +154,6 @@
         counts, now = self.transport.counts, self.clock()
         return render(self.member, self.holder_changes, self.rejections, counts, now)
 
-    figures = metrics  # the admin API calls it by this name
-
     def _receive(self, message: Message, source: Address) -> None:
         if isinstance(message, Response):
             self.supervisor.receive(message, source)
--- a/lanelift/leases/proposer.py
+++ b/lanelift/leases/proposer.py
@@ -1,7 +1,7 @@
 """The proposer of Paxos, for one lease: what it was promised, who accepted it, until when it holds. Pure.
 
-Times are nanoseconds of its own clock. It does not decide when to send (`client.py` does): that it holds is
-safe whatever it sends, and whenever.
+Times are nanoseconds of its own clock. It does not decide when to send (`client.py` does): no two proposers
+hold at once, whatever is sent and whenever.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from lanelift.fleet.cluster import LeaseTiming, majority
 from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
 
-MAX_OPEN_REQUESTS = 16  # requests whose responses still count: two leases' worth of renewals
+MAX_OPEN_REQUESTS = 16  # requests whose responses still count; older ones are forgotten
 
 
 class Phase(Enum):
-    """Where a proposer stands."""
+    """The phase of a proposer's run."""
 
     IDLE = "idle"
     PREPARING = "asking"  # phase 1: waits for promises
     ACCEPTING = "taking"  # phase 2: was promised a majority, waits to be accepted
     HOLDING = "held"
-    OVER = "over"  # released, or run out: to hold again takes another proposer
+    OVER = "over"  # released or expired, for good: only a new proposer can acquire the lease again
 
 
 class Proposer:
@@ -30,7 +30,7 @@
     Attributes:
         nonce: Names this run in all its messages.
         majority: So many voters must promise, and accept.
-        phase: Where it stands.
+        phase: The phase of this run.
         token: The ballot under which it came to hold: it rises from holder to holder, and stays while one
             holds.
         ballot: The ballot of its requests.
@@ -68,7 +68,7 @@
 
     @property
     def until_ns(self) -> int:
-        """When it stops to hold, by the latest request that a majority has accepted; 0 for never held.
+        """When it stops holding, by the latest request that a majority has accepted; 0 for none.
 
         It counts from when that was sent: see `LeaseTiming.validity_ns`.
         """
@@ -114,7 +114,7 @@
     def receive(self, response: Response, now: int) -> None:
         """Takes a voter's response, however late and however often it is received."""
         if response.nonce != self.nonce or response.lease != self.lease or self.has_expired(now):
-            return  # a late response does not revive what ran out: its task was ended
+            return  # a late response does not renew an expired lease: its task was ended
         if response.verdict == Verdict.STALE_BALLOT:
             self.highest_ballot_seen = max(self.highest_ballot_seen, response.ballot)
         if response.request_id not in self.sent_ns:
@@ -137,7 +137,7 @@
         return self.phase is Phase.OVER
 
     def release(self, successor: str = "") -> Release:
-        """Gives the lease back; it has stopped before this is sent."""
+        """Releases the lease; its holder has stopped before this is sent."""
         self.phase = Phase.OVER
         self.request_id += 1
         return Release(self.lease, self.ballot, self.nonce, self.request_id, successor)
--- a/lanelift/leases/watchdog.py
+++ b/lanelift/leases/watchdog.py
@@ -1,16 +1,22 @@
 """Ends a command before its lease ends, in a process of its own:
 
-    python -m lanelift.leases.watchdog TERM_NS KILL_NS COMMAND...
+    python -m lanelift.leases.warden TERM_NS KILL_NS COMMAND...
+
+It is started under the name of `warden.py`, which runs this module: files of earlier releases have that name,
+too, so that a holder finds its watchdog also after the files were replaced by another release's.
 
 TERM_NS and KILL_NS are times of the machine's CLOCK_BOOTTIME in nanoseconds. At the first the command's
 process group is sent SIGTERM, at the second SIGKILL, whether the lease holder runs, is stopped or is gone.
 The holder writes later deadlines to standard input, one line `TERM_NS KILL_NS` for each renewal. Both are
 there from the start since a holder may be stopped before it can write any. The end of standard input is
-SIGTERM at once. The command's process id is written to standard output. Whoever kills the watchdog kills
-the command with it (PR_SET_PDEATHSIG).
+SIGTERM at once. The command's process id is written to standard output.
+
+If the watchdog is killed, the kernel kills its direct child, the command (PR_SET_PDEATHSIG); the rest of the
+command's process group is killed by the holder (`LeaseHolder`), if that is there and runs.
 
-What it can't do: a process that the command moved to another session is not ended with the group. Such a
-task needs the token.
+What it can't do: a process that the command moved to another session is not ended with the group; and while
+the watchdog and the holder are both stopped (SIGSTOP, or Ctrl-Z on the job of both), nothing ends the
+command, which runs in a session of its own. Such tasks need the token.
 
 Exit code: the command's own, 128 and the signal's number for a command that a signal ended, and 75
 (EX_TEMPFAIL) where the watchdog ended it.
--- a/lanelift/membership/detector.py
+++ b/lanelift/membership/detector.py
@@ -46,7 +46,7 @@
 MAX_MEMBERS = 4096  # bounds the tables of one member; numbers on the wire could be 16 times as high
 INDIRECT_PROBES = 3  # members that are asked to ping in one's place: one lossy path is no suspicion
 MAX_HEALTH_PENALTY = 4  # an unhealthy member waits up to five times as long before it accuses (Lifeguard)
-MAX_PROBES_FOR_OTHERS = 64  # pings under way; requests for more are not answered
+MAX_PROBES_FOR_OTHERS = 64  # pings under way; further requests are ignored
 ISOLATION_PERIODS = 3  # without any message for so many periods, it is this member that is cut off
 ABSENT_STATES = (MemberState.SUSPECT, MemberState.UNREACHABLE)
 SEQUENCE_COUNT = 1 << 16  # sequence numbers wrap around after so many
@@ -97,16 +97,19 @@
     # What the rest of the program asks.
 
     def state(self, member: int) -> MemberState:
-        """What is thought of another member."""
+        """Returns what is thought of another member."""
         return self.members[member].update.state
 
     def is_reachable(self, member: int) -> bool:
-        """Whether it is worth sending to a member."""
+        """Returns whether it is worth sending to a member."""
         return member == self.me or self.state(member) < MemberState.UNREACHABLE
 
     def count_alive(self, now: int) -> int:
-        """How many members may be alive, this one among them: never fewer than are, while no partition lasts
-        `ProbeTiming.death_ns`.
+        """Returns how many members may be alive, this one among them.
+
+        Never fewer than are alive, under two assumptions: no partition lasts `ProbeTiming.death_ns`, less one
+        round of probes; and no member returns after it was counted as dead. Members do return in service, so
+        the second one does not hold there yet (docs/design/membership.md).
         """
         return 1 + sum(not self._is_dead(record, now) for record in self.members.values())
 
@@ -128,7 +131,7 @@
         return min([self.next_probe_ns, *suspicions, *deadlines])
 
     def tick(self, now: int) -> Outgoing:
-        """Do what is due: unacknowledged probes, suspicions that end, the next probe."""
+        """Returns what is due: requests for unacknowledged probes, and the next probe; ends suspicions."""
         if self.left:
             return []
         outgoing: Outgoing = []
@@ -146,7 +149,7 @@
         return outgoing
 
     def receive(self, data: bytes, now: int) -> Outgoing:
-        """Take a message of another member, or any bytes; returns the answers."""
+        """Takes a message of another member, or any bytes; returns the responses."""
         message = decode(data)
         if message is None or message.sender not in self.members or self.left:
             return []
@@ -165,13 +168,13 @@
         return []
 
     def piggyback(self, room_bytes: int) -> bytes:
-        """Updates for a message that is sent anyway and has so much room; empty where there are none."""
+        """Returns updates for a message that is sent anyway and has so much room; empty for none."""
         if room_bytes < HEADER.size + UPDATE.size or not self.dissemination:
             return b""
         return encode(self._compose(MessageKind.UPDATES, 0, self.me, room_bytes))
 
     def leave(self) -> Outgoing:
-        """Tell a few members that this one leaves (graceful shutdown); they pass it on."""
+        """Returns messages to a few members that this one leaves (graceful shutdown); they pass it on."""
         self.left = True
         updates = (MemberUpdate(self.me, MemberState.LEFT, self.incarnation, self.me),)
         reachable = [r.number for r in self.members.values() if self.is_reachable(r.number)]
@@ -182,8 +185,9 @@
     # Probes.
 
     def _next_target(self) -> int | None:
-        """Whom to probe: each member once a round. Unreachable members are among them, so that the end of a
-        partition is seen; members that left are not.
+        """Returns whom to probe: each member once a round.
+
+        Unreachable members are among them, so that the end of a partition is seen; members that left are not.
         """
         while True:
             if not self.probe_order:
@@ -235,18 +239,18 @@
         return []
 
     def _stretched(self, duration_ns: int) -> int:
-        """A member that misses acknowledgements takes more time: the fault may be its own (Lifeguard)."""
+        """Returns a longer time while acknowledgements are missed: the fault may be its own (Lifeguard)."""
         return duration_ns * (1 + self.health_penalty)
 
     def _is_isolated(self, now: int) -> bool:
-        """Whether it is this member that is cut off. It then accuses nobody: all others would seem dead."""
+        """Returns whether this member is cut off. It then accuses nobody: all others would seem dead."""
         return now - self.last_received_ns > ISOLATION_PERIODS * self.timing.period_ns
 
     # Updates.
 
     def _sender_is_alive(self, sender: int, incarnation: int, now: int) -> None:
-        """A message of a member came in under that incarnation: it is alive, whatever was said of an earlier
-        one.
+        """Notes that a member sent a message under that incarnation: it is alive, whatever was said of an
+        earlier one.
         """
         record = self.members[sender]
         update = MemberUpdate(sender, MemberState.ALIVE, incarnation, sender)
@@ -268,7 +272,7 @@
             self._apply(record, update, now)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Answer a suspicion of oneself, under an incarnation later than the one it names."""
+        """Answers a suspicion of oneself, under an incarnation later than the one it names."""
         if update.state is MemberState.ALIVE or is_later(self.incarnation, update.incarnation):
             return
         self.incarnation = (update.incarnation + 1) % INCARNATION_COUNT
@@ -276,8 +280,9 @@
         self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
 
     def _first_contact(self, record: MemberRecord, update: MemberUpdate) -> bool:
-        """Whether this is the first that is received about a member, and says only that it is alive, as was
-        assumed: then nothing is passed on, or each start of a fleet would be a storm of updates.
+        """Returns whether an update is the first about its member, and says only that it is alive.
+
+        That was assumed: nothing is passed on, or each start of a fleet would be a storm of updates.
         """
         if record.number not in self.unknown_incarnations:
             return False
@@ -286,7 +291,7 @@
         return update.state is MemberState.ALIVE and record.update.state is MemberState.ALIVE
 
     def _suspect(self, record: MemberRecord, update: MemberUpdate, now: int) -> None:
-        """A member missed a probe; a further accuser shortens the suspicion."""
+        """Suspects a member that missed a probe; a further accuser shortens the suspicion."""
         if record.update.state is not MemberState.SUSPECT:
             self._apply(record, update, now)
         elif update.reported_by not in record.accusers and len(record.accusers) <= CONFIRMATIONS_NEEDED:
@@ -295,7 +300,7 @@
             self.dissemination.enqueue(record)
 
     def _apply(self, record: MemberRecord, update: MemberUpdate, now: int) -> None:
-        """Make an update what is known of its member, and pass it on."""
+        """Makes an update what is known of its member, and passes it on."""
         if update.state is not record.update.state:
             record.since_ns = now
             was_absent = record.update.state in ABSENT_STATES
@@ -336,7 +341,7 @@
         return to, encode(message)
 
     def _compose(self, kind: MessageKind, sequence: int, subject: int, room_bytes: int) -> GossipMessage:
-        """A message with as many updates as there is room for."""
+        """Returns a message with as many updates as there is room for."""
         capacity = (room_bytes - HEADER.size) // UPDATE.size
         own = MemberUpdate(self.me, MemberState.ALIVE, self.incarnation, self.me)
         updates = tuple(self.dissemination.take(capacity, own))
--- a/lanelift/membership/dissemination.py
+++ b/lanelift/membership/dissemination.py
@@ -30,16 +30,16 @@
         return bool(self.pending or self.own_announcements)
 
     def enqueue(self, record: MemberRecord) -> None:
-        """Pass on what this record says from now on, in place of what was passed on about that member."""
+        """Passes on what this record says from now on, in place of what was passed on about that member."""
         record.transmissions = 0
         self.pending[record.number] = record
 
     def announce_self(self) -> None:
-        """Send the own liveness along, as often as any update: a suspicion has to be refuted."""
+        """Sends the own liveness along, as often as any update: a suspicion has to be refuted."""
         self.own_announcements = self.max_transmissions
 
     def take(self, capacity: int, own: MemberUpdate) -> list[MemberUpdate]:
-        """At most so many updates for one message, the least often sent first.
+        """Returns at most so many updates for one message, the least often sent first.
 
         `own` states that this member is alive; it goes first where it is to be announced.
         """
--- a/lanelift/membership/gossip.py
+++ b/lanelift/membership/gossip.py
@@ -83,19 +83,19 @@
 
 
 def is_later(incarnation: int, than: int) -> bool:
-    """Whether one incarnation follows another, across the wrap-around (serial numbers, RFC 1982)."""
+    """Returns whether one incarnation follows another, across the wrap-around (serial numbers, RFC 1982)."""
     return incarnation != than and (incarnation - than) % INCARNATION_COUNT < INCARNATION_COUNT // 2
 
 
 def supersedes(update: MemberUpdate, known: MemberUpdate) -> bool:
-    """Whether an update replaces what is known of the same member."""
+    """Returns whether an update replaces what is known of the same member."""
     if is_later(update.incarnation, known.incarnation):
         return True
     return update.incarnation == known.incarnation and update.state > known.state
 
 
 def encode(message: GossipMessage) -> bytes:
-    """The message in at most MAX_MESSAGE_BYTES bytes; updates that do not fit are left out, last first."""
+    """Returns the message in at most MAX_MESSAGE_BYTES bytes; updates that do not fit are left out."""
     header = HEADER.pack(
         VERSION,
         message.kind,
@@ -108,7 +108,7 @@
 
 
 def decode(data: bytes) -> GossipMessage | None:
-    """The message that these bytes hold; None where they hold none of this version and of a known kind."""
+    """Returns the message that these bytes hold; None for none of this version and of a known kind."""
     if len(data) < HEADER.size or len(data) > MAX_MESSAGE_BYTES:
         return None
     version, kind, sender, incarnation, sequence, subject = HEADER.unpack_from(data)
--- a/lanelift/membership/records.py
+++ b/lanelift/membership/records.py
@@ -15,7 +15,8 @@
         number: Its number in the settings.
         zone: Its zone.
         update: The latest that is known of it.
-        since_ns: When it entered that state, on the own clock.
+        since_ns: When it entered that state, on the own clock. Set anew where a suspicion ended while this
+            member was isolated: it begins anew.
         accusers: The members that report a suspicion of it from a probe of their own.
         transmissions: How often the update was passed on.
     """
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingProbe:
-    """A ping that is not acknowledged yet.
+    """A probe that is not acknowledged yet: a ping, and then requests to others to ping the target.
 
     Attributes:
         target: The member that was pinged.
--- a/lanelift/membership/suspicion.py
+++ b/lanelift/membership/suspicion.py
@@ -21,7 +21,7 @@
 
 
 def suspicion_timeout_ns(period_ns: int, member_count: int, accusers: int, partitioned: bool) -> int:
-    """How long a suspicion lasts.
+    """Returns how long a suspicion lasts.
 
     Args:
         period_ns: The probe period, in nanoseconds.
@@ -44,5 +44,5 @@
 
 
 def zone_is_partitioned(size: int, absent: int) -> bool:
-    """Whether so many suspected or unreachable members of a zone of that size mean a network partition."""
+    """Returns whether so many absent members (suspected, unreachable) of a zone mean a network partition."""
     return size >= PARTITION_MIN_MEMBERS and absent >= PARTITION_SHARE * size
--- a/lanelift/membership/timing.py
+++ b/lanelift/membership/timing.py
@@ -12,7 +12,7 @@
     """How long things take, in nanoseconds.
 
     Attributes:
-        period_ns: Between two probes of one member.
+        period_ns: Time between two probes that one member sends.
         ack_timeout_ns: An acknowledgement takes no longer while the network is healthy.
         death_ns: No partition lasts longer; a member that was unreachable for so long counts as dead.
     """
--- a/tests/fleet/test_codec.py
+++ b/tests/fleet/test_codec.py
@@ -19,7 +19,7 @@
     encode,
 )
 from lanelift.fleet.messages import (
-    MAX_LISTED,
+    MAX_LEASES_PER_PAGE,
     Accept,
     LeaseList,
     LeaseStatus,
@@ -50,7 +50,7 @@
 
 def test_the_largest_fits_a_datagram() -> None:
     name, most = "x" * 64, 2**62 - 1
-    seen = [LeaseStatus(name, name, most, most, 64) for _ in range(MAX_LISTED)]
+    seen = [LeaseStatus(name, name, most, most, 64) for _ in range(MAX_LEASES_PER_PAGE)]
     assert len(encode(DIGEST, LeaseList(most, name, most, seen, True))) > MAX_DATAGRAM_BYTES // 2
     with pytest.raises(ValueError, match="do not fit"):
         encode(DIGEST, LeaseList(most, name, most, seen * 2, True))
--- a/tests/leases/mistakes.py
+++ b/tests/leases/mistakes.py
@@ -107,7 +107,7 @@
     """Bound to one, it still promises another."""
 
     def prepare(self, message: Prepare, source: Source, now: int) -> Response | None:
-        record = self._record(message.lease, now)
+        record = self._current_record(message.lease, now)
         vote = record.vote if record is not None else None
         if record is not None:
             record.vote = None
@@ -143,7 +143,7 @@
     """It binds itself to whoever asks for it, promised or not."""
 
     def accept(self, message: Accept, now: int) -> Response:
-        record = self._record(message.lease, now)
+        record = self._current_record(message.lease, now)
         if record is not None:
             record.promised_ballot, record.promised_nonce = message.ballot, message.nonce
         return super().accept(message, now)
@@ -153,7 +153,7 @@
     """A release ends whatever lease there is, also when it comes late."""
 
     def release(self, message: Release, now: int) -> list[tuple[Source | None, Response]]:
-        record = self._record(message.lease, now)
+        record = self._current_record(message.lease, now)
         if record is not None:
             message = Release(
                 message.lease,
--- a/tests/leases/test_acceptor.py
+++ b/tests/leases/test_acceptor.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lanelift.fleet.cluster import MS, LeaseTiming
-from lanelift.fleet.messages import MAX_LISTED, Accept, Prepare, Release, Response
+from lanelift.fleet.messages import MAX_LEASES_PER_PAGE, Accept, Prepare, Release, Response
 from lanelift.leases import acceptor
 from lanelift.leases.acceptor import MAX_WAITERS, Acceptor
 
@@ -176,7 +176,7 @@
     more = True
     while more:
         page = driver.acceptor.list_leases(names[-1] if names else "", 0, driver.now)
-        assert len(page.leases) <= MAX_LISTED
+        assert len(page.leases) <= MAX_LEASES_PER_PAGE
         names += [status.lease for status in page.leases]
         more = page.more
     assert names == [f"lease-{i:03}" for i in range(200)]
--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -53,7 +53,7 @@
     "seen": ("lease", "holder", "token", "remaining_ns", "waiters"),
     "view": ("request_id", "voter", "quiet_ns", "leases", "more"),
     "hello": (
-        *("voter", "nonce", "may_vote", "lost_state", "ballot_floor"),
+        *("voter", "nonce", "may_vote", "lost_state", "ballot_ceiling"),
         *("is_reply", "former_voter_sets"),
     ),
 }
