--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -306,7 +306,7 @@
         news[float(i)] = [
             learn(gone=("cedar",)),
             learn(Tenant("cedar", 5.0)),
-            learn(Tenant("cedar", 0.2, barred="suspended")),
+            learn(Tenant("cedar", 0.2, denial_reason="suspended")),
             learn(Tenant("cedar", 1.0)),
         ][i % 4]
     found = []
