--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -28,10 +28,12 @@
 
 import psutil
 
-from lanelift.faults.beats import falls, overlaps, read
-from lanelift.faults.explore import explore
-from lanelift.faults.processes import Processes, Times
-from lanelift.faults.schedule import Schedule, Step, Unplayable, drawn, from_json, shrunk
+from lanelift.faults.activity_log import overlapping_pairs, read_intervals, token_regressions
+from lanelift.faults.model_checker import explore
+from lanelift.faults.process_cluster import ClusterTimings, ProcessCluster
+from lanelift.faults.random_schedule import random_schedule
+from lanelift.faults.schedule import Schedule, ScheduleError, Step, from_json
+from lanelift.faults.shrinking import shrink
 from lanelift.fleet.cluster import MS, LeaseTiming
 from lanelift.fleet.codec import encode
 from lanelift.leases.client import ClientState
@@ -64,10 +66,10 @@
         found = explore(small.begin(), small.follow, small.wrong, 4_000_000)
         print(
             f"{name:28}{found.states:10,} states {found.steps:12,} steps {time.monotonic() - began:7.1f} s  "
-            f"{'whole' if found.whole else 'not whole'}  {found.wrong or 'nothing wrong'}",
+            f"{'whole' if found.complete else 'not whole'}  {found.violation or 'nothing wrong'}",
             flush=True,
         )
-        wrong += bool(found.wrong)
+        wrong += bool(found.violation)
     return int(bool(wrong))
 
 
@@ -86,17 +88,20 @@
         small = type("Planted", (Model,), planted)(bounds)
         found = explore(small.begin(), small.follow, small.wrong, 4_000_000)
         print(
-            f"{name}: {found.wrong or 'not found'}, {found.states:,} states, {len(found.story)} steps",
+            f"{name}: {found.violation or 'not found'}, {found.states:,} states, "
+            f"{len(found.counterexample)} steps",
             flush=True,
         )
-        print("".join(f"    {step}\n" for step in found.story), end="")
-        missed += not found.wrong
+        print("".join(f"    {step}\n" for step in found.counterexample), end="")
+        missed += not found.violation
     return missed
 
 
 def schedule(seed: int) -> Schedule:
     """Every fourth has its list of voters changed on the way."""
-    return drawn(seed, 3 + 2 * (seed % 2), 2 + seed % 3, UNTIL_MS, 1000, TIMING.drift, plans=seed % 4 == 0)
+    return random_schedule(
+        seed, 3 + 2 * (seed % 2), 2 + seed % 3, UNTIL_MS, 1000, TIMING.drift, plans=seed % 4 == 0
+    )
 
 
 def one(seed: int) -> tuple[int, list[str], int, int, int, int, int, float]:
@@ -127,13 +132,13 @@
         if self.killed_ns or not self.held_tokens or self.now < 4_000 * MS:
             return
         (holder,) = self.held_tokens
-        others = [self.places[name].node for name in self.schedule.contenders if name != holder]
+        others = [self.slots[name].node for name in self.schedule.contenders if name != holder]
         if all(
             isinstance(n, HolderNode) and n.client.state is ClientState.ACQUIRING and n.client.attempts
             for n in others
         ):
             self.killed_ns = self.now
-            self._step(Step(self.now // MS, "kill", holder))
+            self._apply_step(Step(self.now // MS, "kill", holder))
 
 
 def death(seed: int) -> int | None:
@@ -151,9 +156,9 @@
     task = (1e6, 1e6)
     bytes = 0
 
-    def _send(self, who: str, whom: str, message: Any) -> None:
+    def _send(self, sender: str, recipient: str, message: Any) -> None:
         self.bytes += len(encode(*message))
-        super()._send(who, whom, message)
+        super()._send(sender, recipient, message)
 
 
 def holding(voters: int, timing: LeaseTiming) -> tuple[float, float]:
@@ -197,7 +202,9 @@
             f"{TIMING.failover_bound_ns / MS:.0f} ms"
         )
     for row in breached[:3]:
-        print(shrunk(schedule(row[0]), lambda s: bool(simulate(s, TIMING).breaches)).story(), row[1][:2])
+        print(
+            shrink(schedule(row[0]), lambda s: bool(simulate(s, TIMING).breaches)).description(), row[1][:2]
+        )
     return int(bool(breached))
 
 
@@ -233,10 +240,10 @@
 
     async def whole(folder: Path) -> dict[str, object]:
         rates = {name: rng.choice((-1000, 0, 1000)) for name in (*voters, *contenders)}
-        fleet = Processes(folder, voters, contenders, Times(), seed, rates)
+        fleet = ProcessCluster(folder, voters, contenders, ClusterTimings(), seed, rates)
         async with fleet:
             await fleet.play(Schedule(seed, tuple(voters), tuple(contenders), until_ms, plan))
-        stays = read(folder)
+        stays = read_intervals(folder)
         late = 0
         for log in folder.glob("p*.log"):
             for line in log.read_text().splitlines():
@@ -248,9 +255,9 @@
             "seed": seed,
             "steps": len(plan),
             "stays": len(stays),
-            "beats": sum(s.beats for s in stays),
-            "overlaps": len(overlaps(stays)),
-            "falls": len(falls(stays)),
+            "beats": sum(s.actions for s in stays),
+            "overlaps": len(overlapping_pairs(stays)),
+            "falls": len(token_regressions(stays)),
             "late": late,
         }
 
@@ -275,17 +282,22 @@
     """CPU and messages of three members with nothing to do."""
 
     async def whole(folder: Path) -> None:
-        async with Processes(folder, "abc", ()) as fleet:
+        async with ProcessCluster(folder, "abc", ()) as fleet:
             for voter in fleet.voters:
                 await fleet.start(voter)
             for voter in fleet.voters:
-                await fleet.until(f"{voter} has a seat", lambda v=voter: fleet.said(v, "fleet_seated"))  # type: ignore[misc]
+                await fleet.until(f"{voter} has a seat", lambda v=voter: fleet.logged(v, "fleet_seated"))  # type: ignore[misc]
             await asyncio.sleep(1)
-            took = [psutil.Process(fleet.lives[v].process.pid).cpu_times() for v in fleet.voters]
-            passed = sum(way.passed for wire in fleet.wires.values() for way in wire.ways.values())
+            took = [psutil.Process(fleet.records[v].process.pid).cpu_times() for v in fleet.voters]
+            passed = sum(
+                link.passed for proxy in fleet.proxy_by_pair.values() for link in proxy.links.values()
+            )
             await asyncio.sleep(seconds)
-            after = [psutil.Process(fleet.lives[v].process.pid).cpu_times() for v in fleet.voters]
-            more = sum(way.passed for wire in fleet.wires.values() for way in wire.ways.values()) - passed
+            after = [psutil.Process(fleet.records[v].process.pid).cpu_times() for v in fleet.voters]
+            more = (
+                sum(link.passed for proxy in fleet.proxy_by_pair.values() for link in proxy.links.values())
+                - passed
+            )
             cpu = [b.user + b.system - a.user - a.system for a, b in zip(took, after, strict=True)]
             print(f"idle for {seconds:g} s: {cpu} s of CPU, {more} messages between members")
 
@@ -306,11 +318,13 @@
 
     async def whole(folder: Path) -> int:
         rates = {who: int(part * 1e6) for who, part in given.rates}
-        async with Processes(folder, given.voters, given.contenders, Times(), given.seed, rates) as fleet:
+        async with ProcessCluster(
+            folder, given.voters, given.contenders, ClusterTimings(), given.seed, rates
+        ) as fleet:
             await fleet.play(given)
-        stays = read(folder)
+        stays = read_intervals(folder)
         print("\n".join(map(str, stays)))
-        return int(bool(overlaps(stays) or falls(stays)))
+        return int(bool(overlapping_pairs(stays) or token_regressions(stays)))
 
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(whole(Path(folder)))
@@ -338,7 +352,7 @@
             parser.error("play needs a FILE, a schedule as JSON")
         try:
             return play(args.file, args.world)
-        except (OSError, Unplayable) as error:
+        except (OSError, ScheduleError) as error:
             parser.error(f"{args.file}: {error}")
     if args.what == "idle":
         return idle(args.seconds)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,7 +17,7 @@
 from typing import Any, NamedTuple
 
 from lanelift.faults.schedule import Step
-from lanelift.faults.simulated import MS, Place, Said
+from lanelift.faults.simulation import MS, NodeSlot, Outgoing
 from lanelift.membership.gossip import MemberState
 from lanelift.membership.simulation import MembershipSimulation, StateChange, membership_schedule
 from lanelift.membership.timing import ProbeTiming
@@ -37,12 +37,12 @@
         self.received_ns = dict.fromkeys((n for n in range(len(world.zones)) if n != me), now)
         self.unreachable: set[int] = set()
 
-    def receive(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Outgoing:
         self.received_ns[int(source)] = now
         self.unreachable.discard(int(source))
         return []
 
-    def tick(self, now: int) -> Said:
+    def tick(self, now: int) -> Outgoing:
         self.due_ns = now + self.period_ns
         for n, at in self.received_ns.items():
             if n not in self.unreachable and now - at > MISSED * self.period_ns:
@@ -53,7 +53,7 @@
 
 
 class HeartbeatSimulation(MembershipSimulation):
-    def made(self, name: str, place: Place, now: int) -> Any:
+    def start_node(self, name: str, slot: NodeSlot, now: int) -> Any:
         self.deaths.pop(int(name), None)
         return HeartbeatSender(self, int(name), now)
 
--- /dev/null
+++ b/lanelift/faults/shrinking.py
@@ -0,0 +1,48 @@
+"""A failing schedule cut down to the steps that it needs. Pure.
+
+Delta debugging, after Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input" (2002).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+
+from lanelift.faults.schedule import Schedule
+
+MAX_PLAYS = 400
+
+
+def shrink(schedule: Schedule, fails: Callable[[Schedule], object], max_plays: int = MAX_PLAYS) -> Schedule:
+    """Returns the shortest schedule found that still fails.
+
+    First the network and the clocks are put right; then steps are left out by halves, and down to one by one.
+
+    Args:
+        schedule: One that fails.
+        fails: Plays a schedule; true where it fails.
+        max_plays: The bound of its calls.
+    """
+    plays = 0
+
+    def still_fails(candidate: Schedule) -> bool:
+        nonlocal plays
+        plays += 1
+        return plays <= max_plays and bool(fails(candidate))
+
+    best = schedule
+    for calmer in (replace(best, loss=0.0, double=0.0), replace(best, rates=())):
+        if still_fails(calmer):
+            best = calmer
+    size = max(1, len(best.steps) // 2)
+    while best.steps and plays < max_plays:
+        for start in range(0, len(best.steps), size):
+            shorter = replace(best, steps=best.steps[:start] + best.steps[start + size :])
+            if still_fails(shorter):
+                best = shorter
+                break
+        else:
+            if size == 1:
+                break
+            size //= 2
+    return best
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -58,7 +58,7 @@
 
 @dataclass
 class Model:
-    """The model within some bounds, for `lanelift.faults.explore.explore`."""
+    """The model within some bounds, for `lanelift.faults.model_checker.explore`."""
 
     bounds: Bounds = field(default_factory=Bounds)
     member_class: ClassVar[type[VotingMember]] = VotingMember
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lanelift.faults.schedule import Schedule, Step
-from lanelift.faults.simulated import MS, Node, Place, Said, World
+from lanelift.faults.schedule import Schedule, Step, StepKind
+from lanelift.faults.simulation import MS, Node, NodeSlot, Outgoing, Simulation
 from lanelift.fleet.cluster import ClusterConfiguration, LeaseTiming, Member
 from lanelift.fleet.messages import Message, Response
 from lanelift.fleet.recovery import PersistentState
@@ -74,7 +74,7 @@
         """When `tick` is due on its clock."""
         return self.member.due_ns
 
-    def receive(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Outgoing:
         """Takes a message with its digest; returns the responses."""
         digest, message = message
         if digest != self.cluster.digest:
@@ -83,7 +83,7 @@
         self.write()
         return [(to, (digest, response)) for to, response in responses]
 
-    def tick(self, now: int) -> Said:
+    def tick(self, now: int) -> Outgoing:
         """Returns what its timer sends."""
         return [(to, (self.cluster.digest, status)) for to, status in self.member.tick(now)]
 
@@ -99,11 +99,11 @@
 
     due_ns = None
 
-    def receive(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Outgoing:
         """Ignores the message."""
         return []
 
-    def tick(self, now: int) -> Said:
+    def tick(self, now: int) -> Outgoing:
         """Sends nothing."""
         return []
 
@@ -136,14 +136,14 @@
             due.append(self.act_ns)
         return min(due, default=None)
 
-    def receive(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Outgoing:
         """Takes a message with its digest; returns what is sent for it."""
         digest, message = message
         if digest != self.cluster.digest or not isinstance(message, Response):
             return []
         return self._addressed(self.client.receive(message, now))
 
-    def tick(self, now: int) -> Said:
+    def tick(self, now: int) -> Outgoing:
         """Acts if that is due, and returns what its timers send."""
         if self.seen_token is not None and now >= self.act_ns:
             self.simulation.acted(self.name, self.seen_token)
@@ -164,14 +164,14 @@
         """Wants the lease again, with a new client."""
         self.ends_ns, self.client = None, self._new_client(now)
 
-    def release(self, now: int) -> Said:
+    def release(self, now: int) -> Outgoing:
         """Ends its task, if it holds, and returns the release."""
         if self.client.state is not ClientState.HOLDING:
             return []
         self._rest(now)
         return self._addressed([(None, self.client.release())])
 
-    def _work(self, now: int) -> Said:
+    def _work(self, now: int) -> Outgoing:
         """While it holds: looks at the lease and decides to act, or ends its task."""
         timing = self.simulation.timing
         if self.ends_ns is None:
@@ -203,14 +203,14 @@
             wait_timeout_ns,
         )
 
-    def _addressed(self, outgoing: Iterable[tuple[str | None, Message]]) -> Said:
+    def _addressed(self, outgoing: Iterable[tuple[str | None, Message]]) -> Outgoing:
         voters, digest = self.cluster.voters, self.cluster.digest
         return [
             (voter, (digest, message)) for to, message in outgoing for voter in voters if to in (None, voter)
         ]
 
 
-class LeaseSimulation(World):
+class LeaseSimulation(Simulation):
     """One lease, its voters and its would-be holders, under a schedule.
 
     Attributes:
@@ -248,7 +248,7 @@
         self.store = Fenced()
         super().__init__(schedule, keep_trace)
 
-    def made(self, name: str, place: Place, now: int) -> Node:
+    def start_node(self, name: str, slot: NodeSlot, now: int) -> Node:
         """Returns the process of a node that starts."""
         if name in self.schedule.contenders:
             return HolderNode(self, name, now)
@@ -258,23 +258,25 @@
 
     def write(self, node: VoterNode) -> None:
         """Begins a write of a voter's state. A kill in between leaves the old state, or the new one."""
-        start = self.places[node.name].lives
-        self.at(self.now + self.rng.randint(*WRITE_NS), "written", node, node.writing, start)
+        state = node.writing
+        assert state is not None  # its caller has just set it
+        incarnation = self.slots[node.name].incarnation
+        self.call_at(self.now + self.rng.randint(*WRITE_NS), self._written, node, state, incarnation)
 
-    def died(self, name: str, place: Place, disk: bool) -> None:
+    def node_killed(self, name: str, slot: NodeSlot, disk_lost: bool) -> None:
         """Loses a killed voter's state file, where its disk is lost as well."""
-        if disk:
+        if disk_lost:
             self.state_files.pop(name, None)
 
-    def asked(self, step: Step) -> None:  # the name is that of `World`
+    def node_step(self, step: Step) -> None:
         """Carries out a step that concerns a holder: it releases the lease, or wants it again at once."""
-        place = self.places[step.who]
-        if isinstance(place.node, HolderNode) and not place.stopped:
-            if step.what == "release":
-                self.say(step.who, place.node.release(self.local(step.who)))
-            elif place.node.client.state not in (ClientState.ACQUIRING, ClientState.HOLDING):
-                place.node.begin_anew(self.local(step.who))
-                self._due(step.who)
+        slot = self.slots[step.who]
+        if isinstance(slot.node, HolderNode) and not slot.stopped:
+            if step.what == StepKind.RELEASE:
+                self.send_all(step.who, slot.node.release(self.local(step.who)))
+            elif slot.node.client.state not in (ClientState.ACQUIRING, ClientState.HOLDING):
+                slot.node.begin_anew(self.local(step.who))
+                self._schedule_tick(step.who)
 
     def acted(self, name: str, token: int) -> None:
         """Notes that a task has acted on the store, under a token."""
@@ -290,7 +292,7 @@
         """Checks both rules after each event."""
         held: dict[str, int] = {}
         for name in self.schedule.contenders:
-            node = self.places[name].node
+            node = self.slots[name].node
             if isinstance(node, HolderNode) and node.client.holds(self.local(name)):
                 held[name] = node.client.proposer.token
         if held == self.held_tokens:
@@ -303,17 +305,17 @@
             self._breach(f"{named} hold at once")
         self.held_tokens = held
 
-    def _written(self, node: VoterNode, state: PersistentState, start: int) -> None:
+    def _written(self, node: VoterNode, state: PersistentState, incarnation: int) -> None:
         """A write has ended, or was under way when its voter was killed."""
-        place = self.places[node.name]
-        alive = place.lives == start and place.node is node
-        if alive or (place.node is None and place.lives == start and self.rng.random() < 0.5):
+        slot = self.slots[node.name]
+        alive = slot.incarnation == incarnation and slot.node is node
+        if alive or (slot.node is None and slot.incarnation == incarnation and self.rng.random() < 0.5):
             self.state_files[node.name] = state
         if alive:
             node.member.state_written(state, self.local(node.name))
             node.writing = None
             node.write()
-            self._due(node.name)
+            self._schedule_tick(node.name)
 
     def _check_new_holding(self, name: str, token: int) -> None:
         self.note(f"{name} holds under {token}")
--- a/lanelift/membership/simulation.py
+++ b/lanelift/membership/simulation.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from lanelift.faults.schedule import Schedule
-from lanelift.faults.simulated import Place, Said, World
+from lanelift.faults.simulation import NodeSlot, Outgoing, Simulation
 from lanelift.membership.detector import FailureDetector
 from lanelift.membership.gossip import MemberState, MemberUpdate
 from lanelift.membership.records import MemberRecord
@@ -45,16 +45,16 @@
         """When it is to be woken, on its own clock; None: never."""
         return self.detector.due_ns
 
-    def receive(self, message: Any, source: str, now: int) -> Said:
+    def receive(self, message: Any, source: str, now: int) -> Outgoing:
         """Hand over a message; returns the answers."""
         return [(str(to), data) for to, data in self.detector.receive(message, now)]
 
-    def tick(self, now: int) -> Said:
+    def tick(self, now: int) -> Outgoing:
         """Do what is due; returns the messages."""
         return [(str(to), data) for to, data in self.detector.tick(now)]
 
 
-class MembershipSimulation(World):
+class MembershipSimulation(Simulation):
     """So many members by number, their zones given in order.
 
     Attributes:
@@ -74,7 +74,7 @@
         self.bytes = 0
         super().__init__(schedule, keep_trace)
 
-    def made(self, name: str, place: Place, now: int) -> Any:
+    def start_node(self, name: str, slot: NodeSlot, now: int) -> Any:
         """A member starts."""
         self.deaths.pop(int(name), None)
         seed = self.rng.getrandbits(60)
@@ -82,17 +82,17 @@
         detector.simulation = self
         return SimulatedMember(detector)
 
-    def died(self, name: str, place: Place, disk: bool) -> None:
+    def node_killed(self, name: str, slot: NodeSlot, disk_lost: bool) -> None:
         """A member was killed."""
         self.deaths[int(name)] = self.now
 
-    def _send(self, who: str, whom: str, message: Any) -> None:
+    def _send(self, sender: str, recipient: str, message: Any) -> None:
         self.bytes += len(message)
-        super()._send(who, whom, message)
+        super()._send(sender, recipient, message)
 
     def detector(self, number: int) -> FailureDetector | None:
         """The detector of a member; None while it is not running."""
-        node = self.places[str(number)].node
+        node = self.slots[str(number)].node
         return node.detector if isinstance(node, SimulatedMember) else None
 
     def detection_delays_ns(self) -> list[int]:
--- /dev/null
+++ b/tests/faults/test_datagram_proxy.py
@@ -0,0 +1,97 @@
+"""Proxies between processes: what passes, what does not, and which schedules can be played there."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from pathlib import Path
+
+import pytest
+
+from lanelift.faults.datagram_proxy import LOOPBACK, DatagramProxy, ProxyEndpoint
+from lanelift.faults.process_cluster import ProcessCluster
+from lanelift.faults.schedule import Link, Schedule, ScheduleError, Step
+from tests.fakes import run
+
+
+class End:
+    """One end, and what came to it."""
+
+    def __init__(self) -> None:
+        self.received: list[bytes] = []
+        self.sources: set[tuple[str, int]] = set()
+        self.endpoint = ProxyEndpoint(self._received)
+
+    def _received(self, data: bytes, source: tuple[str, int]) -> None:
+        self.received.append(data)
+        self.sources.add(source)
+
+    async def open(self) -> None:
+        await asyncio.get_running_loop().create_datagram_endpoint(
+            lambda: self.endpoint, local_addr=(LOOPBACK, 0)
+        )
+
+    async def until(self, count: int) -> None:
+        async with asyncio.timeout(10):
+            while len(self.received) < count:
+                await asyncio.sleep(0.005)
+
+
+def test_each_direction_by_itself() -> None:
+    async def story() -> None:
+        a, b = End(), End()
+        await a.open()
+        await b.open()
+        # a is answered where it sent from
+        proxy = DatagramProxy("a", "b", {"b": b.endpoint.address}, random.Random(1))
+        await proxy.open()
+        address_of_a, address_of_b = proxy.address_of("a"), proxy.address_of("b")
+        a.endpoint.send(b"1", address_of_b)
+        await b.until(1)
+        assert b.sources == {address_of_a}  # it comes from the address that stands for a
+        b.endpoint.send(b"2", address_of_a)
+        await a.until(1)
+        proxy.links["a", "b"].change(Step(0, "cut", "a", "b"))
+        a.endpoint.send(b"lost", address_of_b)
+        b.endpoint.send(b"3", address_of_a)
+        await a.until(2)
+        async with asyncio.timeout(10):
+            while not proxy.links["a", "b"].lost:
+                await asyncio.sleep(0.005)
+        proxy.links["a", "b"].change(Step(0, "heal", "a", "b"))
+        proxy.links["a", "b"].change(Step(0, "double", "a", "b", ms=20, part=1.0))
+        a.endpoint.send(b"4", address_of_b)
+        await b.until(3)
+        assert b.received == [b"1", b"4", b"4"] and a.received == [b"2", b"3"]
+        proxy.close()
+        for end in (a, b):
+            assert end.endpoint.transport is not None
+            end.endpoint.transport.close()
+
+    run(story())
+
+
+def test_what_heals_is_the_step_and_not_the_whole_network() -> None:
+    link = Link()
+    for step in (Step(0, "delay", "a", ms=5), Step(0, "drop", "a", part=0.5), Step(0, "cut", "a")):
+        link.change(step)
+    assert (link.delay_ms, link.loss, link.cut) == (5, 0.5, True)
+    link.change(Step(0, "heal", "a"))
+    assert link == Link()
+    with pytest.raises(ScheduleError, match="found between two ends; allowed: cut, heal"):
+        link.change(Step(0, "kill", "a"))
+
+
+@pytest.mark.parametrize("what", ["plan", "rate", "step", "ask"])
+def test_what_can_not_be_done_to_processes_is_refused_before_any_is_started(
+    what: str, tmp_path: Path
+) -> None:
+    async def story() -> None:
+        async with ProcessCluster(tmp_path) as fleet:
+            with pytest.raises(
+                ScheduleError, match=rf"steps\[1\].what: found '{what}'; among processes: kill"
+            ):
+                await fleet.play(Schedule(1, ("a",), (), 100, (Step(0, "kill", "a"), Step(1, what, "a"))))
+            assert not fleet.records
+
+    run(story())
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lanelift.faults.explore import Explored, explore
+from lanelift.faults.model_checker import Exploration, explore
 from lanelift.leases.member import VotingMember
 from lanelift.leases.model import Model
 from lanelift.leases.model_nodes import EVEN, FAST, SLOW, Bounds
@@ -27,7 +27,7 @@
     member: type[VotingMember] = VotingMember,
     proposer: type[Proposer] = Proposer,
     most: int = MOST,
-) -> Explored:
+) -> Exploration:
     kind = type("Planted", (Model,), {"member_class": member, "proposer_class": proposer})
     model = kind(bounds)
     return explore(model.begin(), model.follow, model.wrong, most)
@@ -39,8 +39,8 @@
 def test_nothing_is_wrong_in_any_state(bounds: Bounds) -> None:
     """All states within the bounds are explored: in none do two hold at once, and tokens rise."""
     found = explored(bounds)
-    assert found.whole and found.states > 1000
-    assert not found.wrong, "\n".join(found.story)
+    assert found.complete and found.states > 1000
+    assert not found.violation, "\n".join(found.counterexample)
 
 
 WHERE = {
@@ -60,12 +60,14 @@
     """A mistake is planted (`mistakes.py`): the model finds it, by its shortest story."""
     bounds = WHERE.get(mistake, HOLDS)
     found = explored(bounds, MEMBERS.get(mistake, VotingMember), PROPOSERS.get(mistake, Proposer))
-    assert found.wrong and found.story
-    print(f"\n{mistake}: {found.wrong}, after {found.states} states\n  " + "\n  ".join(found.story))
+    assert found.violation and found.counterexample
+    print(
+        f"\n{mistake}: {found.violation}, after {found.states} states\n  " + "\n  ".join(found.counterexample)
+    )
 
 
 def test_past_its_drift_the_assumption_ends() -> None:
     """A clock slower than the bound is shown to break it: the proof says nothing beyond its assumptions."""
     lame = replace(HOLDS, proposer_rates=(2, EVEN), voter_rates=(FAST, FAST, FAST))
-    assert explored(lame).wrong == "two hold at once"
+    assert explored(lame).violation == "two hold at once"
     assert SLOW < EVEN < FAST
--- a/tests/leases/test_node.py
+++ b/tests/leases/test_node.py
@@ -13,8 +13,8 @@
 import psutil
 import pytest
 
-from lanelift.faults.beats import read
-from lanelift.faults.processes import free_port
+from lanelift.faults.activity_log import read_intervals
+from lanelift.faults.process_cluster import free_port
 from lanelift.fleet.clocks import Clock, boottime_ns
 from lanelift.fleet.cluster import MS, ClusterConfiguration, LeaseTiming, Member
 from lanelift.fleet.log import logger
@@ -212,15 +212,18 @@
 
     async def story(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         beats = tmp_path / "child.beats"
-        child = f"{sys.executable} -m lanelift.faults.beats {beats} 60 stubborn"
+        child = f"{sys.executable} -m lanelift.faults.activity_log {beats} 60 stubborn"
         async with lease_holder(fleet, "x", "p1") as holder:
             assert await holder.acquire()
             code = await holder.run_command(
                 ["sh", "-c", f"{child} & while ! test -s {beats}; do sleep 0.01; done"]
             )
             assert code == 0
-        (stay,) = read(tmp_path)
-        assert not psutil.pid_exists(stay.pid) or psutil.Process(stay.pid).status() == psutil.STATUS_ZOMBIE
+        (interval,) = read_intervals(tmp_path)
+        assert (
+            not psutil.pid_exists(interval.pid)
+            or psutil.Process(interval.pid).status() == psutil.STATUS_ZOMBIE
+        )
 
     with_fleet(tmp_path, story, "a")
 
@@ -252,7 +255,7 @@
     def watchdog(term_s: float, kill_s: float) -> int:
         now = boottime_ns()
         ends = [str(now + int(s * 1e9)) for s in (term_s, kill_s)]
-        task = [sys.executable, "-m", "lanelift.faults.beats", str(beats), "60", "stubborn"]
+        task = [sys.executable, "-m", "lanelift.faults.activity_log", str(beats), "60", "stubborn"]
         command = [sys.executable, "-m", "lanelift.leases.warden", *ends, *task]
         silent = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.DEVNULL)
         try:
@@ -263,8 +266,8 @@
 
     assert watchdog(-0.1, 0.1) == 75 and not beats.exists()
     assert watchdog(1.0, 1.4) == 75
-    (stay,) = read(tmp_path)
-    assert not stay.ended and not psutil.pid_exists(stay.pid)
+    (interval,) = read_intervals(tmp_path)
+    assert not interval.ended and not psutil.pid_exists(interval.pid)
 
 
 @pytest.mark.parametrize("module", ["lanelift.leases.warden", "lanelift.leases.watchdog"])
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -18,8 +18,8 @@
 import psutil
 import pytest
 
-from lanelift.faults.beats import Stay, falls, overlaps, read
-from lanelift.faults.processes import Processes
+from lanelift.faults.activity_log import HoldInterval, overlapping_pairs, read_intervals, token_regressions
+from lanelift.faults.process_cluster import ProcessCluster
 from lanelift.faults.schedule import Step
 from tests.fakes import run
 
@@ -27,28 +27,28 @@
 NO_GUARD = "import os\nos.killpg = lambda group, number: None\n"
 
 
-def judged(folder: Path) -> list[Stay]:
-    stays = read(folder)
-    assert not overlaps(stays), overlaps(stays)
-    assert not falls(stays), falls(stays)
-    return stays
+def judged(folder: Path) -> list[HoldInterval]:
+    intervals = read_intervals(folder)
+    assert not overlapping_pairs(intervals), overlapping_pairs(intervals)
+    assert not token_regressions(intervals), token_regressions(intervals)
+    return intervals
 
 
-async def begin(fleet: Processes, *contenders: str, words: tuple[str, ...] = ()) -> None:
+async def begin(fleet: ProcessCluster, *contenders: str, words: tuple[str, ...] = ()) -> None:
     """All members vote, and the contenders were started one after the other: the first of them holds."""
     for voter in fleet.voters:
         await fleet.start(voter)
     for voter in fleet.voters:
-        await fleet.until(f"{voter} has a seat", lambda voter=voter: fleet.said(voter, "fleet_seated"))  # type: ignore[misc]
+        await fleet.until(f"{voter} has a seat", lambda voter=voter: fleet.logged(voter, "fleet_seated"))  # type: ignore[misc]
     for i, name in enumerate(contenders):
         await fleet.start(name, *words)
         if i == 0:
-            await fleet.until(f"{name} acts", lambda: fleet.acts(contenders[0]))
+            await fleet.until(f"{name} acts", lambda: fleet.has_acted(contenders[0]))
 
 
-def played(folder: Path, story: Callable[[Processes], Awaitable[None]], **about: object) -> None:
+def played(folder: Path, story: Callable[[ProcessCluster], Awaitable[None]], **about: object) -> None:
     async def whole() -> None:
-        async with Processes(folder, **about) as fleet:  # type: ignore[arg-type]
+        async with ProcessCluster(folder, **about) as fleet:  # type: ignore[arg-type]
             await story(fleet)
 
     run(whole())
@@ -61,15 +61,15 @@
     lost the lease.
     """
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         await begin(fleet, "p1", "p2", words=("3600", "stubborn"))
-        await fleet.step(Step(0, "stop", "p1"))
-        await fleet.until("p2 acts", lambda: fleet.acts("p2"))
+        await fleet.apply_step(Step(0, "stop", "p1"))
+        await fleet.until("p2 acts", lambda: fleet.has_acted("p2"))
         first, second = judged(tmp_path)
         assert (first.file, second.file) == ("p1-1.beats", "p2-1.beats") and first.last_ns < second.first_ns
-        await fleet.step(Step(0, "go", "p1"))
-        assert await fleet.lives["p1"].process.wait() == 75
-        assert fleet.said("p1", "lease_lost")
+        await fleet.apply_step(Step(0, "go", "p1"))
+        assert await fleet.records["p1"].process.wait() == 75
+        assert fleet.logged("p1", "lease_lost")
 
     played(tmp_path, story)
     judged(tmp_path)
@@ -81,13 +81,13 @@
     Nobody but the holder can end the task: it kills the watchdog, and the task dies with that.
     """
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         await begin(fleet, "p1", "p2", words=("3600", "stubborn"))
-        (stay,) = read(tmp_path)
-        os.kill(psutil.Process(stay.pid).ppid(), signal.SIGSTOP)
-        await fleet.step(Step(0, "cut", "p1"))
-        await fleet.until("p2 acts", lambda: fleet.acts("p2"))
-        assert await fleet.lives["p1"].process.wait() == 75
+        (interval,) = read_intervals(tmp_path)
+        os.kill(psutil.Process(interval.pid).ppid(), signal.SIGSTOP)
+        await fleet.apply_step(Step(0, "cut", "p1"))
+        await fleet.until("p2 acts", lambda: fleet.has_acted("p2"))
+        assert await fleet.records["p1"].process.wait() == 75
 
     played(tmp_path, story)
     assert len(judged(tmp_path)) == 2
@@ -99,15 +99,15 @@
     The holder can't renew, and ends. After SIGCONT the next one holds.
     """
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         await begin(fleet, "p1", "p2", words=("3600",))
         for voter in "ab":
-            fleet.lives[voter].process.send_signal(signal.SIGSTOP)
-        assert await fleet.lives["p1"].process.wait() == 75
-        assert not fleet.acts("p2")
+            fleet.records[voter].process.send_signal(signal.SIGSTOP)
+        assert await fleet.records["p1"].process.wait() == 75
+        assert not fleet.has_acted("p2")
         for voter in "ab":
-            fleet.lives[voter].process.send_signal(signal.SIGCONT)
-        await fleet.until("p2 acts", lambda: fleet.acts("p2"))
+            fleet.records[voter].process.send_signal(signal.SIGCONT)
+        await fleet.until("p2 acts", lambda: fleet.has_acted("p2"))
 
     played(tmp_path, story)
     judged(tmp_path)
@@ -120,17 +120,16 @@
     counts no message of the first.
     """
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         await begin(fleet, "p1", "p2", words=("3600", "stubborn"))
-        await fleet.step(Step(0, "kill", "p1"))
-        await fleet.until("p2 acts", lambda: fleet.acts("p2"))
-        await fleet.step(
-            Step(0, "start", "p1")
-        )  # within its own lease, or what was it: no message of the first counts
-        await fleet.step(Step(0, "release", "p2"))
+        await fleet.apply_step(Step(0, "kill", "p1"))
+        await fleet.until("p2 acts", lambda: fleet.has_acted("p2"))
+        # within its own lease, or what was it: no message of the first counts
+        await fleet.apply_step(Step(0, "start", "p1"))
+        await fleet.apply_step(Step(0, "release", "p2"))
 
     played(tmp_path, story)
-    assert [stay.file for stay in judged(tmp_path)][:2] == ["p1-1.beats", "p2-1.beats"]
+    assert [interval.file for interval in judged(tmp_path)][:2] == ["p1-1.beats", "p2-1.beats"]
 
 
 def test_all_members_are_restarted_and_tokens_rise(tmp_path: Path) -> None:
@@ -139,15 +138,15 @@
     The holder ends, as they are quiet; the next one's token is above all that they may have promised.
     """
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         await begin(fleet, "p1", "p2", words=("3600",))
         for voter in fleet.voters:
-            await fleet.step(Step(0, "kill", voter))
+            await fleet.apply_step(Step(0, "kill", voter))
         for voter in fleet.voters:
-            await fleet.lives[voter].process.wait()
+            await fleet.records[voter].process.wait()
             await fleet.start(voter)
-        assert await fleet.lives["p1"].process.wait() == 75
-        await fleet.until("p2 acts", lambda: fleet.acts("p2"))
+        assert await fleet.records["p1"].process.wait() == 75
+        await fleet.until("p2 acts", lambda: fleet.has_acted("p2"))
 
     played(tmp_path, story)
     first, second = judged(tmp_path)
@@ -160,11 +159,11 @@
     The holder receives all responses that are still sent, and no voter receives anything of it.
     """
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         await begin(fleet, "p1", "p2", words=("3600",))
-        await fleet.step(Step(0, "cut", "p1"))
-        await fleet.until("p2 acts", lambda: fleet.acts("p2"))
-        assert await fleet.lives["p1"].process.wait() == 75
+        await fleet.apply_step(Step(0, "cut", "p1"))
+        await fleet.until("p2 acts", lambda: fleet.has_acted("p2"))
+        assert await fleet.records["p1"].process.wait() == 75
 
     played(tmp_path, story, rates_ppm={"p1": -1000, "a": 1000, "b": 1000, "c": 1000})
     first, second = judged(tmp_path)
@@ -179,13 +178,13 @@
     (tmp_path / "sitecustomize.py").write_text(NO_GUARD)
     environment = {**os.environ, "PYTHONPATH": str(tmp_path)}
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         await begin(fleet, "p1", "p2", words=("30", "stubborn"))
-        await fleet.step(Step(0, "stop", "p1"))
-        await fleet.until("p2 acts", lambda: fleet.acts("p2"))
-        await fleet.until("both act", lambda: bool(overlaps(read(tmp_path))))
-        for stay in read(tmp_path):
-            os.kill(stay.pid, signal.SIGKILL)
+        await fleet.apply_step(Step(0, "stop", "p1"))
+        await fleet.until("p2 acts", lambda: fleet.has_acted("p2"))
+        await fleet.until("both act", lambda: bool(overlapping_pairs(read_intervals(tmp_path))))
+        for interval in read_intervals(tmp_path):
+            os.kill(interval.pid, signal.SIGKILL)
 
     played(tmp_path, story, environment=environment)
 
@@ -202,10 +201,10 @@
             check=False,
         )
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         await begin(fleet, "p1", words=("3600",))
         for voter in fleet.voters:  # also whom its first question was too low for
-            await fleet.until("it is bound", lambda voter=voter: fleet.said(voter, "lease_given"))  # type: ignore[misc]
+            await fleet.until("it is bound", lambda voter=voter: fleet.logged(voter, "lease_given"))  # type: ignore[misc]
         file = ("--config", str(fleet.file("p2")))
         listed = await asyncio.to_thread(lanelift, "lease", "list", *file)
         assert "nightly: held by p1 under token" in listed.stdout and "3 of 3 votes" in listed.stdout
@@ -227,11 +226,12 @@
             "import os; exit(len(os.environ['LANELIFT_LEASE']))",
         )
         assert other.returncode == 1
-        url = f"http://127.0.0.1:{fleet.operators['a']}/api/leases"
+        url = f"http://127.0.0.1:{fleet.admin_ports['a']}/api/leases"
         view = json.loads(await asyncio.to_thread(lambda: urllib.request.urlopen(url, timeout=5).read()))
         assert view["seated"] and view["leases"][0]["holder"] == "p1"
-        await fleet.step(Step(0, "release", "p1"))  # SIGTERM: its task ends, and the lease is free at once
-        assert await fleet.lives["p1"].process.wait() == 0
+        # SIGTERM: its task ends, and the lease is free at once
+        await fleet.apply_step(Step(0, "release", "p1"))
+        assert await fleet.records["p1"].process.wait() == 0
         free = await asyncio.to_thread(lanelift, "lease", "show", "nightly", *file)
         assert free.stdout.count(": free") == 3
 
@@ -245,15 +245,15 @@
     Its messages have another digest: the members ignore them, and say so in the log once.
     """
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         await begin(fleet)
         path = fleet.file("p1")
         path.write_text(
             path.read_text().replace("lease_ms = 1000", key).replace("margin_ms = 300", "margin_ms = 200")
         )
         await fleet.start("p1")
-        await fleet.until("it is said in the log", lambda: fleet.said("a", "fleet_other_plan"))
-        assert not fleet.acts("p1")
+        await fleet.until("it is said in the log", lambda: fleet.logged("a", "fleet_other_plan"))
+        assert not fleet.has_acted("p1")
 
     played(tmp_path, story)
 
@@ -261,21 +261,21 @@
 def test_a_task_of_the_fleet_is_run_by_one_member_and_then_by_the_next(tmp_path: Path) -> None:
     """The member that runs a task of the fleet is killed: another one runs it, and never two at once."""
 
-    async def story(fleet: Processes) -> None:
+    async def story(fleet: ProcessCluster) -> None:
         for voter in fleet.voters:
             beats = tmp_path / f"{voter}.beats"
-            command = json.dumps([sys.executable, "-m", "lanelift.faults.beats", str(beats), "0.05"])
+            command = json.dumps([sys.executable, "-m", "lanelift.faults.activity_log", str(beats), "0.05"])
             path = fleet.file(voter)
             path.write_text(
                 f'{path.read_text()}[[fleet.task]]\nname = "nightly"\ncommand = {command}\nevery_s = 1\n'
             )
         await begin(fleet)
-        await fleet.until("one acts", lambda: bool(read(tmp_path)))
-        first = read(tmp_path)[0].file.removesuffix(".beats")
-        await fleet.until("and again", lambda: read(tmp_path)[0].beats > 20)
-        assert {stay.file for stay in read(tmp_path)} == {f"{first}.beats"}
-        await fleet.step(Step(0, "kill", first))
-        await fleet.until("another acts", lambda: len(read(tmp_path)) > 1)
+        await fleet.until("one acts", lambda: bool(read_intervals(tmp_path)))
+        first = read_intervals(tmp_path)[0].file.removesuffix(".beats")
+        await fleet.until("and again", lambda: read_intervals(tmp_path)[0].actions > 20)
+        assert {interval.file for interval in read_intervals(tmp_path)} == {f"{first}.beats"}
+        await fleet.apply_step(Step(0, "kill", first))
+        await fleet.until("another acts", lambda: len(read_intervals(tmp_path)) > 1)
 
     played(tmp_path, story)
     judged(tmp_path)
--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -9,7 +9,9 @@
 from hypothesis import strategies as st
 
 from benchmarks.leases import Waiting
-from lanelift.faults.schedule import Schedule, Step, Unplayable, drawn, from_json, shrunk, to_json
+from lanelift.faults.random_schedule import random_schedule
+from lanelift.faults.schedule import Schedule, ScheduleError, Step, from_json, to_json
+from lanelift.faults.shrinking import shrink
 from lanelift.fleet.cluster import MS, ClusterConfiguration, LeaseTiming
 from lanelift.fleet.recovery import PersistentState, VoterRecovery
 from lanelift.leases import member
@@ -22,7 +24,7 @@
 
 
 def schedule(seed: int) -> Schedule:
-    return drawn(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift)
+    return random_schedule(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift)
 
 
 def calm(*steps: Step, contenders: int = 2, voters: int = 3, until_ms: int = UNTIL_MS) -> Schedule:
@@ -38,7 +40,7 @@
     holdings = late = fenced = 0
     for seed in range(SEEDS * (20 if long_runs else 1)):
         found = simulate(schedule(seed), TIMING)
-        assert not found.breaches, f"{schedule(seed).story()}\n{found.breaches}"
+        assert not found.breaches, f"{schedule(seed).description()}\n{found.breaches}"
         holdings += len(found.holdings)
         late, fenced = late + found.late_acts, fenced + found.fenced
     assert holdings > SEEDS  # it was given, and given again
@@ -70,9 +72,9 @@
     """The same faults, while the voters are restarted under one list of voters after the other."""
     holdings = 0
     for seed in range(SEEDS * (20 if long_runs else 1)):
-        changing = drawn(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True)
+        changing = random_schedule(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True)
         found = simulate(changing, TIMING)
-        assert not found.breaches, f"{changing.story()}\n{found.breaches}"
+        assert not found.breaches, f"{changing.description()}\n{found.breaches}"
         holdings += len(found.holdings)
     assert holdings > SEEDS
 
@@ -93,14 +95,15 @@
     """A voter that joins a changed voter set at once lets two majorities live: the schedules find it."""
     monkeypatch.setattr(member, "VoterRecovery", JoinsAtOnce)
     seeds = (
-        drawn(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True) for seed in range(200)
+        random_schedule(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True)
+        for seed in range(200)
     )
     assert any(simulate(changing, TIMING).breaches for changing in seeds)
 
 
 @given(st.integers(0, 10_000))
 def test_a_schedule_is_data(seed: int) -> None:
-    changing = drawn(seed, 3, 2, 4_000, 1000, 0.01, plans=True)
+    changing = random_schedule(seed, 3, 2, 4_000, 1000, 0.01, plans=True)
     assert from_json(to_json(changing)) == changing
 
 
@@ -126,7 +129,7 @@
 def test_what_is_no_schedule_is_named(text: str, wrong: str) -> None:
     """A schedule file is cut off, lacks a key, or names a fault, a node or a type that there is not."""
     whole = '{"seed": 1, "voters": ["a"], "contenders": ["p1"], "until_ms": 1, '
-    with pytest.raises(Unplayable, match=wrong):
+    with pytest.raises(ScheduleError, match=wrong):
         from_json((whole + text[1:] if "steps" in text else text).encode())
 
 
@@ -156,9 +159,9 @@
         return bool(simulate(candidate, TIMING, world).breaches)
 
     seed = next(seed for seed in range(200) if fails(schedule(seed)))
-    short = shrunk(schedule(seed), fails)
+    short = shrink(schedule(seed), fails)
     assert fails(short) and len(short.steps) <= len(schedule(seed).steps) // 2
-    assert all(what in short.story() for what in ("seed", " ms  "))
+    assert all(what in short.description() for what in ("seed", " ms  "))
 
 
 def test_one_seed_gives_one_trace() -> None:
--- a/tests/membership/test_budgets.py
+++ b/tests/membership/test_budgets.py
@@ -11,7 +11,7 @@
 import pytest
 
 from lanelift.faults.schedule import Step
-from lanelift.faults.simulated import MS
+from lanelift.faults.simulation import MS
 from lanelift.membership.gossip import MemberState
 from lanelift.membership.records import MemberRecord
 from lanelift.membership.simulation import MembershipSimulation, RecordingDetector, membership_schedule
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from lanelift.faults.schedule import Step
-from lanelift.faults.simulated import MS, Clock, Place
+from lanelift.faults.simulation import MS, Clock, NodeSlot
 from lanelift.membership.detector import FailureDetector
 from lanelift.membership.gossip import (
     HEADER,
@@ -160,7 +160,7 @@
     simulation.schedule = membership_schedule(N, 1, 30_000)
     detector = simulation.detector(5)
     assert detector is not None
-    simulation.say("5", [(str(to), data) for to, data in detector.leave()])
+    simulation.send_all("5", [(str(to), data) for to, data in detector.leave()])
     simulation.play()
     others = [w for w in range(N) if w != 5]
     assert all(view_of(simulation, who)[5] is MemberState.LEFT for who in others)
@@ -323,7 +323,7 @@
 
 def test_the_state_is_bounded_for_two_thousand_members() -> None:
     detector = FailureDetector(0, ["abc"[i % 3] for i in range(2000)], TIMING, 1, 0)
-    place = Place(Clock(0, 0.0))
+    place = NodeSlot(Clock(0, 0.0))
     assert place.node is None
     now = 0
     for _ in range(400):
--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -14,8 +14,9 @@
 
 import msgspec
 
-from lanelift.faults.schedule import Schedule, Step, drawn, to_json
-from lanelift.faults.simulated import Place
+from lanelift.faults.random_schedule import random_schedule
+from lanelift.faults.schedule import Schedule, Step, to_json
+from lanelift.faults.simulation import NodeSlot
 from lanelift.fleet import codec, messages
 from lanelift.fleet.cluster import MS, ClusterConfiguration, LeaseTiming, Member
 from lanelift.fleet.recovery import PersistentState, VoterRecovery, VoterStateError
@@ -307,30 +308,30 @@
     def line(self, *words: object) -> None:
         self.lines.append(" ".join(map(str, (self.now, *words))))
 
-    def _send(self, who: str, whom: str, message: Any) -> None:
-        self.line("send", who, whom, codec.encode(*message).hex())
-        super()._send(who, whom, message)
+    def _send(self, sender: str, recipient: str, message: Any) -> None:
+        self.line("send", sender, recipient, codec.encode(*message).hex())
+        super()._send(sender, recipient, message)
 
-    def _come(self, who: str, whom: str, message: Any) -> None:
-        self.line("come", who, whom, codec.encode(*message).hex())
-        super()._come(who, whom, message)
+    def _deliver(self, sender: str, recipient: str, message: Any) -> None:
+        self.line("come", sender, recipient, codec.encode(*message).hex())
+        super()._deliver(sender, recipient, message)
 
     def _start(self, name: str) -> None:
         self.line("start", name, self.local(name))
         super()._start(name)
 
-    def _step(self, step: Step) -> None:
+    def _apply_step(self, step: Step) -> None:
         self.line("step", step.what, step.who, step.whom, step.ms, step.part)
-        super()._step(step)
+        super()._apply_step(step)
 
     def write(self, votes: VoterNode) -> None:
         assert votes.writing is not None
         self.line("write", votes.name, msgspec.json.encode(_values(votes.writing)).decode())
         super().write(votes)
 
-    def _written(self, votes: VoterNode, kept: PersistentState, life: int) -> None:
+    def _written(self, votes: VoterNode, kept: PersistentState, incarnation: int) -> None:
         self.line("written", votes.name, msgspec.json.encode(_values(kept)).decode())
-        super()._written(votes, kept, life)
+        super()._written(votes, kept, incarnation)
 
     def acted(self, name: str, token: int) -> None:
         self.line("act", name, token)
@@ -350,7 +351,9 @@
     Voters are 3 or 5, contenders 2 to 4; every fourth schedule changes the list of voters on the way.
     """
     timing = LeaseTiming(lease_ns=1000 * MS, response_timeout_ns=60 * MS, stop_margin_ns=200 * MS, drift=0.01)
-    schedule = drawn(seed, 3 + 2 * (seed % 2), 2 + seed % 3, 15_000, 1000, timing.drift, plans=seed % 4 == 0)
+    schedule = random_schedule(
+        seed, 3 + 2 * (seed % 2), 2 + seed % 3, 15_000, 1000, timing.drift, plans=seed % 4 == 0
+    )
     world = TracedLeases(schedule, timing)
     world.play()
     found = world.found
@@ -369,32 +372,32 @@
     def line(self, *words: object) -> None:
         self.lines.append(" ".join(map(str, (self.now, *words))))
 
-    def _send(self, who: str, whom: str, message: Any) -> None:
-        self.line("send", who, whom, message.hex())
-        super()._send(who, whom, message)
+    def _send(self, sender: str, recipient: str, message: Any) -> None:
+        self.line("send", sender, recipient, message.hex())
+        super()._send(sender, recipient, message)
 
-    def _come(self, who: str, whom: str, message: Any) -> None:
-        self.line("come", who, whom, message.hex())
-        super()._come(who, whom, message)
+    def _deliver(self, sender: str, recipient: str, message: Any) -> None:
+        self.line("come", sender, recipient, message.hex())
+        super()._deliver(sender, recipient, message)
 
     def _start(self, name: str) -> None:
         self.line("start", name, self.local(name))
         super()._start(name)
 
-    def _step(self, step: Step) -> None:
+    def _apply_step(self, step: Step) -> None:
         self.line("step", step.what, step.who, step.whom, step.ms, step.part)
-        super()._step(step)
+        super()._apply_step(step)
 
     def _leave(self, name: str) -> None:
         """An event of this world alone: a member says that it leaves, and is gone."""
         detector = self.detector(int(name))
         if detector is not None:
             self.line("leave", name)
-            self.say(name, [(str(to), data) for to, data in detector.leave()])
+            self.send_all(name, [(str(to), data) for to, data in detector.leave()])
 
-    def died(self, name: str, place: Place, state_file: bool) -> None:
+    def node_killed(self, name: str, slot: NodeSlot, disk_lost: bool) -> None:
         self.line("died", name)
-        super().died(name, place, state_file)
+        super().node_killed(name, slot, disk_lost)
 
     def after(self) -> None:
         for _, who, whom, state in self.changes[self.noted :]:
@@ -411,7 +414,7 @@
     )
     timing = ProbeTiming(death_ns=20_000 * MS)
     world = TracedMembers(schedule, ["abc"[n % 3] for n in range(count)], timing)
-    world.at(rng.randrange(10_000, 50_000) * MS, "leave", str(rng.randrange(count)))
+    world.call_at(rng.randrange(10_000, 50_000) * MS, world._leave, str(rng.randrange(count)))
     world.play()
     here = [d for d in map(world.detector, range(count)) if d is not None]
     counted = [(d.me, d.count_alive(world.local(str(d.me)))) for d in here]
--- a/tests/pinned/settings_names.py
+++ b/tests/pinned/settings_names.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lanelift.config.operator import read_operator_file
-from lanelift.faults.schedule import Unplayable, from_json, to_json
+from lanelift.faults.schedule import ScheduleError, from_json, to_json
 from lanelift.policy.settings import Settings
 from lanelift.rehearsal.scenario import read_scenario
 from lanelift.settings import read_settings
@@ -130,7 +130,7 @@
     """A schedule of faults, read and written; where it is refused, why."""
     try:
         return to_json(from_json(text))
-    except Unplayable as error:
+    except ScheduleError as error:
         return str(error).encode()
 
 
