--- a/lanelift/lifecycle.py
+++ b/lanelift/lifecycle.py
@@ -33,7 +33,7 @@
         self.stage = Stage.SERVING
 
     def drain(self) -> bool:
-        """Take no new clients for now; False if it drained or shut down already."""
+        """Each answer is the last on its connection from now on; False if it drained or shut down already."""
         if self.stage is not Stage.SERVING:
             return False
         self.stage = Stage.DRAINING
--- a/lanelift/net/attempts.py
+++ b/lanelift/net/attempts.py
@@ -87,7 +87,7 @@
         requests = self.runner.requests
         request.attempts[number] = None
         request.unfinished_attempts -= 1
-        request.timed_out = result is AttemptResult.TIMEOUT
+        request.last_attempt_timed_out = result is AttemptResult.TIMEOUT
         if request.streaming_attempt == number:
             if result is AttemptResult.OK:
                 requests.answer(request, FULFILLED, lambda client: client.complete())
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -140,11 +140,11 @@
     def _take_idle(
         self, target: UpstreamTarget, exchange: Exchange, is_probe: bool
     ) -> UpstreamConnection | None:
-        """The newest idle connection that has settled: the others may come to rest and close.
+        """The newest idle connection that has settled: the others may become idle for good and close.
 
         Failure guarded against: what a server sends late behind a response, a second copy or noise, would
         answer the next request on that connection. It comes within milliseconds, so a connection is used
-        only after `SETTLE_S`. Failing a settled one, the oldest serves a request that may be sent again, or
+        only after `SETTLE_S`. If none has settled, the oldest may serve an idempotent request, or
         a load probe, whose wrong result reaches no client; `distrust_until_s` then marks what comes too soon
         to be believed.
         """
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -109,9 +109,9 @@
     def change_source(self, address: Address) -> None:
         """Discovery is elsewhere from now on.
 
-        What hangs at the old address, or waits to try it again, must not hold up the new one. That one counts
-        its versions for itself: its first snapshot stands. The watch begins anew also where its end was
-        reported: the balancer may wait for seconds until it subscribes again.
+        Pending calls to the old address, and waits before a retry, must not delay the new one. That one
+        counts its versions for itself: its first snapshot stands. The watch begins anew also where its end
+        was reported: the balancer may wait for seconds until it subscribes again.
         """
         self.address = address
         self.version = -1
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -31,6 +31,7 @@
     StartAttempt,
     Subscribe,
 )
+from lanelift.policy.answers import MAX_RETRY_AFTER_NS, MIN_RETRY_AFTER_SHARE
 from lanelift.policy.balancer import Balancer
 from lanelift.policy.events import (
     AttemptFinished,
@@ -49,7 +50,6 @@
 log = logging.getLogger(__name__)
 
 MAX_PENDING_PEER_MESSAGES = 256  # received, and waiting for an event to be handed over with
-MAX_OVERLOAD_RETRY_AFTER_NS = 1_000_000_000  # of a rejection because too many requests are open
 NS_PER_S = 1e9
 
 
@@ -178,8 +178,8 @@
         requests = self.requests
         if requests.awaiting_answer >= limits.max_open_requests:
             self.metrics.requests_ended[request.arrival.class_name][THROTTLED] += 1
-            longest_ns = min(limits.max_retry_after_ns, MAX_OVERLOAD_RETRY_AFTER_NS)
-            retry_after_ns = self._random.uniform(0.25, 1.0) * longest_ns
+            longest_ns = min(limits.max_retry_after_ns, MAX_RETRY_AFTER_NS)
+            retry_after_ns = self._random.uniform(MIN_RETRY_AFTER_SHARE, 1.0) * longest_ns
             request.client.reject(int(retry_after_ns) if limits.retry_after else 0)
             return
         requests.by_id[request.arrival.request] = request
@@ -256,7 +256,7 @@
         requests = self.requests
         request = requests.by_id.get(action.request)
         if request is not None:
-            status = 403 if action.denial_reason else 504 if request.timed_out else 502
+            status = 403 if action.denial_reason else 504 if request.last_attempt_timed_out else 502
             reason = action.denial_reason or "failed"
             if requests.answer(request, FAULTED, lambda client: client.fail(status, reason)):
                 requests.forget(action.request)
--- a/lanelift/net/exchange.py
+++ b/lanelift/net/exchange.py
@@ -63,13 +63,13 @@
         timer: The time-out that runs.
         unread_ns: How long the response's end, or its beginning if it is streamed, lay here unread.
         streaming: Its response is being streamed.
-        paused: And whoever takes it has no capacity for now.
+        paused: The taker of its streamed response has no capacity for now.
         last_progress_s: When some of it was last forwarded, on the loop's clock.
         progress_due_s: When it has to be complete, or seen to make progress, on the loop's clock.
         distrust_until_s: What comes before this (loop's clock) is not taken for its response: it may stand
             behind another's.
         streamed_bytes: Bytes forwarded so far.
-        streamed_bytes_at_check: And at the last check of progress.
+        streamed_bytes_at_check: Bytes forwarded at the last check of progress.
     """
 
     __slots__ = (
--- a/lanelift/net/requests.py
+++ b/lanelift/net/requests.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-OVERDUE_S = 0.008  # so long after its deadline a request that is not answered is ended here
+OVERDUE_S = 0.008  # after its deadline: a request without an answer gets a 504 here
 NS_PER_S = 1e9
 
 
@@ -37,7 +37,7 @@
         attempts: Its attempts by number; None: it is over, or was never sent.
         unfinished_attempts: Attempts without an outcome.
         closed: It was answered, or its client has disconnected.
-        timed_out: The last outcome was a time-out.
+        last_attempt_timed_out: Its latest attempt to end timed out.
         streaming_attempt: The attempt whose response is streamed.
         overdue_timer: When it is ended if nobody has answered it.
     """
@@ -52,7 +52,7 @@
     attempts: list[Exchange | None] = field(default_factory=list)
     unfinished_attempts: int = 0
     closed: bool = False
-    timed_out: bool = False
+    last_attempt_timed_out: bool = False
     streaming_attempt: int | None = None
     overdue_timer: asyncio.TimerHandle | None = None
 
@@ -139,7 +139,7 @@
                 self._post(ClientDisconnected(name))
 
     def fail_all(self) -> None:
-        """The process ends: answer whoever waits beyond that; whose response is streamed can see its end."""
+        """The process ends: answer requests that would wait beyond that, and reset streamed responses."""
         for request in list(self.by_id.values()):
             if request.streaming_attempt is None:
                 answered = self.answer(request, FAULTED, lambda client: client.fail(504))
--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -2,11 +2,14 @@
 
 At SIGTERM, in this order:
 
-1. Each answer from now on is the last on its connection, and `/ready` says no (`Lifecycle`).
+1. Each answer from now on is the last on its connection, and `/ready` says no, unless another process shares
+   the address (`Lifecycle`). SIGINT does the same.
 2. After `ACCEPT_WHILE_DRAINING_S` the listener stops: it closes once nobody waits in its backlog.
-3. Idle connections are closed soon after, those with a request after their answer.
+3. `CLOSE_IDLE_DELAY_S` after it stopped, and again after it closed, idle connections are closed; those with a
+   request after their answer.
 4. When no connection is left, `finished` is set and the process ends.
-5. At the latest `EXIT_AFTER_DEADLINE_S` after the longest deadline; who still waits then gets a 504.
+5. It ends at the latest `EXIT_AFTER_DEADLINE_S` after the longest deadline, which counts as
+   `LONGEST_DEADLINE_S` at most; requests that would still wait then get a 504 shortly before.
 """
 
 from __future__ import annotations
@@ -60,8 +63,10 @@
         return self._frontend.lifecycle.stage is Stage.SHUTTING_DOWN
 
     def drain(self) -> None:
-        """Empty the balancer, and run on: new connections come for a while, and old ones are used. All are
-        answered, then closed.
+        """Empty the balancer, and run on.
+
+        It accepts on; each answer is the last on its connection, and idle connections are closed after
+        `ACCEPT_WHILE_DRAINING_S`.
         """
         frontend = self._frontend
         if frontend.lifecycle.drain():
@@ -87,7 +92,8 @@
             classes = dispatcher.settings.classes.values()
             longest_s = max((c.deadline_ns for c in classes), default=0) / 1e9
             self.ends_s = self._loop.time() + min(longest_s, LONGEST_DEADLINE_S) + EXIT_AFTER_DEADLINE_S
-            # Behind what ends by itself then, be all of it late: a rejection is better than a failure.
+            # One turn of the loop later than the ordinary time-outs of that moment: their rejections (503)
+            # are better than these failures (504).
             self._loop.call_at(
                 self.ends_s - FINAL_ANSWER_MARGIN_S / 2, self._loop.call_soon, dispatcher.requests.fail_all
             )
--- a/lanelift/net/upstreams.py
+++ b/lanelift/net/upstreams.py
@@ -106,7 +106,7 @@
 
 
 def classify_response(result: AttemptResult, response: Response | None) -> AttemptResult:
-    """What an upstream's response means for the attempt."""
+    """What an upstream's response means for the attempt: all but 200 are errors, and not forwarded."""
     if result is not AttemptResult.OK or response is None:
         return result
     if response.status == 200:
--- a/lanelift/policy/__init__.py
+++ b/lanelift/policy/__init__.py
@@ -37,7 +37,7 @@
 Hedging              hedging.py             expected time, deviation           DURATION_MARGIN, DEVIATIONS
 Giving up            deadlines.py           objective, deadline, expected time DURATION_MARGIN,
                                                                                MIN_WAIT_DIVISOR
-Final answers        answers.py             legality, denial                   MIN_RETRY_AFTER_SHARE
+Final answers        answers.py             legality, denial                   legality.may_reject
 Outcomes             outcomes.py            results, durations of attempts     FAILURE_EJECTION_NS
 Outlier ejection     ejection.py            failures, resets, errors           ERROR_EJECTION_RATE,
                                                                                SHARED_RESET_RATE
--- a/lanelift/policy/actions.py
+++ b/lanelift/policy/actions.py
@@ -23,7 +23,10 @@
 
 
 class Reject(NamedTuple):
-    """Final answer: shed before any effect; retrying is harmless.
+    """Final answer: rejected, and a retry is harmless.
+
+    Either nothing ran, or what ran may run again without harm (`legality.may_reject`): this is also the
+    answer of an idempotent request whose attempts have all failed.
 
     Attributes:
         request: The request's identifier.
--- a/lanelift/policy/admission.py
+++ b/lanelift/policy/admission.py
@@ -2,8 +2,11 @@
 
 1. Its tenant may not make it (denied, or over a rate limit): answered at once, without a token
    (`tenants.py`).
-2. It is hopeless: it takes more than `HOPELESS_FACTOR` times what its client waits: shed.
-3. It was received so long ago that its answer would miss the latency objective: shed.
+2. It is hopeless: it takes more than `HOPELESS_FACTOR` times what its client waits: shed. Only where attempts
+   are announced between replicas (`peer_load.py`) and `MIN_HINT_SAMPLES` responses were seen, as estimates
+   are too rough before; not for streaming classes or a body that is still being received.
+3. It was received so long ago that its answer would miss the latency objective: shed; not where a late answer
+   earns something or the class streams.
 4. It is not the first of its ordering key: it waits for that (`ordering.py`).
 5. No upstream that it may go to is listed, or its tenant's token bank and buffer are used up: shed; a
    client's retry takes spare tokens only, so that retries do not starve fresh requests (`token_bank.py`).
--- a/lanelift/policy/answers.py
+++ b/lanelift/policy/answers.py
@@ -1,7 +1,8 @@
 """Final answers: what the client of a request that is not served gets, and what is left of it then.
 
-Inputs: the request, what `legality.may_reject` says of it, the limits on Retry-After. It is rejected where
-that is true (a retry is harmless), else it fails. Retry-After is drawn at random: clients must not return
+Inputs: the request, what `legality.may_reject` says of it, the limits on Retry-After. It is rejected (503)
+where a retry is harmless, also after failed attempts; else it fails (502, or 504 if its last attempt timed
+out). Retry-After is drawn at random: clients must not return
 in step.
 """
 
--- a/lanelift/policy/ejection.py
+++ b/lanelift/policy/ejection.py
@@ -8,8 +8,13 @@
 - for an error response, when nearly all of its responses are errors (`ERROR_EJECTION_RATE`), and not those of
   all upstreams (`SHARED_ERROR_RATE`): then the requests or the way there are at fault.
 
-It returns when its time is over, at most `MAX_EJECTION_NS` before jitter, to one attempt at a time until one
-succeeds. Reason: an upstream that only fails, and at once, looks the least loaded of all.
+The first ejection lasts as long as the attempt was expected to take, where load may be the cause, else
+`outcomes.FAILURE_EJECTION_NS`; each further one twice as long, at most `MAX_EJECTION_NS` before jitter. Where
+`MAX_EJECTED_SHARE` of the upstreams are ejected already, only the failure is counted.
+
+It returns when its time is over, to one attempt at a time until one succeeds (`eligibility.py`); any success,
+also of an earlier attempt, and a restart that the endpoint list reports (`registry.py`) end an ejection at
+once. Reason: an upstream that only fails, and at once, looks the least loaded of all.
 """
 
 from __future__ import annotations
@@ -54,7 +59,7 @@
         self.reset_rate = 0.0
 
     def eject(self, attempt: Attempt, now: int, base_ns: float) -> None:
-        """Eject an attempt's upstream, and be awake when it returns.
+        """Eject an attempt's upstream, and schedule a run of the queues for its return.
 
         Args:
             attempt: The attempt that failed or is overdue.
--- a/lanelift/policy/events.py
+++ b/lanelift/policy/events.py
@@ -36,7 +36,7 @@
     ERROR = "error"  # answered with an error; may have run
     REJECTED = "full"  # rejected by the upstream before it ran
     TIMEOUT = "timeout"  # may have run, may still run
-    CONNECT_FAILED = "connect_failed"  # never ran
+    CONNECT_FAILED = "connect_failed"  # no connection, or not written whole: never ran
     RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # cancelled by the balancer; may have run
     NOT_SENT = "moot"  # not sent at all; never ran
@@ -53,7 +53,7 @@
         state: Whether it takes requests.
         zone: The zone in which it runs.
         cell: The group inside its zone that shares idempotency keys.
-        weight: Its capacity against others.
+        weight: Its capacity against others. Not used by any decision.
         started_ns: Clock time of its last start; 0: long ago.
         kind: The kind of machine.
     """
@@ -125,7 +125,7 @@
         upstream: The upstream's number.
         result: How it ended.
         duration_ns: How long it took.
-        request_complete: The request is over.
+        request_complete: The request has its final answer, or its client has disconnected.
         report: The upstream's load report, where it came with the response.
         body_consumed: Part of a body that is not buffered went with it: the request can't be sent again.
     """
--- a/lanelift/policy/hedging.py
+++ b/lanelift/policy/hedging.py
@@ -17,7 +17,7 @@
 from lanelift.policy.state import PolicyState
 
 DEVIATIONS = 3
-MAX_LATENESS_NS = 10_000_000  # a later check shows that this replica itself had no time
+MAX_LATENESS_NS = 10_000_000  # of a check: beyond it this replica was late, and not the upstream
 
 
 class Hedging:
--- a/lanelift/policy/legality.py
+++ b/lanelift/policy/legality.py
@@ -1,6 +1,8 @@
 """What the protocol allows for one request, rule by rule; every attempt and rejection is checked here.
 
-Rule 1: a request gets one final answer, by its deadline, and nothing after it.
+The numbers are those of the platform's protocol page ("rules"; docs/glossary.md lists them).
+
+Rule 1: a request gets one final answer, by its deadline unless it is streamed, and nothing after it.
 Rule 2: no more attempts than allowed, and none that could run a request twice which must not.
 Rule 3: no attempt at an upstream that drains or is removed.
 Rule 5: the requests of an ordering key run one at a time (`ordering.py`).
--- a/lanelift/policy/outcomes.py
+++ b/lanelift/policy/outcomes.py
@@ -21,7 +21,7 @@
 FAILURE_EJECTION_NS = SECOND_NS / 4  # first ejection for a failure that says nothing of the upstream's load
 # An upstream's rejection counts as a response that took all of its latency objective.
 REJECTION_LATENCY_RATIO = 1.0
-FAILED = frozenset(
+FAILURES = frozenset(
     {
         AttemptResult.REJECTED,
         AttemptResult.TIMEOUT,
@@ -29,8 +29,8 @@
         AttemptResult.RESET,
     }
 )
-LOADED = frozenset({AttemptResult.REJECTED, AttemptResult.TIMEOUT})  # failures that a loaded upstream shows
-NOT_A_FAILURE = frozenset({AttemptResult.OK, AttemptResult.CANCELLED})
+SHOWS_LOAD = frozenset({AttemptResult.REJECTED, AttemptResult.TIMEOUT})  # of a loaded upstream
+NO_FAILURE_OF_A_STREAM = frozenset({AttemptResult.OK, AttemptResult.CANCELLED})  # of a started response
 
 
 class Outcomes:
@@ -80,7 +80,7 @@
 
     def _response_ended(self, request: PendingRequest, event: AttemptFinished, now: int) -> None:
         """End an attempt whose response was passed on: what it held was released as that started."""
-        self.state.rate.late_or_failed += event.result not in NOT_A_FAILURE
+        self.state.rate.late_or_failed += event.result not in NO_FAILURE_OF_A_STREAM
         if event.request_complete:
             self.answers.finish(request, now)
         self.answers.forget_if_over(request, now)
@@ -90,9 +90,10 @@
         if event.result is AttemptResult.OK:
             attempt.upstream.completed(attempt.sent_ns, now)
             self._learn_from_response(request, attempt, event.duration_ns, now)
-        elif event.result in FAILED:
+        elif event.result in FAILURES:
             self._learn_from_failure(request, attempt, event, now)
         elif event.result is AttemptResult.ERROR:
+            # Upstreams that answer with errors have capacity: R must not fall for them.
             self.state.rate.on_time += 1
             if self.ejection.record_response(attempt.upstream, True):
                 self.ejection.eject(attempt, now, FAILURE_EJECTION_NS)
@@ -108,7 +109,7 @@
         if result is AttemptResult.TIMEOUT:
             state.concurrency.observe_service_time(attempt, event.duration_ns)
         if result is not AttemptResult.RESET or self.ejection.record_reset(attempt.upstream):
-            base_ns = attempt.expected_ns if result in LOADED else FAILURE_EJECTION_NS
+            base_ns = attempt.expected_ns if result in SHOWS_LOAD else FAILURE_EJECTION_NS
             self.ejection.eject(attempt, now, base_ns)
 
     def _learn_from_response(
--- a/lanelift/policy/rate_control.py
+++ b/lanelift/policy/rate_control.py
@@ -21,11 +21,11 @@
 QUICK_EXCESS = -0.1  # excess below which what is forwarded is answered quickly
 GROWTH = 1.1  # factor of R in one interval
 MIN_GROWTH_PER_S = 0.5  # added to R in one interval besides
-GROWTH_PER_SLACK = 2.0  # more of it for each share of their objective that responses leave
-MIN_SHARE_OF_BEST = 0.2  # of the goodput of good times: R keeps as much
+GROWTH_PER_SLACK = 2.0  # added to GROWTH for each share of their objective that responses leave
+MIN_SHARE_OF_BEST = 0.2  # of the best goodput: R is not cut below
 BEST_DECAY = 0.98  # of that goodput remembered after one interval: forgotten in a minute
 MAX_CUT = 0.3  # of R in one interval
-MIN_SHARE_OF_GOODPUT = 0.9  # of the goodput of this interval: R keeps as much
+MIN_SHARE_OF_GOODPUT = 0.9  # of the goodput of this interval: R is not cut below
 ATTEMPT_RATE_HEADROOM = 1.2  # a cut starts from this multiple of the attempt rate, if R is above it
 ATTEMPT_RATE_MARGIN_PER_S = 1  # and this much more
 MIN_TENANT_RATE_PER_S = 0.05  # of a token bank, however little of R is its share
@@ -44,7 +44,7 @@
         interval_started_at_ns: When the interval that is being counted began.
         attempt_rate_per_s: Attempts that ended, a second, in the last interval.
         goodput_per_s: Those of them that were in time.
-        on_time: Attempts of this interval that were answered in time.
+        on_time: Attempts of this interval that were answered in time, or with an error.
         late_or_failed: Attempts of this interval that were not.
         unplaceable: Requests of this interval that no upstream had capacity for in time.
         best_goodput_per_s: The goodput of good times, slowly forgotten.
@@ -144,7 +144,7 @@
         )
 
     def _raise(self, excess: float) -> None:
-        """Grow R, the sooner the further from congestion: what is short after a cut is R itself."""
+        """Grow R, the faster the further from congestion: after a cut, R itself is the bottleneck."""
         growth = GROWTH + GROWTH_PER_SLACK * max(0.0, -excess - TOLERATED_EXCESS)
         self.rate_per_s = min(INITIAL_RATE_PER_S, self.rate_per_s * growth + MIN_GROWTH_PER_S)
 
--- a/lanelift/policy/settings.py
+++ b/lanelift/policy/settings.py
@@ -45,7 +45,8 @@
         deduplication_window_ns: How long they drop them, from the first attempt that may have run.
         latency_objective_ns: An answer within this time earns the full priority weight.
         deadline_ns: The longest that clients of this class wait, over all their attempts.
-        priority_weight: What one answer within the objective is worth against other classes.
+        priority_weight: What one answer within the objective earns against other classes. Not used by any
+            decision.
         late_weight: The share of the weight that an answer after the objective still earns.
         streaming: Answers are long and count from their beginning.
         ordered_by_key: Requests with one key run one at a time, in the order in which they arrived.
@@ -74,7 +75,8 @@
     Attributes:
         name: The tenant's name, as requests carry it.
         share: Its weight against other tenants when capacity is short.
-        quota_per_s: Requests a second that it was sold, over all replicas; 0: not stated.
+        quota_per_s: Requests a second in its contract, over all replicas; 0: not stated. Not used by any
+            decision.
         denial_reason: Why no request of it is served; empty: it is served.
         classes: The only classes that it may use; empty: any.
         rate_limits: Pairs of a class ("" for all) and requests a second, over all replicas.
@@ -122,12 +124,14 @@
     """The rules that the platform holds every balancer to.
 
     Attributes:
-        drain_grace_ns: Attempts at a draining upstream must stop within this.
+        drain_grace_ns: Attempts at a draining upstream must stop within this. Not used by any decision: they
+            stop at once.
         notification_deadline_ns: Without an update for this long, a balancer counts as notified.
         slow_start_initial_share: A started upstream begins at this share of its capacity.
-        slow_start_ns: And is warm after this.
-        overload_multiple: An upstream that gets more than this many times what it can do,
-        overload_window_ns: for this long, falls over.
+        slow_start_ns: How long after its start it is warm.
+        overload_multiple: An upstream fails when it gets more than this many times what it can do
+            throughout `overload_window_ns`.
+        overload_window_ns: See `overload_multiple`. Not used by any decision.
         key_cooldown_ns: An ordering key pauses this long after an attempt that may still run.
     """
 
@@ -143,7 +147,8 @@
 @dataclass(frozen=True, slots=True)
 class Prices:
     """What the platform charges, as shares of the value of one request: for each attempt that crosses zones,
-    wasted attempt, load probe, peer message, open connection and handshake.
+    wasted attempt, load probe, peer message, open connection and handshake. Decisions use those of load
+    probes and peer messages.
     """
 
     cross_zone: float = 0.0
@@ -161,7 +166,7 @@
     Attributes:
         replica: This balancer's number among its replicas, from 0.
         replica_count: How many replicas there are.
-        zone: The zone in which it runs; empty: unknown.
+        zone: The zone in which it runs; empty: unknown. Not used by any decision.
         discovery_push: Changes of the endpoint list arrive without being polled for.
         classes: Request classes by name.
         tenants: Listed tenants by name.
@@ -169,7 +174,7 @@
         rules: What it is held to.
         prices: What it is charged.
         load_report_fields: Names of the numbers in a load report.
-        load_reports_in_responses: Upstreams attach load reports to their responses.
+        load_reports_in_responses: Upstreams attach load reports to their responses. Not used by any decision.
     """
 
     replica: int = 0
--- a/lanelift/policy/subsets.py
+++ b/lanelift/policy/subsets.py
@@ -19,7 +19,9 @@
 
 MIN_SUBSET_SIZE = 4  # upstreams to draw from
 PAUSE_TOLERANT_SIZE = 10  # a subset that still serves while a few of its upstreams pause
-MAX_DEGREE = 6  # replicas that may share an upstream, for a subset of that size
+# Replicas that share an upstream where subsets are of PAUSE_TOLERANT_SIZE; those of MIN_SUBSET_SIZE may need
+# more.
+MAX_DEGREE = 6
 MAX_DEGREE_WITH_PEER_MESSAGES = 4  # and where each attempt is announced to all of them
 UNREACHABLE_REMEMBERED_NS = SECOND_NS  # after its ejection ended
 
--- a/lanelift/policy/timers.py
+++ b/lanelift/policy/timers.py
@@ -37,7 +37,7 @@
         heapq.heappush(self.calls, (at_ns, self.added, function, arguments))
 
     def wake_at(self, at_ns: int, *about: Any) -> None:
-        """Be awake then, as queues may move; `about`: the request that it matters to, if only to one."""
+        """Schedule a run of the queues; `about`: the request that it matters to, if only to one."""
         self.added += 1
         heapq.heappush(self.calls, (at_ns, self.added, None, about))
 
--- a/lanelift/policy/token_bank.py
+++ b/lanelift/policy/token_bank.py
@@ -4,7 +4,8 @@
 buffered until its token comes, or rejected when the buffer is full. Reason: short bursts pass, and a tenant
 that asks for more than its share takes nothing from another.
 
-Source: PAPER-impact-job-buffer-token, sections (2.1) and (2.8).
+Source: A. W. Berger and W. Whitt, "The Impact of a Job Buffer in a Token-Bank Rate-Control Throttle",
+equations (2.1) and (2.8).
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
     ADMITTED = "admitted"  # it took a token
     BUFFERED = "buffered"  # it waits for its token
-    OVERFLOW = "overflow"  # the buffer is full
+    OVERFLOW = "overflow"  # no token, and no place in the buffer that it may take
 
 
 class TokenBank:
