--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -26,8 +26,8 @@
 from lanelift.policy.actions import Action
 from lanelift.policy.events import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind, Event
 from lanelift.policy.settings import Idempotency, Limits, RequestClass
-from tests.policy.book import MS, SECOND, settings
-from tests.policy.day import Day
+from tests.policy.checked_balancer import MS, SECOND, settings
+from tests.policy.simulation import Simulation
 from tests.policy.test_churn import Churn
 
 TWO_CLASSES = {
@@ -94,14 +94,14 @@
 def played_day(changes: dict[str, Any], replicas: int, upstream_count: int, load: float) -> tuple[int, str]:
     """Play ten seconds in which a third of the upstreams stops, drains, or starts anew."""
     config = settings(classes=TWO_CLASSES, replica_count=replicas, **changes)
-    day, rng, digest = Day(config, upstream_count, 1, lost=0.1), random.Random(2), hashlib.sha256()
+    day, rng, digest = Simulation(config, upstream_count, 1, lost=0.1), random.Random(2), hashlib.sha256()
     recorded = [Recorded(balancer, replica, digest) for replica, balancer in enumerate(day.balancers)]
     day.balancers = recorded  # type: ignore[assignment]
     now = 0.0
     while now < 10:
         now += rng.expovariate(load * upstream_count / 0.040)
         work, name = max(1, int(rng.lognormvariate(3.5, 0.6) * MS)), rng.choice(("quote", "quote", "pay"))
-        day.arrive(
+        day.schedule_request(
             int(now * SECOND), rng.choice(("ash", "birch")), work, name, 500 * MS, rng.randrange(replicas)
         )
     updates = [
@@ -110,16 +110,16 @@
     ]
     for second, entries in updates:
         for replica in range(replicas):
-            day.at(
+            day.schedule(
                 second * SECOND + replica * MS,
                 "update",
                 (replica, EndpointUpdate(EndpointUpdateKind.DELTA, entries)),
             )
-    day.play(2 * SECOND)
+    day.run_until(2 * SECOND)
     day.unresponsive = {3, 4, 5}
-    day.play(5 * SECOND)
+    day.run_until(5 * SECOND)
     day.unresponsive = set()
-    day.play(11 * SECOND)
+    day.run_until(11 * SECOND)
     return sum(one.actions for one in recorded), digest.hexdigest()[:16]
 
 
@@ -129,7 +129,7 @@
     recorded = Recorded(churn.balancer, 0, digest)
     churn.balancer = recorded  # type: ignore[assignment]
     for _ in range(240):
-        churn.minute()
+        churn.run_minute()
     return recorded.actions, digest.hexdigest()[:16]
 
 
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -298,16 +298,16 @@
 def change(out: Path, seeds: int) -> None:
     """The module in simulated time: two tenants beside one that comes, goes, grows and is suspended."""
     sys.path.insert(0, str(Path(__file__).parents[1]))
-    from tests.policy.test_directory import learn
-    from tests.policy.test_directory import play as day
+    from tests.policy.test_directory import simulate as day
+    from tests.policy.test_directory import tenant_update
 
-    news: dict[float, TenantUpdate] = {0.5: learn(deny=True)}
+    news: dict[float, TenantUpdate] = {0.5: tenant_update(deny=True)}
     for i in range(1, 59):
         news[float(i)] = [
-            learn(gone=("cedar",)),
-            learn(Tenant("cedar", 5.0)),
-            learn(Tenant("cedar", 0.2, denial_reason="suspended")),
-            learn(Tenant("cedar", 1.0)),
+            tenant_update(removed=("cedar",)),
+            tenant_update(Tenant("cedar", 5.0)),
+            tenant_update(Tenant("cedar", 0.2, denial_reason="suspended")),
+            tenant_update(Tenant("cedar", 1.0)),
         ][i % 4]
     found = []
     for seed in range(1, seeds + 1):
--- a/tests/policy/day.py
+++ b/tests/policy/simulation.py
@@ -1,6 +1,6 @@
 """Simulated days: balancers, emulated upstreams and arrivals, all in simulated time.
 
-`Day` holds the balancers of one deployment, the emulators of their upstreams (the model of
+`Simulation` holds the balancers of one deployment, the emulators of their upstreams (the model of
 `lanelift.standins`) and a heap of what happens when. There is no socket and no clock; the same seed gives the
 same day. Several test files and `benchmarks/decisions.py` play days with it.
 """
@@ -38,13 +38,13 @@
 )
 from lanelift.policy.settings import Settings
 from lanelift.standins.box import Box, BoxSpec
-from tests.policy.book import MS
+from tests.policy.checked_balancer import MS
 
 ONE_WAY_NS = MS // 4  # one way between a balancer and an emulator
 PEER_MESSAGE_NS = 10 * MS  # and between two balancers
 
 
-class Day:
+class Simulation:
     """Balancers and the emulators of their upstreams.
 
     Attributes:
@@ -97,18 +97,18 @@
                 [EndpointUpdate(EndpointUpdateKind.SNAPSHOT, [Endpoint(i) for i in self.emulators])], replica
             )
 
-    def at(self, when: int, what: str, details: Any) -> None:
+    def schedule(self, when: int, what: str, details: Any) -> None:
         """Let something happen then: the method `_what` is called with the details."""
         self.count += 1
         heapq.heappush(self.due, (when, self.count, what, details))
 
-    def arrive(
+    def schedule_request(
         self, when: int, tenant: str, work_ns: int, class_name: str, wait_ns: int, replica: int = 0
     ) -> None:
         """Let a request arrive then at a replica; its client waits for `wait_ns`."""
-        self.at(when, "arrive", (tenant, work_ns, class_name, wait_ns, replica))
+        self.schedule(when, "arrive", (tenant, work_ns, class_name, wait_ns, replica))
 
-    def play(self, until: int) -> None:
+    def run_until(self, until: int) -> None:
         """Play all that happens up to then."""
         while True:
             emulator_due = min(
@@ -124,7 +124,7 @@
             self.now = max(self.now, when)
             for number, emulator in self.emulators.items():
                 for done in emulator.advance(self.now):
-                    self.at(self.now + ONE_WAY_NS, "answered", (done.job, number))
+                    self.schedule(self.now + ONE_WAY_NS, "answered", (done.job, number))
             while self.due and self.due[0][0] <= self.now:
                 _, _, what, details = heapq.heappop(self.due)
                 getattr(self, f"_{what}")(details)
@@ -181,7 +181,7 @@
             return
         report = {"inflight": float(self.emulators[number].held)}
         result = LoadProbeFinished(number, AttemptResult.OK, 2 * ONE_WAY_NS, report)
-        self.at(self.now + ONE_WAY_NS, "update", (replica, result))
+        self.schedule(self.now + ONE_WAY_NS, "update", (replica, result))
 
     def _cancel(self, details: tuple[str, int]) -> None:
         """An attempt is cancelled, unless it has ended."""
@@ -213,19 +213,19 @@
                     self.attempts[action.request] += 1
                     self.sent[action.request, number] = action.upstream, self.now
                     self.sends.append((self.now, replica, action.upstream))
-                    self.at(self.now + ONE_WAY_NS, "reach", (action.request, number, action.upstream))
+                    self.schedule(self.now + ONE_WAY_NS, "reach", (action.request, number, action.upstream))
                     wait = action.timeout_ns or self.deadline[action.request] - self.now
-                    self.at(self.now + wait, "expire", (action.request, number))
+                    self.schedule(self.now + wait, "expire", (action.request, number))
                 case ProbeLoad():
-                    self.at(self.now + ONE_WAY_NS, "probe", (replica, action.upstream))
+                    self.schedule(self.now + ONE_WAY_NS, "probe", (replica, action.upstream))
                 case CancelAttempt():
-                    self.at(self.now, "cancel", (action.request, action.attempt))
+                    self.schedule(self.now, "cancel", (action.request, action.attempt))
                 case SetTimer():
-                    self.at(self.now + action.delay_ns, "timer", (replica, action.name))
+                    self.schedule(self.now + action.delay_ns, "timer", (replica, action.name))
                 case SendPeerMessage():
                     self.messages += 1
                     if self.rng.random() >= self.lost_share:
-                        self.at(
+                        self.schedule(
                             self.now + PEER_MESSAGE_NS,
                             "update",
                             (action.peer, PeerMessageReceived(replica, action.data)),
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -12,7 +12,7 @@
     RequestArrived,
 )
 from lanelift.policy.settings import Idempotency, RequestClass, Settings
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     READ,
     SECOND,
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -12,7 +12,7 @@
     EndpointUpdateKind,
 )
 from lanelift.policy.settings import RequestClass
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     ANY,
     CELL,
     MS,
--- a/tests/policy/test_checker.py
+++ b/tests/policy/test_checker.py
@@ -13,7 +13,7 @@
     Event,
 )
 from lanelift.policy.settings import Limits, Rules
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     BIG,
     MS,
     PAY,
--- a/tests/policy/test_churn.py
+++ b/tests/policy/test_churn.py
@@ -27,7 +27,7 @@
     TimerFired,
 )
 from lanelift.policy.settings import Limits, Tenant
-from tests.policy.book import CELL, PAY, READ, ROW, SECOND, settings
+from tests.policy.checked_balancer import CELL, PAY, READ, ROW, SECOND, settings
 
 MINUTE = 60 * SECOND
 LISTED, REPLICAS, REPLACED = 200, 200, 10
@@ -80,13 +80,13 @@
         result = self.rng.choices(list(AttemptResult)[:6], [85, 3, 3, 3, 3, 3])[0]
         took = 600_000_000 if result is AttemptResult.TIMEOUT else int(self.rng.uniform(0.01, 0.4) * SECOND)
         outcome = AttemptFinished(send.request, number, send.upstream, result, took)
-        self.later(took, outcome)
+        self.schedule(took, outcome)
 
-    def later(self, after_ns: int, event: Event) -> None:
+    def schedule(self, after_ns: int, event: Event) -> None:
         self.count += 1
         heapq.heappush(self.due, (self.now + after_ns, self.count, event))
 
-    def play(self, until: int) -> None:
+    def run_until(self, until: int) -> None:
         while True:
             at = min([until, *(d[0] for d in (self.timer, *self.due[:1]) if d is not None)])
             if at >= until:
@@ -104,7 +104,7 @@
                 self.give(event)
         self.now = until
 
-    def minute(self) -> None:
+    def run_minute(self) -> None:
         """Its events, and all that follows from them."""
         start, self.count = self.now, self.count + 1
         removed, self.listed = self.listed[:REPLACED], self.listed[REPLACED:]
@@ -123,18 +123,18 @@
             name = f"{self.count}-{i}"
             who = (tenant, "ash", f"stranger-{name}")[i % 3]
             wait = 600_000_000
-            self.later(
+            self.schedule(
                 i * SECOND,
                 RequestArrived(name, cls.name, who, self.now + i * SECOND + wait, 10_000_000, f"key-{name}"),
             )
             if i % 7 == 0:
-                self.later(i * SECOND + wait // 3, ClientDisconnected(name))
+                self.schedule(i * SECOND + wait // 3, ClientDisconnected(name))
                 self.over.add(name)
             number = self.rng.choice([*removed, *self.listed])
-            self.later(i * SECOND, PeerMessageReceived(i, ATTEMPT_STARTED % number.to_bytes(8, "big")))
-        self.play(start + MINUTE - SECOND)
+            self.schedule(i * SECOND, PeerMessageReceived(i, ATTEMPT_STARTED % number.to_bytes(8, "big")))
+        self.run_until(start + MINUTE - SECOND)
         self.give(TenantUpdate(removed=[tenant]))
-        self.play(start + MINUTE)
+        self.run_until(start + MINUTE)
         self.sends.clear()
         self.over.clear()
 
@@ -144,8 +144,8 @@
     churn, found = Churn(5), []
     for _ in range(count):
         for _ in range(per_day):
-            churn.minute()
-        churn.play(churn.now + 5 * MINUTE)
+            churn.run_minute()
+        churn.run_until(churn.now + 5 * MINUTE)
         assert not churn.balancer.requests and not churn.balancer.ordering.queues
         assert len(churn.balancer.registry.upstreams) == LISTED
         found.append(reachable_objects(churn.balancer))
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     SECOND,
     START,
--- a/tests/policy/test_directory.py
+++ b/tests/policy/test_directory.py
@@ -25,8 +25,8 @@
 from lanelift.policy.requests import WaitingPlace
 from lanelift.policy.settings import Idempotency, Limits, RequestClass, Settings, Tenant, UnknownTenants
 from lanelift.policy.token_bucket import TokenBucket
-from tests.policy.book import MS, SECOND, CheckedBalancer, arrival, of
-from tests.policy.day import Day
+from tests.policy.checked_balancer import MS, SECOND, CheckedBalancer, arrival, of
+from tests.policy.simulation import Simulation
 
 QUOTE = RequestClass("quote", Idempotency.IDEMPOTENT, latency_objective_ns=264 * MS, deadline_ns=661 * MS)
 HISTORY = RequestClass("history", Idempotency.IDEMPOTENT, latency_objective_ns=264 * MS, deadline_ns=661 * MS)
@@ -41,9 +41,9 @@
     )
 
 
-def learn(*tenants: Tenant, gone: tuple[str, ...] = (), deny: bool | None = None) -> TenantUpdate:
+def tenant_update(*tenants: Tenant, removed: tuple[str, ...] = (), deny: bool | None = None) -> TenantUpdate:
     unknown_served = None if deny is None else UnknownTenants.DENY if deny else UnknownTenants.SHARE
-    return TenantUpdate(tenants, gone, unknown_served)
+    return TenantUpdate(tenants, removed, unknown_served)
 
 
 class PlainBalancer:
@@ -80,10 +80,10 @@
     """A directory names one tenant: all are served until it has named all; from then on others are denied."""
     plain = PlainBalancer(settings(ash=1))
     assert of(StartAttempt, plain.request("ash")) and of(StartAttempt, plain.request("nobody"))
-    plain.give(learn(Tenant("birch", 2.0)))
+    plain.give(tenant_update(Tenant("birch", 2.0)))
     for name in ("ash", "birch", "nobody"):
         assert of(StartAttempt, plain.request(name)), name
-    plain.give(learn(gone=("ash",), deny=True))
+    plain.give(tenant_update(removed=("ash",), deny=True))
     assert of(StartAttempt, plain.request("birch"))
     for name in ("ash", "nobody", ""):
         assert plain.request(name)[0] == Fail(f"r{plain.count}", "unknown tenant")
@@ -94,10 +94,10 @@
     ones share a small one afterwards.
     """
     plain = PlainBalancer(settings())
-    plain.give(learn(Tenant("ash")))
+    plain.give(tenant_update(Tenant("ash")))
     assert plain.balancer.state.tenants.banks.keys() == {""}
     assert all(plain.serve("nobody") for _ in range(50))
-    plain.give(learn(deny=False))
+    plain.give(tenant_update(deny=False))
     assert "" not in plain.balancer.state.tenants.banks
     assert plain.serve("nobody")  # by the small throttle now
     assert tenants.UNKNOWN_TENANTS_WEIGHT in plain.balancer.state.tenants.shared_banks
@@ -117,17 +117,17 @@
     the reason.
     """
     plain = PlainBalancer(settings(ash=1))
-    plain.give(learn(tenant))
+    plain.give(tenant_update(tenant))
     assert plain.request("ash") == [Fail("r1", why)]
     assert plain.balancer.requests == {}
-    plain.give(learn(Tenant("ash")))
+    plain.give(tenant_update(Tenant("ash")))
     assert of(StartAttempt, plain.request("ash"))
 
 
 def test_only_the_class_that_is_not_allowed_is_denied() -> None:
     """A tenant may use one class of two: only requests of the other are denied."""
     plain = PlainBalancer(settings())
-    plain.give(learn(Tenant("ash", classes=frozenset({"history"}), rate_limits=(("quote", 0.0),))))
+    plain.give(tenant_update(Tenant("ash", classes=frozenset({"history"}), rate_limits=(("quote", 0.0),))))
     assert of(StartAttempt, plain.request("ash", "history"))
 
 
@@ -142,9 +142,9 @@
     plain = PlainBalancer(settings(ash=1))
     sent = of(StartAttempt, plain.request("ash"))
     updates = {
-        "suspended": learn(Tenant("ash", denial_reason="suspended")),
-        "removed": learn(gone=("ash",), deny=True),
-        "class": learn(Tenant("ash", classes=frozenset({"history"}))),
+        "suspended": tenant_update(Tenant("ash", denial_reason="suspended")),
+        "removed": tenant_update(removed=("ash",), deny=True),
+        "class": tenant_update(Tenant("ash", classes=frozenset({"history"}))),
     }[how]
     assert not of(Fail, plain.give(updates)) and not of(CancelAttempt, plain.give(updates))
     done = plain.outcome(1, sent[0].upstream, result)
@@ -159,7 +159,7 @@
     """
     plain = PlainBalancer(settings(ash=1))
     sent = of(StartAttempt, plain.request("ash"))
-    plain.give(learn(Tenant("ash", denial_reason="suspended")))
+    plain.give(tenant_update(Tenant("ash", denial_reason="suspended")))
     assert not of(Fail, plain.outcome(1, sent[0].upstream, AttemptResult.OK))
     assert plain.balancer.requests == {}
 
@@ -168,8 +168,8 @@
     """A tenant is suspended and admitted again while its attempt is in flight: the request may be retried."""
     plain = PlainBalancer(settings(ash=1))
     sent = of(StartAttempt, plain.request("ash"))
-    plain.give(learn(Tenant("ash", denial_reason="suspended")))
-    plain.give(learn(Tenant("ash")))
+    plain.give(tenant_update(Tenant("ash", denial_reason="suspended")))
+    plain.give(tenant_update(Tenant("ash")))
     assert of(StartAttempt, plain.outcome(1, sent[0].upstream, AttemptResult.REJECTED))
 
 
@@ -207,7 +207,7 @@
     plain = PlainBalancer(settings(ash=1, birch=1))
     name = place(plain, where, "ash")
     other = place(plain, where, "birch")
-    failures = of(Fail, plain.give(learn(Tenant("ash", denial_reason="suspended"))))
+    failures = of(Fail, plain.give(tenant_update(Tenant("ash", denial_reason="suspended"))))
     assert Fail(name, "suspended") in failures
     waiting = [r for r in plain.balancer.requests.values() if r.place is not WaitingPlace.NOWHERE]
     assert waiting and not [r for r in waiting if r.tenant_name == "ash"]
@@ -229,7 +229,7 @@
     """
     plain = PlainBalancer(settings(ash=1, birch=1))
     name = place(plain, where, "ash")
-    assert not of(Fail, plain.give(learn(gone=("ash",), deny=False)))
+    assert not of(Fail, plain.give(tenant_update(removed=("ash",), deny=False)))
     assert plain.balancer.requests[name].place is where
     plain.balancer.state.concurrency.window = 10.0
     sent: set[str] = set()
@@ -263,7 +263,7 @@
     plain.give(RequestArrived("a", "quote", "ash", deadline, key="k"))
     plain.give(RequestArrived("b", "quote", "ash", deadline, key="k"))
     plain.give(RequestArrived("c", "quote", "birch", deadline, key="k"))
-    failures = plain.give(learn(Tenant("ash", denial_reason="suspended")))
+    failures = plain.give(tenant_update(Tenant("ash", denial_reason="suspended")))
     assert of(Fail, failures) == [Fail("b", "suspended")]
     first = plain.balancer.requests["a"].attempts[0].upstream.id
     done = plain.give(AttemptFinished("a", 0, first, AttemptResult.OK, MS, True))
@@ -278,7 +278,7 @@
     classes are not.
     """
     plain = PlainBalancer(settings())
-    plain.give(learn(Tenant("ash", rate_limits=(("quote", 4.0),))))
+    plain.give(tenant_update(Tenant("ash", rate_limits=(("quote", 4.0),))))
     answers = [plain.request("ash") for _ in range(6)]
     assert all(of(StartAttempt, a) for a in answers[:4])  # a second's worth at once
     rejected = [of(Reject, a)[0] for a in answers[4:]]
@@ -293,10 +293,10 @@
     """Each of four replicas has a quarter of a limit, and takes a new one at once."""
     known = Settings(classes={"quote": QUOTE}, limits=LIMITS, replica_count=4)
     plain = PlainBalancer(known)
-    plain.give(learn(Tenant("ash", rate_limits=(("", 8.0),))))
+    plain.give(tenant_update(Tenant("ash", rate_limits=(("", 8.0),))))
     served = sum(bool(of(StartAttempt, plain.request("ash"))) for _ in range(10))
     assert served == 2  # a quarter of eight
-    plain.give(learn(Tenant("ash", rate_limits=(("", 400.0),))))
+    plain.give(tenant_update(Tenant("ash", rate_limits=(("", 400.0),))))
     plain.request("ash")  # up to now the old limit counts
     plain.now += SECOND // 10
     assert sum(bool(of(StartAttempt, plain.request("ash"))) for _ in range(20)) >= 3
@@ -328,8 +328,8 @@
     none after a pause.
     """
     plain = PlainBalancer(settings())
-    plain.give(*(learn(*(Tenant(f"t{i}") for i in range(k, k + 100))) for k in range(0, 20_000, 100)))
-    plain.give(learn(deny=True))
+    plain.give(*(tenant_update(*(Tenant(f"t{i}") for i in range(k, k + 100))) for k in range(0, 20_000, 100)))
+    plain.give(tenant_update(deny=True))
     for i in range(0, 5000, 100):
         plain.request(f"t{i}")
     assert len(plain.balancer.state.tenants.banks) == 50
@@ -348,7 +348,7 @@
     """More tenants send requests than there may be banks: those beyond share one."""
     monkeypatch.setattr(tenants, "MAX_TOKEN_BANKS", 10)
     plain = PlainBalancer(settings(), upstreams=100)
-    plain.give(learn(*(Tenant(f"t{i}") for i in range(30)), deny=True))
+    plain.give(tenant_update(*(Tenant(f"t{i}") for i in range(30)), deny=True))
     for i in range(30):
         assert of(StartAttempt, plain.request(f"t{i}"))
     ours = plain.balancer.state.tenants
@@ -359,7 +359,7 @@
     """More limits are in use than there may be buckets: those beyond are not counted."""
     monkeypatch.setattr(tenants, "MAX_TOKEN_BUCKETS", 5)
     plain = PlainBalancer(settings(), upstreams=100)
-    plain.give(learn(*(Tenant(f"t{i}", rate_limits=(("", 1.0),)) for i in range(30)), deny=True))
+    plain.give(tenant_update(*(Tenant(f"t{i}", rate_limits=(("", 1.0),)) for i in range(30)), deny=True))
     for i in range(30):
         assert of(StartAttempt, plain.request(f"t{i}"))
     assert len(plain.balancer.state.tenants.buckets) == 5
@@ -376,9 +376,9 @@
     plain.balancer.state.rate.set_banks(plain.balancer.state.rate.banks, plain.now)
     while token_bank.balance > token_bank.buffer_capacity:
         plain.request("ash")
-    plain.give(learn(gone=("ash",), deny=True))
+    plain.give(tenant_update(removed=("ash",), deny=True))
     assert token_bank not in plain.balancer.state.rate.banks
-    plain.give(learn(Tenant("ash", 1.0)))
+    plain.give(tenant_update(Tenant("ash", 1.0)))
     plain.request("ash")
     again = plain.balancer.state.tenants.banks["ash"]
     assert again is token_bank and again.balance <= again.buffer_capacity
@@ -391,7 +391,7 @@
     place(plain, WaitingPlace.TOKEN_BUFFER, "ash")
     token_bank = plain.balancer.state.tenants.banks["ash"]
     balance, buffered = token_bank.balance - token_bank.buffer_capacity, list(token_bank.buffered)
-    plain.give(learn(Tenant("ash", 3.0)))
+    plain.give(tenant_update(Tenant("ash", 3.0)))
     assert token_bank.weight == 3.0 and list(token_bank.buffered)[: len(buffered)] == buffered
     assert token_bank.balance - token_bank.buffer_capacity == balance
 
@@ -400,30 +400,32 @@
     """Shares need not sum to one: only their ratio counts."""
     for scale in (1e-5, 1.0, 1e6):
         plain = PlainBalancer(settings())
-        plain.give(learn(Tenant("ash", scale), Tenant("birch", 3 * scale), deny=True))
+        plain.give(tenant_update(Tenant("ash", scale), Tenant("birch", 3 * scale), deny=True))
         plain.request("ash"), plain.request("birch")
         token_banks = plain.balancer.state.tenants.banks
         for token_bank in token_banks.values():
             token_bank.demand_per_s = 1e6  # both want more than there is
-        plain.give(learn(Tenant("ash", scale * 1.000001)))
+        plain.give(tenant_update(Tenant("ash", scale * 1.000001)))
         assert token_banks["birch"].rate_per_s == pytest.approx(3 * token_banks["ash"].rate_per_s, rel=0.01)
 
 
 # ---- whole days ----------------------------------------------------------------------------------------
 
 
-def play(updates: dict[float, TenantUpdate], seed: int, length_s: float = 20.0) -> Day:
+def simulate(updates: dict[float, TenantUpdate], seed: int, length_s: float = 20.0) -> Simulation:
     """Play four upstreams (80 requests a second), three tenants of 15 a second each, and these updates."""
     rng = random.Random(seed)
-    day = Day(settings(ash=1, birch=1, cedar=1), 4, seed)
+    day = Simulation(settings(ash=1, birch=1, cedar=1), 4, seed)
     for tenant in ("ash", "birch", "cedar"):
         now = 0.0
         while now < length_s:
             now += rng.expovariate(15)
-            day.arrive(int(now * SECOND), tenant, int(rng.expovariate(1 / 50) * MS) + MS, "quote", 300 * MS)
+            day.schedule_request(
+                int(now * SECOND), tenant, int(rng.expovariate(1 / 50) * MS) + MS, "quote", 300 * MS
+            )
     for at, update in updates.items():
-        day.at(int(at * SECOND), "tenant_update", update)
-    day.play(int((length_s + 2) * SECOND))
+        day.schedule(int(at * SECOND), "tenant_update", update)
+    day.run_until(int((length_s + 2) * SECOND))
     assert len(day.answered) == len(day.tenant)  # each has its one answer
     return day
 
@@ -431,15 +433,15 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_tenant_that_is_added_removed_and_changed_costs_the_others_nothing(seed: int) -> None:
     """One tenant changes every second: the others are served as on a day without changes."""
-    calm = play({}, seed)
-    changes: dict[float, TenantUpdate] = {0.5: learn(deny=True)}
+    calm = simulate({}, seed)
+    changes: dict[float, TenantUpdate] = {0.5: tenant_update(deny=True)}
     for i in range(1, 19):
         changes[float(i)] = [
-            learn(gone=("cedar",)),
-            learn(Tenant("cedar", 5.0)),
-            learn(Tenant("cedar", 0.2, denial_reason="suspended")),
+            tenant_update(removed=("cedar",)),
+            tenant_update(Tenant("cedar", 5.0)),
+            tenant_update(Tenant("cedar", 0.2, denial_reason="suspended")),
         ][i % 3]
-    busy = play(changes, seed)
+    busy = simulate(changes, seed)
     for tenant in ("ash", "birch"):
         assert busy.share(tenant) > calm.share(tenant) - 0.01
     assert busy.answers["cedar", "failed"] > 50
@@ -460,11 +462,11 @@
             event = arrival(count, checked.now)
             checked.give(event._replace(tenant=name))
         elif step == 3:
-            checked.give(learn(Tenant(name, rng.choice([0.1, 1.0, 9.0]))))
+            checked.give(tenant_update(Tenant(name, rng.choice([0.1, 1.0, 9.0]))))
         elif step == 4:
-            checked.give(learn(Tenant(name, denial_reason="suspended")))
+            checked.give(tenant_update(Tenant(name, denial_reason="suspended")))
         elif step == 5:
-            checked.give(learn(gone=(name,), deny=rng.random() < 0.5))
+            checked.give(tenant_update(removed=(name,), deny=rng.random() < 0.5))
         elif step == 6 and checked.out():
             request, number = rng.choice(checked.out())
             checked.finish(request, rng.choice(list(AttemptResult)), number)
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -11,7 +11,7 @@
 from lanelift.policy.events import (
     AttemptResult,
 )
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     CheckedBalancer,
     arrival,
--- a/tests/policy/test_full_size.py
+++ b/tests/policy/test_full_size.py
@@ -23,7 +23,7 @@
     TimerFired,
 )
 from lanelift.policy.settings import Limits, RequestClass, Settings
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     READ,
     SECOND,
@@ -34,7 +34,7 @@
     settings,
     upstreams,
 )
-from tests.policy.day import Day
+from tests.policy.simulation import Simulation
 
 PEERS = Limits(max_attempts=3, may_cancel=True, peer_messages=True, retry_after=True)
 QUOTE = RequestClass("quote", latency_objective_ns=200 * MS, deadline_ns=600 * MS)
@@ -46,7 +46,12 @@
 
 
 def traffic(
-    day: Day, since: float, until: float, per_s: float, weights: list[float] | None = None, seed: int = 3
+    day: Simulation,
+    since: float,
+    until: float,
+    per_s: float,
+    weights: list[float] | None = None,
+    seed: int = 3,
 ) -> None:
     """Arrivals of `since` to `until` (seconds), dealt among the balancers by weight; 30 ms of work each."""
     rng, now = random.Random(seed), since
@@ -57,10 +62,10 @@
             return
         work = max(1, int(rng.lognormvariate(3.3, 0.4) * MS))
         me = rng.choices(replicas, weights)[0]
-        day.arrive(int(now * SECOND), f"b{me}", work, "quote", 600 * MS, me)
+        day.schedule_request(int(now * SECOND), f"b{me}", work, "quote", 600 * MS, me)
 
 
-def served_share(day: Day) -> float:
+def served_share(day: Simulation) -> float:
     requested = sum(n for (_, what), n in day.answers.items() if what == "requested")
     return sum(n for (_, what), n in day.answers.items() if what == "served") / requested
 
@@ -143,9 +148,9 @@
     """Forty-two of sixty replicas are killed: the others reach nearly all upstreams, with no burst of
     peer messages.
     """
-    day = Day(config(60), 40, seed=4)
+    day = Simulation(config(60), 40, seed=4)
     traffic(day, 0, 8, 500)
-    day.play(3 * SECOND)
+    day.run_until(3 * SECOND)
     alive = random.Random(4).sample(range(60), 18)
     day.dead = set(range(60)) - set(alive)
     # The front deals what comes later among those that live.
@@ -153,7 +158,7 @@
         (t, n, what, (*about[:4], alive[n % len(alive)]) if what == "arrive" else about)
         for t, n, what, about in day.due
     ]
-    day.play(9 * SECOND)
+    day.run_until(9 * SECOND)
     late = [me for t, me, _ in day.sends if t > 3 * SECOND]
     assert set(late) == set(alive)
     requested = Counter(me for _, me, _ in day.sends)
@@ -168,15 +173,15 @@
     """Ten of forty upstreams say nothing for six seconds, as after a cut; the endpoint list says so
     late, or never.
     """
-    day = Day(config(40), 40, seed=6)
+    day = Simulation(config(40), 40, seed=6)
     traffic(day, 0, 16, 400)
-    day.play(4 * SECOND)
+    day.run_until(4 * SECOND)
     day.unresponsive = set(range(1, 11))
     if knows:
         for me in range(40):
             removed = [Endpoint(i, EndpointState.REMOVED) for i in day.unresponsive]
-            day.at(6 * SECOND, "update", (me, EndpointUpdate(EndpointUpdateKind.DELTA, removed)))
-    day.play(10 * SECOND)
+            day.schedule(6 * SECOND, "update", (me, EndpointUpdate(EndpointUpdateKind.DELTA, removed)))
+    day.run_until(10 * SECOND)
     to = [t for t, _, number in day.sends if number in day.unresponsive]
     if knows:
         assert not [t for t in to if t > 6 * SECOND]
@@ -188,9 +193,9 @@
     if knows:
         for me in range(40):
             back = [Endpoint(i, started_ns=day.now) for i in cut]
-            day.at(day.now, "update", (me, EndpointUpdate(EndpointUpdateKind.DELTA, back)))
+            day.schedule(day.now, "update", (me, EndpointUpdate(EndpointUpdateKind.DELTA, back)))
     returned = day.now
-    day.play(17 * SECOND)
+    day.run_until(17 * SECOND)
     for number in cut:
         sends = [t for t, _, b in day.sends if b == number and t >= returned]
         if knows:
@@ -207,9 +212,9 @@
     nearly all of it.
     """
     weights = [0.02, *[1.0] * 18, 5.0]
-    day = Day(config(20), 20, seed=8)
+    day = Simulation(config(20), 20, seed=8)
     traffic(day, 0, 20, 300, weights)
-    day.play(22 * SECOND)
+    day.run_until(22 * SECOND)
     for me in (0, 19):
         part = day.share(f"b{me}")
         assert part > 0.9, f"balancer {me}: {part:.2f} of {day.answers[f'b{me}', 'requested']}"
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lanelift.policy.settings import Limits
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     READ,
     CheckedBalancer,
--- a/tests/policy/test_legality.py
+++ b/tests/policy/test_legality.py
@@ -11,7 +11,7 @@
     EndpointUpdateKind,
 )
 from lanelift.policy.settings import RequestClass
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     BIG,
     MS,
     PAY,
--- a/tests/policy/test_many_replicas.py
+++ b/tests/policy/test_many_replicas.py
@@ -13,7 +13,7 @@
     PeerMessageReceived,
 )
 from lanelift.policy.settings import Limits
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     SECOND,
     CheckedBalancer,
--- a/tests/policy/test_ordering.py
+++ b/tests/policy/test_ordering.py
@@ -9,7 +9,7 @@
     ClientDisconnected,
 )
 from lanelift.policy.settings import Limits
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     ROW,
     SECOND,
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -14,8 +14,8 @@
 from lanelift.policy.peer_load import ATTEMPT_STARTED
 from lanelift.policy.service_time import HintRegression
 from lanelift.policy.settings import Limits, Prices, RequestClass
-from tests.policy.book import MS, SECOND, START, CheckedBalancer, arrival, settings, upstreams
-from tests.policy.day import Day
+from tests.policy.checked_balancer import MS, SECOND, START, CheckedBalancer, arrival, settings, upstreams
+from tests.policy.simulation import Simulation
 
 PEERS = Limits(max_attempts=3, may_cancel=True, peer_messages=True)
 REPLICAS, EMULATORS = 12, 18
@@ -30,19 +30,19 @@
     return [a for a in actions if isinstance(a, SendPeerMessage)]
 
 
-def busy_day(seed: int, peers: bool, lost: float = 0.0) -> Day:
+def busy_day(seed: int, peers: bool, lost: float = 0.0) -> Simulation:
     """Play many replicas, each with little traffic; their upstreams are six tenths busy."""
     config = settings(
         classes={"quote": RequestClass("quote", latency_objective_ns=100 * MS, deadline_ns=400 * MS)},
         limits=Limits(max_attempts=3, may_cancel=True, peer_messages=peers),
         replica_count=REPLICAS,
     )
-    day, rng, now = Day(config, EMULATORS, seed, lost=lost), random.Random(seed), 0.0
+    day, rng, now = Simulation(config, EMULATORS, seed, lost=lost), random.Random(seed), 0.0
     while now < 10:
         now += rng.expovariate(0.6 * EMULATORS / 0.040)
         work = max(1, int(rng.lognormvariate(3.5, 0.6) * MS))
-        day.arrive(int(now * SECOND), "ash", work, "quote", 100 * MS, rng.randrange(REPLICAS))
-    day.play(11 * SECOND)
+        day.schedule_request(int(now * SECOND), "ash", work, "quote", 100 * MS, rng.randrange(REPLICAS))
+    day.run_until(11 * SECOND)
     return day
 
 
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -11,7 +11,7 @@
     LoadProbeFinished,
 )
 from lanelift.policy.settings import Limits, Prices
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     CheckedBalancer,
     arrival,
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_days.py
@@ -18,7 +18,7 @@
     ResponseStarted,
 )
 from lanelift.policy.settings import Limits
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     ANY,
     BIG,
     CELL,
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lanelift.policy.settings import Limits
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     PAY,
     SECOND,
--- a/tests/policy/test_side_by_side.py
+++ b/tests/policy/test_side_by_side.py
@@ -6,8 +6,8 @@
 from collections import Counter
 
 from lanelift.policy.settings import Idempotency, Limits, RequestClass, Rules, Settings, Tenant
-from tests.policy.book import MS, SECOND, settings
-from tests.policy.day import Day
+from tests.policy.checked_balancer import MS, SECOND, settings
+from tests.policy.simulation import Simulation
 
 HERE = settings(
     classes={"quote": RequestClass("quote", latency_objective_ns=100 * MS, deadline_ns=400 * MS)},
@@ -30,12 +30,12 @@
 STEP, STEPS = SECOND // 20, 100
 
 
-def day(config: Settings, seed: int) -> Day:
-    made, rng, now = Day(config, 8, seed), random.Random(seed), 0.0
+def day(config: Settings, seed: int) -> Simulation:
+    made, rng, now = Simulation(config, 8, seed), random.Random(seed), 0.0
     while now < 4:
         now += rng.expovariate(150)
         who = rng.choice(("ash", "elm", "nobody"))
-        made.arrive(
+        made.schedule_request(
             int(now * SECOND),
             who,
             int(rng.lognormvariate(3.5, 0.6) * MS),
@@ -46,7 +46,7 @@
     return made
 
 
-def outcome(played: Day) -> tuple[list[tuple[int, int, int]], Counter[tuple[str, str]], int]:
+def outcome(played: Simulation) -> tuple[list[tuple[int, int, int]], Counter[tuple[str, str]], int]:
     return played.sends, played.answers, played.messages
 
 
@@ -58,12 +58,12 @@
     for config, seed in ((HERE, 3), (THERE, 4)):
         one = day(config, seed)
         for step in range(STEPS):
-            one.play(step * STEP)
+            one.run_until(step * STEP)
         alone.append(outcome(one))
     both = [day(HERE, 3), day(THERE, 4)]
     for step in range(STEPS):
         for one in both:
-            one.play(step * STEP)
+            one.run_until(step * STEP)
     assert [outcome(one) for one in both] == alone
     assert all(len(sends) > 200 for sends, _, _ in alone)
     assert alone[0] != alone[1]
--- a/tests/policy/test_subscription.py
+++ b/tests/policy/test_subscription.py
@@ -8,7 +8,7 @@
     EndpointUpdate,
     EndpointUpdateKind,
 )
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     SECOND,
     START,
--- a/tests/policy/test_subsets.py
+++ b/tests/policy/test_subsets.py
@@ -10,7 +10,7 @@
     EndpointUpdate,
     EndpointUpdateKind,
 )
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     START,
     settings,
     upstreams,
--- a/tests/policy/test_timers.py
+++ b/tests/policy/test_timers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.policy.book import (
+from tests.policy.checked_balancer import (
     MS,
     SECOND,
     CheckedBalancer,
--- a/tests/policy/test_token_bank.py
+++ b/tests/policy/test_token_bank.py
@@ -11,7 +11,7 @@
 from lanelift.policy.requests import PendingRequest
 from lanelift.policy.settings import Settings
 from lanelift.policy.token_bank import TokenBank, TokenVerdict
-from tests.policy.book import MS, READ, SECOND
+from tests.policy.checked_balancer import MS, READ, SECOND
 
 
 def token_bank(capacity: int, buffer: int, balance: int, rate: float = 1.0) -> TokenBank:
