--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -87,7 +87,7 @@
         async def ask(number: int) -> None:
             one = await Client.to(("127.0.0.1", port))
             for i in range(requests // CLIENTS):
-                await one.ask(f"r{number}-{i}", X_Cost_Hint=30_000)
+                await one.request(f"r{number}-{i}", X_Cost_Hint=30_000)
                 for sock in sockets[:3]:
                     sock.sendto(heard, to)
             one.close()
--- a/lanelift/net/client_connection.py
+++ b/lanelift/net/client_connection.py
@@ -241,7 +241,7 @@
         return RequestArrived(
             request_id,
             class_name,
-            dispatcher.tenant_name(decode_text(headers.get(b"x-tenant", b""))),
+            dispatcher.resolve_tenant(decode_text(headers.get(b"x-tenant", b""))),
             deadline_ns,
             read_cost_hint_ns(headers),
             read_ordering_key(query),
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -69,7 +69,7 @@
         pending_events: What waits for the next hand-over.
         pending_peer_messages: Messages of other replicas since the last hand-over.
         timer: The balancer's one timer.
-        tenant_name: Gives the tenant that an `X-Tenant` header names.
+        resolve_tenant: Gives the tenant that an `X-Tenant` header names.
         awaits_tenants: Nothing is served before a directory has named tenants.
         endpoint_list_timer: Until when nothing is served before discovery has sent its list; None: no wait.
     """
@@ -88,7 +88,7 @@
         self.pending_events: list[Event] = []
         self.pending_peer_messages: list[Event] = []
         self.timer: asyncio.TimerHandle | None = None
-        self.tenant_name: Callable[[str], str] = str
+        self.resolve_tenant: Callable[[str], str] = str
         self.awaits_tenants = False
         self.endpoint_list_timer: asyncio.TimerHandle | None = None
         self._random = random.Random(seed)
--- a/lanelift/tenants/sync_process.py
+++ b/lanelift/tenants/sync_process.py
@@ -85,7 +85,7 @@
         self.first_read_complete = False
         self.gc_frozen = False
         self.updates = 0
-        dispatcher.tenant_name = folded
+        dispatcher.resolve_tenant = folded
 
     def start(self) -> None:
         """Start the process, and the wait for the first reading where there is one."""
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -30,13 +30,13 @@
     asyncio.run(asyncio.wait_for(test, TEST_S))
 
 
-class Watched:
+class Observable:
     """Something whose changes can be waited for."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
 
-    def poke(self) -> None:
+    def notify(self) -> None:
         self._changed.set()
 
     async def until(self, holds: Callable[[], object]) -> None:
@@ -69,11 +69,11 @@
     return http.answer(status, body, [(name, value.strip()) for name, _, value in rows])
 
 
-class Scripted(Watched, http.Server):
+class Scripted(Observable, http.Server):
     """A server that does as it is told. `reply` gives what to write; None resets the connection."""
 
     def __init__(self, reply: Callable[[Message], Awaitable[bytes | None]]) -> None:
-        Watched.__init__(self)
+        Observable.__init__(self)
         http.Server.__init__(self)
         self.reply = reply
         self.seen: list[Message] = []
@@ -98,14 +98,14 @@
     def connected(self, connection: http.Connection) -> None:
         super().connected(connection)
         self.links.append(connection)
-        self.poke()
+        self.notify()
 
     def lost(self, connection: http.Connection) -> None:
         super().lost(connection)
         for task in [task for task, link in self.waiting.items() if link is connection]:
             task.cancel()
         self.ended += 1
-        self.poke()
+        self.notify()
 
     def requested(self, request: http.Request) -> None:
         link = request.connection
@@ -116,7 +116,7 @@
             self.links.index(link) + 1,
         )
         self.seen.append(message)
-        self.poke()
+        self.notify()
         task = asyncio.create_task(self._answer(message, link))
         self.waiting[task] = link
         task.add_done_callback(self.waiting.pop)
@@ -127,7 +127,7 @@
             link.abort()
         else:
             link.write(reply)
-        self.poke()
+        self.notify()
 
 
 async def never() -> bytes | None:
@@ -182,7 +182,7 @@
         self.changes = list(rows)
         names = {row["id"] for row in rows}
         self.rows = [r for r in self.rows if r["id"] not in names] + [r for r in rows if r["state"] != "Gone"]
-        self.poke()
+        self.notify()
 
     def whole(self) -> Json:
         return {"version": self.version, "full": True, "servers": self.rows}
@@ -231,7 +231,7 @@
         lines = "".join(f"{key}: {value}\r\n" for key, value in rows.items() if value is not None)
         self.writer.write(f"{method} {path or '/' + kind} HTTP/1.1\r\n{lines}\r\n".encode() + body)
 
-    async def ask(self, name: str, *args: Any, **more: Any) -> Message:
+    async def request(self, name: str, *args: Any, **more: Any) -> Message:
         self.send(name, *args, **more)
         return await self.answer()
 
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -24,7 +24,7 @@
 from lanelift.policy.events import AttemptFinished, AttemptResult, EndpointUpdate, Event
 from lanelift.policy.settings import Idempotency, Limits, RequestClass, Settings, Tenant
 from lanelift.settings import Json
-from tests.fakes import SECOND, Client, FakeDiscovery, FakeUpstream, Message, Watched, never
+from tests.fakes import SECOND, Client, FakeDiscovery, FakeUpstream, Message, Observable, never
 
 CLASSES = {
     "quote": RequestClass(
@@ -43,7 +43,7 @@
 )
 
 
-class EventRecorder(Watched):
+class EventRecorder(Observable):
     """The events that the module is handed."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
                 taken = list(events)
                 actions: list[Action] = super().handle(now, taken)
                 recorded.events += taken
-                recorded.poke()
+                recorded.notify()
                 return actions
 
         return Listening
@@ -124,10 +124,10 @@
         target = f"from={self.discovery.version}&"
         await self.discovery.until(lambda: any(target in m.start[1] for m in self.discovery.seen))
 
-    async def ask(self, name: str, *args: Any, **more: Any) -> Message:
+    async def request(self, name: str, *args: Any, **more: Any) -> Message:
         client = await self.client()
         try:
-            return await client.ask(name, *args, **more)
+            return await client.request(name, *args, **more)
         finally:
             client.close()
 
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -33,7 +33,7 @@
             body = bytes(range(256)) * 256  # 64 KiB
             load = "X-Load: inflight=7,util=0.5"
             w.upstreams[0].script = [answer(200, body[::-1], "Content-Type: text/x", load)]
-            got = await w.ask(
+            got = await w.request(
                 "r1",
                 "pay",
                 "POST",
@@ -89,7 +89,7 @@
     async def test() -> None:
         async with in_process_balancer() as w:
             w.upstreams[0].script = [reply]
-            got = await w.ask(
+            got = await w.request(
                 "r1",
                 kind,
                 "GET" if kind == "quote" else "POST",
@@ -116,7 +116,7 @@
     async def test() -> None:
         async with in_process_balancer() as w:
             w.upstreams[0].script = [never]
-            got = await w.ask("r1", X_Deadline_Ms=300)
+            got = await w.request("r1", X_Deadline_Ms=300)
             assert got.status == 503
             assert int(w.upstreams[0].seen[-1].headers["x-deadline-ms"]) < 300
             (outcome,) = recorded.of(AttemptFinished)
@@ -160,7 +160,7 @@
     async def test() -> None:
         limits = replace(SETTINGS.limits, max_attempts=5)
         async with in_process_balancer(settings=replace(SETTINGS, limits=limits)) as w:
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
             await recorded.until(lambda: len(recorded.of(AttemptFinished)) == 3)
             assert {o.attempt: o.result for o in recorded.of(AttemptFinished)} == {
                 0: R.OK,
@@ -189,7 +189,7 @@
             client.close()
             await recorded.until(lambda: recorded.of(ClientDisconnected))
             gate.open.set()
-            assert (await w.ask("r2")).status == 200
+            assert (await w.request("r2")).status == 200
             assert ids(w.upstreams[0]) == ["r2"]
             assert recorded.results() == [R.NOT_SENT, R.OK]  # of no upstream's making
 
@@ -220,7 +220,7 @@
         async with in_process_balancer(2, settings=PATIENT) as w:
             first, second = w.upstreams
             first.script = [b"\x00", spoilt]
-            assert (await w.ask("r1")).body == second.name.encode()  # a connection to it stands from now on
+            assert (await w.request("r1")).body == second.name.encode()  # its connection is open from now on
 
             def watched(connection: UpstreamConnection, exchange: Exchange) -> None:
                 if b"X-Request-Id: r2" in exchange.request or b"x-request-id: r2" in exchange.request:
@@ -230,7 +230,7 @@
                 start(connection, exchange)
 
             monkeypatch.setattr(UpstreamConnection, "start", watched)
-            assert (await w.ask("r2")).body == second.name.encode()
+            assert (await w.request("r2")).body == second.name.encode()
             assert ended == [False, True]  # at the first send, and at the second
 
     run(test())
--- a/tests/net/test_backlog_at_shutdown.py
+++ b/tests/net/test_backlog_at_shutdown.py
@@ -145,7 +145,7 @@
             silent = [await w.client() for _ in range(2)]
             if rest:
                 for number, client in enumerate(silent):
-                    assert (await client.ask(f"r{number}")).status == 200
+                    assert (await client.request(f"r{number}")).status == 200
             waiting = await w.client()
             waiting.send("w")
             terminate()
@@ -173,7 +173,7 @@
                     raise OSError(errno.EMFILE, "too many open files")
                 return accept(sock)
 
-            assert (await w.ask("r0")).status == 200
+            assert (await w.request("r0")).status == 200
             monkeypatch.setattr(socket.socket, "accept", scarce)
             client = await w.client()
             client.send("r1")
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -22,9 +22,9 @@
     async def test() -> None:
         async with in_process_balancer(cached_endpoints=None) as w:
             await w.watching()
-            assert (await w.ask("r", path="/ready")).status == 200
+            assert (await w.request("r", path="/ready")).status == 200
             await w.tell(w.upstreams[0].row("Terminating"))
-            assert (await w.ask("r", path="/ready")).status == 503
+            assert (await w.request("r", path="/ready")).status == 503
 
     run(test())
 
@@ -49,15 +49,15 @@
                 assert (await bad.raw(junk)).status == status, junk[:40]
                 await bad.ended()
             client = await w.client()
-            assert (await client.ask("r1", path="/nowhere")).status == 404
-            assert (await client.ask("r2", "unheard-of")).status == 404
-            assert (await client.ask("", X_Request_Id=None)).status == 400
-            assert (await client.ask("r3", X_Deadline_Ms="soon")).status == 400
-            assert (await client.ask("r4", X_Cost_Hint="-1")).status == 400
-            assert (await client.ask("r5", X_Tenant="stranger")).status == 200
-            assert (await client.ask("r6", X_Deadline_Ms=0)).status == 503
+            assert (await client.request("r1", path="/nowhere")).status == 404
+            assert (await client.request("r2", "unheard-of")).status == 404
+            assert (await client.request("", X_Request_Id=None)).status == 400
+            assert (await client.request("r3", X_Deadline_Ms="soon")).status == 400
+            assert (await client.request("r4", X_Cost_Hint="-1")).status == 400
+            assert (await client.request("r5", X_Tenant="stranger")).status == 200
+            assert (await client.request("r6", X_Deadline_Ms=0)).status == 503
             assert (await read_message(other.reader)).status == 200
-            assert (await other.ask("r7")).status == 200
+            assert (await other.request("r7")).status == 200
 
     run(test())
 
@@ -85,7 +85,7 @@
             client = await w.held("r1")
             client.writer.write(b"x" * 1_000_000)
             await client.ended()
-            assert (await w.ask("r2")).status == 200
+            assert (await w.request("r2")).status == 200
 
     run(test())
 
@@ -99,7 +99,7 @@
     async def test() -> None:
         async with in_process_balancer() as w:
             used = await w.client()
-            assert (await used.ask("r0")).status == 200
+            assert (await used.request("r0")).status == 200
             # No turn of the loop between a client's request and its leaving: the balancer finds both at once,
             # on a connection that is still in the backlog and on one that was used before.
             for client in (used, await w.client()):
@@ -107,7 +107,7 @@
                 client.close()
             with socket.create_connection(w.address) as early:
                 early.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: early\r\n\r\n")
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
             assert [e.request for e in recorded.of(RequestArrived)] == ["r0", "r1"]
             assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r0", "r1"]
 
@@ -124,7 +124,7 @@
         async with in_process_balancer() as w:
             late = 0.2
             used = await w.client()
-            assert (await used.ask("r0")).status == 200
+            assert (await used.request("r0")).status == 200
             used.send("r1")
             with socket.create_connection(w.address) as new:
                 new.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n")
@@ -177,7 +177,7 @@
             client = await w.client()
             assert (await client.raw(data)).status == status
             await client.ended()
-            assert (await w.ask("r3")).status == 200
+            assert (await w.request("r3")).status == 200
             assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r3"]
 
     run(test())
@@ -190,12 +190,12 @@
 
     async def test() -> None:
         async with in_process_balancer() as w:
-            assert (await w.ask("r0")).status == 200
+            assert (await w.request("r0")).status == 200
             client = await w.client()
             await recorded.until(lambda: recorded.results() == [R.OK])
             client.send("r1")
             client.reset()
-            assert (await w.ask("r2")).status == 200
+            assert (await w.request("r2")).status == 200
             assert [e.request for e in recorded.of(RequestArrived)] == ["r0", "r2"]
 
     run(test())
@@ -224,7 +224,7 @@
             await recorded.until(lambda: recorded.of(ClientDisconnected))
             go_on.set()
             await recorded.until(lambda: recorded.results() == [R.OK])
-            assert (await w.ask("last")).status == 200
+            assert (await w.request("last")).status == 200
             assert ids(w.upstreams[0]) == ["first", "last"]
 
     run(test())
--- a/tests/net/test_client_responses.py
+++ b/tests/net/test_client_responses.py
@@ -100,7 +100,7 @@
                     if writer.transport.is_closing():
                         break
             assert len(recorded.of(RequestArrived)) < 900
-            assert (await w.ask("last")).status == 200
+            assert (await w.request("last")).status == 200
 
     run(test())
 
--- a/tests/net/test_connection_phases.py
+++ b/tests/net/test_connection_phases.py
@@ -34,7 +34,7 @@
                 return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow"
 
             idle = await w.client()
-            assert (await idle.ask("r0")).status == 200
+            assert (await idle.request("r0")).status == 200
             upstream.script = [slow, slow]
             busy = [await w.client(), await w.client()]
             for number, client in enumerate(busy):
@@ -60,7 +60,7 @@
         async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as w:
             silent = [await w.client() for _ in range(20)]
             asking = await w.client()
-            assert (await asking.ask("r1")).status == 200
+            assert (await asking.request("r1")).status == 200
             for client in silent:
                 client.close()
 
@@ -80,11 +80,11 @@
     async def test() -> None:
         async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as w:
             idle = await w.client()
-            assert (await idle.ask("r0")).status == 200
+            assert (await idle.request("r0")).status == 200
             newcomers = [await w.client() for _ in range(9)]
             for client in newcomers:
                 await client.ended()
-            assert (await idle.ask("r1")).status == 200
+            assert (await idle.request("r1")).status == 200
 
     run(test())
 
@@ -131,7 +131,7 @@
         async with in_process_balancer() as w:
             client = await w.client()
             if used:
-                assert (await client.ask("r1")).status == 200
+                assert (await client.request("r1")).status == 200
             client.writer.write(part)
             if status is not None:
                 assert (await read_message(client.reader)).status == status
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -78,8 +78,8 @@
             monkeypatch.setattr(
                 ScriptedBalancer, "acts", staticmethod(lambda event: acts(event, upstream_number("s-0")))
             )
-            assert (await w.ask("r1", "pay", "POST", b"x")).status == 200
-            assert (await w.ask("r2", "pay", "POST", b"x")).status == 200
+            assert (await w.request("r1", "pay", "POST", b"x")).status == 200
+            assert (await w.request("r2", "pay", "POST", b"x")).status == 200
             assert [m.link for m in box.seen] == [1, 2] and recorded.results() == [R.OK, R.OK]
 
     script_balancer(monkeypatch, recorded, lambda event, to: [])
@@ -128,8 +128,8 @@
                 return await never() if slow and method == "GET" else answer(200, b"second")
 
             box.script = [answer(200, b"first"), behind_the_first_s, answer(200, b"second")]
-            assert (await w.ask("r1")).body == b"first"
-            assert (await w.ask("r2", kind, method, b"x" if method == "POST" else b"")).body == b"second"
+            assert (await w.request("r1")).body == b"first"
+            assert (await w.request("r2", kind, method, b"x" if method == "POST" else b"")).body == b"second"
             assert [m.link for m in box.seen] == links
 
     run(test())
@@ -143,11 +143,11 @@
         async with in_process_balancer() as w:
             upstream = w.upstreams[0]
             for name in ("r1", "r2"):
-                assert (await w.ask(name)).status == 200
+                assert (await w.request(name)).status == 200
             assert [m.link for m in upstream.seen] == [1, 1]
             upstream.close_links()
             await upstream.until(lambda: upstream.ended == 1)
-            assert (await w.ask("r3")).status == 200
+            assert (await w.request("r3")).status == 200
             assert upstream.seen[-1].link == 2
             assert recorded.results() == [AttemptResult.OK] * 3
 
@@ -162,7 +162,7 @@
     async def test() -> None:
         limits = replace(SETTINGS.limits, upstream_idle_timeout_ns=SECOND // 5)
         async with in_process_balancer(settings=replace(SETTINGS, limits=limits)) as w:
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
     run(test())
@@ -178,7 +178,7 @@
         async with in_process_balancer(2) as w:
             upstream, other = w.upstreams
             while not upstream.seen:  # the module picks at random
-                assert (await w.ask(f"r{len(other.seen)}")).status == 200
+                assert (await w.request(f"r{len(other.seen)}")).status == 200
             row = {
                 "drain": upstream.row("Terminating"),
                 "gone": upstream.row("Gone"),
@@ -188,7 +188,7 @@
             await upstream.until(lambda: upstream.ended == len(upstream.links))
             count = len(upstream.seen)
             for number in range(8):
-                assert (await w.ask(f"n{number}")).status == 200
+                assert (await w.request(f"n{number}")).status == 200
             assert change == "restart" or len(upstream.seen) == count
 
     run(test())
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -32,7 +32,7 @@
             w.discovery.down = True
             w.discovery.close_links()
             gone, stays = w.upstreams
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
             w.discovery.change(gone.row("Gone"))
             calls = len(w.discovery.seen)
             await w.discovery.until(lambda: len(w.discovery.seen) > calls + 1)  # it tries again, and again
@@ -40,7 +40,7 @@
             await w.watching()
             last = [e for e in recorded.of(EndpointUpdate) if e.kind is EndpointUpdateKind.SNAPSHOT][-1]
             assert [u.id for u in last.endpoints] == [upstream_number(stays.name)]
-            assert (await w.ask("r2")).body == stays.name.encode()
+            assert (await w.request("r2")).body == stays.name.encode()
 
     run(test())
 
@@ -61,7 +61,7 @@
             gone = w.discovery.rows.pop(0)
             w.discovery.version += 1  # and nobody is told: the watch that is held hears nothing of it
             await recorded.until(lambda: any(len(e.endpoints) == 1 for e in recorded.of(EndpointUpdate)))
-            assert (await w.ask("r1")).body != gone["id"].encode()
+            assert (await w.request("r1")).body != gone["id"].encode()
 
     run(test())
 
@@ -83,7 +83,7 @@
                 return {"503": answer(503), "garbage": answer(200, b"{")}.get(how)
 
             w.discovery.reply = reply
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
             assert [e.kind for e in recorded.of(EndpointUpdate)] == [EndpointUpdateKind.CACHED]
 
     run(test())
@@ -105,7 +105,7 @@
             )
             w.discovery.down = False
             await w.watching()
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
 
     run(test())
 
@@ -203,7 +203,7 @@
             gone, stays = w.upstreams
             w.discovery.change(gone.row("Gone"))
             await w.watching()  # it has come back, and begun with the whole list
-            assert (await w.ask("r1")).body == stays.name.encode()
+            assert (await w.request("r1")).body == stays.name.encode()
         assert "ZeroDivisionError" in caplog.text
 
     run(test())
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -157,7 +157,7 @@
 
     async def counted_otherwise() -> None:
         async with in_process_balancer(cached_endpoints=known) as w:
-            assert (await w.ask("r1")).body == w.upstreams[0].name.encode()
+            assert (await w.request("r1")).body == w.upstreams[0].name.encode()
 
     run(test())
     run(counted_otherwise())
--- a/tests/net/test_dispatch.py
+++ b/tests/net/test_dispatch.py
@@ -33,8 +33,8 @@
 
     async def test() -> None:
         async with in_process_balancer() as w:
-            assert (await w.ask("bad")).status == 502
-            assert (await w.ask("good")).status == 200
+            assert (await w.request("bad")).status == 502
+            assert (await w.request("good")).status == 200
         (record,) = [r for r in caplog.records if r.exc_info]
         assert "bad" in record.getMessage()
 
@@ -57,12 +57,12 @@
         async with in_process_balancer() as w:
             upstream = w.upstreams[0]
             for number in range(30):  # ever new ids at one address, each with its own connections
-                assert (await w.ask(f"r{number}", obj=number)).status == 200
+                assert (await w.request(f"r{number}", obj=number)).status == 200
                 before, upstream.name = upstream.row("Gone"), f"new-{number}"
                 await w.tell(before, upstream.row())
             (balancer,) = built
             await upstream.until(lambda: upstream.ended >= 30)
-            assert (await w.ask("last")).status == 200
+            assert (await w.request("last")).status == 200
             assert len(balancer.upstreams.pool.targets) == len(balancer.balancer.registry.upstreams) == 1
             pool = balancer.upstreams.pool
             assert pool.open_connections <= 2 and not pool.connect_tasks
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -64,7 +64,7 @@
             assert {u.id for u in recorded.of(EndpointUpdate)[2].endpoints} == {upstream_number("s-0")}
             lines = [r.getMessage() for r in caplog.records if "skipped" in r.getMessage()]
             assert lines == ["discovery: entries skipped: 1002; the first: 'nowhere' is not HOST:PORT"]
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
 
     run(test())
 
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -61,15 +61,15 @@
         upstreams.pool.handshakes.record(0.001)
         upstreams.pool.update_endpoints([ResolvedEndpoint(Endpoint(1), "127.0.0.1", box.port)], True)
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
-        ask = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-        upstreams.start_attempt(1, ask, None, lambda result, *_: results.put_nowait(result))
+        request = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+        upstreams.start_attempt(1, request, None, lambda result, *_: results.put_nowait(result))
         assert await results.get() is AttemptResult.CONNECT_FAILED
         assert upstreams.pool.open_connections == 1  # it still comes
         open_way.set()
         await asyncio.gather(*upstreams.pool.connect_tasks)
         assert upstreams.pool.handshakes.mean_s is not None and upstreams.pool.handshakes.mean_s > 0.001
         assert len(upstreams.pool.targets[1].idle) == 1 and not box.seen  # and nothing was sent on it
-        upstreams.start_attempt(1, ask, None, lambda result, *_: results.put_nowait(result))
+        upstreams.start_attempt(1, request, None, lambda result, *_: results.put_nowait(result))
         assert await results.get() is AttemptResult.OK
         assert upstreams.pool.open_connections == 1
         upstreams.close()
--- a/tests/net/test_request_head.py
+++ b/tests/net/test_request_head.py
@@ -21,7 +21,7 @@
     async def test() -> None:
         async with in_process_balancer() as w:
             first = await w.held("r1")
-            assert (await w.ask("r1")).status == 409
+            assert (await w.request("r1")).status == 409
             first.close()
 
     run(test())
@@ -63,10 +63,10 @@
     async def test() -> None:
         async with in_process_balancer() as w:
             client = await w.client()
-            assert (await client.ask("r1", "pay", "GET")).status == 405
-            assert (await client.ask("r1", "quote", "DELETE")).status == 405
-            assert (await client.ask("r1", "quote", "GET", b"body")).status == 400
-            assert (await client.ask("r" * 1000)).status == 400
-            assert (await client.ask("r1")).status == 200
+            assert (await client.request("r1", "pay", "GET")).status == 405
+            assert (await client.request("r1", "quote", "DELETE")).status == 405
+            assert (await client.request("r1", "quote", "GET", b"body")).status == 400
+            assert (await client.request("r" * 1000)).status == 400
+            assert (await client.request("r1")).status == 200
 
     run(test())
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -26,7 +26,7 @@
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, max_open_requests=1))
         async with in_process_balancer(settings=settings) as w:
             client = await w.held("r1")
-            got = await w.ask("r2")
+            got = await w.request("r2")
             assert got.status == 503 and 0 < float(got.headers["retry-after"]) <= 1
             client.close()
 
@@ -60,7 +60,7 @@
 
     async def test() -> None:
         async with in_process_balancer() as w:
-            assert (await w.ask("r1", X_Deadline_Ms=100)).status == 504
+            assert (await w.request("r1", X_Deadline_Ms=100)).status == 504
             await recorded.until(lambda: recorded.of(ClientDisconnected))
         assert "r1" in caplog.text
 
@@ -91,7 +91,7 @@
             client.send("r1")
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_message(client.reader)
-            assert (await w.ask("r2")).status == 200
+            assert (await w.request("r2")).status == 200
             assert recorded.results() == [R.OK, R.OK]
 
     run(test())
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -86,7 +86,7 @@
     async def test() -> None:
         async with in_process_balancer() as w:
             w.upstreams[0].script = [response_with_length(LONG), chunked_response(LONG)]
-            assert (await w.ask("r1")).status == 503  # said beforehand
+            assert (await w.request("r1")).status == 503  # said beforehand
             client = await w.client()
             client.send("r2")
             with suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -125,7 +125,7 @@
                 while await client.reader.read(65536):
                     pass  # the end shows that it is not whole
             assert recorded.results() == [R.TIMEOUT]
-            assert (await w.ask("r2")).status == 200
+            assert (await w.request("r2")).status == 200
 
     run(test())
 
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -124,7 +124,7 @@
             judge = Judge(w, ending)
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
             more = {"Idempotency_Key": "k"} if effect is KEYED else {}
-            got = await w.ask("r1", effect.value, method, body, **more)
+            got = await w.request("r1", effect.value, method, body, **more)
             again = never_ran or effect is not UNSAFE
             assert judge.came == ["r1"] * (2 if again else 1)
             assert not judge.two_out
@@ -144,7 +144,7 @@
         async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
             judge = Judge(w, lambda link: None)
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
-            got = await w.ask("r1", effect.value, method, body, X_Deadline_Ms=100)
+            got = await w.request("r1", effect.value, method, body, X_Deadline_Ms=100)
             assert judge.came == ["r1"]
             assert got.status == (504 if effect is UNSAFE else 503)
 
@@ -168,7 +168,7 @@
                 box.stop()  # its port refuses from now on
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
             for number in range(8):
-                got = await w.ask(f"r{number}", effect.value, method, body)
+                got = await w.request(f"r{number}", effect.value, method, body)
                 assert (got.status, got.body) == (200, b"s-2")
             assert len(w.upstreams[2].seen) == 8
 
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -69,7 +69,7 @@
     def watched(ending: GracefulShutdown) -> None:
         close_idle(ending)
         emptied.append(ending)
-        recorded.poke()
+        recorded.notify()
 
     def seen(front: Frontend, *args: Any, **more: Any) -> None:
         made(front, *args, **more)
@@ -91,8 +91,8 @@
             await client.ended()
             assert fronts[0].shutdown.rejoin()
             kept = await w.client()
-            assert (await kept.ask("r2")).status == 200
-            assert (await kept.ask("r3")).status == 200
+            assert (await kept.request("r2")).status == 200
+            assert (await kept.request("r3")).status == 200
 
     run(test())
 
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -54,7 +54,7 @@
             assert len(begun) == (len(body) > MAX_BUFFERED_BODY_BYTES)
             assert all(e.duration_ns <= outcome.duration_ns for e in begun)
             # The connections go on: the client's, and the upstream's unless it ended the answer.
-            assert (await client.ask("r2")).body == b"s-0"
+            assert (await client.request("r2")).body == b"s-0"
             assert len(w.upstreams[0].links) == (2 if framed is response_until_close else 1)
 
     run(test())
@@ -126,7 +126,7 @@
             await recorded.until(lambda: recorded.of(AttemptFinished))
             assert recorded.results() == [R.ERROR if ending == "noise" else R.RESET]
             assert recorded.of(AttemptFinished)[0].request_complete  # nothing is sent again
-            assert (await w.ask("r2")).body == b"s-0"
+            assert (await w.request("r2")).body == b"s-0"
 
     run(test())
 
@@ -189,7 +189,7 @@
             await recorded.until(lambda: recorded.of(AttemptFinished))
             assert recorded.results() == [R.CANCELLED]
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
-            assert (await w.ask("r2")).status == 200
+            assert (await w.request("r2")).status == 200
 
     run(test())
 
@@ -203,7 +203,7 @@
     async def test() -> None:
         async with in_process_balancer() as w:
             w.upstreams[0].script = [b"HTTP/1.1 %d X\r\nContent-Length: 9000000\r\n\r\n" % status + LONG]
-            assert (await w.ask("r1")).status == 503  # tried once, which is all that is allowed
+            assert (await w.request("r1")).status == 503  # tried once, which is all that is allowed
             assert recorded.results() == [R.ERROR]
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
 
--- a/tests/net/test_upload.py
+++ b/tests/net/test_upload.py
@@ -113,7 +113,7 @@
             client.writer.write(request_ + LONG[:70_000])
             got = await read_message(client.reader)
             assert (got.status, got.headers["connection"]) == (status, "close")
-            assert (await w.ask("r2")).status == 200
+            assert (await w.request("r2")).status == 200
 
     run(test())
 
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -45,7 +45,7 @@
             gate.open.set()
             await recorded.until(lambda: recorded.of(ClientDisconnected) and recorded.of(AttemptFinished))
             assert recorded.results() == [R.NOT_SENT]
-            assert (await w.ask("r2")).status == 200
+            assert (await w.request("r2")).status == 200
             assert ids(w.upstreams[0]) == ["r2"]
 
     run(test())
@@ -131,7 +131,7 @@
             assert recorded.results() == [R.CANCELLED]
             await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
             assert not w.upstreams[0].seen
-            assert (await w.ask("r2")).status == 200
+            assert (await w.request("r2")).status == 200
 
     run(test())
 
@@ -203,7 +203,7 @@
             number = 0
             while R.CONNECT_FAILED not in recorded.results():  # until it was drawn
                 number += 1
-                got = await w.ask(f"r{number}", "book", "POST", LONG, Idempotency_Key=f"k{number}")
+                got = await w.request(f"r{number}", "book", "POST", LONG, Idempotency_Key=f"k{number}")
                 assert (got.status, got.body) == (200, b"s-1")
             assert not any(
                 o.body_consumed for o in recorded.of(AttemptFinished) if o.result is R.CONNECT_FAILED
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -29,8 +29,8 @@
         async with in_process_balancer() as w:
             upstream = w.upstreams[0]
             upstream.script = [answer(200, b"first") + extra, answer(200, b"second")]
-            assert (await w.ask("r1")).body == b"first"
-            assert (await w.ask("r2")).body == b"second"
+            assert (await w.request("r1")).body == b"first"
+            assert (await w.request("r2")).body == b"second"
             assert [m.link for m in upstream.seen] == [1, 2]  # nothing more comes on the first connection
             assert recorded.results() == [R.OK, R.OK]
 
@@ -43,10 +43,10 @@
     async def test() -> None:
         async with in_process_balancer() as w:
             upstream = w.upstreams[0]
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
             upstream.links[0].write(answer(200, b"again"))
             await upstream.until(lambda: upstream.ended == 1)
-            assert (await w.ask("r2")).body == b"s-0"
+            assert (await w.request("r2")).body == b"s-0"
 
     run(test())
 
@@ -56,7 +56,7 @@
         async with in_process_balancer() as w:
             hints = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
             w.upstreams[0].script = [hints + answer(200, b"at last")]
-            assert (await w.ask("r1")).body == b"at last"
+            assert (await w.request("r1")).body == b"at last"
 
     run(test())
 
--- a/tests/net/test_upstreams.py
+++ b/tests/net/test_upstreams.py
@@ -21,7 +21,7 @@
         async with in_process_balancer() as w:
             w.upstreams[0].port = free_port()
             await w.tell(w.upstreams[0].row())
-            assert (await w.ask("r1", "pay", "POST")).status == 503  # never ran: it may be refused
+            assert (await w.request("r1", "pay", "POST")).status == 503  # never ran: it may be refused
             assert recorded.results() == [R.CONNECT_FAILED]
 
     run(test())
@@ -38,7 +38,7 @@
             async with in_process_balancer(settings=replace(SETTINGS, limits=limits)) as w:
                 w.upstreams[0].port = address[1]
                 await w.tell(w.upstreams[0].row())
-                assert (await w.ask("r1", "pay", "POST")).status == 503
+                assert (await w.request("r1", "pay", "POST")).status == 503
                 assert recorded.results() == [R.CONNECT_FAILED]
 
     run(test())
@@ -52,7 +52,7 @@
             load_report_fields=("inflight", "queue"),
         )
         async with in_process_balancer(settings=settings) as w:
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
             probes = [m for m in w.upstreams[0].seen if m.start[1] == "/status/load"]
             assert probes and "x-request-id" not in probes[0].headers
             results = recorded.of(LoadProbeFinished)
--- a/tests/operate/test_admin.py
+++ b/tests/operate/test_admin.py
@@ -59,7 +59,7 @@
                 assert (await client.raw(junk)).status == status
                 client.close()
             # The operators' calls are not the clients', nor theirs the operators'.
-            assert (await w.ask("r", path="/api/ready")).status == 404
+            assert (await w.request("r", path="/api/ready")).status == 404
             got = await call(address, "../quote")
             assert got.status == 404
 
@@ -106,12 +106,12 @@
         async with operated() as (w, address):
             assert set((await figures(address)).values()) == {0.0, 1.0}
             upstream = w.upstreams[0]
-            assert (await w.ask("r1")).status == 200
+            assert (await w.request("r1")).status == 200
             upstream.script = [answer(500)]
-            assert (await w.ask("r2")).status == 503  # one attempt is all that is allowed
+            assert (await w.request("r2")).status == 503  # one attempt is all that is allowed
             upstream.script = [answer(500)]
-            assert (await w.ask("r3", "pay", "POST", b"x")).status == 502
-            assert (await w.ask("r4", "unheard-of")).status == 404
+            assert (await w.request("r3", "pay", "POST", b"x")).status == 502
+            assert (await w.request("r4", "unheard-of")).status == 404
             got = await figures(address)
             assert got[operations("fulfilled")] == got[operations("throttled")] == 1
             assert got[operations("faulted", "pay")] == 1
@@ -131,7 +131,7 @@
     async def test() -> None:
         async with operated() as (w, address):
             w.upstreams[0].stop()
-            assert (await w.ask("r1")).status == 503
+            assert (await w.request("r1")).status == 503
             assert recorded.results() == [AttemptResult.CONNECT_FAILED]
             got = await figures(address)
             assert (got["relayed_total"], got[operations("throttled")]) == (0, 1)
@@ -160,25 +160,25 @@
     async def test() -> None:
         async with operated() as (w, address):
             idle, busy = await w.client(), await w.held("r0")
-            assert (await idle.ask("r1")).status == 200
+            assert (await idle.request("r1")).status == 200
             front = await w.client()
-            assert (await front.ask("f", path="/ready")).status == 200
+            assert (await front.request("f", path="/ready")).status == 200
             assert (await call(address, "evacuate", "POST")).status == 200
-            said = await front.ask("f", path="/ready")
+            said = await front.request("f", path="/ready")
             assert (said.status, said.headers["connection"]) == (503, "close")
             assert (await call(address, "ready")).status == 200  # it can serve, and is not wanted to
             late = await w.client()
-            got = await late.ask("r2")  # dealt out before the front knew
+            got = await late.request("r2")  # dealt out before the front knew
             assert (got.status, got.headers["connection"]) == (200, "close")
             await late.ended()
             await idle.ended()  # nothing was on it
             assert (await call(address, "evacuate", "POST")).status == 200  # asked again: nothing starts over
-            got = await w.ask("r3")
+            got = await w.request("r3")
             assert got.headers["connection"] == "close"
             assert (await call(address, "rejoin", "POST")).status == 200
             kept = await w.client()
-            assert (await kept.ask("f", path="/ready")).status == 200
-            assert "connection" not in (await kept.ask("r4")).headers
+            assert (await kept.request("f", path="/ready")).status == 200
+            assert "connection" not in (await kept.request("r4")).headers
             busy.close()
 
     run(test())
@@ -193,11 +193,11 @@
     async def test() -> None:
         async with operated() as (w, address):
             idle = await w.client()
-            assert (await idle.ask("r1")).status == 200
+            assert (await idle.request("r1")).status == 200
             await call(address, "evacuate", "POST")
             await call(address, "rejoin", "POST")
             await asyncio.sleep(0.1)  # past the time at which it would have been ended
-            assert (await idle.ask("r2")).status == 200
+            assert (await idle.request("r2")).status == 200
 
     assert ACCEPT_WHILE_DRAINING_S > 0.3  # the front asks every 0.1 s, and deals out 0.2 s more
     run(test())
@@ -214,7 +214,7 @@
     async def test() -> None:
         async with operated() as (w, address):
             idle = await w.client()
-            assert (await idle.ask("r1")).status == 200
+            assert (await idle.request("r1")).status == 200
             loop = asyncio.get_running_loop()
             later = loop.call_later
 
--- a/tests/operate/test_hot_restart.py
+++ b/tests/operate/test_hot_restart.py
@@ -11,10 +11,10 @@
 from lanelift.daemon_config import RESERVED_SOCKETS, connection_caps
 from lanelift.net import hot_restart
 from lanelift.net.hot_restart import HotRestart
-from tests.fakes import Watched, run
+from tests.fakes import Observable, run
 
 
-class Told(Watched):
+class Told(Observable):
     """What one process hears."""
 
     def __init__(self, folder: Path, number: int) -> None:
@@ -24,7 +24,7 @@
 
     def _heard(self, processes: int) -> None:
         self.heard.append(processes)
-        self.poke()
+        self.notify()
 
 
 def test_both_hear_of_each_other_and_of_the_end_of_either(tmp_path: Path) -> None:
--- a/tests/program/test_end.py
+++ b/tests/program/test_end.py
@@ -45,14 +45,14 @@
                 self.ended["turned back"] += self.newcomers
                 return
             used = 0
-            while await self.ask(client, kind, used):
+            while await self.request(client, kind, used):
                 used += 1
                 if rests:
                     await client.reader.read()
                     break
             client.close()
 
-    async def ask(self, client: Client, kind: str, used: int) -> bool:
+    async def request(self, client: Client, kind: str, used: int) -> bool:
         """Ask once; may the connection be used again?"""
         self.asked += 1
         client.send(
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -130,13 +130,13 @@
             # It has seen discovery: so it listens, or is about to.
             await discovery.until(lambda: any("from=" in m.start[1] for m in discovery.seen))
             open_one, kept = await connect(address), await connect(address)
-            assert (await kept.ask("r", path="/ready")).status == 200
+            assert (await kept.request("r", path="/ready")).status == 200
             open_one.send("r1")
             await upstream.until(lambda: len(upstream.seen) == 1)
             process.send_signal(signal.SIGTERM)
-            late = await (await connect(address)).ask("r2")  # new connections go on coming
+            late = await (await connect(address)).request("r2")  # new connections go on coming
             check_closing(late, b"s-0")
-            ready = await kept.ask("r", path="/ready")  # and old ones are used
+            ready = await kept.request("r", path="/ready")  # and old ones are used
             assert (ready.status, ready.headers["connection"]) == (503, "close")
             go_on.set()
             check_closing(await read_message(open_one.reader), b"slow")
@@ -176,21 +176,21 @@
             else:
                 target = "from=41&" if old == "holds a watch" else "/v1/endpoints"
                 await before.until(lambda: any(target in m.start[1] for m in before.seen))
-            assert (await (await connect(address)).ask("r1")).body == b"s-0"
+            assert (await (await connect(address)).request("r1")).body == b"s-0"
             # A file that can't be used changes nothing, and costs a line.
             path.write_text("{not json")
             process.send_signal(signal.SIGHUP)
             while b"not reloaded" not in (line := await process.stderr.readline()):
                 assert line
-            assert (await (await connect(address)).ask("r2")).body == b"s-0"
+            assert (await (await connect(address)).request("r2")).body == b"s-0"
             path.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{after.port}"}))
             process.send_signal(signal.SIGHUP)
             await asyncio.wait_for(after.until(lambda: any("from=1&" in m.start[1] for m in after.seen)), 4)
-            assert (await (await connect(address)).ask("r3")).body == b"s-1"
+            assert (await (await connect(address)).request("r3")).body == b"s-1"
             process.send_signal(signal.SIGTERM)
             late = await connect(address)
             process.send_signal(signal.SIGHUP)  # it neither ends the drain nor starts it over
-            check_closing(await late.ask("r4"), b"s-1")
+            check_closing(await late.request("r4"), b"s-1")
             assert await process.wait() == 0
         for server in (first, second, before, after):
             server.stop()
@@ -249,7 +249,7 @@
                 while not stop.is_set():
                     client = client or await Client.to(address)
                     asked += 1
-                    got = await client.ask(f"r{asked}")
+                    got = await client.request(f"r{asked}")
                     assert (got.status, got.body) == (200, b"s-0")
                     if got.headers.get("connection") == "close":
                         client.close()
@@ -280,7 +280,7 @@
                     assert await ready(operators) == 503
                     for _ in range(20):  # all of them are the old one's: the new one would refuse
                         fresh = await Client.to(address)
-                        assert (await fresh.ask("front", path="/ready")).status == 200
+                        assert (await fresh.request("front", path="/ready")).status == 200
                         fresh.close()
                     discovery.silent = False
                     discovery.close_links()
@@ -292,7 +292,7 @@
                     count = len(upstream.seen)
                     await upstream.until(lambda: len(upstream.seen) > count + 20)
                     fresh = await Client.to(address)
-                    assert (await fresh.ask("front", path="/ready")).status == 200
+                    assert (await fresh.request("front", path="/ready")).status == 200
                     fresh.close()
                     stop.set()
                     await asyncio.gather(*clients)
--- a/tests/program/test_serve.py
+++ b/tests/program/test_serve.py
@@ -78,7 +78,7 @@
         async with started(LANELIFT, "serve", "--config", path) as process:
             assert process.stderr is not None
             held = await connect(("127.0.0.1", port))
-            assert (await held.ask("r", path="/ready")).status == 200
+            assert (await held.request("r", path="/ready")).status == 200
             held.send("r0")
             await old.until(lambda: old.seen)
             if mistake:
@@ -93,7 +93,7 @@
                 assert "a change of settings needs a restart" in said
                 assert b"1 upstreams listed" in await process.stderr.readline()
             client = await Client.to(("127.0.0.1", port))
-            assert (await client.ask("r1")).body == (b"old" if mistake else b"new")
+            assert (await client.request("r1")).body == (b"old" if mistake else b"new")
             go_on.set()
             assert (await held.answer()).body == b"slow"
             process.send_signal(signal.SIGTERM)
@@ -120,7 +120,7 @@
             operator_file(path, port, more=f'[discovery]\naddress = "127.0.0.1:{free_port()}"')
             process.send_signal(signal.SIGHUP)
             assert b"a change of discovery needs a restart" in await process.stderr.readline()
-            assert (await client.ask("r1")).body == b"box"
+            assert (await client.request("r1")).body == b"box"
         box.stop()
 
     run(test())
--- a/tests/program/test_tenants.py
+++ b/tests/program/test_tenants.py
@@ -85,12 +85,12 @@
     async def said(self, words: str) -> None:
         await logged(self.process, words)
 
-    async def ask(self, tenant: str, kind: str = "quote") -> Message:
+    async def request(self, tenant: str, kind: str = "quote") -> Message:
         self.count += 1
-        return await self.client.ask(f"r{self.count}", kind, **{"X-Tenant": tenant})
+        return await self.client.request(f"r{self.count}", kind, **{"X-Tenant": tenant})
 
     async def told(self, tenant: str, kind: str = "quote") -> tuple[int, str]:
-        message = await self.ask(tenant, kind)
+        message = await self.request(tenant, kind)
         return message.status, message.body.decode().strip()
 
     async def until_not_served(self, tenant: str) -> tuple[int, str]:
@@ -149,7 +149,7 @@
                 assert (await s.told("oak", "history"))[0] == 200
                 assert await s.told("nobody") == (403, "unknown tenant")
                 assert (await s.told("yew"))[0] == 200
-                over = await s.ask("yew")
+                over = await s.request("yew")
                 assert over.status == 429 and 0 < float(over.headers["retry-after"]) <= 1
                 tree.change(dn("elm"), at(50), agentStanding="suspended")
                 assert await s.until_not_served("elm") == (403, "suspended")
@@ -194,10 +194,10 @@
 
     async def test() -> None:
         async with shop(tmp_path, top='start = "wait"\nwait_s = 1.0', begun="connect") as s:
-            assert (await s.client.ask("r", path="/ready")).status == 503
+            assert (await s.client.request("r", path="/ready")).status == 503
             assert (await s.told("ash"))[0] == 200  # whoever comes all the same
             await s.said("no directory was read within 1 s")
-            assert (await s.client.ask("r", path="/ready")).status == 200
+            assert (await s.client.request("r", path="/ready")).status == 200
 
     run(test())
 
--- a/tests/standins/test_quotebox.py
+++ b/tests/standins/test_quotebox.py
@@ -56,9 +56,9 @@
     async def test() -> None:
         async with quote_box() as box:
             link = await client(box)
-            got = await link.ask("r1")
+            got = await link.request("r1")
             assert got.status == 200 and got.body == body_of(SEED, "r1", "box-0")
-            assert (await link.ask("r2")).body == body_of(SEED, "r2", "box-0")  # the connection is kept
+            assert (await link.request("r2")).body == body_of(SEED, "r2", "box-0")  # the connection is kept
             assert [(a.id, a.how, a.ran) for a in box.rows] == [
                 ("r1", "served", True),
                 ("r2", "served", True),
@@ -82,8 +82,8 @@
     async def test() -> None:
         async with quote_box() as box:
             link = await client(box)
-            assert (await link.ask("x1")).status == 400
-            assert (await link.ask("", X_Request_Id=None)).status == 404
+            assert (await link.request("x1")).status == 400
+            assert (await link.request("", X_Request_Id=None)).status == 404
             assert len(box.complaints) == 1 and "'x1'" in box.complaints[0]
             odd = await client(box)
             odd.writer.write(b"what is this\r\n\r\n")
@@ -99,11 +99,11 @@
             held = [await client(box) for _ in range(2)]
             for i, link in enumerate(held):
                 link.send(f"r{i}")
-                assert (await (await client(box)).ask(f"p{i}", path="/health")).status == 200
-            late = await (await client(box)).ask("r9")
+                assert (await (await client(box)).request(f"p{i}", path="/health")).status == 200
+            late = await (await client(box)).request("r9")
             assert (late.status, late.headers["x-not-run"]) == (503, "1")
             await asyncio.sleep(Sockets().report_ns / 1e9)  # a report may be as old as this
-            load = await (await client(box)).ask("", path="/status/load", X_Request_Id=None)
+            load = await (await client(box)).request("", path="/status/load", X_Request_Id=None)
             assert (load.status, load.body) == (200, b"inflight=2,queue=1")
 
     run(test())
@@ -151,7 +151,7 @@
             await box.start(cold=True)
             assert box.port == port and box.box.warmth <= 1
             box.cost = lambda name: MS
-            assert (await (await client(box)).ask("r2")).body == body_of(SEED, "r2", "box-1")
+            assert (await (await client(box)).request("r2")).body == body_of(SEED, "r2", "box-1")
 
     run(test())
 
@@ -180,8 +180,8 @@
             link.send("r1")
             await until(lambda: box.box.held)
             box.drain()
-            assert (await other.ask("", path="/health", X_Request_Id=None)).status == 503
-            assert (await other.ask("r2")).headers["x-not-run"] == "1"
+            assert (await other.request("", path="/health", X_Request_Id=None)).status == 503
+            assert (await other.request("r2")).headers["x-not-run"] == "1"
             assert (await link.answer()).status == 200
             box.vanish()
             link.send("r3")
@@ -198,7 +198,7 @@
         async with quote_box(sockets=Sockets(connections=2, idle_ns=50 * MS)) as box:
             links = [await client(box) for _ in range(3)]
             assert await closes(links[2])
-            assert (await links[0].ask("r1")).status == 200
+            assert (await links[0].request("r1")).status == 200
             assert await closes(links[0]) and await closes(links[1])
             assert not box.connections
 
@@ -208,7 +208,7 @@
 def test_some_answers_are_errors() -> None:
     async def test() -> None:
         async with quote_box(sockets=Sockets(error_part=1.0)) as box:
-            assert (await (await client(box)).ask("r1")).status == 500
+            assert (await (await client(box)).request("r1")).status == 500
             assert [(a.how, a.ran) for a in box.rows] == [("error", True)]
 
     run(test())
@@ -246,7 +246,7 @@
 
 
 async def ask(link: Client, query: str = "", path: str = "/v1/endpoints") -> dict[str, Any]:
-    got = await link.ask("", path=path + query, X_Request_Id=None)
+    got = await link.request("", path=path + query, X_Request_Id=None)
     found: dict[str, Any] = json.loads(got.body) if got.status == 200 else {"status": got.status}
     return found
 
--- a/tests/tenants/worker_fixtures.py
+++ b/tests/tenants/worker_fixtures.py
@@ -21,12 +21,12 @@
     encoded,
 )
 from lanelift.tenants.sync_worker import SyncWorker
-from tests.fakes import Watched
+from tests.fakes import Observable
 
 Json = dict[str, Any]
 
 
-class Received(Watched):
+class Received(Observable):
     """What a worker has sent, put together as a balancer would."""
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
                 self.complete.append(count)
             case LogRecord(_, text):
                 self.log.append(text)
-        self.poke()
+        self.notify()
 
     def logged(self, words: str) -> bool:
         """Tell whether a line of the log has these words."""
