--- a/benchmarks/queue_on_sockets.py
+++ b/benchmarks/queue_on_sockets.py
@@ -15,14 +15,14 @@
 import click
 
 from lanelift.standins.box import Box, BoxSpec
-from lanelift.standins.draw import exponential, lognormal
-from lanelift.standins.quotebox import QuoteBox, Sockets
+from lanelift.standins.seeded_random import exponential, lognormal
+from lanelift.standins.upstream_emulator import SocketOptions, UpstreamEmulator
 
 MS = 1_000_000
 MEAN_MS = 20.0
 SPEC = BoxSpec(queue=100_000)
 # No connection is closed for being idle: each job must find its box.
-SOCKETS = Sockets(connections=100_000, handshake_ns=0, idle_ns=3_600_000_000_000)
+SOCKETS = SocketOptions(connections=100_000, handshake_ns=0, idle_ns=3_600_000_000_000)
 
 
 def jobs(box: int, count: int, load: float, cv: float) -> list[tuple[int, int]]:
@@ -68,7 +68,7 @@
     """Waits of one box's jobs over sockets, ms: from when each was due to its answer, less its work."""
     loop = asyncio.get_running_loop()
     works = {f"{number}.{i}": work for i, (_, work) in enumerate(rows)}
-    box = QuoteBox(SPEC, SOCKETS, 1, lambda n: f"box-{n}", works.get)
+    box = UpstreamEmulator(SPEC, SOCKETS, 1, lambda n: f"box-{n}", works.get)
     await box.start(cold=False)
     free: list[Link] = []
     waits: list[float] = []
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -23,7 +23,7 @@
 from lanelift.fleet.recovery import PersistentState
 from lanelift.leases.client import ClientState, LeaseClient
 from lanelift.leases.member import VotingMember
-from lanelift.standins.fenced import Fenced, Refused
+from lanelift.standins.fencing_token_store import FencingTokenStore, StaleTokenError
 
 WRITE_NS = (200_000, 8 * MS)  # a write of a voter's state takes so long
 TASK_LEASES = (0.3, 4.0)  # how long a task lasts, in leases
@@ -245,7 +245,7 @@
         self.found = Findings()
         self.held_tokens: dict[str, int] = {}
         self.highest_token = 0
-        self.store = Fenced()
+        self.store = FencingTokenStore()
         super().__init__(schedule, keep_trace)
 
     def start_node(self, name: str, slot: NodeSlot, now: int) -> Node:
@@ -285,7 +285,7 @@
             self.found.late_acts += 1
         try:
             self.store.write(token, name)
-        except Refused:
+        except StaleTokenError:
             self.found.fenced += 1
 
     def after(self) -> None:
--- a/lanelift/rehearsal/boxes.py
+++ b/lanelift/rehearsal/boxes.py
@@ -11,7 +11,7 @@
 from lanelift.rehearsal.records import Load, write_rows
 from lanelift.rehearsal.worker import Json, read_plan, rows_path
 from lanelift.standins.discovery import Agent, Entry, Told, start_agents
-from lanelift.standins.quotebox import QuoteBox, Sockets
+from lanelift.standins.upstream_emulator import SocketOptions, UpstreamEmulator
 
 SAMPLE_S = 0.25  # how often each box's load is written down
 
@@ -31,7 +31,7 @@
         self.plan = read_plan(job)
         works = self.plan.works()
         box, seed = self.plan.scenario.box, self.plan.scenario.seed
-        sockets = Sockets(
+        sockets = SocketOptions(
             box.connections,
             round(box.idle_s * 1e9),
             round(box.handshake_us * 1e3),
@@ -40,7 +40,7 @@
             box.error_part,
         )
         self.boxes = {
-            place.number: QuoteBox(
+            place.number: UpstreamEmulator(
                 place.spec, sockets, seed, place.life, lambda name: works.get(ask_of(name))
             )
             for place in self.plan.places
@@ -67,7 +67,7 @@
                     able = 0.0 if stands else box.box.capacity
                     self.samples.append(Load(now, number, box.box.held, able))
 
-    def _do(self, group: asyncio.TaskGroup, what: str, box: QuoteBox, figure: float) -> None:
+    def _do(self, group: asyncio.TaskGroup, what: str, box: UpstreamEmulator, figure: float) -> None:
         match what:
             case "die" | "stop":
                 box.die()
--- a/lanelift/rehearsal/client.py
+++ b/lanelift/rehearsal/client.py
@@ -19,8 +19,8 @@
 
 from lanelift.rehearsal.plan import NEVER, Ask, Plan
 from lanelift.rehearsal.records import GRACE_NS, Try
-from lanelift.standins.draw import unit
-from lanelift.standins.quotebox import check_body
+from lanelift.standins.seeded_random import unit
+from lanelift.standins.upstream_emulator import check_body
 
 CONNECT_S = 1.0  # a front gives a connection up after this
 MAX_ANSWER = 1 << 20  # bytes of one answer's body: a balancer that runs amok must not fill the kit
--- a/lanelift/rehearsal/conductor.py
+++ b/lanelift/rehearsal/conductor.py
@@ -23,11 +23,11 @@
 from pathlib import Path
 from typing import Any
 
-from lanelift.rehearsal.judge import Attempt, Day, Told
 from lanelift.rehearsal.plan import Plan, make_plan
 from lanelift.rehearsal.records import Life, Load, Ruling, Try, Used, read_rows
 from lanelift.rehearsal.scenario import Scenario
-from lanelift.standins.draw import between
+from lanelift.rehearsal.verdict import Attempt, Day, Told
+from lanelift.standins.seeded_random import between
 
 Json = dict[str, Any]
 LEAD_S = 0.5  # between the word to start and the start of the day: all have it by then
--- a/lanelift/rehearsal/directories.py
+++ b/lanelift/rehearsal/directories.py
@@ -10,8 +10,8 @@
 from lanelift.rehearsal.records import Ruling, write_rows
 from lanelift.rehearsal.serving import BASE
 from lanelift.rehearsal.worker import Json, read_plan, rows_path
-from lanelift.standins.directory import Directory, Trouble
-from lanelift.standins.ldap import Code, Manners, Tree
+from lanelift.standins.directory import Directory, NetworkFaults
+from lanelift.standins.ldap import Code, ServerFaults, Tree
 
 GARBAGE = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n"
 TRICKLE_S = 1.0  # between two bytes
@@ -79,23 +79,23 @@
                 case "refused":
                     server.stop()
                 case "silent":
-                    server.trouble = Trouble(silent=True)
+                    server.network_faults = NetworkFaults(silent=True)
                 case "slow":
-                    server.trouble = Trouble(delay_s=outage.delay_s)
+                    server.network_faults = NetworkFaults(delay_s=outage.delay_s)
                 case "garbage":
-                    server.trouble = Trouble(garbage=GARBAGE)
+                    server.network_faults = NetworkFaults(garbage=GARBAGE)
                 case "trickle":
-                    server.trouble = Trouble(trickle_s=TRICKLE_S)
+                    server.network_faults = NetworkFaults(trickle_s=TRICKLE_S)
                 case "cut":
-                    server.trouble = Trouble(cut_after=CUT_AFTER)
+                    server.network_faults = NetworkFaults(cut_after=CUT_AFTER)
                 case "busy":
-                    server.manners = Manners(Code.BUSY)
+                    server.server_faults = ServerFaults(Code.BUSY)
                 case "empty":
-                    server.manners = Manners(empty=True)
+                    server.server_faults = ServerFaults(empty=True)
 
     def _mend(self, group: asyncio.TaskGroup, outage: Outage) -> None:
         for server in self._hit(outage):
-            server.trouble, server.manners = Trouble(), Manners()
+            server.network_faults, server.server_faults = NetworkFaults(), ServerFaults()
             if server.server is None:
                 group.create_task(server.start())
 
--- a/lanelift/rehearsal/keeper.py
+++ b/lanelift/rehearsal/keeper.py
@@ -25,7 +25,7 @@
 from lanelift.rehearsal.records import Life, Used, write_rows
 from lanelift.rehearsal.serving import operator_file
 from lanelift.rehearsal.worker import Json, read_plan, rows_path, say
-from lanelift.standins.draw import stamp
+from lanelift.standins.seeded_random import stamp
 
 READY_S = 30.0  # clients come when all balancers are ready, or after this (DEPLOY, 'Limits')
 LOOK_S = 0.02  # between two looks at /ready: nothing tells of it by itself
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -16,7 +16,7 @@
 
 from lanelift.rehearsal import scenario as s
 from lanelift.standins.box import SECOND, BoxSpec
-from lanelift.standins.draw import between, lognormal, stamp, unit
+from lanelift.standins.seeded_random import between, lognormal, stamp, unit
 
 MS = 1_000_000
 NEVER = 1 << 62
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -12,7 +12,7 @@
 from statistics import mean, stdev
 from typing import Any
 
-from lanelift.rehearsal.judge import SECOND, Day, outcomes, verdict, windows
+from lanelift.rehearsal.verdict import SECOND, Day, outcomes, verdict, windows
 
 SCHEMA = 1  # of the JSON; it counts up when a key changes its meaning or goes
 SPAN_S = 0.5  # of a chart's windows
--- a/lanelift/rehearsal/judge.py
+++ b/lanelift/rehearsal/verdict.py
@@ -52,7 +52,7 @@
 
 
 class Attempt(NamedTuple):
-    """As `standins.quotebox.Attempt`: one request as it reached a box."""
+    """As `standins.upstream_emulator.Attempt`: one request as it reached a box."""
 
     id: str
     box: str
--- a/lanelift/standins/directory.py
+++ b/lanelift/standins/directory.py
@@ -10,13 +10,13 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lanelift.standins.ldap import Manners, Session, Tree
+from lanelift.standins.ldap import ServerFaults, Session, Tree
 
 MAX_CLIENTS = 256  # connections at once: further ones are closed, as a crowded server does
 
 
 @dataclass(slots=True)
-class Trouble:
+class NetworkFaults:
     """What goes wrong on the way; the defaults are nothing."""
 
     delay_s: float = 0.0  # before each answer
@@ -34,8 +34,8 @@
     users: Mapping[str, str] = field(default_factory=dict)
     tls: ssl.SSLContext | None = None
     ldaps: bool = False
-    trouble: Trouble = field(default_factory=Trouble)
-    manners: Manners = field(default_factory=Manners)
+    network_faults: NetworkFaults = field(default_factory=NetworkFaults)
+    server_faults: ServerFaults = field(default_factory=ServerFaults)
     server: asyncio.Server | None = None
     clients: set[Connection] = field(default_factory=set)
     port: int = 0
@@ -72,7 +72,7 @@
         self.session = Session(
             directory.tree,
             directory.users,
-            directory.manners,
+            directory.server_faults,
             directory.tls is not None and not directory.ldaps,
         )
         self.transport: asyncio.Transport | None = None
@@ -99,35 +99,35 @@
 
     def data_received(self, data: bytes) -> None:
         directory, session = self.directory, self.session
-        session.manners, session.tree = directory.manners, directory.tree
+        session.server_faults, session.tree = directory.server_faults, directory.tree
         searches, entries = session.searches, session.entries
         answers = session.receive(data)
         directory.searches += session.searches - searches
         directory.entries += session.entries - entries
-        trouble = directory.trouble
-        if trouble.silent:
+        network_faults = directory.network_faults
+        if network_faults.silent:
             return
-        if trouble.garbage and answers:
-            answers = [trouble.garbage]
-        if trouble.delay_s:
+        if network_faults.garbage and answers:
+            answers = [network_faults.garbage]
+        if network_faults.delay_s:
             loop = asyncio.get_running_loop()
-            loop.call_later(trouble.delay_s, self._answer, answers, session.searches > searches)
+            loop.call_later(network_faults.delay_s, self._answer, answers, session.searches > searches)
         else:
             self._answer(answers, session.searches > searches)
 
     def _answer(self, answers: list[bytes], found: bool) -> None:
-        transport, trouble = self.transport, self.directory.trouble
+        transport, network_faults = self.transport, self.directory.network_faults
         if transport is None or transport.is_closing():
             return
         data = b"".join(answers)
-        if found and trouble.cut_after >= 0:
-            data = data[: max(0, trouble.cut_after - self.answered)]
+        if found and network_faults.cut_after >= 0:
+            data = data[: max(0, network_faults.cut_after - self.answered)]
             self.answered += len(data)
-        if trouble.trickle_s:
+        if network_faults.trickle_s:
             self.task = asyncio.get_running_loop().create_task(self._trickle(data))
             return
         transport.write(data)
-        if found and 0 <= trouble.cut_after <= self.answered:
+        if found and 0 <= network_faults.cut_after <= self.answered:
             transport.close()
         elif self.session.wants_tls and self.task is None:
             self.task = asyncio.get_running_loop().create_task(self._secure())
@@ -151,4 +151,4 @@
             if self.transport is None or self.transport.is_closing():
                 return
             self.transport.write(bytes((byte,)))
-            await asyncio.sleep(self.directory.trouble.trickle_s)
+            await asyncio.sleep(self.directory.network_faults.trickle_s)
--- a/lanelift/standins/fenced.py
+++ b/lanelift/standins/fencing_token_store.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 
 
-class Refused(Exception):
+class StaleTokenError(Exception):
     """The token is smaller than one that was seen: its holder has lost the lease, and may not know."""
 
 
 @dataclass
-class Fenced:
+class FencingTokenStore:
     """`writes`: what was taken, with its token. The largest token must be kept as safely as the writes
     are."""
 
@@ -19,8 +19,8 @@
     writes: list[tuple[int, object]] = field(default_factory=list)
 
     def write(self, token: int, what: object) -> None:
-        """Raises Refused."""
+        """Raises StaleTokenError."""
         if token < self.seen:
-            raise Refused(f"token {token}; {self.seen} was seen")
+            raise StaleTokenError(f"token {token}; {self.seen} was seen")
         self.seen = token
         self.writes.append((token, what))
--- a/lanelift/standins/http.py
+++ b/lanelift/standins/http.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class _Coming:
+class _PartialRequest:
     first_ns: int
     target: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
@@ -63,7 +63,7 @@
         self.server = server
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.coming: _Coming | None = None
+        self.partial_request: _PartialRequest | None = None
         self.open: list[Request] = []  # those not answered yet
         self.count = 0
         self.used_ns = time.monotonic_ns()
@@ -77,8 +77,8 @@
         self.server.connected(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.coming is None:
-            self.coming = _Coming(time.monotonic_ns())
+        if self.partial_request is None:
+            self.partial_request = _PartialRequest(time.monotonic_ns())
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -113,34 +113,34 @@
     # ---- httptools --------------------------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        if self.coming is None or self.coming.target:
-            self.coming = _Coming(time.monotonic_ns())
+        if self.partial_request is None or self.partial_request.target:
+            self.partial_request = _PartialRequest(time.monotonic_ns())
 
     def on_url(self, target: bytes) -> None:
-        assert self.coming is not None
-        self.coming.target += target
+        assert self.partial_request is not None
+        self.partial_request.target += target
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        assert self.coming is not None
-        self.coming.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
+        assert self.partial_request is not None
+        self.partial_request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        assert self.coming is not None
-        self.coming.body += body
-        if len(self.coming.body) > MAX_BODY:
+        assert self.partial_request is not None
+        self.partial_request.body += body
+        if len(self.partial_request.body) > MAX_BODY:
             raise ValueError("the body is too long")
 
     def on_message_complete(self) -> None:
-        coming, self.coming = self.coming, None
-        assert coming is not None
+        partial_request, self.partial_request = self.partial_request, None
+        assert partial_request is not None
         now = self.used_ns = time.monotonic_ns()
         request = Request(
             self,
             self.parser.get_method().decode(),
-            coming.target.decode("latin-1"),
-            coming.headers,
-            bytes(coming.body),
-            coming.first_ns,
+            partial_request.target.decode("latin-1"),
+            partial_request.headers,
+            bytes(partial_request.body),
+            partial_request.first_ns,
             now,
             self.count,
         )
--- a/lanelift/standins/ldap.py
+++ b/lanelift/standins/ldap.py
@@ -231,7 +231,7 @@
 
 
 @dataclass(slots=True)
-class Manners:
+class ServerFaults:
     """What a directory does otherwise than it should; the defaults are a good one's. `after`: entries that
     are still given before the result `code`."""
 
@@ -255,7 +255,7 @@
 
     tree: Tree
     users: Mapping[str, str]  # name to password; none: everybody may read
-    manners: Manners = field(default_factory=Manners)
+    server_faults: ServerFaults = field(default_factory=ServerFaults)
     offers_tls: bool = False
     wants_tls: bool = False
     over: bool = False
@@ -338,22 +338,24 @@
         base, scope = _text(fields.of(ber.OCTETS)), fields.integer(ber.ENUMERATED)
         fields.integer(ber.ENUMERATED)  # aliases: there are none
         size_limit, _, types_only = fields.integer(), fields.integer(), fields.boolean()
-        test = read_filter(*fields.any(), self.manners.ordering)
+        test = read_filter(*fields.any(), self.server_faults.ordering)
         wanted = [_text(content) for _, content in ber.elements(fields.of(ber.SEQUENCE))]
 
         def done(code: Code, why: str = "", extra: bytes = b"") -> bytes:
             return _message(number, ber.element(SEARCH_DONE, _result(code, why, referral)), extra)
 
-        manners = self.manners
-        referral = manners.referral if manners.code is Code.REFERRAL else ""
-        if any(critical for oid, (critical, _) in controls.items() if oid != PAGED or not manners.pages):
+        server_faults = self.server_faults
+        referral = server_faults.referral if server_faults.code is Code.REFERRAL else ""
+        if any(
+            critical for oid, (critical, _) in controls.items() if oid != PAGED or not server_faults.pages
+        ):
             return [done(Code.CRITICAL_EXTENSION)]
         if self.users and self.user is None:
             return [done(Code.ACCESS, "bind first")]
-        if manners.code is not Code.SUCCESS and not manners.after:
-            return [done(manners.code, "as told")]
+        if server_faults.code is not Code.SUCCESS and not server_faults.after:
+            return [done(server_faults.code, "as told")]
         page, cookie = None, b""
-        if PAGED in controls and manners.pages:
+        if PAGED in controls and server_faults.pages:
             inner = Fields(ber.Fields(controls[PAGED][1]).of(ber.SEQUENCE))
             page, cookie = inner.integer(), inner.of(ber.OCTETS)
         if cookie:
@@ -367,8 +369,8 @@
                 reach = self.tree.under(rdns(base), scope)
             if reach is None:
                 return [done(Code.NO_SUCH_OBJECT)]
-            found = [] if manners.empty else [e for e in reach if test(e) is True]
-        limit = min(n for n in (size_limit, manners.most, len(found)) if n or n == len(found))
+            found = [] if server_faults.empty else [e for e in reach if test(e) is True]
+        limit = min(n for n in (size_limit, server_faults.most, len(found)) if n or n == len(found))
         code = Code.SIZE_LIMIT if limit < len(found) else Code.SUCCESS
         extra = b""
         if page is not None:
@@ -384,13 +386,13 @@
             extra = ber.sequence(ber.octets(PAGED), ber.octets(value))
             code = Code.SUCCESS if limit >= len(found) else code
         found = found[:limit]
-        if manners.after:
-            found, code = found[: manners.after], manners.code
+        if server_faults.after:
+            found, code = found[: server_faults.after], server_faults.code
         answers = [_message(number, self._entry(e, wanted, types_only)) for e in found]
         self.entries += len(found)
-        if manners.references and manners.referral:
+        if server_faults.references and server_faults.referral:
             answers.append(
-                _message(number, ber.sequence(ber.octets(manners.referral.encode()), tag=REFERENCE))
+                _message(number, ber.sequence(ber.octets(server_faults.referral.encode()), tag=REFERENCE))
             )
         answers.append(done(code, "", extra))
         return answers
@@ -403,7 +405,10 @@
                 "objectclass": ("objectClass", ["top"]),
                 "supportedldapversion": ("supportedLDAPVersion", ["3"]),
                 "namingcontexts": ("namingContexts", [self.tree.base]),
-                "supportedcontrol": ("supportedControl", [PAGED.decode()] if self.manners.pages else []),
+                "supportedcontrol": (
+                    "supportedControl",
+                    [PAGED.decode()] if self.server_faults.pages else [],
+                ),
                 "supportedextension": (
                     "supportedExtension",
                     [START_TLS.decode()] if self.offers_tls else [],
@@ -417,7 +422,7 @@
         rows = []
         for key, (name, values) in entry.attributes.items():
             asked = key in names or (operational if key in OPERATIONAL else every)
-            if asked and values and key not in self.manners.hidden and "1.1" not in names:
+            if asked and values and key not in self.server_faults.hidden and "1.1" not in names:
                 held = [] if types_only else [ber.octets(v.encode()) for v in values]
                 rows.append(ber.sequence(ber.octets(name.encode()), ber.sequence(*held, tag=ber.SET)))
         return ber.sequence(ber.octets(entry.dn.encode()), ber.sequence(*rows), tag=ENTRY)
--- a/lanelift/standins/quotebox.py
+++ b/lanelift/standins/upstream_emulator.py
@@ -14,8 +14,8 @@
 from typing import NamedTuple
 
 from lanelift.standins.box import Box, BoxSpec
-from lanelift.standins.draw import stamp, unit
 from lanelift.standins.http import Connection, Request, Server, Timer
+from lanelift.standins.seeded_random import stamp, unit
 
 NOT_RUN = (("X-Not-Run", "1"),)
 SWEEP_NS = 100_000_000  # idle connections are closed so much after their time at the latest
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sockets:
+class SocketOptions:
     """How its sockets behave, beside the model. Times in ns."""
 
     connections: int = 500
@@ -58,13 +58,13 @@
     return words[0] if len(words) == 3 and body == body_of(seed, try_id, words[0]) else None
 
 
-class QuoteBox(Server):
+class UpstreamEmulator(Server):
     """`cost(try_id)` is a request's work in ns; None: no client sent it. `life(n)` names the n-th life."""
 
     def __init__(
         self,
         spec: BoxSpec,
-        sockets: Sockets,
+        sockets: SocketOptions,
         seed: int,
         life: Callable[[int], str],
         cost: Callable[[str], int | None],
@@ -257,7 +257,7 @@
     def _sweep(self) -> None:
         """Close what has stood idle for its time."""
         now = time.monotonic_ns()
-        idle = [c for c in self.connections if not c.open and c.coming is None]
+        idle = [c for c in self.connections if not c.open and c.partial_request is None]
         for connection in idle:
             if connection.used_ns + self.sockets.idle_ns <= now:
                 connection.abort()
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -212,10 +212,11 @@
             client = await w.client()
             client.writer.write(chunked_request("last", LONG, "book")[:200_000])
             links = w.upstreams[1].links
-            while not any(link.coming is not None for link in links):  # nothing tells of part of a request
+            # Nothing tells of part of a request.
+            while not any(link.partial_request is not None for link in links):
                 await asyncio.sleep(0.001)
             before = len(recorded.results())
-            next(link for link in links if link.coming is not None).abort()
+            next(link for link in links if link.partial_request is not None).abort()
             got = await read_message(client.reader)
             assert (got.status, got.headers["connection"]) == (503, "close")
             assert (
--- a/tests/program/test_tenants.py
+++ b/tests/program/test_tenants.py
@@ -14,7 +14,7 @@
 import psutil
 import pytest
 
-from lanelift.standins.directory import Directory, Trouble
+from lanelift.standins.directory import Directory, NetworkFaults
 from tests.fakes import Client, FakeUpstream, Message, answer, free_port, run
 from tests.program.test_program import connect, started
 from tests.tenants.town import BASE, READER, SECRET, agent, at, certificates, dn, town
@@ -167,7 +167,7 @@
             if trouble == "refused":
                 directory.stop()
             else:
-                directory.trouble = Trouble(silent=trouble == "silent", garbage=b"\x00garbage")
+                directory.network_faults = NetworkFaults(silent=trouble == "silent", garbage=b"\x00garbage")
             for _ in range(50):
                 assert (await s.told("elm"))[0] == 200
             await s.said(f"directory {address(directory)}")
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_verdict.py
@@ -7,7 +7,12 @@
 
 import pytest
 
-from lanelift.rehearsal.judge import (
+from lanelift.rehearsal.page import make_page
+from lanelift.rehearsal.plan import MS, Plan, make_plan
+from lanelift.rehearsal.records import Life, Ruling, Try, Used
+from lanelift.rehearsal.report import compare, differences, make_report, summary
+from lanelift.rehearsal.scenario import Scenario
+from lanelift.rehearsal.verdict import (
     Attempt,
     Breach,
     Day,
@@ -19,11 +24,6 @@
     void_because,
     worth,
 )
-from lanelift.rehearsal.page import make_page
-from lanelift.rehearsal.plan import MS, Plan, make_plan
-from lanelift.rehearsal.records import Life, Ruling, Try, Used
-from lanelift.rehearsal.report import compare, differences, make_report, summary
-from lanelift.rehearsal.scenario import Scenario
 from lanelift.standins.box import SECOND
 
 START = 1000 * SECOND
--- a/tests/standins/test_box.py
+++ b/tests/standins/test_box.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from lanelift.standins.box import SECOND, WARM_STEPS, Box, BoxSpec
-from lanelift.standins.draw import exponential, lognormal, stamp, unit
+from lanelift.standins.seeded_random import exponential, lognormal, stamp, unit
 
 MS = 1_000_000
 ENDLESS = 1 << 62
--- a/tests/standins/test_ldap.py
+++ b/tests/standins/test_ldap.py
@@ -17,8 +17,8 @@
 from pyasn1.type import univ
 
 from lanelift.standins import ber, ldap
-from lanelift.standins.directory import Directory, Trouble
-from lanelift.standins.ldap import Code, Manners, Session, Tree
+from lanelift.standins.directory import Directory, NetworkFaults
+from lanelift.standins.ldap import Code, ServerFaults, Session, Tree
 from tests.fakes import run
 from tests.tenants.town import BASE, READER, SECRET, agent, at, certificates, dn, town
 
@@ -228,17 +228,17 @@
 @pytest.mark.parametrize(
     ("manners", "code", "count"),
     [
-        (Manners(Code.BUSY), Code.BUSY, 0),
-        (Manners(Code.TIME_LIMIT, after=2), Code.TIME_LIMIT, 2),
-        (Manners(Code.SIZE_LIMIT, after=1), Code.SIZE_LIMIT, 1),
-        (Manners(most=3), Code.SIZE_LIMIT, 3),
-        (Manners(empty=True), Code.SUCCESS, 0),
-        (Manners(Code.REFERRAL, referral="ldap://elsewhere.example/"), Code.REFERRAL, 0),
+        (ServerFaults(Code.BUSY), Code.BUSY, 0),
+        (ServerFaults(Code.TIME_LIMIT, after=2), Code.TIME_LIMIT, 2),
+        (ServerFaults(Code.SIZE_LIMIT, after=1), Code.SIZE_LIMIT, 1),
+        (ServerFaults(most=3), Code.SIZE_LIMIT, 3),
+        (ServerFaults(empty=True), Code.SUCCESS, 0),
+        (ServerFaults(Code.REFERRAL, referral="ldap://elsewhere.example/"), Code.REFERRAL, 0),
     ],
 )
-def test_bad_manners(manners: Manners, code: Code, count: int) -> None:
+def test_bad_manners(manners: ServerFaults, code: Code, count: int) -> None:
     async def test() -> None:
-        directory = Directory(town("ash", "birch", "cedar", "alder"), manners=manners)
+        directory = Directory(town("ash", "birch", "cedar", "alder"), server_faults=manners)
         await directory.start()
         rows, result = await ask(directory, "(cn=*)")
         assert result["result"] == code and len(rows) == count
@@ -251,7 +251,7 @@
 
 def test_hidden_attributes_are_withheld() -> None:
     async def test() -> None:
-        directory = Directory(town("ash"), manners=Manners(hidden=frozenset({"agentstanding"})))
+        directory = Directory(town("ash"), server_faults=ServerFaults(hidden=frozenset({"agentstanding"})))
         await directory.start()
         rows, _ = await ask(directory, "(cn=ash)")
         assert "agentStanding" not in rows[0]["attributes"] and "cn" in rows[0]["attributes"]
@@ -309,8 +309,8 @@
         await directory.start()
         whole = b"".join(Session(town("ash"), {}).receive(bind()))
 
-        async def say(trouble: Trouble, until_s: float = 0.5) -> bytes:
-            directory.trouble = trouble
+        async def say(trouble: NetworkFaults, until_s: float = 0.5) -> bytes:
+            directory.network_faults = trouble
             reader, writer = await asyncio.open_connection("127.0.0.1", directory.port)
             writer.write(bind())
             try:
@@ -323,11 +323,11 @@
             finally:
                 writer.close()
 
-        assert await say(Trouble()) == whole
-        assert await say(Trouble(silent=True), 0.05) == b""
-        assert await say(Trouble(garbage=b"\xff" * len(whole))) == b"\xff" * len(whole)
-        assert await say(Trouble(trickle_s=0.001), 5.0) == whole
-        assert await say(Trouble(delay_s=0.02), 5.0) == whole
+        assert await say(NetworkFaults()) == whole
+        assert await say(NetworkFaults(silent=True), 0.05) == b""
+        assert await say(NetworkFaults(garbage=b"\xff" * len(whole))) == b"\xff" * len(whole)
+        assert await say(NetworkFaults(trickle_s=0.001), 5.0) == whole
+        assert await say(NetworkFaults(delay_s=0.02), 5.0) == whole
         directory.stop()
 
     run(test())
--- a/tests/standins/test_quotebox.py
+++ b/tests/standins/test_upstream_emulator.py
@@ -14,7 +14,7 @@
 from lanelift.standins.box import BoxSpec
 from lanelift.standins.discovery import KEPT, QUEUE_NS, Agent, Entry, Turns, start_agents
 from lanelift.standins.http import Server
-from lanelift.standins.quotebox import QuoteBox, Sockets, body_of, check_body
+from lanelift.standins.upstream_emulator import SocketOptions, UpstreamEmulator, body_of, check_body
 from tests.fakes import Client, run
 
 MS = 1_000_000
@@ -24,11 +24,11 @@
 
 @asynccontextmanager
 async def quote_box(
-    work_ms: float = 0.1, sockets: Sockets | None = None, **spec: Any
-) -> AsyncIterator[QuoteBox]:
-    box = QuoteBox(
+    work_ms: float = 0.1, sockets: SocketOptions | None = None, **spec: Any
+) -> AsyncIterator[UpstreamEmulator]:
+    box = UpstreamEmulator(
         BoxSpec(**spec),
-        sockets or Sockets(),
+        sockets or SocketOptions(),
         SEED,
         lambda n: f"box-{n}",
         lambda name: None if name.startswith("x") else int(work_ms * MS),
@@ -64,7 +64,7 @@
                 ("r2", "served", True),
             ]
             # The first on a connection pays for the handshake.
-            assert box.rows[0].work_ns - box.rows[1].work_ns == Sockets().handshake_ns
+            assert box.rows[0].work_ns - box.rows[1].work_ns == SocketOptions().handshake_ns
 
     run(test())
     assert check_body(SEED, "r1", body_of(SEED, "r1", "box-0")) == "box-0"
@@ -102,7 +102,7 @@
                 assert (await (await client(box)).ask(f"p{i}", path="/health")).status == 200
             late = await (await client(box)).ask("r9")
             assert (late.status, late.headers["x-not-run"]) == (503, "1")
-            await asyncio.sleep(Sockets().report_ns / 1e9)  # a report may be as old as this
+            await asyncio.sleep(SocketOptions().report_ns / 1e9)  # a report may be as old as this
             load = await (await client(box)).ask("", path="/status/load", X_Request_Id=None)
             assert (load.status, load.body) == (200, b"inflight=2,queue=1")
 
@@ -195,7 +195,7 @@
 
 def test_connections_are_capped_and_closed_when_idle() -> None:
     async def test() -> None:
-        async with quote_box(sockets=Sockets(connections=2, idle_ns=50 * MS)) as box:
+        async with quote_box(sockets=SocketOptions(connections=2, idle_ns=50 * MS)) as box:
             links = [await client(box) for _ in range(3)]
             assert await closes(links[2])
             assert (await links[0].ask("r1")).status == 200
@@ -207,7 +207,7 @@
 
 def test_some_answers_are_errors() -> None:
     async def test() -> None:
-        async with quote_box(sockets=Sockets(error_part=1.0)) as box:
+        async with quote_box(sockets=SocketOptions(error_part=1.0)) as box:
             assert (await (await client(box)).ask("r1")).status == 500
             assert [(a.how, a.ran) for a in box.rows] == [("error", True)]
 
--- a/tests/tenants/test_client.py
+++ b/tests/tenants/test_client.py
@@ -11,8 +11,8 @@
 import ldap3
 import pytest
 
-from lanelift.standins.directory import Directory, Trouble
-from lanelift.standins.ldap import Code, Manners
+from lanelift.standins.directory import Directory, NetworkFaults
+from lanelift.standins.ldap import Code, ServerFaults
 from lanelift.tenants.client import DirectoryError, Session, read_password
 from lanelift.tenants.sync_config import changed_since
 from tests.fakes import free_port, run
@@ -38,7 +38,7 @@
     """A directory ignores the control for pages. All its entries are read as one page."""
 
     async def test() -> None:
-        directory = Directory(town("ash", "elm"), manners=Manners(pages=False))
+        directory = Directory(town("ash", "elm"), server_faults=ServerFaults(pages=False))
         await directory.start()
         found, why = await read(where(directory), search(1))
         assert why == "" and len(found) == 2
@@ -97,24 +97,28 @@
 @pytest.mark.parametrize(
     ("manners", "count", "words"),
     [
-        (Manners(Code.BUSY), 0, "busy"),
-        (Manners(Code.UNAVAILABLE), 0, "unavailable"),
-        (Manners(Code.TIME_LIMIT, after=2), 2, "its time limit was reached"),
-        (Manners(Code.SIZE_LIMIT, after=1), 1, "its size limit was reached"),
-        (Manners(most=2), 2, "its size limit was reached"),
-        (Manners(Code.REFERRAL, referral="ldap://b.example/"), 0, "ldap://b.example/, which is not followed"),
-        (Manners(referral="ldap://b.example/", references=True), 3, "for a part, which is not followed"),
-        (Manners(Code.NO_SUCH_OBJECT), 0, "noSuchObject"),
-        (Manners(Code.ACCESS), 0, "insufficientAccessRights"),
+        (ServerFaults(Code.BUSY), 0, "busy"),
+        (ServerFaults(Code.UNAVAILABLE), 0, "unavailable"),
+        (ServerFaults(Code.TIME_LIMIT, after=2), 2, "its time limit was reached"),
+        (ServerFaults(Code.SIZE_LIMIT, after=1), 1, "its size limit was reached"),
+        (ServerFaults(most=2), 2, "its size limit was reached"),
+        (
+            ServerFaults(Code.REFERRAL, referral="ldap://b.example/"),
+            0,
+            "ldap://b.example/, which is not followed",
+        ),
+        (ServerFaults(referral="ldap://b.example/", references=True), 3, "for a part, which is not followed"),
+        (ServerFaults(Code.NO_SUCH_OBJECT), 0, "noSuchObject"),
+        (ServerFaults(Code.ACCESS), 0, "insufficientAccessRights"),
     ],
 )
-def test_an_incomplete_read_says_why(manners: Manners, count: int, words: str) -> None:
+def test_an_incomplete_read_says_why(manners: ServerFaults, count: int, words: str) -> None:
     """A directory refuses, stops at a limit or refers to another one. What it returned counts, and the
     failure is named.
     """
 
     async def test() -> None:
-        directory = Directory(town("ash", "elm", "oak"), manners=manners)
+        directory = Directory(town("ash", "elm", "oak"), server_faults=manners)
         await directory.start()
         found, why = await read(where(directory))
         assert len(found) == count and words in why
@@ -147,12 +151,12 @@
         directory = Directory(town("ash"))
         await directory.start()
         bad = b"\x30\x84\xff\xff\xff\xff" + b"x" * 40
-        troubles = [Trouble(silent=True), Trouble(cut_after=0), Trouble(garbage=bad)]
-        for trouble in [*troubles, Trouble(garbage=b"HTTP/1.1 400 Bad Request\r\n\r\n")]:
-            directory.trouble = trouble
+        troubles = [NetworkFaults(silent=True), NetworkFaults(cut_after=0), NetworkFaults(garbage=bad)]
+        for trouble in [*troubles, NetworkFaults(garbage=b"HTTP/1.1 400 Bad Request\r\n\r\n")]:
+            directory.network_faults = trouble
             found, why = await read(where(directory, timeout_s=0.2))
             assert not found and why, trouble
-        directory.trouble = Trouble()
+        directory.network_faults = NetworkFaults()
         directory.stop()
         found, why = await read(where(directory))
         assert not found and "connect" in why
@@ -168,7 +172,7 @@
     async def test() -> None:
         directory = Directory(town("ash", "elm", "oak"))
         await directory.start()
-        directory.trouble = Trouble(cut_after=1_000_000)
+        directory.network_faults = NetworkFaults(cut_after=1_000_000)
         session = Session(where(directory))
         await asyncio.to_thread(session.open)
         await asyncio.to_thread(lambda: list(session.pages(search(2))))
@@ -176,13 +180,13 @@
         session.close()
         counts = []
         for cut in range(size):
-            directory.trouble = Trouble(cut_after=cut)
+            directory.network_faults = NetworkFaults(cut_after=cut)
             found, why = await read(where(directory), search(2))
             assert why
             counts.append(len(found))
         assert counts == sorted(counts) and set(counts) == {0, 2} and size > 400
         # Ended just behind its last byte it may pass for either: that is seen in time, or not.
-        directory.trouble = Trouble(cut_after=size + 1)
+        directory.network_faults = NetworkFaults(cut_after=size + 1)
         found, why = await read(where(directory), search(2))
         assert why == "" and len(found) == 3
         directory.stop()
@@ -196,7 +200,7 @@
     """
 
     async def test() -> None:
-        directory = Directory(town("ash"), trouble=Trouble(trickle_s=0.02))
+        directory = Directory(town("ash"), network_faults=NetworkFaults(trickle_s=0.02))
         await directory.start()
         session = Session(where(directory))
 
--- a/tests/tenants/test_sync_worker.py
+++ b/tests/tenants/test_sync_worker.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from lanelift.standins.directory import Trouble
-from lanelift.standins.ldap import Code, Manners
+from lanelift.standins.directory import NetworkFaults
+from lanelift.standins.ldap import Code, ServerFaults
 from lanelift.tenants.sync_worker import MAX_LOG_CHARACTERS
 from tests.fakes import run
 from tests.tenants.town import BASE, MAP, agent, at, dn, search, sync_config, town, where
@@ -39,12 +39,12 @@
     """
 
     async def test() -> None:
-        async with directory(town("ash", "elm"), trouble=Trouble(silent=True)) as d:
+        async with directory(town("ash", "elm"), network_faults=NetworkFaults(silent=True)) as d:
             first = sync_config(where(d, timeout_s=0.1))
             async with reading(first, seed=[["ash", True, 1.0], ["oak", False, 1.0]]) as (received, _):
                 await received.until(lambda: received.logged("timed out"))
                 assert not received.holds and not received.complete  # nothing new: what was known goes on
-                d.trouble = Trouble()
+                d.network_faults = NetworkFaults()
                 await received.until(lambda: received.complete == [2])
                 await received.until(lambda: received.logged("is read again"))
                 assert received.holds == {"ash": "", "elm": ""} and received.logged("1 tenants removed: oak")
@@ -82,13 +82,13 @@
                 await received.until(lambda: received.complete == [2])
                 if how == "stop":
                     first.stop()
-                first.trouble = {
-                    "silent": Trouble(silent=True),
-                    "garbage": Trouble(garbage=b"\x00" * 50),
-                    "cut": Trouble(cut_after=30),
-                }.get(how, Trouble())
+                first.network_faults = {
+                    "silent": NetworkFaults(silent=True),
+                    "garbage": NetworkFaults(garbage=b"\x00" * 50),
+                    "cut": NetworkFaults(cut_after=30),
+                }.get(how, NetworkFaults())
                 if how == "busy":
-                    first.manners = Manners(Code.BUSY)
+                    first.server_faults = ServerFaults(Code.BUSY)
                 second.tree.change(dn("elm"), at(50), agentStanding="suspended")
                 await received.until(lambda: received.holds["elm"] == "suspended")
                 assert received.holds["ash"] == ""
@@ -107,7 +107,7 @@
             both = sync_config(where(first), where(second), full_timeout_s=0.5)
             async with reading(both) as (received, _):
                 await received.until(lambda: received.complete == [2])
-                first.trouble = Trouble(trickle_s=0.05)
+                first.network_faults = NetworkFaults(trickle_s=0.05)
                 second.tree.change(dn("elm"), at(50), agentStanding="suspended")
                 await received.until(lambda: received.holds["elm"] == "suspended")
                 assert received.logged("it was not read in time")
@@ -122,14 +122,14 @@
 
     async def test() -> None:
         tree = town(*(f"agent-{i}" for i in range(8)))
-        async with directory(tree, trouble=Trouble(cut_after=1_000_000)) as d:
+        async with directory(tree, network_faults=NetworkFaults(cut_after=1_000_000)) as d:
             first = sync_config(
                 where(d, timeout_s=0.2), search=search(3), removal_part=1.0, full_interval_s=0.2
             )
             async with reading(first) as (received, _):
                 await received.until(lambda: received.complete == [8])
                 size = max(client.answered for client in d.clients)
-                d.trouble = Trouble(cut_after=size * 2 // 3)
+                d.network_faults = NetworkFaults(cut_after=size * 2 // 3)
                 for client in list(d.clients):
                     client.abort()
                 await received.until(lambda: received.logged("search:"))
@@ -193,7 +193,7 @@
     async def test() -> None:
         tree = town("ash")
         async with directory(tree) as d:
-            d.manners = Manners(ordering=False)
+            d.server_faults = ServerFaults(ordering=False)
             async with reading(sync_config(where(d), full_interval_s=0.1)) as (received, _):
                 await received.until(lambda: received.logged("does not find changes by their time"))
                 tree.change(dn("ash"), at(50), agentStanding="suspended")
@@ -239,10 +239,10 @@
             await received.until(lambda: received.complete == [30])
             for name in names:
                 tree.change(dn(name), at(3600), agentStanding="suspended")
-            d.trouble = Trouble(delay_s=0.1)
+            d.network_faults = NetworkFaults(delay_s=0.1)
             await received.until(lambda: "suspended" in received.holds.values())
             assert "" in received.holds.values()
-            d.trouble = Trouble()
+            d.network_faults = NetworkFaults()
             await received.until(lambda: set(received.holds.values()) == {"suspended"})
 
     run(test())
