--- a/lanelift/cli/config.py
+++ b/lanelift/cli/config.py
@@ -6,7 +6,7 @@
 
 import click
 
-from lanelift.cli.main import FILE, refuse
+from lanelift.cli.main import FILE, exit_with_bad_input
 from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 
@@ -26,7 +26,7 @@
     try:
         read = read_operator_file(file)
     except FileValidationError as error:
-        refuse(error)
+        exit_with_bad_input(error)
     source = (
         f"{len(read.upstreams)} upstreams listed"
         if read.discovery is None
--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -12,7 +12,7 @@
 
 import click
 
-from lanelift.cli.main import CONFIG, FELL_SHORT, refuse
+from lanelift.cli.main import CONFIG, EXIT_FAILURE, exit_with_bad_input
 from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 from lanelift.fleet.cluster import majority
@@ -89,7 +89,7 @@
             or not re.fullmatch(NAME, text)
             or (not text and what != "--hand-to")
         ):
-            refuse(
+            exit_with_bad_input(
                 f"{what}: found {text!r}; allowed: 1 to {MAX_NAME_CHARACTERS} printable ASCII characters,"
                 " no spaces"
             )
@@ -112,9 +112,9 @@
     try:
         source: FleetSource | None = read_operator_file(path).fleet_source()
     except (FileValidationError, SettingsError) as error:
-        refuse(error)
+        exit_with_bad_input(error)
     if source is None:
-        refuse(f"{path}: fleet: missing; leases need it (docs/operating/leases.md)")
+        exit_with_bad_input(f"{path}: fleet: missing; leases need it (docs/operating/leases.md)")
     return source
 
 
@@ -155,4 +155,4 @@
     voters = len(source.cluster.voters)
     if len(found) < majority(voters):
         click.echo(f"{len(found)} of {voters} voters answered: no majority", err=True)
-        sys.exit(FELL_SHORT)
+        sys.exit(EXIT_FAILURE)
--- a/lanelift/cli/main.py
+++ b/lanelift/cli/main.py
@@ -12,7 +12,7 @@
 
 import click
 
-FELL_SHORT, BAD_INPUT = 1, 2
+EXIT_FAILURE, EXIT_BAD_INPUT = 1, 2
 # Command: the module that holds it under its own name, and what the help says of it. A module is imported
 # only when its command runs or its own help is asked for: `lanelift serve` must not carry the kit along.
 COMMANDS = {
@@ -69,7 +69,7 @@
     """A load balancer for quote servers, and the kit to rehearse it with."""
 
 
-def refuse(message: object) -> NoReturn:
+def exit_with_bad_input(message: object) -> NoReturn:
     """Bad input: say so and leave with exit code 2."""
     click.echo(str(message), err=True)
-    sys.exit(BAD_INPUT)
+    sys.exit(EXIT_BAD_INPUT)
--- a/lanelift/cli/rehearse.py
+++ b/lanelift/cli/rehearse.py
@@ -12,7 +12,7 @@
 
 import click
 
-from lanelift.cli.main import FELL_SHORT, FILE, refuse
+from lanelift.cli.main import EXIT_FAILURE, FILE, exit_with_bad_input
 from lanelift.config.checked import FileValidationError
 from lanelift.rehearsal.conductor import Failed, Options
 from lanelift.rehearsal.conductor import rehearse as play
@@ -62,7 +62,7 @@
     try:
         return read_scenario(name, {key: value for key, value in changes.items() if value is not None})
     except FileValidationError as mistakes:
-        refuse(mistakes)
+        exit_with_bad_input(mistakes)
 
 
 def _address(context: click.Context, parameter: click.Parameter, value: str | None) -> tuple[str, int] | None:
@@ -128,12 +128,12 @@
         },
     )
     if base_port and base_port + read.fleet.boxes + read.fleet.balancers > 65_536:
-        refuse(
+        exit_with_bad_input(
             f"--base-port: found {base_port}; allowed: so low that each box and discovery has a port above it"
         )
     folder = out or Path("rehearsals") / f"{read.name}-{read.seed}-{time.strftime('%Y%m%dT%H%M%S')}"
     if folder.exists() and any(folder.iterdir()):
-        refuse(f"{folder}: found files there; allowed: an empty folder, or a new one")
+        exit_with_bad_input(f"{folder}: found files there; allowed: an empty folder, or a new one")
     options = Options(
         folder,
         target=target,
@@ -147,10 +147,10 @@
             day = play(read, options, show)
     except Failed as error:
         click.echo(f"the rehearsal could not be played: {error}", err=True)
-        sys.exit(FELL_SHORT)
+        sys.exit(EXIT_FAILURE)
     except KeyboardInterrupt:
         click.echo("interrupted: all processes of the rehearsal are ended", err=True)
-        sys.exit(FELL_SHORT)
+        sys.exit(EXIT_FAILURE)
     report = make_report(day)
     write_report(report, folder / "report.json")
     for line in summary(report):
@@ -160,7 +160,7 @@
 
         write_page(report, folder / "report.html")
     click.echo(f"Report: {folder / ('report.html' if html else 'report.json')}")
-    sys.exit(FELL_SHORT if report["verdict"]["void"] or not report["verdict"]["rules"]["kept"] else 0)
+    sys.exit(EXIT_FAILURE if report["verdict"]["void"] or not report["verdict"]["rules"]["kept"] else 0)
 
 
 @contextmanager
@@ -220,10 +220,10 @@
         left = [read_report(path) for path in (a, *more)]
         right = [read_report(path) for path in (b, *vs)]
     except Unreadable as error:
-        refuse(error)
+        exit_with_bad_input(error)
     for report, path in zip([*left, *right], [a, *more, b, *vs], strict=True):
         if report["verdict"]["void"]:
-            refuse(f"{path}: the run was void, and has no figures to compare")
+            exit_with_bad_input(f"{path}: the run was void, and has no figures to compare")
     for difference in differences(left[0]["scenario"], right[0]["scenario"]):
         click.echo(f"note: the days differ in {difference}")
     click.echo(f"{'':14}{'A':>10}{'B':>10}{'change':>10}{'noise':>10}")
--- a/lanelift/cli/serve.py
+++ b/lanelift/cli/serve.py
@@ -8,7 +8,7 @@
 import click
 
 from lanelift.__main__ import run
-from lanelift.cli.main import CONFIG, refuse
+from lanelift.cli.main import CONFIG, exit_with_bad_input
 from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 from lanelift.daemon_config import Config
@@ -31,5 +31,5 @@
     try:
         read()
     except (FileValidationError, SettingsError) as error:
-        refuse(error)
+        exit_with_bad_input(error)
     sys.exit(run(read))
--- a/lanelift/cli/tenants.py
+++ b/lanelift/cli/tenants.py
@@ -10,7 +10,7 @@
 
 import click
 
-from lanelift.cli.main import CONFIG, FELL_SHORT, FILE, refuse
+from lanelift.cli.main import CONFIG, EXIT_FAILURE, FILE, exit_with_bad_input
 from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 from lanelift.settings import SettingsError
@@ -46,7 +46,7 @@
             click.echo(_as_json(rows) if as_json else _table(rows))
             return
         click.echo(f"{directory}: {failure}", err=True)
-    sys.exit(FELL_SHORT)
+    sys.exit(EXIT_FAILURE)
 
 
 @tenants.command()
@@ -67,7 +67,7 @@
     for number in range(len(source.config.directories)):
         valid = _check_directory(source.config, number, before)
         all_valid = all_valid and valid
-    sys.exit(0 if all_valid else FELL_SHORT)
+    sys.exit(0 if all_valid else EXIT_FAILURE)
 
 
 def _check_directory(config: SyncConfig, number: int, before: dict[str, TenantState]) -> bool:
@@ -108,9 +108,9 @@
     try:
         source = read_operator_file(path).config().tenants
     except (FileValidationError, SettingsError) as error:
-        refuse(error)
+        exit_with_bad_input(error)
     if not isinstance(source, TenantSource):
-        refuse(f"{path}: tenants: missing; the file names no directory")
+        exit_with_bad_input(f"{path}: tenants: missing; the file names no directory")
     return source
 
 
@@ -138,7 +138,9 @@
         rows = json.loads(against.read_text(encoding="utf-8"))["tenants"]
         return {row["name"]: _from_json(row) for row in rows}
     except (OSError, ValueError, KeyError, TypeError) as error:
-        refuse(f"{against}: found no tenants ({error!r}); allowed: what `lanelift tenants show --json` wrote")
+        exit_with_bad_input(
+            f"{against}: found no tenants ({error!r}); allowed: what `lanelift tenants show --json` wrote"
+        )
 
 
 def _from_json(row: dict[str, Any]) -> TenantState:
--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -51,7 +51,7 @@
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
     @classmethod
-    def across(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
+    def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
         """Problems that lie between several keys of the file.
 
         It gets the raw tables, since it is called also where single keys are wrong: whatever is no value of
@@ -127,7 +127,7 @@
         read = model.model_validate(raw)
     except ValidationError as error:
         problems = [_problem(e, model) for e in error.errors(include_url=False)]
-    problems += model.across(raw)
+    problems += model.cross_field_problems(raw)
     if problems or read is None:
         raise FileValidationError(file, problems)
     return read
@@ -150,7 +150,7 @@
     return value if fits else math.nan
 
 
-def not_above(
+def order_problems(
     raw: dict[str, Any], key: str, low: str, high: str, model: type[Table]
 ) -> Iterable[ValidationProblem]:
     """Two figures of each table in an array, the first of which may not be above the second."""
@@ -160,7 +160,7 @@
             yield ValidationProblem(f"{path}.{low}", f"{found:g}", f"allowed: up to {high} ({most:g})")
 
 
-def named_twice(raw: dict[str, Any], key: str) -> Iterable[ValidationProblem]:
+def duplicate_name_problems(raw: dict[str, Any], key: str) -> Iterable[ValidationProblem]:
     """Names that stand more than once in an array of tables."""
     seen: dict[str, str] = {}
     for path, row in tables(raw, key):
--- a/lanelift/config/directories.py
+++ b/lanelift/config/directories.py
@@ -108,7 +108,7 @@
     confirm: Annotated[list[Annotated[str, AfterValidator(_mark)]], Field(max_length=32)] = []  # noqa: RUF012  pydantic copies defaults
 
     @classmethod
-    def across(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
+    def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
         """Problems between several keys of the table."""
         raw = raw if isinstance(raw, dict) else {}
         yield from cls._words_in_common(raw)
--- a/lanelift/config/fleet.py
+++ b/lanelift/config/fleet.py
@@ -9,7 +9,7 @@
 
 from pydantic import AfterValidator, Field
 
-from lanelift.config.checked import Table, ValidationProblem, named_twice, number, tables
+from lanelift.config.checked import Table, ValidationProblem, duplicate_name_problems, number, tables
 from lanelift.config.fields import Address
 from lanelift.net.addresses import split_address
 
@@ -63,7 +63,7 @@
     clock_ppm: Annotated[float, Field(ge=-500_000, le=500_000)] = 0.0
 
     @classmethod
-    def across(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
+    def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
         """Problems between several keys of the table."""
         raw = raw if isinstance(raw, dict) else {}
         rows = tables(raw, "member")
@@ -77,7 +77,7 @@
                         f'"{value}"',
                         f"fleet.{seen[value]} has it too; each must differ",
                     )
-        for problem in named_twice(raw, "task"):
+        for problem in duplicate_name_problems(raw, "task"):
             yield ValidationProblem(f"fleet.{problem.place}", problem.found, problem.allowed)
         me = next((row for _, row in rows if row.get("id") == raw.get("me")), None)
         if rows and isinstance(raw.get("me"), str) and me is None:
--- a/lanelift/config/operator.py
+++ b/lanelift/config/operator.py
@@ -19,9 +19,9 @@
 from lanelift.config.checked import (
     Table,
     ValidationProblem,
-    named_twice,
-    not_above,
+    duplicate_name_problems,
     number,
+    order_problems,
     read_file,
 )
 from lanelift.config.directories import Tenants
@@ -142,18 +142,18 @@
     fleet: Fleet | None = None
 
     @classmethod
-    def across(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
+    def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
         """Problems between several tables."""
-        yield from Tenants.across(raw.get("tenants", {}))
+        yield from Tenants.cross_field_problems(raw.get("tenants", {}))
         if "fleet" in raw:
-            yield from Fleet.across(raw["fleet"])
+            yield from Fleet.cross_field_problems(raw["fleet"])
         serve = raw.get("serve")
         if isinstance(serve, dict) and number(serve, "number", 0) >= number(serve, "balancers", 1):
             most = f"under balancers ({number(serve, 'balancers', 1):g}), counted from 0"
             yield ValidationProblem("serve.number", f"{number(serve, 'number', 0):g}", f"allowed: {most}")
         for key in ("class", "tenant", "upstream"):
-            yield from named_twice(raw, key)
-        yield from not_above(raw, "class", "aim_ms", "deadline_ms", RequestClass)
+            yield from duplicate_name_problems(raw, key)
+        yield from order_problems(raw, "class", "aim_ms", "deadline_ms", RequestClass)
         if ("upstream" in raw) == ("discovery" in raw):
             yield ValidationProblem(
                 "upstream", "", "servers come from [[upstream]] or [discovery]: set one of them"
--- a/lanelift/rehearsal/scenario.py
+++ b/lanelift/rehearsal/scenario.py
@@ -18,9 +18,9 @@
     FileValidationError,
     Table,
     ValidationProblem,
-    named_twice,
-    not_above,
+    duplicate_name_problems,
     number,
+    order_problems,
     read_file,
     read_text,
     tables,
@@ -307,12 +307,12 @@
     faults: Annotated[list[Fault], Field(alias="fault", max_length=1000)] = []
 
     @classmethod
-    def across(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
+    def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
         for key in ("class", "tenant"):
-            yield from named_twice(raw, key)
+            yield from duplicate_name_problems(raw, key)
         length_s = number(raw, "length_s", cls.model_fields["length_s"].default)
         names = [row.get("name") for _, row in tables(raw, "class")] or [c.name for c in CLASSES]
-        yield from not_above(raw, "class", "aim_ms", "deadline_ms", ClassTable)
+        yield from order_problems(raw, "class", "aim_ms", "deadline_ms", ClassTable)
         for path, row in tables(raw, "fault"):
             if number(row, "at_s", 0) >= length_s:
                 yield ValidationProblem(
--- a/tests/config/test_checked.py
+++ b/tests/config/test_checked.py
@@ -123,7 +123,7 @@
     """Checks across keys get raw input of any type, also where single keys are wrong. They must not fall
     over it.
     """
-    for mistake in OperatorFile.across(raw):
+    for mistake in OperatorFile.cross_field_problems(raw):
         assert mistake.place and mistake.allowed
 
 
