--- a/lanelift/policy/__init__.py
+++ b/lanelift/policy/__init__.py
@@ -1,11 +1,11 @@
-"""Every decision of lanelift, in modules that open no socket and read no clock.
+"""All decisions of lanelift, in modules that open no socket and read no clock.
 
-`balancer.py` takes the events of `events.py` and returns the actions of `actions.py`; both follow the values
-of `settings.py`. It routes each event to one of these rules; what the rules share is in `state.py`. Names in
-capitals are constants of the module, other names fields of the settings or of the state:
+`balancer.py` handles the events of `events.py` and returns the actions of `actions.py`, as configured by
+`settings.py`. It routes each event to one of the rules below; `state.py` holds the state that they share.
+Names in capitals are constants of the module; other names are fields of the settings or of the state.
 
 ==================== ====================== ================================== =============================
-Rule                 Module                 Inputs                             What makes it act
+Rule                 Module                 Inputs                             Condition or limit
 ==================== ====================== ================================== =============================
 Tenant denied        tenants.py             directory, class, tenant           unknown, suspended, 0 limit
 Bounds of tenants    tenants.py             tenants that send requests         MAX_TOKEN_BANKS,
@@ -29,7 +29,7 @@
 Choice of upstream   pool.py                queued work of random draws        DRAWS, DRAWS_WITH_PEER_LOAD
 Eligibility          eligibility.py         endpoint, ejection, in flight      ConcurrencyEstimator.window
 Queued work          queued_work.py         attempts, announcements, reports   MAX_QUEUED_WORK_NS
-Load probes: whether load_probe_settings.py limits, report fields, price       MAX_PROBES_PRICE
+Load probes: use     load_probe_settings.py limits, report fields, price       MAX_PROBES_PRICE
 Load probes: rounds  probing.py             load reports                       PROBE_TIMEOUT_SHARE,
                                                                                QUICK_REPORT_DIVISOR
 Start of an attempt  forwarding.py          request, chosen upstream           placement or hedging
@@ -48,15 +48,16 @@
                                                                                MAX_ANNOUNCEMENT_PRICE
 Endpoint list        registry.py            snapshots and deltas               each update
 Subscription         subscription.py        failures of calls                  FIRST_BACKOFF_NS
-Feedback             feedback.py            what was counted                   FEEDBACK_INTERVAL_NS
+Feedback             feedback.py            counts of the interval             FEEDBACK_INTERVAL_NS
 ==================== ====================== ================================== =============================
 
-The way of a request: `admission.py` asks `tenants.py`, lets it wait for earlier requests of its key
-(`ordering.py`), takes a token (`token_bank.py`) and queues it in its pool (`pool.py`), perhaps with load
-probes (`probing.py`). `placement.py` lets the pool pick an upstream and `legality.py` allow the attempt;
-`forwarding.py` starts it and `hedging.py` watches it. `outcomes.py` learns from its end; `retries.py` queues
-the request again, or `answers.py` gives the final answer, as for `deadlines.py` when it has waited too long.
+The path of a request: `admission.py` checks its tenant (`tenants.py`), makes it wait for earlier requests of
+its key (`ordering.py`), takes a token (`token_bank.py`) and adds it to the queue of its pool (`pool.py`),
+with load probes if they are used (`probing.py`). `placement.py` picks an upstream from the pool and checks
+with `legality.py` that the attempt is allowed; `forwarding.py` starts the attempt and `hedging.py` watches
+it. `outcomes.py` handles its end. Then `retries.py` queues the request again, or `answers.py` gives its final
+answer, as it does when `deadlines.py` finds that a request has waited too long.
 
-`requests.py`, `attempts.py` and `upstreams.py` hold what is known of each of these; calls that are due later
-are in `timers.py`; `units.py` names the units of time.
+`requests.py`, `attempts.py` and `upstreams.py` define the records that the rules keep of requests, attempts
+and upstreams; `timers.py` schedules calls; `units.py` names the units of time.
 """
--- a/lanelift/policy/actions.py
+++ b/lanelift/policy/actions.py
@@ -1,6 +1,6 @@
-"""What a `Balancer` wants done: one frozen value for each kind of action, to be carried out in order.
+"""Actions that a `Balancer` returns: one immutable type for each kind, to be carried out in order.
 
-All durations are whole nanoseconds. Nothing here decides.
+All durations are whole nanoseconds. This module only defines values; it makes no decisions.
 """
 
 from __future__ import annotations
@@ -9,12 +9,14 @@
 
 
 class StartAttempt(NamedTuple):
-    """Forward a request. A request's attempts are numbered from 0 in the order of these actions.
+    """Forward a request to an upstream.
+
+    A request's attempts are numbered from 0 in the order of these actions.
 
     Attributes:
         request: The request's identifier.
         upstream: The upstream's number.
-        timeout_ns: How long the attempt may take; 0: until the client gives up.
+        timeout_ns: How long the attempt may take; 0 means until the client gives up.
     """
 
     request: str
@@ -23,15 +25,15 @@
 
 
 class Reject(NamedTuple):
-    """Final answer: rejected, and a retry is harmless.
+    """Give a request its final answer: a rejection, after which a retry is harmless.
 
-    Either nothing ran, or what ran may run again without harm (`legality.may_reject`): this is also the
-    answer of an idempotent request whose attempts have all failed.
+    Either the request never ran, or it may run again without harm (`legality.may_reject`). An idempotent
+    request whose attempts have all failed also gets this answer.
 
     Attributes:
         request: The request's identifier.
-        retry_after_ns: When a retry is welcome; 0: not stated.
-        rate_limited: The tenant is over a rate limit that was set for it.
+        retry_after_ns: How long the client should wait before it retries; 0 means not stated.
+        rate_limited: Whether the reason is a rate limit that was set for the tenant.
     """
 
     request: str
@@ -40,11 +42,12 @@
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, with no promise about its effect.
+    """Give a request its final answer: a failure, which does not say whether the request took effect.
 
     Attributes:
         request: The request's identifier.
-        denial_reason: Why the tenant may not make this request; retrying is of no use. Empty: not denied.
+        denial_reason: Why the tenant may not make this request, so that a retry is of no use; empty if it was
+            not denied.
     """
 
     request: str
@@ -52,27 +55,27 @@
 
 
 class CancelAttempt(NamedTuple):
-    """End an attempt whose response is no longer wanted."""
+    """Cancel an attempt whose response is no longer needed."""
 
     request: str
     attempt: int
 
 
 class ProbeLoad(NamedTuple):
-    """Ask an upstream for its load."""
+    """Send a load probe to an upstream."""
 
     upstream: int
 
 
 class SendPeerMessage(NamedTuple):
-    """Send bytes to another replica; `peer` -1: to all."""
+    """Send bytes to another replica, or to all of them if `peer` is -1."""
 
     data: bytes
     peer: int = -1
 
 
 class Subscribe(NamedTuple):
-    """Open (or end) the watch of the endpoint list."""
+    """Subscribe to the endpoint list, or end the subscription."""
 
     enabled: bool = True
 
@@ -82,7 +85,10 @@
 
 
 class SetTimer(NamedTuple):
-    """One timer runs at a time: this one replaces the one before it, which need not fire."""
+    """Set the timer.
+
+    Only one timer runs at a time: this one replaces the previous one, which need not fire any more.
+    """
 
     delay_ns: int
     name: str
--- a/lanelift/policy/admission.py
+++ b/lanelift/policy/admission.py
@@ -1,21 +1,21 @@
-"""Admission: what is done with a new request, in this order.
-
-1. Its tenant may not make it (denied, or over a rate limit): answered at once, without a token
-   (`tenants.py`).
-2. It is hopeless: it takes more than `HOPELESS_FACTOR` times what its client waits: shed. Only where attempts
-   are announced between replicas (`peer_load.py`) and `MIN_HINT_SAMPLES` responses were seen, as estimates
-   are too rough before; not for streaming classes or a body that is still being received.
-3. It was received so long ago that its answer would miss the latency objective: shed; not where a late answer
-   earns something or the class streams.
-4. It is not the first of its ordering key: it waits for that (`ordering.py`).
-5. No upstream that it may go to is listed, or its tenant's token bank and buffer are used up: shed; a
-   client's retry takes spare tokens only, so that retries do not starve fresh requests (`token_bank.py`).
-6. Its pool is saturated and the queue longer than `QUEUE_TIME_SHARE` of its time allows: shed. Of a tenant
-   that is over its share, `OVER_SHARE_QUEUE_TIME_SHARE`.
-7. Else it joins the queue of its pool (`placement.py`).
-
-Inputs: the event, estimates of service time, the state of its tenant's bank and its pool. Reason: a request
-that can't be served in time costs least when it is rejected at once.
+"""Admission: how a new request is handled, in this order.
+
+1. If its tenant is denied or over a rate limit, it is answered immediately, without a token (`tenants.py`).
+2. If it is hopeless, as it takes more than `HOPELESS_FACTOR` times as long as its client waits, it is shed.
+   This applies only if attempts are announced between replicas (`peer_load.py`) and `MIN_HINT_SAMPLES`
+   responses were seen, as estimates are too rough before; it does not apply to streaming classes, or while
+   the body is being received.
+3. If it was received so long ago that its answer would miss the latency objective, it is shed, unless a late
+   answer earns something or the class streams.
+4. If it is not the first of its ordering key, it waits until it is (`ordering.py`).
+5. If no upstream that it may use is listed, or its tenant's token bank and buffer are exhausted, it is shed.
+   A client's retry takes only spare tokens, so that retries do not starve fresh requests (`token_bank.py`).
+6. If its pool is saturated and the queue takes more than `QUEUE_TIME_SHARE` of its spare time
+   (`OVER_SHARE_QUEUE_TIME_SHARE` if its tenant is over its share), it is shed.
+7. Otherwise it joins the queue of its pool (`placement.py`).
+
+Inputs: the event, service time estimates, and the state of its tenant's bank and its pool. Reason: a request
+that can't be served in time costs least if it is rejected immediately.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 from lanelift.policy.requests import PendingRequest, WaitingPlace
 from lanelift.policy.settings import Idempotency, RequestClass
 from lanelift.policy.state import PolicyState
-from lanelift.policy.token_bank import TokenBank, TokenVerdict
+from lanelift.policy.token_bank import TokenBank, TokenResult
 from lanelift.policy.units import SECOND_NS
 
-# Of the time that its client waits: a request that takes longer alone is shed at once.
+# A request that takes longer than this multiple of the time that its client waits is shed immediately.
 HOPELESS_FACTOR = 1.3
-MIN_HINT_SAMPLES = 8  # before estimates by hint are good enough to shed for
-QUEUE_TIME_SHARE = 0.5  # of a request's time to spare: that long it may queue
+MIN_HINT_SAMPLES = 8  # samples needed before requests are shed by their estimates
+QUEUE_TIME_SHARE = 0.5  # share of a request's spare time that it may spend in the queue
 OVER_SHARE_QUEUE_TIME_SHARE = 0.1  # the same, for a tenant that is over its share
 
 
@@ -60,7 +60,7 @@
         self.probing = probing
 
     def request_arrived(self, event: RequestArrived, now: int) -> None:
-        """Decide what is done with a new request."""
+        """Admit or shed a new request, or answer it because of its tenant."""
         state = self.state
         answer = state.tenants.immediate_answer(event, now)
         if answer is not None:
@@ -84,7 +84,10 @@
             self.ordering.wait(request)
 
     def _new_request(self, event: RequestArrived, now: int) -> PendingRequest:
-        """Return the request that an event is about; one of an unknown class must never run twice."""
+        """Return the pending request for an event.
+
+        A request of an unknown class is treated as non-idempotent.
+        """
         state = self.state
         token_bank = state.tenants.bank(event.tenant, now)
         request_class = state.settings.classes.get(event.class_name) or RequestClass(
@@ -99,16 +102,16 @@
             state.registry.pool(request_class),
             event.deadline_ns,
             min(objective_at_ns, event.deadline_ns),
-            # A wild hint must not keep the request's timers for years.
+            # A far too large hint must not keep the request's timers for years.
             min(event.cost_hint_ns, request_class.deadline_ns),
             event.retry,
             body_pending=event.body_pending,
         )
 
     def _is_hopeless(self, request: PendingRequest, expected_ns: float, now: int) -> bool:
-        """Return whether a request takes longer than its client waits.
+        """Return whether a request is expected to take longer than its client waits.
 
-        All that its upstream did would be in vain, and hold up others.
+        Its upstream would work on it in vain, and other requests would be delayed.
         """
         state = self.state
         return (
@@ -122,8 +125,9 @@
     def _is_too_old(request: PendingRequest, expected_ns: float, age_ns: int) -> bool:
         """Return whether a request was received so long ago that its answer would come too late.
 
-        It waited unseen, this replica being late itself. If all such requests were served in order, work on
-        them would make the ones behind them late as well. This hurts where `expected_ns` is far too high.
+        It has waited unseen, because this replica itself is late. If all such requests were served in order,
+        the work on them would make the ones behind them late as well. Too many requests are shed if
+        `expected_ns` is far too high.
         """
         request_class = request.request_class
         return expected_ns < request_class.latency_objective_ns < age_ns + expected_ns and not (
@@ -131,30 +135,33 @@
         )
 
     def take_token(self, request: PendingRequest, now: int) -> None:
-        """Take a token of its tenant for a request; without one, buffer or shed it."""
+        """Take a token for a request from its tenant's bank; without one, buffer or shed the request."""
         request.place = WaitingPlace.NOWHERE
-        verdict = self._token_verdict(request, now)
-        if verdict is TokenVerdict.OVERFLOW:
+        result = self._request_token(request, now)
+        if result is TokenResult.OVERFLOW:
             self.answers.reject_or_fail(request, now)
-        elif verdict is TokenVerdict.BUFFERED:
+        elif result is TokenResult.BUFFERED:
             request.place = WaitingPlace.TOKEN_BUFFER
             self.release_buffered(request.token_bank, now)
         else:
             self._join_queue(request, now)
 
     @staticmethod
-    def _token_verdict(request: PendingRequest, now: int) -> TokenVerdict:
+    def _request_token(request: PendingRequest, now: int) -> TokenResult:
         if not request.pool.subset.order:
             return (
-                TokenVerdict.OVERFLOW
-            )  # no upstream that it may go to is listed: no token is needed to say so
+                TokenResult.OVERFLOW
+            )  # no upstream that it may use is listed, and a rejection needs no token
         if request.client_retry:
             spare = request.token_bank.take_spare_token(now)
-            return TokenVerdict.ADMITTED if spare else TokenVerdict.OVERFLOW
+            return TokenResult.ADMITTED if spare else TokenResult.OVERFLOW
         return request.token_bank.offer(request, now)
 
     def release_buffered(self, bank: TokenBank, now: int) -> None:
-        """Let buffered requests whose tokens have come go on, and check again when the next one comes."""
+        """Queue the buffered requests for which tokens have become available.
+
+        The bank is checked again when its next token becomes available.
+        """
         for request in bank.release_buffered(now):
             self._join_queue(request, now)
         if bank.buffered and now >= bank.wake_at_ns:
@@ -162,7 +169,7 @@
             self.state.timers.call_at(bank.wake_at_ns, self.release_buffered, bank)
 
     def _join_queue(self, request: PendingRequest, now: int) -> None:
-        """Add a request to its pool's queue, or shed it if that is too long already."""
+        """Add a request to its pool's queue, or shed it if the queue is too long already."""
         request.place = WaitingPlace.NOWHERE
         pool = request.pool
         if pool.saturated and self._queue_is_too_long(request, now):
@@ -174,10 +181,10 @@
         self.probing.begin(request, now)
 
     def _queue_is_too_long(self, request: PendingRequest, now: int) -> bool:
-        """Return whether the queue takes more of a request's time to spare than it may.
+        """Return whether the queue takes more of a request's spare time than it may.
 
-        A class with much time must not make the queue too long for those with little: time to spare counts up
-        to the shortest objective.
+        Spare time counts up to the shortest objective, so that a class with much time does not make the queue
+        too long for those with little.
         """
         state = self.state
         share = OVER_SHARE_QUEUE_TIME_SHARE if request.token_bank.over_share else QUEUE_TIME_SHARE
@@ -185,7 +192,10 @@
         return len(request.pool.queue) * SECOND_NS > state.rate.goodput_per_s * spare_ns * share
 
     def tenants_changed(self, event: TenantUpdate, now: int) -> None:
-        """Take in a directory's update; what it denies fails at once, if it has nothing in flight."""
+        """Apply an update from a directory.
+
+        Requests that it denies fail immediately if they have no attempt in flight.
+        """
         state = self.state
         names = state.tenants.update(event, now)
         for request in list(state.requests.values()):
--- a/lanelift/policy/answers.py
+++ b/lanelift/policy/answers.py
@@ -1,9 +1,8 @@
-"""Final answers: what the client of a request that is not served gets, and what is left of it then.
+"""Final answers to requests that are not served, and the cleanup of finished requests.
 
-Inputs: the request, what `legality.may_reject` says of it, the limits on Retry-After. It is rejected (503)
-where a retry is harmless, also after failed attempts; else it fails (502, or 504 if its last attempt timed
-out). Retry-After is drawn at random: clients must not return
-in step.
+Inputs: the request, whether it may be rejected (`legality.may_reject`), and the limits on Retry-After. The
+request is rejected (503) if a retry is harmless, even after failed attempts; otherwise it fails (502, or 504
+if its last attempt timed out). Retry-After is drawn at random, so that clients do not return in step.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.units import SECOND_NS
 
-MAX_RETRY_AFTER_NS = SECOND_NS  # or less, by the limits
-MIN_RETRY_AFTER_SHARE = 0.25  # of the longest one
+MAX_RETRY_AFTER_NS = SECOND_NS  # the limits may set a lower one
+MIN_RETRY_AFTER_SHARE = 0.25  # shortest Retry-After, as a share of the longest
 
 
 class FinalAnswers:
-    """Gives final answers, and forgets requests that have one and no attempt in flight."""
+    """Gives final answers, and forgets finished requests that have no attempt in flight."""
 
     __slots__ = ("ordering", "state")
 
@@ -31,7 +30,7 @@
         self.ordering = ordering
 
     def reject_or_fail(self, request: PendingRequest, now: int) -> None:
-        """Give the final answer of a request that is not served: denied, rejected if legal, else failed."""
+        """Answer a request that is not served: its denial, a rejection if that is legal, or a failure."""
         state = self.state
         if request.denial_reason:
             state.actions.append(Fail(request.id, request.denial_reason))
@@ -62,7 +61,7 @@
             self.finish(request, now)
 
     def cancel_attempts(self, request: PendingRequest, except_for: Attempt | None = None) -> None:
-        """Cancel the attempts in flight of a request, all or all but one, where that is allowed."""
+        """Cancel a request's attempts in flight, all or all but one, if cancelling is allowed."""
         if self.state.settings.limits.may_cancel:
             self.state.actions += [
                 CancelAttempt(request.id, number)
@@ -71,7 +70,7 @@
             ]
 
     def forget_if_over(self, request: PendingRequest, now: int) -> None:
-        """Forget a request that has its final answer and no attempt in flight; its key goes on."""
+        """Forget a finished request with no attempt in flight, and advance the queue of its key."""
         if request.finished and not request.attempts_in_flight and request.id in self.state.requests:
             del self.state.requests[request.id]
             if request.key_queue:
--- a/lanelift/policy/attempts.py
+++ b/lanelift/policy/attempts.py
@@ -1,4 +1,7 @@
-"""One attempt of a request, with what was known of its upstream as it started."""
+"""The policy's record of one attempt, with the estimates for its upstream when it started.
+
+`lanelift/net/attempts.py` carries attempts out.
+"""
 
 from __future__ import annotations
 
@@ -10,19 +13,21 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt.
+    """One attempt of a request.
 
     Attributes:
-        upstream: Where it went.
-        sent_ns: When; for a request whose body was pending, when that was complete.
-        expected_ns: How long it should take.
-        assumed_queue_length: Requests that the upstream was thought to hold, this one included.
-        queued_work_ns: Work that the upstream had before this one, as far as known.
-        work_ns: The work of this one.
-        opens_connection: More attempts were there than ever before: it had to open a connection.
-        result: How it ended; None: it is in flight.
-        response_started: Its response is being passed on: its upstream has done its work.
-        overdue: It is in flight for longer than its upstream should take.
+        upstream: The upstream that it was sent to.
+        sent_ns: When it was sent; for a request whose body was pending, when the body was complete.
+        expected_ns: How long it is expected to take.
+        assumed_queue_length: The number of requests that the upstream was assumed to hold, including this
+            one.
+        queued_work_ns: The estimated work that the upstream had queued before this attempt.
+        work_ns: The estimated work of this attempt.
+        opens_connection: Whether there were more attempts at the upstream than ever before, so that it had to
+            open a connection.
+        result: How it ended; None while it is in flight.
+        response_started: Whether its response is being passed on, so that its upstream has done its work.
+        overdue: Whether it has been in flight for longer than its upstream should take.
     """
 
     upstream: Upstream
@@ -38,5 +43,5 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether its upstream may have executed the request, or may still."""
+        """Whether its upstream may have executed the request, or may still do so."""
         return self.result not in NOT_EXECUTED
--- a/lanelift/policy/balancer.py
+++ b/lanelift/policy/balancer.py
@@ -43,8 +43,8 @@
     """One replica's decisions. Feed it events with `handle`; carry out the actions it returns, in order.
 
     Attributes:
-        settings: What it follows.
-        state: What its rules share.
+        settings: The settings of the balancer.
+        state: The state that its rules share.
     """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
@@ -54,7 +54,7 @@
         self.ordering = KeyOrdering(state, self._first_of_its_key)
         self.answers = FinalAnswers(state, self.ordering)
         self.probing = LoadProbing(state)
-        self.ejection = OutlierEjection(state.rng, state.timers, state.registry.main)
+        self.ejection = OutlierEjection(state.rng, state.timers, state.registry.unrestricted_pool)
         self.forwarding = Forwarding(state)
         self.hedging = Hedging(state, self.forwarding, self.ejection)
         self.deadlines = Deadlines(state, self.answers, self.hedging)
@@ -76,11 +76,11 @@
             PeerMessageReceived: state.registry.peer_load.receive,
             EndpointUpdate: self.subscription.endpoints_changed,
             TenantUpdate: self.admission.tenants_changed,
-            TimerFired: self.timers.fired,
+            TimerFired: self.timers.timer_fired,
         }
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-        """Handle events that happened by now, in order, and whatever is due; return what is to be done.
+        """Handle events in order, make the calls that are due and serve the queues; return the actions.
 
         Args:
             now: The clock time in nanoseconds; it never goes back.
@@ -102,7 +102,7 @@
         return actions
 
     def _first_of_its_key(self, request: PendingRequest, now: int) -> None:
-        """Route a request that is now the first of its ordering key."""
+        """Admit a request that is now the first of its ordering key."""
         self.admission.take_token(request, now)
 
     @property
@@ -117,14 +117,14 @@
 
     @property
     def rng(self) -> random.Random:
-        """The one source of chance."""
+        """The only source of randomness."""
         return self.state.rng
 
     @property
     def known_tenants(self) -> Mapping[str, Tenant] | None:
         """All tenants by name, once a directory has named some; None before that."""
-        return self.state.tenants.known
+        return self.state.tenants.known_tenants
 
     def endpoints_out_of_rotation(self, now: int) -> int:
-        """Return how many listed upstreams get no requests now: they drain, or are ejected for a while."""
+        """Return how many listed upstreams get no requests now, as they drain or are ejected."""
         return self.state.registry.out_of_rotation(now)
--- a/lanelift/policy/concurrency.py
+++ b/lanelift/policy/concurrency.py
@@ -1,11 +1,11 @@
-"""How many attempts this replica may have in flight: a window that congestion narrows.
-
-Inputs: the latency ratio of each response (its duration as a share of its class's latency objective),
-whether requests are queued, how many upstreams the pool draws from. Upstreams are congested when the
-smoothed ratio is above a threshold that lies between `MIN_CONGESTION_THRESHOLD` and
-`MAX_CONGESTION_THRESHOLD`, at `CONGESTION_MULTIPLE` times the ratio of quiet times; the window narrows
-then, and widens while requests wait. Reason: among hundreds of replicas a replica's own counts say little
-of an upstream, but all see it congested. Attempts beyond the window wait in the pool's queue.
+"""Concurrency window: how many attempts this replica may have in flight.
+
+Inputs: the latency ratio of each response (its duration as a share of its class's latency objective), whether
+requests are queued, and how many upstreams the pool draws from. Upstreams are congested if the smoothed ratio
+is above a threshold: `CONGESTION_MULTIPLE` times the baseline ratio without congestion, but at least
+`MIN_CONGESTION_THRESHOLD` and at most `MAX_CONGESTION_THRESHOLD`. The window narrows under congestion, and
+widens while requests wait. Reason: with hundreds of replicas, a replica's own counts say little about an
+upstream, but every replica sees congestion. Requests beyond the window wait in the pool's queue.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from lanelift.policy.units import SECOND_NS
 
 MIN_CONGESTION_THRESHOLD = 0.35  # share of the latency objective
-MAX_CONGESTION_THRESHOLD = 0.8  # the same
-CONGESTION_MULTIPLE = 3.0  # times the latency ratio of quiet times
-# Time, not a number of responses, in which congestion is seen and in which it passes for normal: where
-# responses are many, congestion would else pass for normal within a second, and one slow response for
-# congestion.
+MAX_CONGESTION_THRESHOLD = 0.8  # also a share of the latency objective
+CONGESTION_MULTIPLE = 3.0  # times the baseline latency ratio
+# Time constants of the smoothed latency ratio and of a rising baseline. They are times and not numbers of
+# responses: at a high response rate, congestion would otherwise become the baseline within a second, and one
+# slow response would count as congestion.
 CONGESTION_SEEN_NS = SECOND_NS // 4
 BASELINE_RISE_NS = 60 * SECOND_NS
-MAX_RATIO_SMOOTHING = 0.1  # weight of the latest latency ratio, at most
-MAX_BASELINE_RISE = 0.002  # weight of the smoothed ratio in a baseline on its way up, at most
-BASELINE_FALL = 0.05  # and in one on its way down
+MAX_RATIO_SMOOTHING = 0.1  # largest weight of the latest latency ratio
+MAX_BASELINE_RISE = 0.002  # largest weight of the smoothed ratio in a rising baseline
+BASELINE_FALL = 0.05  # weight of the smoothed ratio in a falling baseline
 INTERVAL_SMOOTHING = 0.05  # weight of the latest interval between outcomes
-MAX_LATENCY_RATIO = 1.5  # a worse one counts no more than this
+MAX_LATENCY_RATIO = 1.5  # larger ratios are clamped to this
 WINDOW_STEP = 0.5  # attempts per unit of latency ratio, divided by the width of the subset
-DEFAULT_WINDOW = 0.5  # attempts for each upstream, before there is an endpoint list
+DEFAULT_WINDOW = 0.5  # attempts for each upstream, before the first endpoint list
 INITIAL_MEAN_SERVICE_TIME_NS = SECOND_NS / 50
 MAX_INITIAL_SERVICE_TIME_SHARE = 0.08  # of the shortest latency objective
 MIN_SERVICE_TIME_SMOOTHING = 0.05  # weight of the latest sample; the first ones count more
@@ -35,24 +35,27 @@
 
 
 def initial_window(upstreams: int, replicas: int, subset_size: int) -> float:
-    """Return the window at the start: all replicas together begin with a few requests for each upstream."""
+    """Return the initial window.
+
+    With it, all replicas together begin with a few requests for each upstream.
+    """
     own_requests = max(1.0, INITIAL_REQUESTS_PER_UPSTREAM * upstreams / replicas)
     return own_requests / max(1, subset_size)
 
 
 class ConcurrencyEstimator:
-    """The concurrency window, and the mean service time of a queued request.
+    """Estimates the concurrency window and the mean service time of a queued request.
 
     Attributes:
-        initial_window: The window before anything is known, to which it returns.
-        window: Attempts that this replica may have in flight, for each upstream that its pool draws from.
-        latency_ratio: The share of its latency objective that a response takes lately.
-        baseline_ratio: The same in quiet times.
-        response_interval_ns: Time from one outcome to the next.
-        observed_at_ns: When the last outcome was.
+        initial_window: The window before there are outcomes; a narrower window widens back to it.
+        window: How many attempts this replica may have in flight for each upstream that its pool draws from.
+        latency_ratio: The recent share of their latency objective that responses take.
+        baseline_ratio: The latency ratio without congestion.
+        response_interval_ns: The mean time from one outcome to the next.
+        observed_at_ns: When the last outcome was observed.
         congestion_threshold: The latency ratio above which upstreams are congested.
-        samples: How many samples of the mean service time there were.
-        mean_service_time_ns: Time for each request that an upstream holds.
+        samples: The number of samples of the mean service time.
+        mean_service_time_ns: The mean time for each request that an upstream holds.
     """
 
     __slots__ = (
@@ -79,11 +82,11 @@
         )
 
     def observe_service_time(self, attempt: Attempt, duration_ns: int) -> None:
-        """Learn the time for each request that an upstream holds.
+        """Update the mean service time.
 
-        An attempt that opened a connection is left out: it shows what that takes, and would pass for
-        congestion at each start. The first samples count more: a replica with little traffic can't wait for
-        twenty.
+        An attempt that opened a connection is skipped: its duration includes the handshake, and would look
+        like congestion at each start. The first samples count more, as a replica with little traffic can't
+        wait for twenty.
         """
         if attempt.opens_connection:
             return
@@ -94,21 +97,21 @@
         )
 
     def set_initial_window(self, window: float) -> None:
-        """Set, at an update of the endpoint list, what the window starts from and returns to."""
+        """Set the initial window after an update of the endpoint list."""
         self.initial_window = window
         if not self.samples:
             self.window = window
 
     def is_congested(self) -> bool:
-        """Return whether responses take so much of their objective lately that upstreams are congested."""
+        """Return whether the recent latency ratio is above the congestion threshold."""
         return self.latency_ratio > self.congestion_threshold
 
     def observe(self, latency_ratio: float, requests_wait: bool, width: int, now: int) -> None:
-        """Learn from an outcome: widen the window while requests wait, or narrow it.
+        """Update the estimates from an outcome: widen the window while requests wait, or narrow it.
 
         Args:
             latency_ratio: The share of its latency objective that an attempt took.
-            requests_wait: Requests are queued: only then is a wider window of use.
+            requests_wait: Whether requests are queued; only then is a wider window of use.
             width: How many upstreams the pool draws from.
             now: The time.
         """
--- a/lanelift/policy/deadlines.py
+++ b/lanelift/policy/deadlines.py
@@ -1,9 +1,9 @@
-"""Giving up: how long a request may wait before it gets its final answer.
+"""Deadlines: how long a request may wait before it is given up.
 
-Inputs: the request's objective and deadline, what it is expected to take with the deviation of such
-estimates. A request that waits is given up when what is left until its objective is less than it needs, but
-not before a quarter of the time until its deadline has passed. Reason: an answer after the objective earns
-little or nothing, and the upstream's time for it would make others late.
+Inputs: the request's objective and deadline, its expected time, and the deviation of such estimates. A
+waiting request is given up when less time is left until its objective than it needs, but not before a quarter
+of the time until its deadline has passed. Reason: an answer after the objective earns little or nothing, and
+the upstream's time for it would make other answers late.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
         self.hedging = hedging
 
     def set_wait_timeout(self, request: PendingRequest, now: int) -> None:
-        """Set when a request is given up; whatever happens, one that waits is checked then."""
+        """Set when a request is given up, and schedule a check for that time."""
         service_times = self.state.service_times
         estimate_ns = service_times.estimate_ns(request.request_class, request.cost_hint_ns)
         need_ns = estimate_ns * (DURATION_MARGIN + service_times.relative_deviation)
@@ -39,13 +39,16 @@
         self.state.timers.call_at(request.give_up_at_ns, self._give_up, request)
 
     def _give_up(self, request: PendingRequest, now: int) -> None:
-        """Give the final answer of a request that still waits, if its time is over."""
+        """Give a request that still waits its final answer, if its wait timeout is over."""
         if request.place is not WaitingPlace.NOWHERE and now >= request.give_up_at_ns:
             self.state.rate.unplaceable += request.place is WaitingPlace.POOL_QUEUE
             self.answers.reject_or_fail(request, now)
 
     def body_received(self, event: BodyReceived, now: int) -> None:
-        """A request's body is complete: its time counts from now, and that of its attempts."""
+        """Handle the end of a request's body.
+
+        The time of the request and of its attempts is counted from now.
+        """
         request = self.state.requests.get(event.request)
         if request is None or not request.body_pending:
             return
--- a/lanelift/policy/ejection.py
+++ b/lanelift/policy/ejection.py
@@ -1,20 +1,20 @@
-"""Outlier ejection: an upstream that fails gets no attempts for a while, longer each time.
+"""Outlier ejection: an upstream that fails gets no attempts for a while, and for longer each time.
 
 Inputs: attempts that fail or are overdue, and responses. An upstream is ejected
 
 - for an attempt that was rejected, timed out, could not connect or is overdue;
-- for a connection that broke, unless more than `SHARED_RESET_RATE` of all break: the way there is at fault
-  then, unless so many broke at it in a row;
-- for an error response, when nearly all of its responses are errors (`ERROR_EJECTION_RATE`), and not those of
-  all upstreams (`SHARED_ERROR_RATE`): then the requests or the way there are at fault.
-
-The first ejection lasts as long as the attempt was expected to take, where load may be the cause, else
-`outcomes.FAILURE_EJECTION_NS`; each further one twice as long, at most `MAX_EJECTION_NS` before jitter. Where
-`MAX_EJECTED_SHARE` of the upstreams are ejected already, only the failure is counted.
-
-It returns when its time is over, to one attempt at a time until one succeeds (`eligibility.py`); any success,
-also of an earlier attempt, and a restart that the endpoint list reports (`registry.py`) end an ejection at
-once. Reason: an upstream that only fails, and at once, looks the least loaded of all.
+- for a connection that broke, unless more than `SHARED_RESET_RATE` of all connections break (the network is
+  then at fault) and fewer than `MIN_CONSECUTIVE_RESETS` broke in a row at this upstream;
+- for an error response, if nearly all of its responses are errors (`ERROR_EJECTION_RATE`), unless most
+  responses of all upstreams are (`SHARED_ERROR_RATE`): the requests or the network are then at fault.
+
+The first ejection lasts as long as the attempt was expected to take if load may be the cause, and otherwise
+`outcomes.FAILURE_EJECTION_NS`. Each further ejection lasts twice as long, at most `MAX_EJECTION_NS` before
+jitter. If `MAX_EJECTED_SHARE` of the upstreams are already ejected, the failure is only counted.
+
+After its ejection, an upstream gets one attempt at a time until one succeeds (`eligibility.py`). Any success,
+even of an earlier attempt, and a restart that the endpoint list reports (`registry.py`) end an ejection
+immediately. Reason: an upstream that fails every request immediately looks like the least loaded of all.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
 
 MAX_EJECTION_NS = 3 * SECOND_NS  # before jitter
 MAX_DOUBLINGS = 5
-MIN_LENGTH_FACTOR = 0.75  # of the drawn length: replicas must not return in step
+MIN_LENGTH_FACTOR = 0.75  # jitter of the length, so that replicas do not return in step
 MAX_LENGTH_FACTOR = 1.25
-MAX_EJECTED_SHARE = 0.7  # of the upstreams that are drawn from; beyond, no more are ejected
+MAX_EJECTED_SHARE = 0.7  # largest ejected share of the upstreams that are drawn from
 ERROR_EJECTION_RATE = 0.95  # share of an upstream's responses that are errors above which it is ejected
-# Share of all responses that are errors from which on no upstream is ejected for them.
+# If at least this share of all responses are errors, no upstream is ejected for errors.
 SHARED_ERROR_RATE = 0.8
-SHARED_RESET_RATE = 0.05  # share of all attempts that break from which on one break ejects no upstream
-MIN_CONSECUTIVE_RESETS = 3  # breaks in a row at one upstream that eject it all the same
-SMOOTHING_OF_ALL = 0.02  # weight of the latest response or break in the rates of all upstreams
-SMOOTHING_OF_ONE = 0.05  # and in those of one
+SHARED_RESET_RATE = 0.05  # if at least this share of all attempts break, one break ejects no upstream
+MIN_CONSECUTIVE_RESETS = 3  # breaks in a row that eject an upstream in any case
+OVERALL_RATE_SMOOTHING = 0.02  # weight of the latest response or break in the rates of all upstreams
+UPSTREAM_RATE_SMOOTHING = 0.05  # weight of the latest response in the error rate of one upstream
 
 
 class OutlierEjection:
-    """Ejects upstreams, and takes them back.
+    """Ejects upstreams, and ends their ejections.
 
     Attributes:
-        error_rate: The share of all responses that were errors lately.
-        reset_rate: The share of all attempts whose connections broke lately.
+        error_rate: The recent share of all responses that were errors.
+        reset_rate: The recent share of all attempts whose connections broke.
     """
 
     __slots__ = ("error_rate", "pool", "reset_rate", "rng", "timers")
@@ -54,28 +54,28 @@
     def __init__(self, rng: random.Random, timers: TimerQueue, pool: UpstreamPool) -> None:
         self.rng = rng
         self.timers = timers
-        self.pool = pool  # the one that may use all upstreams
+        self.pool = pool  # the unrestricted pool
         self.error_rate = 0.0
         self.reset_rate = 0.0
 
     def eject(self, attempt: Attempt, now: int, base_ns: float) -> None:
-        """Eject an attempt's upstream, and schedule a run of the queues for its return.
+        """Eject an attempt's upstream, and schedule a run of the queues for the end of the ejection.
 
         Args:
             attempt: The attempt that failed or is overdue.
             now: The time.
-            base_ns: How long the first ejection is.
+            base_ns: The length of a first ejection.
         """
         self._eject(attempt, now, base_ns)
         self.timers.wake_at(attempt.upstream.ejected_until_ns)
 
     def _eject(self, attempt: Attempt, now: int, base_ns: float) -> None:
-        """Eject an upstream, unless that would leave hardly any.
+        """Eject an upstream, unless too many are ejected.
 
-        What was in flight there when it stopped fails together, though not at once: all that was sent before
-        the ejection counts as one failure. Eight attempts would else be seven ejections in a row, the
-        upstream would be left idle for seconds, and its load would congest the next. A stall that lasts is
-        seen by the next attempt.
+        If an upstream stops, the attempts in flight there fail one after another, so all that were sent
+        before the ejection count as one failure. Otherwise eight attempts would be seven ejections in a row,
+        the upstream would be idle for seconds, and its load would congest the next. The next attempt detects
+        a stall that lasts.
         """
         upstream = attempt.upstream
         if upstream.ejected_until_ns > now or attempt.sent_ns < upstream.ejected_at_ns:
@@ -93,28 +93,28 @@
             )
 
     def record_response(self, upstream: Upstream, is_error: bool) -> bool:
-        """Note a response; return whether its upstream is to be ejected for it.
+        """Record a response; return whether its upstream is to be ejected for it.
 
-        An upstream that fails in part still does its share of the work.
+        An upstream that fails only part of its requests still does its share of the work.
         """
-        self.error_rate += SMOOTHING_OF_ALL * (is_error - self.error_rate)
-        upstream.error_rate += SMOOTHING_OF_ONE * (is_error - upstream.error_rate)
+        self.error_rate += OVERALL_RATE_SMOOTHING * (is_error - self.error_rate)
+        upstream.error_rate += UPSTREAM_RATE_SMOOTHING * (is_error - upstream.error_rate)
         return is_error and upstream.error_rate > ERROR_EJECTION_RATE and self.error_rate < SHARED_ERROR_RATE
 
     def record_success(self, upstream: Upstream) -> None:
-        """Note a success: its upstream is taken back."""
+        """Record a success, and end the ejection of its upstream."""
         self.record_response(upstream, False)
-        self.reset_rate -= SMOOTHING_OF_ALL * self.reset_rate
+        self.reset_rate -= OVERALL_RATE_SMOOTHING * self.reset_rate
         upstream.consecutive_resets = 0
         if upstream.consecutive_ejections:
             upstream.consecutive_ejections = upstream.ejected_until_ns = 0
 
     def record_reset(self, upstream: Upstream) -> bool:
-        """Note a connection that broke; return whether its upstream is to be ejected for it.
+        """Record a connection that broke; return whether its upstream is to be ejected for it.
 
-        Where connections break all the time, the way there or what stands on it is at fault: with half the
-        upstreams ejected for it, the others would be congested.
+        If connections break all the time, the network or a device in it is at fault: with half the upstreams
+        ejected for it, the others would be congested.
         """
-        self.reset_rate += SMOOTHING_OF_ALL * (1.0 - self.reset_rate)
+        self.reset_rate += OVERALL_RATE_SMOOTHING * (1.0 - self.reset_rate)
         upstream.consecutive_resets += 1
         return self.reset_rate < SHARED_RESET_RATE or upstream.consecutive_resets >= MIN_CONSECUTIVE_RESETS
--- a/lanelift/policy/eligibility.py
+++ b/lanelift/policy/eligibility.py
@@ -1,8 +1,9 @@
-"""Which upstreams may be chosen for an attempt now.
+"""Eligibility: which upstreams may be chosen for an attempt now.
 
 Inputs: the upstream's state in the endpoint list, the end of its ejection or pacing interval, this replica's
-attempts there, the concurrency window. It acts when the upstream is not ready, ejected, or holds as many
-attempts as the window allows; one only where it was ejected since its last success, or is warming up.
+attempts there, and the concurrency window. An upstream is not eligible if it is not ready, is ejected, or
+holds as many attempts as the window allows. Only one attempt is allowed if it was ejected since its last
+success, or is warming up.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Eligibility:
-    """The test that each choice of an upstream applies."""
+    """Checks whether upstreams may be chosen."""
 
     __slots__ = ("concurrency", "load_probing", "slow_start")
 
@@ -28,7 +29,8 @@
     def is_eligible(self, upstream: Upstream, now: int) -> bool:
         """Return whether an attempt may go to this upstream now.
 
-        Where upstreams are probed for their load before each attempt, own counts add nothing to that.
+        If load probes are sent before attempts, the window does not limit an upstream: this replica's own
+        counts add nothing to the load reports.
         """
         if upstream.endpoint.state is not EndpointState.READY or now < upstream.ejected_until_ns:
             return False
--- a/lanelift/policy/events.py
+++ b/lanelift/policy/events.py
@@ -1,6 +1,6 @@
-"""What a `Balancer` handles: one frozen value for each kind of event.
+"""Events that a `Balancer` handles: one immutable type for each kind.
 
-All times are whole nanoseconds on the caller's clock. Nothing here decides.
+All times are whole nanoseconds on the caller's clock. This module only defines values; it makes no decisions.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of an upstream."""
+    """The state of an upstream, as discovery reports it."""
 
     REMOVED = 0
     READY = 1
@@ -21,11 +21,11 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list carries."""
+    """The kind of an update of the endpoint list."""
 
     DELTA = 0  # only changed entries
     SNAPSHOT = 1  # all entries
-    CACHED = 2  # all entries as last known before a restart, perhaps outdated
+    CACHED = 2  # all entries as known before a restart; may be outdated
     FAILED = 3  # a call failed or the subscription broke; no entries
 
 
@@ -34,9 +34,9 @@
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    REJECTED = "full"  # rejected by the upstream before it ran
-    TIMEOUT = "timeout"  # may have run, may still run
-    CONNECT_FAILED = "connect_failed"  # no connection, or not written whole: never ran
+    REJECTED = "full"  # the upstream rejected it before running it
+    TIMEOUT = "timeout"  # may have run, or may still be running
+    CONNECT_FAILED = "connect_failed"  # no connection, or not written completely; never ran
     RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # cancelled by the balancer; may have run
     NOT_SENT = "moot"  # not sent at all; never ran
@@ -52,9 +52,9 @@
         id: The upstream's number.
         state: Whether it takes requests.
         zone: The zone in which it runs.
-        cell: The group inside its zone that shares idempotency keys.
-        weight: Its capacity against others. Not used by any decision.
-        started_ns: Clock time of its last start; 0: long ago.
+        cell: The group of upstreams inside its zone that share idempotency keys.
+        weight: Its capacity relative to other upstreams. Not used by any decision.
+        started_ns: The clock time of its last start; 0 means long ago.
         kind: The kind of machine.
     """
 
@@ -68,20 +68,20 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """A snapshot or delta of the endpoint list, or that getting one failed."""
+    """A snapshot or delta of the endpoint list, or a failure to get one."""
 
     kind: EndpointUpdateKind
     endpoints: Sequence[Endpoint] = ()
 
 
 class TenantUpdate(NamedTuple):
-    """A change of tenants from a directory.
+    """A change of the tenants in a directory.
 
     Attributes:
         tenants: Tenants that are new or changed.
-        removed: Names of tenants that exist no more.
-        unknown_tenants: What to do with tenants that no update has named; set once all tenants have been
-            named. None: as before.
+        removed: Names of tenants that no longer exist.
+        unknown_tenants: How tenants that no update has named are handled, set once all tenants have been
+            named; None leaves this unchanged.
     """
 
     tenants: Sequence[Tenant] = ()
@@ -90,19 +90,19 @@
 
 
 class RequestArrived(NamedTuple):
-    """A client's request; the balancer now owes it one final answer.
+    """A client's request arrived; the balancer must give it exactly one final answer.
 
     Attributes:
         request: The request's identifier, unique among open requests.
-        class_name: Its request class.
-        tenant: Its tenant's name.
+        class_name: The name of its request class.
+        tenant: The name of its tenant.
         deadline_ns: When its client gives up.
-        cost_hint_ns: How long the client expects it to take; 0: not stated.
-        key: Its ordering key; empty: none.
-        retry: The client says that it repeats an earlier request.
-        received_ns: When its last byte came in, where that was earlier; 0: now.
-        body_pending: Its body is still being received and can be sent only once; its time counts from
-            `BodyReceived` on.
+        cost_hint_ns: How long the client expects the request to take; 0 means not stated.
+        key: Its ordering key; empty if it has none.
+        retry: Whether the client says that it repeats an earlier request.
+        received_ns: When its last byte was received, if that was before now; 0 means now.
+        body_pending: Whether its body is still being received and can be sent only once. The request's time
+            is then counted from `BodyReceived` on.
     """
 
     request: str
@@ -117,7 +117,7 @@
 
 
 class AttemptFinished(NamedTuple):
-    """How one attempt ended; every `StartAttempt` gets exactly one of these.
+    """An attempt ended; the caller reports exactly one of these for every `StartAttempt`.
 
     Attributes:
         request: The request's identifier.
@@ -125,9 +125,10 @@
         upstream: The upstream's number.
         result: How it ended.
         duration_ns: How long it took.
-        request_complete: The request has its final answer, or its client has disconnected.
-        report: The upstream's load report, where it came with the response.
-        body_consumed: Part of a body that is not buffered went with it: the request can't be sent again.
+        request_complete: Whether the request has its final answer, or its client has disconnected.
+        report: The upstream's load report, if the response carried one.
+        body_consumed: Whether the attempt consumed part of a body that is not buffered, so that the request
+            can't be sent again.
     """
 
     request: str
@@ -141,7 +142,7 @@
 
 
 class BodyReceived(NamedTuple):
-    """The last byte of a request with a pending body came in; its time counts from here."""
+    """The last byte of a pending request body was received; the request's time is counted from now."""
 
     request: str
     deadline_ns: int
@@ -163,7 +164,7 @@
 
 
 class LoadProbeFinished(NamedTuple):
-    """How a load probe ended, with the load report where there is one."""
+    """A load probe ended; `report` is the load report, if there is one."""
 
     upstream: int
     result: AttemptResult
@@ -172,7 +173,7 @@
 
 
 class PeerMessageReceived(NamedTuple):
-    """A message from another replica; `received_ns`: when it came in, where that was earlier; 0: now."""
+    """A message from another replica was received at `received_ns`; 0 means now."""
 
     sender: int
     data: bytes
--- a/lanelift/policy/feedback.py
+++ b/lanelift/policy/feedback.py
@@ -1,6 +1,6 @@
-"""What is done at each feedback interval, in order: the rate R, the subsets and the slow start are adjusted.
+"""Feedback loops that adjust the subsets, the rate R and the slow start in each interval.
 
-Inputs: what was counted since the interval before. `FEEDBACK_INTERVAL_NS` decides how often.
+Inputs: the counts since the previous interval. `FEEDBACK_INTERVAL_NS` is the length of an interval.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
     """Runs the slow control loops.
 
     Attributes:
-        ran_at_ns: When they ran last.
+        ran_at_ns: When the loops ran last.
     """
 
     __slots__ = ("admission", "ran_at_ns", "state")
@@ -25,7 +25,7 @@
         self.ran_at_ns = now
 
     def run_if_due(self, now: int) -> None:
-        """Run them, if the interval is over."""
+        """Run the loops if the interval is over."""
         if now - self.ran_at_ns < FEEDBACK_INTERVAL_NS:
             return
         self.ran_at_ns = now
@@ -35,14 +35,16 @@
             pool.subset.widen_or_narrow(bool(pool.blocked_since_ns), now)
         excess = state.concurrency.latency_ratio - state.concurrency.congestion_threshold
         state.rate.adjust(now, excess, count_unplaceable=not registry.peer_load.enabled)
-        registry.slow_start.observe_rate(state.rate.attempt_rate_per_s, registry.main.subset.width)
+        registry.slow_start.observe_rate(
+            state.rate.attempt_rate_per_s, registry.unrestricted_pool.subset.width
+        )
         for bank in state.rate.banks:
             self.admission.release_buffered(bank, now)
 
     def _forget_idle_tenants(self, now: int) -> None:
         tenants = self.state.tenants
-        if tenants.known is None:
+        if tenants.known_tenants is None:
             return
         tenants.forget_idle(now)
-        for bank in tenants.departed.values():
+        for bank in tenants.removed_banks.values():
             self.admission.release_buffered(bank, now)
--- a/lanelift/policy/forwarding.py
+++ b/lanelift/policy/forwarding.py
@@ -1,9 +1,9 @@
-"""Starting an attempt: what is counted, reserved and announced as a request is forwarded.
+"""Starting an attempt: what is counted, reserved and announced when a request is forwarded.
 
-Inputs: the request and the upstream that was chosen; whether the attempt is legal was checked before. The
-attempt counts against the concurrency window and its upstream until it ends or its response starts; its
-work is reserved at the upstream and announced to the replicas that share it; an upstream that is warming up
-gets nothing more before its pacing interval has passed.
+Inputs: the request and the chosen upstream; the caller has checked that the attempt is legal. The attempt
+counts against the concurrency window and its upstream until it ends or its response starts. Its work is
+reserved at the upstream, and announced to the replicas that share the upstream. An upstream that is warming
+up gets no further attempt before its pacing interval has passed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Forwarding:
-    """Starts attempts, and releases what they held."""
+    """Starts attempts, and releases what was counted for them."""
 
     __slots__ = ("state",)
 
@@ -28,9 +28,9 @@
     def start(self, request: PendingRequest, upstream: Upstream, now: int) -> Attempt:
         """Start an attempt, which must be legal.
 
-        It runs until its client gives up, also past the latency objective: its upstream works on, and a
-        client that is rejected asks for the same work once more. This costs where upstreams stop at once
-        what is cancelled.
+        The attempt runs until its client gives up, even past the latency objective: its upstream works on in
+        any case, and a client that is rejected requests the same work again. This wastes capacity where
+        upstreams stop cancelled work immediately.
         """
         state = self.state
         attempt = self._new_attempt(request, upstream, now)
@@ -51,7 +51,7 @@
         return attempt
 
     def _new_attempt(self, request: PendingRequest, upstream: Upstream, now: int) -> Attempt:
-        """Return the attempt with what is known of its upstream now."""
+        """Return a new attempt, with the current estimates for its upstream."""
         state, request_class = self.state, request.request_class
         mean_ns = state.concurrency.mean_service_time_ns
         queued_ns = upstream.queued_work_ns(now, mean_ns)
@@ -61,7 +61,7 @@
         return Attempt(upstream, now, expected_ns, 1 + queued_ns / mean_ns, queued_ns, work_ns)
 
     def release(self, attempt: Attempt) -> None:
-        """An attempt no longer counts against the window and its upstream."""
+        """Stop counting an attempt against the window and its upstream."""
         state, upstream = self.state, attempt.upstream
         state.attempts_in_flight -= 1
         state.overdue_attempts -= attempt.overdue
--- a/lanelift/policy/hedging.py
+++ b/lanelift/policy/hedging.py
@@ -1,9 +1,10 @@
-"""Overdue attempts: an upstream that should have answered by now may have stopped; a second attempt may help.
+"""Hedging: the upstream of an overdue attempt is ejected, and its request may get a second attempt.
 
-Inputs: the expected time of an attempt, the deviation of such estimates, the time. When an attempt is in
-flight for `DURATION_MARGIN` plus `DEVIATIONS` times the deviation of its expected time, its upstream is
-ejected; and the request gets a hedged attempt, if one is legal, would be in time, nothing waits in the
-pool's queue and its tenant has a spare token. Reason: hedging must cost fresh requests nothing.
+Inputs: the expected time of an attempt, the deviation of such estimates, and the time. An attempt is overdue
+if it has been in flight for its expected time multiplied by `DURATION_MARGIN` plus `DEVIATIONS` times the
+deviation. Its upstream may have stopped, and is ejected. The request gets a hedged attempt if one is legal
+and would be in time, nothing waits in the pool's queue, and its tenant has a spare token. Reason: hedging
+must cost fresh requests nothing.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from lanelift.policy.state import PolicyState
 
 DEVIATIONS = 3
-MAX_LATENESS_NS = 10_000_000  # of a check: beyond it this replica was late, and not the upstream
+MAX_LATENESS_NS = 10_000_000  # of a check; if it is later, this replica is late and not the upstream
 
 
 class Hedging:
-    """Watches attempts, and hedges those that are overdue."""
+    """Watches attempts, and hedges requests whose attempts are overdue."""
 
     __slots__ = ("ejection", "forwarding", "state")
 
@@ -31,7 +32,7 @@
         self.ejection = ejection
 
     def watch(self, request: PendingRequest, attempt: Attempt, now: int) -> None:
-        """Check an attempt when its upstream should have answered; none while the body is pending."""
+        """Schedule a check for when an attempt is overdue, unless its request's body is pending."""
         if request.body_pending:
             return
         factor = DURATION_MARGIN + DEVIATIONS * self.state.service_times.relative_deviation
@@ -39,13 +40,13 @@
         self.state.timers.call_at(due_ns, self._check, request, attempt, due_ns)
 
     def _check(self, request: PendingRequest, attempt: Attempt, due_ns: int, now: int) -> None:
-        """Eject the upstream of an attempt that is overdue, and hedge the request."""
+        """Eject the upstream of an attempt that is overdue, and hedge its request."""
         if attempt.result is not None or attempt.response_started:
             return
         if now - due_ns > MAX_LATENESS_NS:
-            # A replica that is late itself can't blame an upstream: the response may lie here unread. The
-            # attempt is checked again after as much time. Where both stopped, the upstream's part is seen
-            # that much later.
+            # This replica is late itself, so the response may already be here, unread. The attempt is checked
+            # again after the same delay. If the upstream has stopped as well, that is detected later by as
+            # much.
             again_ns = 2 * now - due_ns
             self.state.timers.call_at(again_ns, self._check, request, attempt, again_ns)
             return
--- a/lanelift/policy/legality.py
+++ b/lanelift/policy/legality.py
@@ -1,12 +1,12 @@
-"""What the protocol allows for one request, rule by rule; every attempt and rejection is checked here.
+"""Protocol rules for one request; every attempt and rejection is checked here.
 
 The numbers are those of the platform's protocol page ("rules"; docs/glossary.md lists them).
 
 Rule 1: a request gets one final answer, by its deadline unless it is streamed, and nothing after it.
-Rule 2: no more attempts than allowed, and none that could run a request twice which must not.
-Rule 3: no attempt at an upstream that drains or is removed.
+Rule 2: a request gets no more attempts than allowed, and none that could execute it twice if that does harm.
+Rule 3: an upstream that drains or is removed gets no attempt.
 Rule 5: the requests of an ordering key run one at a time (`ordering.py`).
-Rule 6: a class goes only where it may (`restrictions.py`).
+Rule 6: a class uses only the zones and kinds of machines that it is restricted to (`restrictions.py`).
 Rule 4, slow start, limits a rate and not a single attempt: see `slow_start.py`.
 """
 
@@ -37,22 +37,22 @@
 
 
 def _is_open(request: PendingRequest, now: int) -> bool:
-    """Rule 1: it has no final answer, none is being passed on, and its client still waits."""
+    """Rule 1: the request has no final answer, no response is being passed on, and its client still waits."""
     return not request.finished and not request.response_started and now < request.deadline_ns
 
 
 def _has_attempts_left(request: PendingRequest, limits: Limits) -> bool:
-    """Rule 2: so many attempts in all, and so many at once."""
+    """Rule 2: the request is below the limits of attempts in all and of attempts in flight."""
     if len(request.attempts) >= limits.max_attempts:
         return False
     return request.attempts_in_flight < (MAX_IN_FLIGHT_WITH_HEDGING if limits.hedging else MAX_IN_FLIGHT)
 
 
 def _cannot_run_twice(request: PendingRequest, upstream: Upstream, now: int) -> bool:
-    """Rule 2: a request that may have run is repeated only where that does no harm.
+    """Rule 2: a request that may have run is repeated only if that does no harm.
 
-    One that is idempotent may be; one with an idempotency key within its deduplication window, where its
-    repeats are dropped; one that is not idempotent may not be.
+    An idempotent request may be repeated. A request with an idempotency key may be repeated within its
+    deduplication window at upstreams that drop its repeats. A non-idempotent request may not be repeated.
     """
     may_have_run = [attempt for attempt in request.attempts if attempt.may_have_run]
     request_class = request.request_class
@@ -68,15 +68,15 @@
 
 
 def is_first_of_its_key(request: PendingRequest, now: int) -> bool:
-    """Rule 5: is it the first request of its key, and is the cooldown after the one before it over?"""
+    """Rule 5: return whether a request is the first of its key, and the cooldown before it is over."""
     queue = request.key_queue
     return queue is None or (queue.waiting[0] is request and now >= request.cooldown_until_ns)
 
 
 def may_reject(request: PendingRequest) -> bool:
-    """Rule 2: is it true that a retry by the client is harmless?
+    """Rule 2: return whether a retry by the client is harmless.
 
-    Not of a request that may have run, unless a repeat does no harm wherever it goes.
+    A retry of a request that may have run is harmless only if a repeat does no harm at any upstream.
     """
     request_class = request.request_class
     deduplicated_everywhere = (
@@ -91,7 +91,7 @@
 
 
 def allowed_upstreams(request: PendingRequest) -> list[Upstream] | None:
-    """Return where a request that may have run may be repeated; None: anywhere in its pool."""
+    """Return where a request that may have run may be repeated; None means anywhere in its pool."""
     first = next((attempt for attempt in request.attempts if attempt.may_have_run), None)
     request_class = request.request_class
     if (
@@ -108,7 +108,7 @@
 
 
 def _share_deduplication(request: PendingRequest, one: Upstream, other: Upstream) -> bool:
-    """Return whether both drop repeats of the same idempotency keys."""
+    """Return whether both upstreams drop repeats of the same idempotency keys."""
     scope = request.request_class.deduplication_scope
     if scope is DeduplicationScope.ALL:
         return True
--- a/lanelift/policy/load_probe_settings.py
+++ b/lanelift/policy/load_probe_settings.py
@@ -1,8 +1,8 @@
 """Whether load probes are sent before attempts.
 
-Inputs: the limits, the fields of a load report, the price of a probe. They are sent when they are allowed, a
-report says how many requests are in flight, and the probes of one request cost at most `MAX_PROBES_PRICE`
-of its value. What is done with them is in `probing.py`.
+Inputs: the limits, the fields of a load report, and the price of a probe. Load probes are sent if they are
+allowed, a load report contains the number of requests in flight, and the probes of one request cost at most
+`MAX_PROBES_PRICE` of its value. `probing.py` sends the probes and uses the reports.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 PROBES_PER_REQUEST = 3  # upstreams probed before an attempt
 MAX_PROBES_PRICE = 0.01  # share of a request's value that its probes may cost
-IN_FLIGHT_FIELD = "inflight"  # the load report's number of requests in flight, in the platform's words
+IN_FLIGHT_FIELD = "inflight"  # the platform's name of the load report field for requests in flight
 
 
 def load_probing_enabled(settings: Settings) -> bool:
--- a/lanelift/policy/ordering.py
+++ b/lanelift/policy/ordering.py
@@ -1,9 +1,9 @@
 """Ordering by key, rule 5 of the protocol: the requests of one key run one at a time, in order of arrival.
 
-Inputs: the key of each request whose class is ordered by key, the ends of attempts, the cooldown of a key
-(`Rules.key_cooldown_ns`). A request waits until all before it are over with no attempt in flight, and until
-the cooldown after an attempt that may still run has passed. It holds no token meanwhile, and nothing waits
-behind it but its own key.
+Inputs: the key of each request whose class is ordered by key, the ends of attempts, and the cooldown of a key
+(`Rules.key_cooldown_ns`). A request waits until all earlier ones of its key have finished with no attempt in
+flight, and until the cooldown after an attempt that may still be running has passed. While it waits, it holds
+no token and delays only requests of the same key.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
     """The queues of all ordering keys in use.
 
     Attributes:
-        queues: By key.
+        queues: Queues by key.
     """
 
     __slots__ = ("admit", "queues", "state")
 
     def __init__(self, state: PolicyState, admit: Callable[[PendingRequest, int], None]) -> None:
         self.state = state
-        self.admit = admit  # what is done with a request as it becomes the first of its key
+        self.admit = admit  # called with each request that becomes the first of its key
         self.queues: dict[str, KeyQueue] = {}
 
     def join(self, request: PendingRequest, key: str) -> None:
@@ -40,17 +40,17 @@
         request.cooldown_until_ns = queue.cooldown_until_ns
 
     def wait(self, request: PendingRequest) -> None:
-        """Let a request wait that is not the first of its key, or comes in its cooldown."""
+        """Make a request wait that is not the first of its key, or arrives in the cooldown of its key."""
         request.place = WaitingPlace.KEY_QUEUE
         self.state.timers.call_at(request.cooldown_until_ns, self._check, request.key_queue)
 
     def attempt_finished(self, request: PendingRequest, result: AttemptResult, now: int) -> None:
-        """Begin a cooldown after an attempt that may still run."""
+        """Begin a cooldown after an attempt that may still be running."""
         if request.key_queue and result in MAY_STILL_RUN:
             request.key_queue.cooldown_until_ns = now + self.state.settings.rules.key_cooldown_ns
 
     def advance(self, queue: KeyQueue, now: int) -> None:
-        """Let requests that are over, with no attempt in flight, make way for the next of their key."""
+        """Remove finished requests with no attempt in flight, and schedule a check of the next one."""
         waiting = queue.waiting
         while waiting and waiting[0].finished and not waiting[0].attempts_in_flight:
             waiting.popleft()
--- a/lanelift/policy/outcomes.py
+++ b/lanelift/policy/outcomes.py
@@ -1,8 +1,8 @@
-"""Outcomes: what the end of an attempt, or the start of a response, means for its request and its upstream.
+"""Outcomes: what the end of an attempt, or the start of a response, changes for its request and its upstream.
 
-Inputs: how the attempt ended and how long it took. A response teaches the estimates of service time and
-concurrency, and takes its upstream back; a failure may eject it (`ejection.py`) and counts as late in the
-rate control; then the request has its answer, or is tried again (`retries.py`).
+Inputs: how the attempt ended and how long it took. A response updates the estimates of service time and
+concurrency, and ends the ejection of its upstream. A failure may eject the upstream (`ejection.py`), and
+counts as late in the rate control. The request then has its answer, or is retried (`retries.py`).
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.units import SECOND_NS
 
-FAILURE_EJECTION_NS = SECOND_NS / 4  # first ejection for a failure that says nothing of the upstream's load
+FAILURE_EJECTION_NS = SECOND_NS / 4  # first ejection for a failure that does not indicate load
 # An upstream's rejection counts as a response that took all of its latency objective.
 REJECTION_LATENCY_RATIO = 1.0
 FAILURES = frozenset(
@@ -29,8 +29,10 @@
         AttemptResult.RESET,
     }
 )
-SHOWS_LOAD = frozenset({AttemptResult.REJECTED, AttemptResult.TIMEOUT})  # of a loaded upstream
-NO_FAILURE_OF_A_STREAM = frozenset({AttemptResult.OK, AttemptResult.CANCELLED})  # of a started response
+LOAD_FAILURES = frozenset({AttemptResult.REJECTED, AttemptResult.TIMEOUT})  # failures that indicate load
+NORMAL_STREAM_ENDS = frozenset(
+    {AttemptResult.OK, AttemptResult.CANCELLED}
+)  # results of a started response that are no failure
 
 
 class Outcomes:
@@ -55,12 +57,12 @@
         self.retries = retries
 
     def attempt_finished(self, event: AttemptFinished, now: int) -> None:
-        """Handle the end of an attempt; one that is unknown, or ended before, changes nothing."""
+        """Handle the end of an attempt; ignore one that is unknown or has already ended."""
         request = self.state.requests.get(event.request)
         if request is None or request.attempts[event.attempt].result is not None:
             return
         attempt = request.attempts[event.attempt]
-        upstream = attempt.upstream  # also of one that is no longer listed: counts must balance
+        upstream = attempt.upstream  # counted even if it is no longer listed, as counts must balance
         attempt.result = event.result
         upstream.unreachable = event.result is AttemptResult.CONNECT_FAILED
         request.body_consumed = request.body_consumed or event.body_consumed
@@ -79,21 +81,24 @@
         self.answers.forget_if_over(request, now)
 
     def _response_ended(self, request: PendingRequest, event: AttemptFinished, now: int) -> None:
-        """End an attempt whose response was passed on: what it held was released as that started."""
-        self.state.rate.late_or_failed += event.result not in NO_FAILURE_OF_A_STREAM
+        """End an attempt whose response was passed on.
+
+        What was counted for it was released when the response started.
+        """
+        self.state.rate.late_or_failed += event.result not in NORMAL_STREAM_ENDS
         if event.request_complete:
             self.answers.finish(request, now)
         self.answers.forget_if_over(request, now)
 
     def _learn(self, request: PendingRequest, attempt: Attempt, event: AttemptFinished, now: int) -> None:
-        """Take from an attempt's result what it says of its upstream."""
+        """Update the estimates and the state of the upstream from an attempt's result."""
         if event.result is AttemptResult.OK:
             attempt.upstream.completed(attempt.sent_ns, now)
             self._learn_from_response(request, attempt, event.duration_ns, now)
         elif event.result in FAILURES:
             self._learn_from_failure(request, attempt, event, now)
         elif event.result is AttemptResult.ERROR:
-            # Upstreams that answer with errors have capacity: R must not fall for them.
+            # Upstreams that answer with errors have capacity, so errors must not lower R.
             self.state.rate.on_time += 1
             if self.ejection.record_response(attempt.upstream, True):
                 self.ejection.eject(attempt, now, FAILURE_EJECTION_NS)
@@ -101,7 +106,7 @@
     def _learn_from_failure(
         self, request: PendingRequest, attempt: Attempt, event: AttemptFinished, now: int
     ) -> None:
-        """Count a failure, and eject its upstream for it."""
+        """Count a failure, and eject the upstream if the failure is its own."""
         state, result = self.state, event.result
         if result is AttemptResult.REJECTED or state.concurrency.is_congested():
             state.concurrency.observe(REJECTION_LATENCY_RATIO, False, request.pool.subset.width, now)
@@ -109,13 +114,13 @@
         if result is AttemptResult.TIMEOUT:
             state.concurrency.observe_service_time(attempt, event.duration_ns)
         if result is not AttemptResult.RESET or self.ejection.record_reset(attempt.upstream):
-            base_ns = attempt.expected_ns if result in SHOWS_LOAD else FAILURE_EJECTION_NS
+            base_ns = attempt.expected_ns if result in LOAD_FAILURES else FAILURE_EJECTION_NS
             self.ejection.eject(attempt, now, base_ns)
 
     def _learn_from_response(
         self, request: PendingRequest, attempt: Attempt, duration_ns: int, now: int
     ) -> None:
-        """Learn from a response that took so long."""
+        """Update the estimates from the duration of a response, and record the success."""
         state, pool, request_class = self.state, request.pool, request.request_class
         state.service_times.observe(request_class, request.cost_hint_ns, attempt, duration_ns)
         state.concurrency.observe_service_time(attempt, duration_ns)
@@ -127,14 +132,15 @@
         )
         late = attempt.sent_ns + duration_ns > request.objective_at_ns
         state.rate.on_time += not late
-        state.rate.late_or_failed += late  # what congestion shows first
+        state.rate.late_or_failed += late  # the first sign of congestion
         self.ejection.record_success(attempt.upstream)
 
     def response_started(self, event: ResponseStarted, now: int) -> None:
         """Handle the start of a response that is passed on.
 
-        How long that takes is its client's matter: the time that counts is over, and what the attempt held is
-        released. Slow readers would else fill the window, and each long response pass for a slow upstream.
+        How long the rest takes depends on the client, so the duration is measured here, and what was counted
+        for the attempt is released. Otherwise slow clients would fill the window, and each long response
+        would look like a slow upstream.
         """
         request = self.state.requests.get(event.request)
         if request is None or request.response_started or request.attempts[event.attempt].result is not None:
--- a/lanelift/policy/peer_load.py
+++ b/lanelift/policy/peer_load.py
@@ -1,10 +1,10 @@
-"""Messages that share load between replicas: each attempt is announced to those that share its upstream.
+"""Peer load: each attempt is announced to the replicas that share its upstream.
 
-Inputs: how many replicas share an upstream, the price of a message, the attempt's upstream and work; messages
-from other replicas. Attempts are announced when peer messages are allowed, load probes are not used, an
-upstream is shared by at most `MAX_RECIPIENTS` other replicas and one announcement costs at most
-`MAX_ANNOUNCEMENT_PRICE` of a request's value. Reason: a replica's own attempts alone show little of an
-upstream's queued work; and each message costs CPU time on both sides.
+Inputs: how many replicas share an upstream, the price of a message, the attempt's upstream and work, and
+messages from other replicas. Attempts are announced if peer messages are allowed, load probes are not used,
+an upstream is shared by at most `MAX_RECIPIENTS` other replicas, and one announcement costs at most
+`MAX_ANNOUNCEMENT_PRICE` of a request's value. Reason: a replica's own attempts show little of an upstream's
+queued work, but each message costs CPU time on both sides.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 MAX_WORK_UNITS = 0xFFFF
 MAX_RECIPIENTS = 12
 MAX_ANNOUNCEMENT_PRICE = 0.005  # share of the value of one request
-PRICED_MESSAGE_BYTES = 256  # the price of a peer message is for so many
+PRICED_MESSAGE_BYTES = 256  # the price of a peer message is for this size
 
 
 class PeerLoad:
-    """Announces own attempts, and takes in those of other replicas.
+    """Announces this replica's attempts, and records the announced attempts of other replicas.
 
     Attributes:
-        enabled: Attempts are announced now.
-        upstreams: The registry's table, by number.
+        enabled: Whether attempts are announced.
+        upstreams: The registry's upstreams, by number.
     """
 
     __slots__ = ("enabled", "load_probing", "settings", "upstreams")
@@ -43,7 +43,7 @@
         self.enabled = False
 
     def set_degree(self, degree: int) -> None:
-        """Decide whether to announce, now that so many replicas share an upstream."""
+        """Decide whether to announce attempts, given how many replicas share an upstream."""
         settings, recipients = self.settings, degree - 1
         self.enabled = (
             settings.limits.peer_messages
@@ -60,7 +60,7 @@
         return [SendPeerMessage(data, replica) for replica in members if replica != self.settings.replica]
 
     def receive(self, event: PeerMessageReceived, now: int) -> None:
-        """Add an attempt that another replica announced; anything else is ignored."""
+        """Add the work of an attempt that another replica announced; ignore any other message."""
         if len(event.data) != ATTEMPT_STARTED.size:
             return
         kind, number, units = ATTEMPT_STARTED.unpack(event.data)
--- a/lanelift/policy/placement.py
+++ b/lanelift/policy/placement.py
@@ -1,10 +1,10 @@
 """Placement: the queue of each pool is served in order, while the window and an upstream have capacity.
 
-Inputs: the queue, the concurrency window and the attempts in flight, the upstreams and the work that each
-has queued. The queue stops when its head waits for load reports, when the window is full or when no
-upstream is eligible; a request is shed when the upstream that would be free first has more work queued than
-leaves time (`MAX_TIME_SHARE` of what is left until its objective). Reason: an answer that comes too late
-makes those behind it late as well.
+Inputs: the queue, the concurrency window and the attempts in flight, and the upstreams with the work that
+each has queued. Serving stops if the head of the queue waits for load reports, the window is full or no
+upstream is eligible. A request is shed if the upstream that becomes free first would need more than
+`MAX_TIME_SHARE` of the time left until the request's objective. Reason: an answer that comes too late makes
+those behind it late as well.
 """
 
 from __future__ import annotations
@@ -19,8 +19,10 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.upstreams import Upstream
 
-MAX_TIME_SHARE = 0.8  # of the time until the objective that queued work and the request itself may take
-OVERDUE_WINDOW_SHARE = 0.25  # of the window that overdue attempts do not count against, or one attempt
+MAX_TIME_SHARE = 0.8  # share of the time until the objective that queued work and request may take
+OVERDUE_WINDOW_SHARE = (
+    0.25  # share of the window, at least one attempt, up to which overdue attempts are not counted
+)
 
 
 class Placement:
@@ -78,9 +80,9 @@
     def _window_is_full(self, pool: UpstreamPool, now: int) -> bool:
         """Return whether as many attempts are in flight as the window allows.
 
-        What has stopped must not fill the window while other responses are quick: some overdue attempts do
-        not count. But where the others are slow too, upstreams are congested, and work whose response is late
-        still runs there: fewer are left out.
+        Attempts at upstreams that have stopped must not fill the window while other responses are quick, so
+        some overdue attempts are not counted. If other responses are slow too, upstreams are congested and
+        overdue attempts are still running there, so fewer of them are left out.
         """
         state = self.state
         window = max(1.0, state.concurrency.window * pool.subset.in_rotation(now))
@@ -88,7 +90,7 @@
         return state.attempts_in_flight - min(state.overdue_attempts, left_out) >= window
 
     def _forward_or_shed(self, request: PendingRequest, upstream: Upstream | None, now: int) -> None:
-        """Forward a request, or shed it: it must not stop the queue."""
+        """Forward a request, or shed it, as it must not block the queue."""
         if upstream is None or self._would_be_late(request, upstream, now):
             self.state.rate.unplaceable += 1
             self.answers.reject_or_fail(request, now)
@@ -99,9 +101,9 @@
             self.answers.reject_or_fail(request, now)
 
     def _would_be_late(self, request: PendingRequest, upstream: Upstream, now: int) -> bool:
-        """Return whether queued work leaves too little time, though the upstream is the first to be free.
+        """Return whether queued work leaves too little time at the upstream that becomes free first.
 
-        One with nothing queued is never too slow to try.
+        An upstream with no work queued is never too slow to try.
         """
         state = self.state
         queued_ns = upstream.queued_work_ns(now, state.concurrency.mean_service_time_ns)
--- a/lanelift/policy/pool.py
+++ b/lanelift/policy/pool.py
@@ -1,8 +1,9 @@
-"""The choice of an upstream: of a few random draws and the previous choice, the one that is free first.
+"""Choice of an upstream: among a few random draws and the previous choice, the one that becomes free first.
 
-Inputs: the eligible upstreams of the subset, the work that each has queued (nanoseconds). `DRAWS` draws where
-only own attempts are known, `DRAWS_WITH_PEER_LOAD` where replicas announce theirs. Reason: random draws keep
-replicas from all choosing the same upstream; the previous choice adds memory to them at no cost.
+Inputs: the eligible upstreams of the subset, and the work that each has queued (nanoseconds). There are
+`DRAWS` draws if a replica knows only its own attempts, and `DRAWS_WITH_PEER_LOAD` if replicas announce
+theirs. Reason: random draws keep replicas from all choosing the same upstream; the previous choice adds
+memory to them at no cost.
 
 Source: the power of two choices (Mitzenmacher 2001), with memory (Mitzenmacher, Prabhakar, Shah 2002).
 """
@@ -22,21 +23,22 @@
 from lanelift.policy.subsets import Subset
 from lanelift.policy.upstreams import Upstream
 
-DRAWS = 2  # beside the previous choice
-DRAWS_WITH_PEER_LOAD = 8  # beside the previous choice: most of a subset
-TRIES_PER_DRAW = 4  # random tries for each draw before the eligible ones are listed
+DRAWS = 2  # in addition to the previous choice
+DRAWS_WITH_PEER_LOAD = 8  # in addition to the previous choice; most of a subset
+TRIES_PER_DRAW = 4  # random tries for each draw before the eligible upstreams are listed
 
 
 class UpstreamPool:
-    """The upstreams that one set of classes may go to, and the queue of requests that wait for one.
+    """The upstreams that a set of request classes may use, and the queue of requests that wait for one.
 
     Attributes:
-        request_class: One of the classes that it serves: all of them may use the same upstreams.
+        request_class: One of the classes that the pool serves; all of them may use the same upstreams.
         subset: The upstreams that this replica draws from.
-        previous: The previous choice.
+        previous: The upstream that was chosen last.
         queue: Requests that wait for an upstream, in order.
-        blocked_since_ns: The queue's head has found no upstream since then; 0: it has, or the queue is empty.
-        saturated: There is no capacity for more: the head waits for that, not for a load report.
+        blocked_since_ns: Since when the head of the queue has found no upstream; 0 if it is not blocked, or
+            the queue is empty.
+        saturated: Whether the head of the queue waits for capacity, and not for a load report.
     """
 
     __slots__ = (
@@ -73,9 +75,9 @@
         self.saturated = False
 
     def draw(self, count: int, now: int) -> list[Upstream]:
-        """Return so many random draws from the eligible upstreams, and the previous choice.
+        """Return up to `count` random draws from the eligible upstreams, and the previous choice.
 
-        It looks at the `width` upstreams of the subset at most, never at all that are listed.
+        The cost depends on the `width` upstreams of the subset, and not on the number of listed ones.
         """
         order, width = self.subset.order, self.subset.width
         is_eligible, random_number = self.eligibility.is_eligible, self.rng.random
@@ -100,11 +102,11 @@
         return candidates
 
     def pick(self, now: int, allowed: Iterable[Upstream] | None = None) -> Upstream | None:
-        """Return the upstream that will be free first, of a few draws or of those allowed, or None.
+        """Return the upstream that becomes free first, of a few draws or of those allowed, or None.
 
         Args:
             now: The time.
-            allowed: The only upstreams to choose from; None: any that this replica draws from.
+            allowed: The only upstreams to choose from; None means any that this replica draws from.
         """
         if allowed is None:
             candidates = self.draw(DRAWS_WITH_PEER_LOAD if self.peer_load.enabled else DRAWS, now)
--- a/lanelift/policy/probing.py
+++ b/lanelift/policy/probing.py
@@ -1,12 +1,13 @@
-"""Load probes before an attempt: a few upstreams drawn at random are probed, and the request waits.
+"""Load probing: a few upstreams drawn at random are probed before an attempt, while the request waits.
 
-Inputs: the upstreams of the pool, load reports. A request waits for the reports at most `PROBE_TIMEOUT_SHARE`
-of the shortest latency objective; where all that answered have work queued and little time has passed, a few
-others are probed, once. Reason: where replicas are many, a replica's own counts say little of an upstream.
+Inputs: the upstreams of the pool and load reports. A request waits for the reports for at most
+`PROBE_TIMEOUT_SHARE` of the shortest latency objective. If all upstreams that reported have work queued and
+little time has passed, a few others are probed, once. Reason: with many replicas, a replica's own counts say
+little about an upstream.
 
-One probe at a time is in flight at each upstream: its report serves all requests that wait for it. Where
-requests come faster than reports, each request would else need a connection. An upstream that owes a report
-for longer than the timeout is passed over.
+Each upstream has at most one probe in flight, and its report serves all requests that wait for it. Otherwise
+each request would need a connection where requests arrive faster than reports. An upstream that has not
+reported within the timeout is skipped.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
         self.timeout_ns = int(max(MIN_PROBE_TIMEOUT_NS, min(MAX_PROBE_TIMEOUT_NS, share_ns)))
 
     def begin(self, request: PendingRequest, now: int) -> None:
-        """Probe a few upstreams for a request that has just been queued, where load probes are used."""
+        """Probe a few upstreams for a request that has just been queued, if load probes are used."""
         if not self.state.registry.load_probing:
             return
         drawn = dict.fromkeys(request.pool.draw(PROBES_PER_REQUEST, now))
@@ -71,14 +72,14 @@
         )
 
     def candidates(self, request: PendingRequest, now: int) -> list[Upstream] | None:
-        """Return the upstreams that reported, perhaps none; None: others were probed, wait for them."""
+        """Return the upstreams that reported, perhaps none; None if other upstreams were probed instead."""
         is_eligible = self.state.registry.eligibility.is_eligible
         reported = [
             upstream
             for upstream in request.probed_upstreams
             if upstream.reported_at_ns >= request.probed_at_ns and is_eligible(upstream, now)
         ]
-        # If reports took longer, time is short, and a second round would cost some.
+        # If reports took longer, a second round would take too much of the time that is left.
         quick = QUICK_REPORT_DIVISOR * (now - request.probed_at_ns) < self.timeout_ns
         if (
             quick
@@ -93,7 +94,7 @@
         return reported
 
     def _probe_others(self, request: PendingRequest, busy: Sequence[Upstream], now: int) -> bool:
-        """Probe a few others, as all that reported have work; return whether there are any."""
+        """Probe a few others, as all that reported have work queued; return whether there are any."""
         subset, is_eligible = request.pool.subset, self.state.registry.eligibility.is_eligible
         others = [
             upstream
@@ -108,7 +109,7 @@
         return True
 
     def probe_finished(self, event: LoadProbeFinished, now: int) -> None:
-        """Take in an upstream's load report, or that there is none."""
+        """Record the load report of a probe, or that there is none."""
         upstream = self.state.registry.upstreams.get(event.upstream)
         if upstream is None:
             return
--- a/lanelift/policy/queued_work.py
+++ b/lanelift/policy/queued_work.py
@@ -1,8 +1,8 @@
-"""The work that an upstream has queued, as far as this replica knows.
+"""Estimate of the work that an upstream has queued, as far as this replica knows.
 
-Inputs: attempts of this replica, attempts that other replicas announce, load reports, responses; work in
-nanoseconds of the upstream's time. It decides which upstream is chosen (the one that is free first) and which
-request is shed (more work is queued than leaves time for it).
+Inputs: this replica's attempts, the attempts that other replicas announce, load reports and responses. Work
+is in nanoseconds of the upstream's time. The estimate decides which upstream is chosen (the one that becomes
+free first) and which requests are shed (those that the queued work would make late).
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from lanelift.policy.units import SECOND_NS
 
-MAX_RESERVATIONS = 64  # attempts remembered of an upstream; more than its queue holds
-# Work counts no further than this: a wrong announcement must not idle an upstream for long.
+MAX_RESERVATIONS = 64  # attempts remembered for each upstream; more than its queue holds
+# Upper bound of the estimate, so that a wrong announcement does not leave an upstream idle for long.
 MAX_QUEUED_WORK_NS = SECOND_NS
 
 
@@ -22,11 +22,11 @@
     """The queued work of one upstream.
 
     Attributes:
-        in_flight: This replica's attempts there.
-        probe_sent_ns: When the load probe that is not answered yet was sent; 0: there is none.
-        reported_at_ns: When its last load report came.
-        reservations: Attempts that it has not completed: when each was made, and its work in nanoseconds.
-        free_at_ns: When it will have completed all of them.
+        in_flight: The number of this replica's attempts in flight at the upstream.
+        probe_sent_ns: When the unanswered load probe was sent; 0 if there is none.
+        reported_at_ns: When its last load report was received.
+        reservations: The attempts that it has not completed: when each was sent, and its work in nanoseconds.
+        free_at_ns: When it is expected to have completed all of them.
     """
 
     in_flight: int = 0
@@ -36,7 +36,7 @@
     free_at_ns: float = 0
 
     def reserve(self, now: int, work_ns: float) -> None:
-        """Add an attempt, whoever made it."""
+        """Add the work of an attempt, made by this or by another replica."""
         if self.free_at_ns <= now:
             self.reservations.clear()
         elif len(self.reservations) >= MAX_RESERVATIONS:
@@ -46,19 +46,22 @@
         self.free_at_ns = min(max(self.free_at_ns, now) + work_ns, now + MAX_QUEUED_WORK_NS)
 
     def release(self, sent_ns: int, work_ns: float) -> None:
-        """Take back an attempt of which the upstream did nothing."""
+        """Remove the work of an attempt that the upstream did not execute."""
         if (sent_ns, work_ns) in self.reservations:
             self.reservations.remove((sent_ns, work_ns))
             self.free_at_ns -= work_ns
 
     def completed(self, sent_ns: int, now: int) -> None:
-        """An attempt sent then is completed, and with it what was sent before: the rest is still queued."""
+        """Remove the attempt sent at `sent_ns` and all earlier ones, as the upstream has completed them."""
         while self.reservations and self.reservations[0][0] <= sent_ns:
             self.reservations.popleft()
         self.free_at_ns = now + min(MAX_QUEUED_WORK_NS, sum(work_ns for _, work_ns in self.reservations))
 
     def load_reported(self, work_ns: float, now: int) -> None:
-        """The upstream reported its load. What was sent since it was probed may not be part of that."""
+        """Replace the estimate by a load report.
+
+        Attempts sent since the load probe are added to it, as the report may not include them.
+        """
         since_probe = (
             [reserved for reserved in self.reservations if reserved[0] >= self.probe_sent_ns]
             if self.probe_sent_ns
@@ -71,10 +74,10 @@
             self.reserve(now, later_work_ns)
 
     def queued_work_ns(self, now: int, mean_service_time_ns: float) -> float:
-        """Return the work that it has queued, as far as known, in nanoseconds.
+        """Return the estimated queued work in nanoseconds.
 
-        An attempt that is out for longer than was expected may have as much again to go: it counts as one
-        mean service time.
+        An attempt that takes longer than expected may need as long again: if the estimate has run out and
+        attempts are still in flight, the work counts as one mean service time.
         """
         left_ns = self.free_at_ns - now
         return left_ns if left_ns > 0 else mean_service_time_ns * min(1, self.in_flight)
--- a/lanelift/policy/rate_control.py
+++ b/lanelift/policy/rate_control.py
@@ -1,10 +1,10 @@
-"""The rate R of this replica: what it forwards each second, and its division among the tenants.
+"""Rate control: the rate R at which this replica forwards requests, and its division among the tenants.
 
-Inputs, each half second: attempts that ended in time and late, requests that no upstream had capacity for,
-and by how much the latency of responses exceeds what counts as congested. R is lowered where that excess
-(with the share of unplaceable requests, where work is not announced between replicas) is more than
-`TOLERATED_EXCESS`, and goes up where tenants find no token. Reason: what is rejected at once costs a client
-less than a late answer.
+Inputs, every half second: the attempts that ended in time and late, the requests that no upstream had
+capacity for, and by how much the latency of responses exceeds the congestion threshold. R is lowered if that
+excess (plus the share of unplaceable requests, unless replicas announce their work to one another) is above
+`TOLERATED_EXCESS`, and raised if tenants find no token. Reason: an immediate rejection costs a client less
+than a late answer.
 """
 
 from __future__ import annotations
@@ -15,39 +15,39 @@
 from lanelift.policy.units import SECOND_NS
 
 FEEDBACK_INTERVAL_NS = SECOND_NS // 2
-MIN_OUTCOMES = 8  # outcomes before a figure is believed
-MAX_INTERVALS = 4  # intervals that R waits for so many
-TOLERATED_EXCESS = 0.2  # share of the objective above the congestion threshold that lowers nothing
-QUICK_EXCESS = -0.1  # excess below which what is forwarded is answered quickly
+MIN_OUTCOMES = 8  # outcomes that are needed to adjust R
+MAX_INTERVALS = 4  # intervals after which R is adjusted with fewer outcomes
+TOLERATED_EXCESS = 0.2  # excess over the congestion threshold (share of the objective) that does not lower R
+QUICK_EXCESS = -0.1  # excess below which responses are quick
 GROWTH = 1.1  # factor of R in one interval
-MIN_GROWTH_PER_S = 0.5  # added to R in one interval besides
-GROWTH_PER_SLACK = 2.0  # added to GROWTH for each share of their objective that responses leave
-MIN_SHARE_OF_BEST = 0.2  # of the best goodput: R is not cut below
-BEST_DECAY = 0.98  # of that goodput remembered after one interval: forgotten in a minute
-MAX_CUT = 0.3  # of R in one interval
-MIN_SHARE_OF_GOODPUT = 0.9  # of the goodput of this interval: R is not cut below
+MIN_GROWTH_PER_S = 0.5  # added to R in one interval on top of that
+GROWTH_PER_SLACK = 2.0  # added to GROWTH per unit of the objective that responses leave unused
+MIN_SHARE_OF_BEST = 0.2  # of the best goodput; R is not cut below this
+BEST_DECAY = 0.98  # of the best goodput kept after one interval; it decays within a minute
+MAX_CUT = 0.3  # of R that is cut in one interval
+MIN_SHARE_OF_GOODPUT = 0.9  # of the goodput of this interval; R is not cut below this
 ATTEMPT_RATE_HEADROOM = 1.2  # a cut starts from this multiple of the attempt rate, if R is above it
-ATTEMPT_RATE_MARGIN_PER_S = 1  # and this much more
-MIN_TENANT_RATE_PER_S = 0.05  # of a token bank, however little of R is its share
-MIN_WEIGHTS_LEFT = 1e-9  # guards the last division by what is left of the weights, which rounds to 0
+ATTEMPT_RATE_MARGIN_PER_S = 1  # added to that multiple of the attempt rate
+MIN_TENANT_RATE_PER_S = 0.05  # minimum rate of a token bank, however small its share of R
+MIN_WEIGHTS_LEFT = 1e-9  # lower bound of the remaining weight, which may round to 0 before the last division
 DEMAND_SMOOTHING = 0.5  # weight of the latest interval
-OVER_SHARE_FACTOR = 1.1  # a tenant is over its share when it wants so much more
+OVER_SHARE_FACTOR = 1.1  # a tenant is over its share if its demand is above this multiple of it
 
 
 class RateController:
-    """Learns R from how attempts end, and divides it among the token banks.
+    """Adjusts R by the outcomes of attempts, and divides it among the token banks.
 
     Attributes:
-        banks: Those that share R.
+        banks: The token banks that share R.
         total_weight: The sum of their weights.
-        rate_per_s: R, in requests a second.
-        interval_started_at_ns: When the interval that is being counted began.
-        attempt_rate_per_s: Attempts that ended, a second, in the last interval.
-        goodput_per_s: Those of them that were in time.
+        rate_per_s: R, in requests per second.
+        interval_started_at_ns: When the current interval began.
+        attempt_rate_per_s: Attempts that ended per second, in the last interval.
+        goodput_per_s: Attempts that ended in time per second, in the last interval.
         on_time: Attempts of this interval that were answered in time, or with an error.
-        late_or_failed: Attempts of this interval that were not.
+        late_or_failed: Attempts of this interval that were late or failed.
         unplaceable: Requests of this interval that no upstream had capacity for in time.
-        best_goodput_per_s: The goodput of good times, slowly forgotten.
+        best_goodput_per_s: The best recent goodput, which decays slowly.
     """
 
     __slots__ = (
@@ -76,7 +76,11 @@
         self.best_goodput_per_s = 1.0
 
     def add_bank(self, bank: TokenBank, now: int) -> None:
-        """Let one more bank share R, with the capacity of its own part: it did not save up all of R."""
+        """Add a bank that shares R.
+
+        Its tokens are limited to the capacity of its own part of R, as it has not accrued tokens at the whole
+        rate.
+        """
         self.banks.append(bank)
         self.total_weight += bank.weight
         bank.set_rate(
@@ -85,24 +89,24 @@
         )
 
     def set_banks(self, banks: Iterable[TokenBank], now: int) -> None:
-        """Let just these share R from now on, by the weights that they have now."""
+        """Replace the banks that share R, and divide R by their current weights."""
         self.banks = list(banks)
         self.total_weight = sum(bank.weight for bank in self.banks)
         self._divide(now)
 
     def adjust(self, now: int, excess: float, count_unplaceable: bool = True) -> None:
-        """Set R at the end of an interval; before that, do nothing.
+        """Adjust R at the end of an interval; do nothing before that.
 
         Args:
             now: The time.
-            excess: The share of their objective that responses take beyond the congestion threshold.
-            count_unplaceable: Unplaced requests count as excess. Not where replicas announce their attempts
-                to one another: who finds no capacity there is rejected for work that is known to be queued,
-                and R must not reject the next one for it as well.
+            excess: By how much the latency ratio of responses exceeds the congestion threshold.
+            count_unplaceable: Whether unplaceable requests count as excess. They do not where replicas
+                announce their attempts to one another: there, such a request is rejected because of work that
+                is known to be queued, and R must not reject the next request because of the same work.
         """
         elapsed = now - self.interval_started_at_ns
         total = self.on_time + self.late_or_failed + self.unplaceable
-        # A replica with little traffic waits for enough outcomes, but not for ever.
+        # A replica with little traffic waits for enough outcomes, but not indefinitely.
         if elapsed < FEEDBACK_INTERVAL_NS or (
             total < MIN_OUTCOMES and elapsed < MAX_INTERVALS * FEEDBACK_INTERVAL_NS
         ):
@@ -111,16 +115,16 @@
         self.attempt_rate_per_s = (self.on_time + self.late_or_failed) * SECOND_NS / elapsed
         self.best_goodput_per_s = max(self.goodput_per_s, self.best_goodput_per_s * BEST_DECAY)
         quick = excess < QUICK_EXCESS
-        # Judged by what ended lately, not by this interval alone: few outcomes say little.
+        # The excess is smoothed over recent responses: the few of one interval alone are not representative.
         unplaceable_share = self.unplaceable / max(1, total) if count_unplaceable else 0.0
         excess += unplaceable_share - TOLERATED_EXCESS
         if excess > 0:
             self._lower(excess, quick)
-        elif total and any(bank.ran_dry and bank.may_borrow for bank in self.banks):
+        elif total and any(bank.was_exhausted and bank.may_borrow for bank in self.banks):
             self._raise(excess)
         for bank in self.banks:
             bank.demand_per_s += DEMAND_SMOOTHING * (bank.offered * SECOND_NS / elapsed - bank.demand_per_s)
-            bank.offered, bank.ran_dry = 0, False
+            bank.offered, bank.was_exhausted = 0, False
         self._divide(now)
         self.interval_started_at_ns = now
         self.on_time = self.late_or_failed = self.unplaceable = 0
@@ -128,8 +132,9 @@
     def _lower(self, excess: float, quick: bool) -> None:
         """Cut R by the excess, at most by `MAX_CUT`.
 
-        When upstreams are lost, R is far above the goodput: the cut starts from the attempt rate. But where
-        responses are quick, few attempts were made because little was admitted, as in the rush of a start.
+        When upstreams are lost, R is far above the goodput, so the cut starts from the attempt rate. If
+        responses are quick, it starts from R: the attempt rate is then low because few requests were
+        admitted, as in a burst at startup.
         """
         top = (
             self.rate_per_s
@@ -144,12 +149,15 @@
         )
 
     def _raise(self, excess: float) -> None:
-        """Grow R, the faster the further from congestion: after a cut, R itself is the bottleneck."""
+        """Raise R, by more the further responses are from congestion.
+
+        After a cut, R itself is the bottleneck.
+        """
         growth = GROWTH + GROWTH_PER_SLACK * max(0.0, -excess - TOLERATED_EXCESS)
         self.rate_per_s = min(INITIAL_RATE_PER_S, self.rate_per_s * growth + MIN_GROWTH_PER_S)
 
     def _divide(self, now: int) -> None:
-        """Give each bank its fair share of R by weight; what quiet tenants leave is lent to the others."""
+        """Give each bank its share of R by weight, and lend what some tenants do not use to the others."""
         total_weight = self.total_weight
         lent, fair = self._water_fill(self.rate_per_s), self._water_fill(self.goodput_per_s)
         for i, bank in enumerate(self.banks):
@@ -159,7 +167,10 @@
             bank.over_share = bank.demand_per_s > OVER_SHARE_FACTOR * fair[i]
 
     def _water_fill(self, left: float) -> list[float]:
-        """Divide a rate by weight, none above its demand; what is left over is added to each."""
+        """Return the share of each bank in a rate that is divided by weight.
+
+        No share is above the bank's demand at first; what is left over is then added to each share.
+        """
         shares, weights = [0.0] * len(self.banks), sum(bank.weight for bank in self.banks)
         by_demand = sorted(
             enumerate(self.banks), key=lambda item: (item[1].demand_per_s / item[1].weight, item[0])
--- a/lanelift/policy/registry.py
+++ b/lanelift/policy/registry.py
@@ -1,8 +1,9 @@
-"""The registry of upstreams: what the endpoint list names, and one pool for each set of classes.
+"""Registry of the upstreams in the endpoint list, with one pool for each set of classes.
 
-Inputs: snapshots and deltas of the endpoint list. An upstream that is missing from a snapshot is removed; one
-that started anew loses its ejection and begins its slow start at a random time, so that the first requests of
-all replicas do not reach it together; one that is removed is forgotten with its last attempt.
+Inputs: snapshots and deltas of the endpoint list. An upstream that is missing from a snapshot is removed. An
+upstream that has restarted is no longer ejected, and gets its first attempt after a random delay, so that the
+first requests of all replicas do not reach it together. A removed upstream is forgotten when its last attempt
+has ended.
 """
 
 from __future__ import annotations
@@ -16,24 +17,24 @@
 from lanelift.policy.pool import UpstreamPool
 from lanelift.policy.settings import RequestClass, Settings
 from lanelift.policy.slow_start import SlowStart
-from lanelift.policy.subsets import Subset, orders
+from lanelift.policy.subsets import Subset, order_keys
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-MIN_EJECTION_SHOWN_NS = SECOND_NS // 2  # shorter is a pause between two attempts: metrics do not count it
+MIN_REPORTED_EJECTION_NS = SECOND_NS // 2  # shorter ones are pauses between attempts, and not in metrics
 
 
 class UpstreamRegistry:
     """All upstreams that are listed or still hold an attempt.
 
     Attributes:
-        upstreams: By number.
-        load_probing: Load probes are sent before attempts, so there are no subsets.
+        upstreams: Upstreams by number.
+        load_probing: Whether load probes are sent before attempts, so that there are no subsets.
         slow_start: The pacing of upstreams that are warming up.
-        eligibility: Which upstreams may be chosen.
-        peer_load: The messages that share load between replicas.
-        pools: By the zones and kinds of machines that their classes may use.
-        main: The pool of classes that may use all.
+        eligibility: The check of which upstreams may be chosen.
+        peer_load: The messages by which replicas share load.
+        pools: Pools by the zones and kinds of machines that their classes may use.
+        unrestricted_pool: The pool of classes that may use all upstreams.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         self.eligibility = Eligibility(concurrency, self.slow_start, load_probing)
         self.peer_load = PeerLoad(settings, load_probing, self.upstreams)
         self.pools: dict[tuple[frozenset[str], frozenset[str]], UpstreamPool] = {}
-        self.main = self.pool(RequestClass(""))
+        self.unrestricted_pool = self.pool(RequestClass(""))
 
     def pool(self, request_class: RequestClass) -> UpstreamPool:
         """Return the pool of all classes that may use the same upstreams."""
@@ -70,7 +71,7 @@
         return self.pools[key]
 
     def update(self, event: EndpointUpdate, now: int) -> None:
-        """Take in a snapshot or delta of the endpoint list, and choose the subsets anew."""
+        """Apply a snapshot or delta of the endpoint list, and choose the subsets again."""
         if event.kind is not EndpointUpdateKind.DELTA:
             self._remove_unlisted(event)
         for endpoint in event.endpoints:
@@ -88,7 +89,7 @@
         replicas = max(1, self.settings.replica_count)
         for pool in self.pools.values():
             pool.subset.arrange(ready, replicas)
-        subset = self.main.subset
+        subset = self.unrestricted_pool.subset
         if not self.load_probing:
             self.slow_start.sharing_replicas = subset.degree
         self.peer_load.set_degree(subset.degree)
@@ -103,7 +104,7 @@
     def _update_endpoint(self, endpoint: Endpoint, now: int) -> None:
         if endpoint.id not in self.upstreams:
             self.upstreams[endpoint.id] = Upstream(
-                endpoint.id, endpoint, *orders(endpoint.id, self.settings.replica)
+                endpoint.id, endpoint, *order_keys(endpoint.id, self.settings.replica)
             )
         upstream = self.upstreams[endpoint.id]
         before, upstream.endpoint = upstream.endpoint, endpoint
@@ -117,15 +118,18 @@
             upstream.ejected_until_ns = now + int(self.rng.random() * interval_ns)
 
     def forget_if_removed(self, upstream: Upstream) -> None:
-        """Forget an upstream that is removed and holds no attempt: ids are never used twice."""
+        """Forget an upstream if it is removed and holds no attempt.
+
+        Nothing about it is needed later, as ids are never used twice.
+        """
         if upstream.endpoint.state is EndpointState.REMOVED and not upstream.in_flight:
             self.upstreams.pop(upstream.id, None)
 
     def out_of_rotation(self, now: int) -> int:
-        """Return how many listed upstreams get no requests now: they drain, or are ejected for a while."""
+        """Return how many listed upstreams get no requests now, as they drain or are ejected."""
         return sum(
             upstream.endpoint.state is EndpointState.DRAINING
-            or upstream.ejected_until_ns > max(now, upstream.ejected_at_ns + MIN_EJECTION_SHOWN_NS)
+            or upstream.ejected_until_ns > max(now, upstream.ejected_at_ns + MIN_REPORTED_EJECTION_NS)
             for upstream in self.upstreams.values()
             if upstream.endpoint.state is not EndpointState.REMOVED
         )
--- a/lanelift/policy/requests.py
+++ b/lanelift/policy/requests.py
@@ -1,4 +1,8 @@
-"""One open request: what is known of it, and where it waits. Its legal next steps are in `legality.py`."""
+"""The policy's record of one open request: its attempts, its limits, and where it waits.
+
+`legality.py` decides which steps are legal for it. `lanelift/net/requests.py` has the daemon's table of open
+requests.
+"""
 
 from __future__ import annotations
 
@@ -16,39 +20,40 @@
 class WaitingPlace(Enum):
     """Where a request waits."""
 
-    NOWHERE = "nowhere"  # it has an attempt in flight, or is over
-    KEY_QUEUE = "key queue"  # for the requests of its ordering key before it
+    NOWHERE = "nowhere"  # it has an attempt in flight, or is finished
+    KEY_QUEUE = "key queue"  # for earlier requests of its ordering key
     TOKEN_BUFFER = "token buffer"  # for a token of its tenant
     POOL_QUEUE = "pool queue"  # for an upstream
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """One request that has no final answer yet, or still has an attempt in flight.
+    """A request that has no final answer yet, or still has an attempt in flight.
 
     Attributes:
         id: Its identifier.
         request_class: Its class.
         tenant_name: Its tenant's name.
-        token_bank: The bank that pays for it.
-        pool: The upstreams that it may go to.
+        token_bank: The bank from which its token is taken.
+        pool: The pool of upstreams that it may go to.
         deadline_ns: When its client gives up.
-        objective_at_ns: An answer by then earns the full priority weight.
-        cost_hint_ns: How long its client expects it to take; 0: not stated.
-        client_retry: The client says that it repeats an earlier request.
-        key_queue: The requests of its ordering key, where its class is ordered by key.
+        objective_at_ns: An answer by this time earns the full priority weight.
+        cost_hint_ns: How long its client expects it to take; 0 means not stated.
+        client_retry: Whether the client says that it repeats an earlier request.
+        key_queue: The queue of its ordering key, if its class is ordered by key.
         attempts: Its attempts, in order.
-        finished: It has its final answer.
-        response_started: A response to it is being passed on.
-        body_pending: Its body is still being received: its time does not run.
-        body_consumed: Its body is gone: it can't be sent again.
+        finished: Whether it has its final answer, or its client has disconnected.
+        response_started: Whether a response to it is being passed on.
+        body_pending: Whether its body is still being received, so that its time is not counted yet.
+        body_consumed: Whether part of its body was consumed, so that it can't be sent again.
         place: Where it waits.
         cooldown_until_ns: When the cooldown of its key is over.
-        give_up_at_ns: To wait longer than this is of no use.
-        probed_upstreams: Upstreams probed for their load on its behalf.
-        probed_at_ns: When.
-        busy_upstreams: Those of a first round of probes, all of which had work.
-        denial_reason: Why its tenant may not make it any more: no further attempt. Empty: it may.
+        give_up_at_ns: When it is given up if it still waits.
+        probed_upstreams: The upstreams that were probed for their load on its behalf.
+        probed_at_ns: When they were probed.
+        busy_upstreams: The upstreams of a first round of probes, if all of them had work queued.
+        denial_reason: Why its tenant may no longer make it, so that it gets no further attempt; empty if it
+            may.
     """
 
     id: str
@@ -87,7 +92,7 @@
     Attributes:
         key: The key.
         waiting: Its requests; only the first may have attempts.
-        cooldown_until_ns: An attempt of an earlier request may run until then.
+        cooldown_until_ns: Until when an attempt of an earlier request may still be running.
     """
 
     key: str
--- a/lanelift/policy/restrictions.py
+++ b/lanelift/policy/restrictions.py
@@ -1,6 +1,7 @@
-"""Rule 6 of the protocol: a class of requests may be restricted to zones and kinds of machines.
+"""Restrictions, rule 6 of the protocol: a request class may be limited to zones and kinds of machines.
 
-Inputs: the endpoint's zone and kind, the class. No attempt goes elsewhere, whatever is free there.
+Inputs: the endpoint's zone and kind, and the class. No attempt goes to any other upstream, whatever capacity
+is free there.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 
 def class_may_use(endpoint: Endpoint, request_class: RequestClass) -> bool:
-    """Return whether an upstream is in a zone and of a kind that the class may go to."""
+    """Return whether an upstream is in a zone and of a machine kind that the class may use."""
     return (not request_class.zones or endpoint.zone in request_class.zones) and (
         not request_class.machine_kinds or endpoint.kind in request_class.machine_kinds
     )
--- a/lanelift/policy/retries.py
+++ b/lanelift/policy/retries.py
@@ -1,8 +1,8 @@
-"""Retries: a request whose attempts have all ended without a response is tried again, or answered.
+"""Retries: a request whose attempts have all ended without a response is retried, or gets its final answer.
 
-Inputs: its attempts, whether another one is legal anywhere (`legality.py`), its wait timeout. A retry goes
-to the head of its pool's queue and takes no further token. Reason: it has waited already, and its token
-paid for it.
+Inputs: the request's attempts, whether another one is legal at any upstream (`legality.py`), and its wait
+timeout. A retry goes to the head of its pool's queue and takes no further token. Reason: the request has
+already waited, and has taken a token.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
             self.answers.reject_or_fail(request, now)
 
     def _may_retry(self, request: PendingRequest, now: int) -> bool:
-        """Return whether another attempt is legal, at any upstream that it is restricted to."""
+        """Return whether another attempt is legal at any upstream that the request may use."""
         limits = self.state.settings.limits
         targets = allowed_upstreams(request) or request.pool.subset.order[:1]
         return bool(request.attempts) and any(
--- a/lanelift/policy/service_time.py
+++ b/lanelift/policy/service_time.py
@@ -1,12 +1,12 @@
-"""What a request takes: learned by its class, or by the cost hint that its client gave.
+"""Service time estimates, learned for each request class or from the cost hints of clients.
 
-Inputs: the durations of responses from upstreams that had no work queued, the class, the cost hint; all in
-nanoseconds. Reason: queued work is the sum of these estimates, and a request that takes longer than its
-client waits is shed.
+Inputs: the durations of responses from upstreams that had no work queued, the class, and the cost hint; all
+times are in nanoseconds. Reason: queued work is the sum of these estimates, and a request that takes longer
+than its client waits is shed.
 
-A rough hint says less than its figure: where twice the hint is not twice the time, work that is added up
-from hints as they stand is wrong by as much, and what seems hopeless is not. So the estimate by hint is a
-regression.
+The service time need not be proportional to the hint. Where twice the hint is not twice the time, work that
+is summed from the hints themselves is wrong by as much, and requests would be shed that can be served in
+time. The estimate by hint is therefore a regression.
 """
 
 from __future__ import annotations
@@ -16,30 +16,32 @@
 from lanelift.policy.attempts import Attempt
 from lanelift.policy.settings import RequestClass
 
-DURATION_MARGIN = 1.3  # times the estimate: with its deviation, a request that takes longer is late
-MIN_SAMPLE_WEIGHT = 0.01  # of each new sample of the regression
-PRIOR_SAMPLES = 8.0  # samples that outweigh the prior slope
-PRIOR_SLOPE = 0.5  # with few samples, half of what the hint says is used
-UNKNOWN_CLASS_DIVISOR = 8  # a class without a sample takes this part (1/8) of its latency objective
+DURATION_MARGIN = (
+    1.3  # factor of the estimate; a request that takes longer, with the deviation added, is late
+)
+MIN_SAMPLE_WEIGHT = 0.01  # least weight of a new sample of the regression
+PRIOR_SAMPLES = 8.0  # number of samples that the prior slope counts as
+PRIOR_SLOPE = 0.5  # slope with few samples: half of what the hint says
+UNKNOWN_CLASS_DIVISOR = 8  # a class without samples is assumed to take this part (1/8) of its objective
 CLASS_SMOOTHING = 0.05  # weight of the latest sample of a class
 MAX_CLASS_GROWTH = 8  # a sample counts for at most this multiple of the estimate
 INITIAL_DEVIATION = 0.5  # share of the expected time
 DEVIATION_SMOOTHING = 0.05  # weight of the latest sample
-MAX_DEVIATION = 3.0  # a greater sample counts no more than this
+MAX_DEVIATION = 3.0  # larger samples are clamped to this
 FACTOR_SMOOTHING = 0.2  # weight of the latest sample of an upstream's service time factor
-MIN_FACTOR = 0.1  # least sample of an upstream's service time factor that counts as it stands
-MAX_FACTOR = 10.0  # and the greatest one
+MIN_FACTOR = 0.1  # smaller samples of an upstream's service time factor are clamped to this
+MAX_FACTOR = 10.0  # larger samples of it are clamped to this
 
 
 class HintRegression:
-    """Time by hint: least squares of the logarithms, the latest samples counting more.
+    """Service time by hint: a least-squares regression of the logarithms, with more weight on recent samples.
 
     Attributes:
-        samples: How many there were.
-        mean_log_hint: Mean of the logarithms of hints.
-        mean_log_duration: Mean of the logarithms of durations.
-        variance: That of the logarithms of hints.
-        covariance: That of both.
+        samples: The number of samples.
+        mean_log_hint: The mean of the logarithms of hints.
+        mean_log_duration: The mean of the logarithms of durations.
+        variance: The variance of the logarithms of hints.
+        covariance: The covariance of the logarithms of hints and durations.
     """
 
     __slots__ = ("covariance", "mean_log_duration", "mean_log_hint", "samples", "variance")
@@ -61,7 +63,7 @@
         self.covariance = (1 - weight) * (self.covariance + weight * hint_change * duration_change)
 
     def estimate_ns(self, hint_ns: int) -> float:
-        """Return what a request with this hint takes; before any sample, the hint itself."""
+        """Return the estimated time of a request with this hint; before any sample, the hint itself."""
         if not self.samples:
             return hint_ns
         prior_weight = PRIOR_SAMPLES / self.samples
@@ -72,12 +74,12 @@
 
 
 class ServiceTimeEstimator:
-    """What requests take where nothing is queued before them.
+    """Estimates how long requests take if no work is queued before them.
 
     Attributes:
-        by_class_ns: Time by class name, of requests without a hint.
-        by_hint: Time by hint.
-        relative_deviation: Mean deviation of durations from what was expected, as a share of that.
+        by_class_ns: Time by class name, for requests without a hint.
+        by_hint: Time by hint, for requests with one.
+        relative_deviation: The mean deviation of durations from the expected times, as a share of these.
     """
 
     __slots__ = ("by_class_ns", "by_hint", "relative_deviation")
@@ -88,7 +90,7 @@
         self.relative_deviation = INITIAL_DEVIATION
 
     def estimate_ns(self, request_class: RequestClass, hint_ns: int) -> float:
-        """Return what a request takes beside the work that is queued before it."""
+        """Return the estimated time of a request, without the work that is queued before it."""
         if hint_ns:
             return self.by_hint.estimate_ns(hint_ns)
         return self.by_class_ns.get(
@@ -96,7 +98,7 @@
         )
 
     def observe(self, request_class: RequestClass, hint_ns: int, attempt: Attempt, duration_ns: int) -> None:
-        """Learn from a response: the time of its class or hint, and its upstream's service time factor."""
+        """Update the estimate of a class or hint, and the upstream's service time factor, from a response."""
         upstream = attempt.upstream
         if not attempt.queued_work_ns:
             if hint_ns:
--- a/lanelift/policy/settings.py
+++ b/lanelift/policy/settings.py
@@ -1,7 +1,8 @@
-"""The settings that the decisions follow, as typed values.
+"""Typed settings of the balancing policy.
 
-`lanelift/settings.py` reads them from the platform's settings object, `lanelift/config` from the operator's
-file. All durations are whole nanoseconds. Nothing here decides.
+`lanelift/settings.py` reads them from the platform's settings object, and `lanelift/config` reads them from
+the operator's file. All durations are whole nanoseconds. This module only defines values; it makes no
+decisions.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 
 
 class Idempotency(Enum):
-    """What running a request of a class a second time may do."""
+    """Whether a request of a class may be executed more than once."""
 
     IDEMPOTENT = "safe"  # may be retried and rejected freely
-    IDEMPOTENCY_KEY = "keyed"  # carries a key: one group of upstreams drops its repeats for a while
-    NON_IDEMPOTENT = "unsafe"  # must never run twice
+    IDEMPOTENCY_KEY = "keyed"  # carries a key, by which one group of upstreams drops repeats for a while
+    NON_IDEMPOTENT = "unsafe"  # must never be executed twice
 
 
 class DeduplicationScope(Enum):
-    """Which upstreams drop the repeats of a request with an idempotency key."""
+    """The group of upstreams that drops repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +29,7 @@
 
 
 class UnknownTenants(Enum):
-    """What is done with requests of tenants that a directory does not name."""
+    """How requests of tenants that the directory does not name are handled."""
 
     SHARE = "share"  # all of them share one small token bank
     DENY = "deny"
@@ -36,22 +37,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests: what a retry may do, and how soon an answer is wanted.
+    """A class of requests, with its retry rules, latency objective and deadline.
 
     Attributes:
-        name: The class's name, as requests carry it.
-        idempotency: What running a request twice may do.
+        name: The name that requests carry.
+        idempotency: Whether a request may be executed more than once.
         deduplication_scope: Which upstreams drop repeats of one idempotency key.
-        deduplication_window_ns: How long they drop them, from the first attempt that may have run.
+        deduplication_window_ns: How long upstreams drop repeats, counted from the first attempt that may have
+            run.
         latency_objective_ns: An answer within this time earns the full priority weight.
-        deadline_ns: The longest that clients of this class wait, over all their attempts.
-        priority_weight: What one answer within the objective earns against other classes. Not used by any
-            decision.
-        late_weight: The share of the weight that an answer after the objective still earns.
-        streaming: Answers are long and count from their beginning.
-        ordered_by_key: Requests with one key run one at a time, in the order in which they arrived.
-        zones: The only zones that it may be forwarded to; empty: any.
-        machine_kinds: The only kinds of machine that it may be forwarded to; empty: any.
+        deadline_ns: The longest time that a client of this class waits, over all its attempts.
+        priority_weight: The value of an answer within the objective, relative to other classes. Not used by
+            any decision.
+        late_weight: The share of the priority weight that an answer after the objective still earns.
+        streaming: Whether responses are long, so that their latency is measured when they start.
+        ordered_by_key: Whether requests with the same key run one at a time, in the order in which they
+            arrived.
+        zones: The only zones that its requests may be forwarded to; empty means any.
+        machine_kinds: The only kinds of machine that its requests may be forwarded to; empty means any.
     """
 
     name: str
@@ -70,16 +73,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and what it may use.
+    """A tenant with its share of capacity and its limits.
 
     Attributes:
-        name: The tenant's name, as requests carry it.
-        share: Its weight against other tenants when capacity is short.
-        quota_per_s: Requests a second in its contract, over all replicas; 0: not stated. Not used by any
+        name: The name that requests carry.
+        share: Its weight relative to other tenants when capacity is short.
+        quota_per_s: The contracted requests per second over all replicas; 0 means not stated. Not used by any
             decision.
-        denial_reason: Why no request of it is served; empty: it is served.
-        classes: The only classes that it may use; empty: any.
-        rate_limits: Pairs of a class ("" for all) and requests a second, over all replicas.
+        denial_reason: Why all its requests are denied; empty if they are served.
+        classes: The only request classes that it may use; empty means any.
+        rate_limits: Pairs of a class name ("" for all classes) and a limit in requests per second over all
+            replicas.
     """
 
     name: str
@@ -92,19 +96,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a balancer may do for one request and towards its neighbours.
+    """The platform's limits on what a balancer may do.
 
     Attributes:
-        max_attempts: Attempts for one request, the first among them.
-        hedging: A second attempt may run beside an overdue first one.
-        may_cancel: Attempts may be cancelled.
-        load_probes: Upstreams may be asked for their load.
-        peer_messages: Replicas may send messages to one another.
-        retry_after: A rejection may carry Retry-After.
-        max_retry_after_ns: The longest Retry-After.
-        connect_timeout_ns: How long a connection to an upstream may take to come up.
+        max_attempts: The most attempts for one request, including the first.
+        hedging: Whether a second attempt may run beside an overdue first one.
+        may_cancel: Whether attempts may be cancelled.
+        load_probes: Whether upstreams may be probed for their load.
+        peer_messages: Whether replicas may send messages to one another.
+        retry_after: Whether a rejection may carry Retry-After.
+        max_retry_after_ns: The longest Retry-After that may be sent.
+        connect_timeout_ns: The longest time for establishing a connection to an upstream.
         upstream_idle_timeout_ns: An upstream closes a connection that has been idle for this long.
-        max_open_requests: Requests that a balancer may have open at once.
+        max_open_requests: The most requests that a balancer may have open at the same time.
     """
 
     max_attempts: int = 1
@@ -121,18 +125,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The rules that the platform holds every balancer to.
+    """The platform's rules for every balancer.
 
     Attributes:
-        drain_grace_ns: Attempts at a draining upstream must stop within this. Not used by any decision: they
-            stop at once.
-        notification_deadline_ns: Without an update for this long, a balancer counts as notified.
-        slow_start_initial_share: A started upstream begins at this share of its capacity.
-        slow_start_ns: How long after its start it is warm.
-        overload_multiple: An upstream fails when it gets more than this many times what it can do
-            throughout `overload_window_ns`.
+        drain_grace_ns: New attempts at a draining upstream must stop within this time. Not used by any
+            decision, as they stop immediately.
+        notification_deadline_ns: A balancer counts as notified of a change after this time even if no update
+            reached it.
+        slow_start_initial_share: The share of its capacity that an upstream has when it starts.
+        slow_start_ns: How long an upstream takes to warm up.
+        overload_multiple: An upstream fails if its load exceeds this multiple of its capacity throughout
+            `overload_window_ns`.
         overload_window_ns: See `overload_multiple`. Not used by any decision.
-        key_cooldown_ns: An ordering key pauses this long after an attempt that may still run.
+        key_cooldown_ns: How long an ordering key pauses after an attempt that may still be running.
     """
 
     drain_grace_ns: int = 1_000_000_000
@@ -146,9 +151,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What the platform charges, as shares of the value of one request: for each attempt that crosses zones,
-    wasted attempt, load probe, peer message, open connection and handshake. Decisions use those of load
-    probes and peer messages.
+    """What the platform charges, as shares of the value of one request.
+
+    There is a price for each attempt that crosses zones, wasted attempt, load probe, peer message, open
+    connection and handshake. Decisions use only the prices of load probes and peer messages.
     """
 
     cross_zone: float = 0.0
@@ -166,15 +172,16 @@
     Attributes:
         replica: This balancer's number among its replicas, from 0.
         replica_count: How many replicas there are.
-        zone: The zone in which it runs; empty: unknown. Not used by any decision.
-        discovery_push: Changes of the endpoint list arrive without being polled for.
+        zone: The zone in which it runs; empty if unknown. Not used by any decision.
+        discovery_push: Whether discovery pushes changes of the endpoint list.
         classes: Request classes by name.
         tenants: Listed tenants by name.
-        limits: What it may do.
-        rules: What it is held to.
-        prices: What it is charged.
-        load_report_fields: Names of the numbers in a load report.
-        load_reports_in_responses: Upstreams attach load reports to their responses. Not used by any decision.
+        limits: The limits on what it may do.
+        rules: The rules that it follows.
+        prices: The prices that it is charged.
+        load_report_fields: The names of the values in a load report.
+        load_reports_in_responses: Whether upstreams attach load reports to their responses. Not used by any
+            decision.
     """
 
     replica: int = 0
--- a/lanelift/policy/slow_start.py
+++ b/lanelift/policy/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start, rule 4 of the protocol: a started upstream gets attempts at intervals, until it has warmed up.
+"""Slow start, rule 4 of the protocol: attempts at a newly started upstream are paced until it has warmed up.
 
-Inputs: when the upstream started, the share of its capacity that it has at first and the time until it is
-warm (`Rules`), how many replicas share it, the rate of attempts that a warm upstream sustains. Nothing is
-sent to it before its pacing interval has passed since the last attempt. Reason: all replicas together must
-remain within what it can do now, or it falls over.
+Inputs: when the upstream started, its initial share of capacity and its warm-up time (`Rules`), how many
+replicas share it, and the rate of attempts that a warm upstream sustains. No attempt is sent to it before its
+pacing interval has passed since the last attempt. Reason: an upstream fails if all replicas together send it
+more than it can handle while it warms up.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-BUDGET_SHARE = 0.7  # of what a warming upstream can do that is used
+BUDGET_SHARE = 0.7  # share of the rate that a warming upstream can handle that is used
 SUSTAINED_RATE_SMOOTHING = 0.2
 
 
 class SlowStart:
-    """The pacing of upstreams that are warming up.
+    """Paces attempts at upstreams that are warming up.
 
     Attributes:
         sharing_replicas: How many replicas send to one upstream.
-        sustained_rate_per_s: Own attempts a second that a warm upstream is seen to sustain.
+        sustained_rate_per_s: This replica's observed attempts per second that a warm upstream sustains.
     """
 
     __slots__ = ("concurrency", "duration_ns", "rules", "sharing_replicas", "sustained_rate_per_s")
@@ -42,13 +42,13 @@
     def pacing_interval_ns(self, upstream: Upstream, now: int) -> int:
         """Return the least time between attempts at an upstream that is warming up.
 
-        A warm one does what it is seen to sustain, or one request in its mean service time, over all replicas
-        that share it.
+        A warm upstream is assumed to handle the higher of two rates: the sustained rate that was observed, or
+        one request per mean service time, divided among all replicas that share it.
         """
         rules = self.rules
         age_ns = max(
             0, now - upstream.endpoint.started_ns
-        )  # clocks differ: it may have started in the future
+        )  # clocks differ, so the start may be in the future
         warm_share = (
             rules.slow_start_initial_share
             + (1 - rules.slow_start_initial_share) * age_ns / rules.slow_start_ns
@@ -58,6 +58,6 @@
         return int(SECOND_NS / (BUDGET_SHARE * rules.overload_multiple * warm_share * warm_rate_per_s))
 
     def observe_rate(self, attempt_rate_per_s: float, width: int) -> None:
-        """Learn what a warm upstream sustains, from the attempts that ended a second at so many upstreams."""
+        """Update the sustained rate from the rate of attempts that ended at `width` upstreams together."""
         per_upstream = attempt_rate_per_s / max(1, width)
         self.sustained_rate_per_s += SUSTAINED_RATE_SMOOTHING * (per_upstream - self.sustained_rate_per_s)
--- a/lanelift/policy/state.py
+++ b/lanelift/policy/state.py
@@ -1,4 +1,4 @@
-"""What the rules of one balancer share."""
+"""State that the rules of one balancer share."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     """The tables, estimates and counts of one balancer.
 
     Attributes:
-        settings: What it follows.
-        rng: The one source of chance: all draws come from it, in the order of events.
-        timers: Calls that are due later.
+        settings: The settings of the balancer.
+        rng: The only source of randomness: all draws come from it, in the order of events.
+        timers: Scheduled calls.
         actions: The actions for the events that are being handled, in order.
-        tenants: Tenants with their token banks.
+        tenants: Tenants with their token banks and buckets.
         rate: The controller of the rate R.
         concurrency: The concurrency window.
-        service_times: What requests take.
+        service_times: The service time estimates.
         registry: Upstreams and pools.
         requests: Open requests by identifier.
         shortest_objective_ns: The shortest latency objective of a class.
         attempts_in_flight: Attempts that count against the window.
-        overdue_attempts: Those of them that are overdue.
+        overdue_attempts: The number of these that are overdue.
     """
 
     __slots__ = (
--- a/lanelift/policy/subscription.py
+++ b/lanelift/policy/subscription.py
@@ -1,9 +1,9 @@
-"""How the endpoint list is subscribed to, where it is not pushed.
+"""Subscription to the endpoint list, if discovery does not push it.
 
-Inputs: whether discovery pushes the list, updates and failures of calls, the notification deadline. The
-first call is made at a random time in the first quarter of that deadline, a call after failures with
-exponential backoff and jitter, within `MAX_BACKOFF_SHARE` of it. Reason: replicas that start or fail
-together must not call together; the load on discovery does not grow in bursts with their number.
+Inputs: whether discovery pushes the list, updates and failures of calls, and the notification deadline. The
+first call is made at a random time in the first quarter of that deadline. Calls after failures are made with
+exponential backoff and jitter, within `MAX_BACKOFF_SHARE` of the deadline. Reason: replicas that start or
+fail together must not call together, so that the load on discovery has no bursts that grow with their number.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 FIRST_BACKOFF_NS = SECOND_NS
 BACKOFF_BASE = 2.0  # the delay grows by this factor with each failure
 MAX_BACKOFF_MULTIPLE = 8.0  # of the first backoff, before jitter
-MIN_BACKOFF_FACTOR = 0.5  # of the delay: replicas must not call in step
+MIN_BACKOFF_FACTOR = 0.5  # jitter of the delay, so that replicas do not call in step
 MAX_BACKOFF_FACTOR = 1.5
 MAX_BACKOFF_SHARE = 0.8  # of the notification deadline
 
 
 class EndpointSubscription:
-    """Opens the watch of the endpoint list, and opens it again after failures.
+    """Subscribes to the endpoint list, and subscribes again after failures.
 
     Attributes:
-        subscribed: It is open, or the list is pushed.
-        failures: Failures in a row.
+        subscribed: Whether the subscription is open, or the list is pushed.
+        failures: The number of failures in a row.
     """
 
     __slots__ = ("failures", "state", "subscribed")
@@ -42,7 +42,7 @@
             state.timers.call_at(now + delay_ns, self._subscribe)
 
     def endpoints_changed(self, event: EndpointUpdate, now: int) -> None:
-        """Take in an update of the endpoint list, or back off after a failure."""
+        """Apply an update of the endpoint list, or back off after a failure."""
         if event.kind is EndpointUpdateKind.FAILED:
             self._back_off(now)
             return
--- a/lanelift/policy/subsets.py
+++ b/lanelift/policy/subsets.py
@@ -1,10 +1,10 @@
-"""Subsetting: each replica draws from a few upstreams that it shares with few others.
+"""Subsetting: each replica draws from a few upstreams, each of which it shares with few other replicas.
 
-Inputs: the ready upstreams, the number of replicas and this one's own, whether replicas announce their
-attempts to one another, whether load probes are used (then there is no subset: all upstreams are drawn
-from). A subset widens by one upstream for each member that can't be reached, and by one each interval while
-requests wait. Reason: what a replica knows of its own attempts, and receives of those of others, says
-something of an upstream only where few share it.
+Inputs: the ready upstreams, the number of replicas and this replica's own number, whether replicas announce
+their attempts to one another, and whether load probes are used (if so, there is no subset, and all upstreams
+are drawn from). A subset is widened by one upstream for each member that can't be reached, and by one in each
+feedback interval while requests wait. Reason: a replica's own attempts, and those that it receives
+announcements of, say something about an upstream only if few replicas share it.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from lanelift.policy.upstreams import Upstream
 
 MIN_SUBSET_SIZE = 4  # upstreams to draw from
-PAUSE_TOLERANT_SIZE = 10  # a subset that still serves while a few of its upstreams pause
-# Replicas that share an upstream where subsets are of PAUSE_TOLERANT_SIZE; those of MIN_SUBSET_SIZE may need
-# more.
+PAUSE_TOLERANT_SIZE = 10  # a subset of this size still serves while a few of its upstreams pause
+# The most replicas that share an upstream if subsets have PAUSE_TOLERANT_SIZE; subsets of MIN_SUBSET_SIZE may
+# need more.
 MAX_DEGREE = 6
-MAX_DEGREE_WITH_PEER_MESSAGES = 4  # and where each attempt is announced to all of them
-UNREACHABLE_REMEMBERED_NS = SECOND_NS  # after its ejection ended
+MAX_DEGREE_WITH_PEER_MESSAGES = 4  # the same, if each attempt is announced to all of them
+UNREACHABLE_REMEMBERED_NS = SECOND_NS  # how long an upstream counts as unreachable after its ejection
 
 
 def stable_hash(number: int, salt: int) -> int:
@@ -34,16 +34,17 @@
     return x ^ (x >> 32)
 
 
-def orders(number: int, replica: int) -> tuple[int, int]:
-    """Return an upstream's place in the order that all replicas share, and in this replica's own order."""
+def order_keys(number: int, replica: int) -> tuple[int, int]:
+    """Return an upstream's sort keys in the order of all replicas and in this replica's own order."""
     return stable_hash(number, 0), stable_hash(number, replica + 1)
 
 
 def subset_members(upstream: Upstream, replicas: int, count: int) -> list[int]:
     """Return the replicas that have an upstream in their subset.
 
-    They are drawn by its id: all replicas compute them alike, and what is added or removed elsewhere moves
-    none of them. They are computed once, so that a change of a long list is little work.
+    They are drawn by a hash of the upstream's id, so all replicas compute the same ones, and adding or
+    removing another upstream does not change them. They are kept once computed, so that a change of a long
+    list costs little.
     """
     if count >= replicas:
         return list(range(replicas))
@@ -60,11 +61,11 @@
     """The part of a pool's upstreams that this replica draws from.
 
     Attributes:
-        order: The ready upstreams: this replica's subset, then the others in an order of its own.
-        size: How many of them are its subset.
-        degree: How many replicas have each upstream in their subset.
-        members: Which ones, by upstream.
-        width: How many of `order` it draws from now: its subset, or more.
+        order: The ready upstreams: this replica's subset, then the others in this replica's own order.
+        size: The number of upstreams in the subset.
+        degree: The number of replicas that have each upstream in their subset.
+        members: These replicas, by upstream.
+        width: How many upstreams of `order` are drawn from now: the subset, or more.
     """
 
     __slots__ = (
@@ -89,7 +90,7 @@
         self.width = 0
 
     def arrange(self, ready: Sequence[Upstream], replicas: int) -> None:
-        """Choose the subset from the ready upstreams, which come in the order that all replicas share."""
+        """Choose the subset from the ready upstreams, which are in the order that all replicas share."""
         ready = [upstream for upstream in ready if class_may_use(upstream.endpoint, self.request_class)]
         count, own_number = len(ready), self.settings.replica
         own = ready
@@ -114,9 +115,10 @@
         self.width = min(count, max(self.width, self.size))
 
     def widen_or_narrow(self, requests_wait: bool, now: int) -> None:
-        """Replace what can't be reached, as when its zone is cut off; take in one more while requests wait.
+        """Widen the subset to replace unreachable upstreams and while requests wait, or narrow it again.
 
-        Congested upstreams are not replaced: beyond its subset a replica draws blindly.
+        Upstreams become unreachable, for example, if their zone is cut off. Congested upstreams are not
+        replaced, as a replica knows nothing of the load of upstreams outside its subset.
         """
         unreachable = sum(
             upstream.unreachable and now < upstream.ejected_until_ns + UNREACHABLE_REMEMBERED_NS
@@ -129,8 +131,9 @@
             self.width -= 1
 
     def in_rotation(self, now: int) -> int:
-        """Return how many of those that it draws from are not ejected.
+        """Return how many of the upstreams that are drawn from are not ejected.
 
-        The concurrency window is for these: what the others had must not all move to the rest.
+        The concurrency window is multiplied by this number, so that the load of ejected upstreams does not
+        all move to the others.
         """
         return sum(upstream.ejected_until_ns <= now for upstream in self.order[: self.width])
--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -1,8 +1,8 @@
-"""Tenants: the token bank and rate limits of each, as the settings and, later, a directory name them.
+"""Tenants: their token banks and rate limits, as named by the settings and later by a directory.
 
-Inputs: the tenant's and the class's name, updates of a directory, the time. A request is denied (`Fail`)
-when its tenant is unknown, suspended, may not use the class or has a limit of 0, and rejected when a token
-bucket of its tenant is empty. Reason: neither may cost another tenant a token.
+Inputs: the names of the tenant and the class, updates of a directory, and the time. A request is denied
+(`Fail`) if its tenant is unknown, suspended, may not use the class or has a limit of 0, and rejected if a
+token bucket of its tenant is empty. Reason: neither kind of request may take a token from another tenant.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from lanelift.policy.token_bank import TokenBank
 from lanelift.policy.token_bucket import TokenBucket
 
-MIN_WEIGHT = 1e-6  # of a token bank, whatever share a tenant has: R is divided by the sum of weights
-UNKNOWN_TENANTS_WEIGHT = 0.05  # of all unknown tenants together, as a share of that of the known ones
-# A directory may name any number of tenants; banks are kept for those that sent requests lately. To divide R
-# among so many takes a few milliseconds; a tenant beyond them shares one bank with all others beyond them.
+MIN_WEIGHT = 1e-6  # minimum weight of a token bank, as R is divided by the sum of weights
+UNKNOWN_TENANTS_WEIGHT = 0.05  # weight of all unknown tenants together, as a share of that of known ones
+# A directory may name any number of tenants; only those that sent requests lately have banks. Dividing R
+# among this many takes a few milliseconds. All tenants beyond this number share one bank.
 MAX_TOKEN_BANKS = 1024
-OVERFLOW_TENANTS_WEIGHT = 0.5  # of the bank of those beyond, as a share of that of the others
-MAX_TOKEN_BUCKETS = 8192  # limits in use at once: beyond, requests are not counted until some are full again
-MAX_RETRY_AFTER_JITTER = 1.5  # times the wait until the next token: clients must not return in step
+OVERFLOW_TENANTS_WEIGHT = 0.5  # weight of that shared bank, as a share of that of the others
+MAX_TOKEN_BUCKETS = 8192  # rate limits in use; further ones are not enforced until some are full again
+MAX_RETRY_AFTER_JITTER = 1.5  # times the wait until the next token, so that clients do not return in step
 
 
 class TenantRegistry:
     """The token banks and buckets of tenants that sent requests lately, and the rate R that they share.
 
     Attributes:
-        banks: Token banks by tenant name; "" is that of all, while no tenant is listed.
-        known: All tenants by name, once a directory has named some; None before that.
-        unknown_tenants: What becomes of all others, once a directory has named all; None before that.
-        shared_banks: Banks of those that have none of their own, by their share of the weight.
-        departed: Banks of tenants that were removed, until they are full.
-        buckets: Rate limits in use, by tenant and class.
+        banks: Token banks by tenant name; "" is the bank of all requests while no tenant is listed.
+        known_tenants: All tenants by name, once a directory has named some; None before that.
+        unknown_tenants: How all other tenants are handled, once a directory has named all; None before that.
+        shared_banks: The banks of tenants that have none of their own, by their share of the weight.
+        removed_banks: The banks of tenants that were removed, until they are full.
+        buckets: The token buckets of rate limits in use, by tenant and class.
         rate: The controller of R.
     """
 
@@ -45,25 +45,25 @@
         self.banks = {
             name: TokenBank(max(MIN_WEIGHT, tenant.share), rng, now) for name, tenant in tenants.items()
         }
-        self.known: dict[str, Tenant] | None = None
+        self.known_tenants: dict[str, Tenant] | None = None
         self.unknown_tenants: UnknownTenants | None = None
         self.shared_banks: dict[float, TokenBank] = {}
-        self.departed: dict[str, TokenBank] = {}
+        self.removed_banks: dict[str, TokenBank] = {}
         self.buckets: dict[tuple[str, str], TokenBucket] = {}
         self.rate = RateController(self.banks.values(), now)
 
     def bank(self, name: str, now: int) -> TokenBank:
-        """Return the bank that pays for a tenant's requests: its own, if it may have one."""
+        """Return the bank that a tenant's requests take tokens from: its own, or a shared one."""
         if name in self.banks:
             return self.banks[name]
-        if self.known is None or name not in self.known:
-            # Requests of unknown tenants cost no known one a token; or no tenant is listed at all.
+        if self.known_tenants is None or name not in self.known_tenants:
+            # Unknown tenants take no token of a known one. If no tenant is listed, all use one bank.
             return self.banks.get("") or self._shared_bank(UNKNOWN_TENANTS_WEIGHT, now)
-        # A tenant that returns has the tokens that it left with.
-        bank = self.departed.pop(name, None)
-        if bank is None and len(self.banks) + len(self.departed) >= MAX_TOKEN_BANKS:
+        # A tenant that is added again has the tokens that it had when it was removed.
+        bank = self.removed_banks.pop(name, None)
+        if bank is None and len(self.banks) + len(self.removed_banks) >= MAX_TOKEN_BANKS:
             return self._shared_bank(OVERFLOW_TENANTS_WEIGHT, now)
-        weight = max(MIN_WEIGHT, self.known[name].share)
+        weight = max(MIN_WEIGHT, self.known_tenants[name].share)
         bank = self.banks[name] = bank or TokenBank(weight, self.rng, now)
         bank.weight = weight
         self.rate.add_bank(bank, now)
@@ -82,9 +82,12 @@
         return self.shared_banks[share]
 
     def denial_reason(self, name: str, class_name: str) -> str:
-        """Return why a tenant may not use this class, or nothing, once a directory has named some tenants."""
-        assert self.known is not None
-        tenant = self.known.get(name)
+        """Return why a tenant may not use this class; empty if it may.
+
+        May be called only once a directory has named some tenants.
+        """
+        assert self.known_tenants is not None
+        tenant = self.known_tenants.get(name)
         if tenant is None:
             return "unknown tenant" if self.unknown_tenants is UnknownTenants.DENY else ""
         if tenant.denial_reason:
@@ -95,8 +98,8 @@
         return "limit of 0" if zero_limit else ""
 
     def immediate_answer(self, event: RequestArrived, now: int) -> Action | None:
-        """Return what answers a request at once, because of its tenant; None: it goes on."""
-        if self.known is None:
+        """Return the final answer that a request gets because of its tenant, or None if it is allowed."""
+        if self.known_tenants is None:
             return None
         reason = self.denial_reason(event.tenant, event.class_name)
         if reason:
@@ -113,12 +116,13 @@
         return None
 
     def _buckets_of(self, event: RequestArrived, now: int) -> list[tuple[TokenBucket, float]]:
-        """Return the buckets that limit a request, each with its rate here.
+        """Return the buckets that limit a request, each with its rate on this replica.
 
-        A limit is over all replicas and each has its part of it: the front deals clients evenly.
+        A limit is for all replicas together, and each enforces an equal part, as clients are spread evenly
+        over them.
         """
-        assert self.known is not None
-        tenant = self.known.get(event.tenant)
+        assert self.known_tenants is not None
+        tenant = self.known_tenants.get(event.tenant)
         if tenant is None:
             return []
         replicas = max(1, self.settings.replica_count)
@@ -136,19 +140,19 @@
         return bucket
 
     def update(self, event: TenantUpdate, now: int) -> set[str] | None:
-        """Take in a directory's update.
+        """Apply an update from a directory.
 
-        Banks keep their tokens and buffered requests. R is divided anew at once: what a tenant
-        left must not be lent twice.
+        Banks keep their tokens and buffered requests. R is divided again immediately, so that the share of a
+        removed tenant is not lent twice.
 
         Returns:
-            The names of the tenants that it is about; None: all.
+            The names of the tenants that the update affects; None means all.
         """
-        if self.known is None:
-            self.known = dict(self.settings.tenants)
+        if self.known_tenants is None:
+            self.known_tenants = dict(self.settings.tenants)
         shares_changed = False
         for tenant in event.tenants:
-            self.known[tenant.name] = tenant
+            self.known_tenants[tenant.name] = tenant
             bank = self.banks.get(tenant.name)
             if bank is not None and bank.weight != tenant.share:
                 bank.weight = max(MIN_WEIGHT, tenant.share)
@@ -159,9 +163,9 @@
             self.unknown_tenants = event.unknown_tenants
             removed.append("")  # the bank of all, while no tenant was listed
         for name in removed:
-            self.known.pop(name, None)
+            self.known_tenants.pop(name, None)
             if name in self.banks:
-                self.departed[name] = self.banks.pop(name)
+                self.removed_banks[name] = self.banks.pop(name)
                 shares_changed = True
         if shares_changed:
             self.rate.set_banks(self._sharing_banks(), now)
@@ -175,11 +179,13 @@
         return own + list(self.shared_banks.values())
 
     def forget_idle(self, now: int) -> None:
-        """Forget tenants that sent nothing for a while and left nothing that must be remembered."""
-        for table in (self.banks, self.departed):
-            # Where no tenant is listed, the one bank of all remains.
+        """Forget the idle banks and buckets that are full: a new one would be the same."""
+        for table in (self.banks, self.removed_banks):
+            # If no tenant is listed, the one bank that all use remains.
             idle = [
-                name for name, bank in table.items() if bank.is_full(now) and (name or table is self.departed)
+                name
+                for name, bank in table.items()
+                if bank.is_full(now) and (name or table is self.removed_banks)
             ]
             for name in idle:
                 del table[name]
--- a/lanelift/policy/timers.py
+++ b/lanelift/policy/timers.py
@@ -1,4 +1,4 @@
-"""Calls that are due at a time, and the one timer that the caller keeps for them."""
+"""Scheduled calls, and the one timer that the caller runs for them."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 
 
 class TimerQueue:
-    """A heap of calls by time; calls of one time are made in the order in which they were added.
+    """A heap of scheduled calls; calls due at the same time are made in the order in which they were added.
 
-    It is bounded by the open requests, the upstreams, keys and tenants: each has a few calls due at most.
+    Its size is bounded, as each open request, upstream, key and tenant has at most a few scheduled calls.
 
     Attributes:
-        calls: Time, number, what to call (None: only be awake then) and its arguments.
-        added: How many calls were ever added.
-        timer_due_ns: When the timer that counts is due; 0: none is set.
-        timer_number: Its number, which is its name.
+        calls: The due time, sequence number, function (None if the queues only have to be run) and arguments
+            of each call.
+        added: The number of calls that were ever added.
+        timer_due_ns: When the current timer is due; 0 if none is set.
+        timer_number: The number of the current timer, which is also its name.
     """
 
     __slots__ = ("added", "calls", "timer_due_ns", "timer_number")
@@ -32,12 +33,12 @@
         self.timer_number = 0
 
     def call_at(self, at_ns: int, function: Callable[..., None], *arguments: Any) -> None:
-        """Call a function then, with these arguments and the time."""
+        """Schedule a call of a function with these arguments and the time of the call."""
         self.added += 1
         heapq.heappush(self.calls, (at_ns, self.added, function, arguments))
 
     def wake_at(self, at_ns: int, *about: Any) -> None:
-        """Schedule a run of the queues; `about`: the request that it matters to, if only to one."""
+        """Schedule a run of the queues; `about` is the request that needs it, if it is only one."""
         self.added += 1
         heapq.heappush(self.calls, (at_ns, self.added, None, about))
 
@@ -49,20 +50,20 @@
             if function is not None:
                 function(*arguments, now)
 
-    def fired(self, event: TimerFired, now: int) -> None:
-        """A timer fired.
+    def timer_fired(self, event: TimerFired, now: int) -> None:
+        """Record that the current timer has fired.
 
-        It is known by its name, not by the clock: one that fires a little early would else be taken for an
-        old one, and no timer would ever be set again.
+        The timer is recognised by its name and not by the clock: one that fires a little early would
+        otherwise be taken for an old one, and no timer would ever be set again.
         """
         if event.name == str(self.timer_number):
             self.timer_due_ns = 0
 
     def next_timer(self, now: int) -> SetTimer | None:
-        """Return the timer to set, if there is a call due before the one that is set."""
+        """Return the timer to set, if a call is due before the current timer."""
         calls = self.calls
         while calls and self._is_settled(*calls[0][3]):
-            heapq.heappop(calls)  # no wake for what is over
+            heapq.heappop(calls)  # its request or attempt has ended
         if not calls or (self.timer_due_ns and calls[0][0] >= self.timer_due_ns):
             return None
         self.timer_due_ns = calls[0][0]
--- a/lanelift/policy/token_bucket.py
+++ b/lanelift/policy/token_bucket.py
@@ -1,6 +1,6 @@
-"""A rate limit that an operator or a directory set for a tenant: a plain token bucket.
+"""Token bucket: enforces a rate limit that an operator or a directory set for a tenant.
 
-Inputs: the limit in requests a second and the time. It acts when less than one token is left: the request is
+Inputs: the limit in requests per second and the time. If less than one token is left, the request is
 rejected, with the time until the next token as its Retry-After.
 """
 
@@ -10,16 +10,16 @@
 
 from lanelift.policy.units import SECOND_NS
 
-BURST_S = 1.0  # seconds' worth of the limit that may be used at once
+BURST_S = 1.0  # seconds of the limit that may be used in one burst
 
 
 class TokenBucket:
-    """Requests a second, with a second's worth at once.
+    """A token bucket that holds one second of its limit.
 
     Attributes:
-        rate_per_s: The limit, in requests a second.
+        rate_per_s: The limit, in requests per second.
         updated_at_ns: When `tokens` was last brought up to date.
-        tokens: Requests that are within the limit now.
+        tokens: The number of requests that are within the limit now.
     """
 
     __slots__ = ("rate_per_s", "tokens", "updated_at_ns")
@@ -31,11 +31,14 @@
 
     @property
     def capacity(self) -> float:
-        """The most tokens that it holds; at least one, or no request would ever be within the limit."""
+        """The most tokens that it holds: at least one, as otherwise no request would be within the limit."""
         return max(1.0, self.rate_per_s * BURST_S)
 
     def wait_ns(self, rate_per_s: float, now: int) -> int:
-        """Return how long until a request is within the limit, which may have changed since; 0: it is."""
+        """Return how long it takes until a request is within the limit; 0 if it is now.
+
+        The limit may have changed since the last call.
+        """
         self.rate_per_s = rate_per_s
         self.tokens = self.tokens + rate_per_s * (now - self.updated_at_ns) / SECOND_NS
         self.updated_at_ns = now
@@ -45,5 +48,5 @@
         return math.ceil((1 - self.tokens) / rate_per_s * SECOND_NS)
 
     def is_full(self, now: int) -> bool:
-        """Return whether it is as good as a new one, so that it can be forgotten."""
+        """Return whether the bucket is full, as a new one is, so that it can be forgotten."""
         return self.tokens + self.rate_per_s * (now - self.updated_at_ns) / SECOND_NS >= self.capacity
--- a/lanelift/policy/upstreams.py
+++ b/lanelift/policy/upstreams.py
@@ -1,4 +1,8 @@
-"""What this replica knows of one upstream. No rule is here: each field names the module that sets it."""
+"""The policy's state of one upstream: load estimates, ejection and its place in the subsets.
+
+`lanelift/net/upstreams.py` sends the attempts and load probes. No rule is here: each field names the module
+that sets it.
+"""
 
 from __future__ import annotations
 
@@ -10,22 +14,24 @@
 
 @dataclass(slots=True, eq=False)
 class Upstream(QueuedWork):
-    """One upstream that is listed, or still holds an attempt of this replica.
+    """An upstream that is listed, or still holds an attempt of this replica.
 
     Attributes:
         id: Its number.
         endpoint: Its entry in the endpoint list (`registry.py`).
-        common_order: Its place among all, the same on every replica (`subsets.py`).
-        own_order: Its place in this replica's own order of those beyond its subset (`subsets.py`).
-        subset_members: Replicas that have it in their subset, as far as computed (`subsets.py`).
-        service_time_factor: Its time for a request against that of all (`service_time.py`).
-        consecutive_ejections: How often it was ejected, or nearly, since its last success (`ejection.py`).
-        unreachable: The last attempt to connect to it failed (`outcomes.py`).
-        ejected_until_ns: No attempt before this (`ejection.py`, `slow_start.py`).
+        common_order: Its sort key among all upstreams, the same on every replica (`subsets.py`).
+        own_order: Its sort key in this replica's own order of the upstreams outside its subset
+            (`subsets.py`).
+        subset_members: The replicas that have it in their subset, as far as computed (`subsets.py`).
+        service_time_factor: Its service time relative to that of all upstreams (`service_time.py`).
+        consecutive_ejections: How many failures ejected it, or would have, since its last success
+            (`ejection.py`).
+        unreachable: Whether the last attempt failed to connect to it (`outcomes.py`).
+        ejected_until_ns: It gets no attempt before this time (`ejection.py`, `slow_start.py`).
         ejected_at_ns: When it was last ejected (`ejection.py`).
-        peak_in_flight: The most attempts that this replica has had there at once (`forwarding.py`).
-        error_rate: The share of its responses that were errors lately (`ejection.py`).
-        consecutive_resets: Connections to it that broke, in a row (`ejection.py`).
+        peak_in_flight: The most attempts that this replica has had in flight there (`forwarding.py`).
+        error_rate: The recent share of its responses that were errors (`ejection.py`).
+        consecutive_resets: The number of connections to it that broke in a row (`ejection.py`).
     """
 
     id: int
--- a/lanelift/settings.py
+++ b/lanelift/settings.py
@@ -1,6 +1,7 @@
-"""The settings object, as the simulator's first message and a real balancer's configuration hold it.
+"""Reads the platform's settings object into the typed settings of the policy.
 
-Both programs read it here and nowhere else. Unknown keys are skipped; what is absent keeps its default.
+The simulator's first message and a real balancer's configuration both hold this object, and it is read only
+here. Unknown keys are skipped, and absent keys keep their defaults.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 Json = dict[str, Any]
 
-# The platform's names on the left, ours on the right; nowhere else are the platform's known.
+# The platform's names on the left, ours on the right. No other module uses the platform's names.
 CLASS_FIELDS = {
     "window_ns": "deduplication_window_ns",
     "aim_ns": "latency_objective_ns",
@@ -70,7 +71,7 @@
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 DISCOVERY_PUSH = {"push": True, "ask": False}
-SHOWN_CHARACTERS = 80  # of a wrong value in a message
+SHOWN_CHARACTERS = 80  # of a wrong value that are shown in a message
 TYPE_NAMES = {
     int: "a whole number",
     float: "a number",
@@ -83,14 +84,14 @@
 
 
 class SettingsError(LaneliftError):
-    """Input that is not what the wire, or the platform's configuration, allows."""
+    """Input that the wire or the platform's configuration does not allow."""
 
 
 def require(row: Json, key: str, kind: type) -> Any:
-    """A field that must be there, of this type; a whole number is no bool.
+    """Return a field that must be present and of this type; a bool is no whole number.
 
     Raises:
-        SettingsError: It is absent or of another type.
+        SettingsError: The field is absent or of another type.
     """
     if key not in row:
         raise SettingsError(f"{row.get('t', 'entry')} lacks {key}")
@@ -98,19 +99,19 @@
 
 
 def optional(row: Json, key: str, kind: type, default: Any) -> Any:
-    """A field that may be absent or null; then the default.
+    """Return a field of this type that may be absent or null, and then has the default.
 
     Raises:
-        SettingsError: It is of another type.
+        SettingsError: The field is of another type.
     """
     return default if row.get(key) is None else check_type(row[key], key, kind)
 
 
 def check_type(value: Any, key: str, kind: type) -> Any:
-    """The value, if it is of this type; `float` takes whole numbers, too.
+    """Return the value if it is of this type; `float` accepts whole numbers, too.
 
     Raises:
-        SettingsError: It is of another type; `key` names it in the message.
+        SettingsError: The value is of another type; the message names it by `key`.
     """
     fits = isinstance(value, (int, float) if kind is float else kind)
     if not fits or (isinstance(value, bool) and kind is not bool):
@@ -119,7 +120,7 @@
 
 
 def choice(row: Json, key: str, choices: Mapping[Any, Any], default: Any = None) -> Any:
-    """What a field's value, one of a few words or numbers, stands for.
+    """Return the value of `choices` that a field's value, one of a few words or numbers, stands for.
 
     Raises:
         SettingsError: The value is not among the choices.
@@ -131,9 +132,9 @@
     return choices[value]
 
 
-def _read_known(row: Json, like: type, names: Mapping[str, str]) -> Json:
-    """The known settings among those given, under this program's names; the rest keep their defaults."""
-    types = {f.name: type(f.default) for f in dataclasses.fields(like)}
+def _read_known(row: Json, settings_type: type, names: Mapping[str, str]) -> Json:
+    """Return the known settings among the given ones, under this program's names."""
+    types = {f.name: type(f.default) for f in dataclasses.fields(settings_type)}
     return {
         own_name: check_type(row[platform_name], platform_name, types[own_name])
         for platform_name, own_name in names.items()
@@ -146,7 +147,7 @@
 
 
 def read_class(row: Json) -> RequestClass:
-    """One request class (`profiles`). Raises SettingsError."""
+    """Read one request class (an entry of `profiles`). Raises SettingsError."""
     given = _read_known(row, RequestClass, CLASS_FIELDS)
     return RequestClass(
         require(row, "name", str),
@@ -159,12 +160,12 @@
 
 
 def read_tenant(row: Json) -> Tenant:
-    """One tenant (`realms`). Raises SettingsError."""
+    """Read one tenant (an entry of `realms`). Raises SettingsError."""
     return Tenant(require(row, "name", str), **_read_known(row, Tenant, TENANT_FIELDS))
 
 
 def read_settings(raw: Json) -> Settings:
-    """The settings object as a whole. Raises SettingsError."""
+    """Read the whole settings object. Raises SettingsError."""
     classes = [read_class(check_type(row, "profiles", dict)) for row in optional(raw, "profiles", list, ())]
     tenants = [read_tenant(check_type(row, "realms", dict)) for row in optional(raw, "realms", list, ())]
     limits = _read_known(optional(raw, "limits", dict, {}), Limits, LIMITS_FIELDS)
--- a/lanelift/wirehost.py
+++ b/lanelift/wirehost.py
@@ -1,9 +1,9 @@
-"""The simulator host: many balancers on the simulator's wire. It translates and decides nothing.
+"""Simulator host: runs many balancers on the simulator's wire. It only translates, and makes no decisions.
 
     python -m lanelift.wirehost < batches > replies
 
-One JSON object a line each way. A line that is not a batch ends the process with a message on standard
-error and exit status 2; an exception inside a balancer is reported as that balancer's `fault`.
+Each line, in both directions, is one JSON object. A line that is not a batch ends the process with a message
+on standard error and exit status 2; an exception inside a balancer is reported as that balancer's `fault`.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 def read_upstream(row: Any) -> Endpoint:
-    """One entry of an upstream list. Raises SettingsError."""
+    """Read one entry of an upstream list. Raises SettingsError."""
     row = check_type(row, "rows_in", dict)
     return Endpoint(
         require(row, "upstream", int),
@@ -133,7 +133,7 @@
     return PeerMessageReceived(require(row, "origin_peer", int), data)
 
 
-# The wire's kinds of event, and how each is read.
+# The function that reads each kind of event on the wire.
 READERS: dict[str, Callable[[Json], Event]] = {
     "submit": _read_request,
     "returned": _read_outcome,
@@ -143,7 +143,7 @@
     "probe_result": _read_probe_outcome,
     "message": _read_peer_message,
 }
-# How each action is written.
+# The function that writes each kind of action.
 WRITERS: dict[type, Callable[[Any], Json]] = {
     StartAttempt: lambda action: {
         "t": "submit_to",
@@ -171,7 +171,7 @@
     """The balancers of one process, and the numbered upstream lists that they share on the wire.
 
     Attributes:
-        balancers: By their number on the wire.
+        balancers: Balancers by their number on the wire.
         lists: Upstream lists by their number on the wire.
     """
 
@@ -179,10 +179,10 @@
         self.balancers: dict[int, Balancer] = {}
         self.lists: dict[int, Sequence[Endpoint]] = {}
 
-    def batch(self, line: str | bytes) -> str:
-        """Carry out one batch.
+    def run_batch(self, line: str | bytes) -> str:
+        """Handle one batch.
 
-        A balancer's events are gathered and handed over together, so that it sees all that a batch brings.
+        The events of each balancer are collected and handled together, so that it sees the whole batch.
 
         Returns:
             The reply, as one line without its end.
@@ -190,17 +190,19 @@
         Raises:
             SettingsError: The line is not a batch.
         """
-        now, number, happened = _read_batch(line)
+        now, number, batch_events = _read_batch(line)
         waiting: dict[int, list[Event]] = {}
         commands: list[Json] = []
-        for event in happened:
-            self._take(check_type(event, "event", dict), now, waiting, commands)
+        for event in batch_events:
+            self._handle_event(check_type(event, "event", dict), now, waiting, commands)
         for balancer, events in waiting.items():
             self._run(balancer, now, events, commands)
         return json.dumps({"round": number, "cmds": commands}, separators=(",", ":"))
 
-    def _take(self, event: Json, now: int, waiting: dict[int, list[Event]], commands: list[Json]) -> None:
-        """Carry out an event that concerns the host, or have a balancer's wait."""
+    def _handle_event(
+        self, event: Json, now: int, waiting: dict[int, list[Event]], commands: list[Json]
+    ) -> None:
+        """Handle an event that concerns the host, or add a balancer's event to `waiting`."""
         kind = require(event, "t", str)
         if kind == "directory":
             rows = require(event, "rows_in", list)
@@ -244,38 +246,38 @@
 
 
 def _read_batch(line: str | bytes) -> tuple[int, int, list[Any]]:
-    """The batch's time in ns, its number, and its events as they came. Raises SettingsError."""
+    """Return the batch's time in ns, its number and its unread events. Raises SettingsError."""
     try:
         batch = json.loads(line)
     except ValueError as error:
         raise SettingsError(f"not JSON: {error}") from None
     if not isinstance(batch, dict):
         raise SettingsError("a batch must be an object")
-    now, number, happened = (batch.get(key) for key in ("sim_time_ns", "round", "happened"))
+    now, number, batch_events = (batch.get(key) for key in ("sim_time_ns", "round", "happened"))
     if not isinstance(now, int) or isinstance(now, bool):
         raise SettingsError("batch without a whole-number sim_time_ns")
     if not isinstance(number, int) or isinstance(number, bool):
         raise SettingsError("batch without a whole-number round")
-    if not isinstance(happened, list):
+    if not isinstance(batch_events, list):
         raise SettingsError("batch without the array happened")
-    return now, number, happened
+    return now, number, batch_events
 
 
 def _fault(number: int, error: Exception) -> Json:
-    """A failure of the decision code as the simulator receives it, with the place where it happened."""
-    place = error.__traceback__
-    while place is not None and place.tb_next is not None:
-        place = place.tb_next
-    where = f" at {place.tb_frame.f_code.co_name}:{place.tb_lineno}" if place is not None else ""
+    """Return the command that reports an exception of the decision code, with the place that raised it."""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    where = f" at {traceback.tb_frame.f_code.co_name}:{traceback.tb_lineno}" if traceback is not None else ""
     return {"t": "fault", "balancer": number, "message": f"{type(error).__name__}: {error}{where}"}
 
 
 def main() -> int:
-    """Carry out the batches on standard input; the exit status."""
+    """Handle the batches on standard input, and return the exit status."""
     host = Host()
-    for count, line in enumerate(sys.stdin.buffer, 1):  # bytes: bad UTF-8 is bad input, too
+    for count, line in enumerate(sys.stdin.buffer, 1):  # read as bytes: invalid UTF-8 is bad input, too
         try:
-            reply = host.batch(line)
+            reply = host.run_batch(line)
         except SettingsError as error:
             print(f"wirehost: line {count}: {error}", file=sys.stderr)
             return 2
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -38,7 +38,9 @@
         for request, number in checked.out():
             if checked.now - checked.sends[request][number][1] >= 50 * MS:
                 checked.finish(request, number=number)
-    assert len(checked.balancer.registry.main.queue) < 20 and "rejected" in checked.answer.values()
+    assert (
+        len(checked.balancer.registry.unrestricted_pool.queue) < 20 and "rejected" in checked.answer.values()
+    )
 
 
 @pytest.mark.parametrize(("waited_ms", "answer"), [(100, None), (290, "rejected")])
--- a/tests/policy/test_full_size.py
+++ b/tests/policy/test_full_size.py
@@ -133,12 +133,14 @@
         START + SECOND,
         [EndpointUpdate(EndpointUpdateKind.DELTA, [old._replace(state=EndpointState.REMOVED), new])],
     )
-    degree = balancer.registry.main.subset.degree
+    degree = balancer.registry.unrestricted_pool.subset.degree
     assert draws[0] <= 2 + 3 * degree, f"{draws[0]} draws for one upstream that came, of {upstream_count}"
     # What was computed before is what a replica would find that starts now: all agree on the subsets.
     fresh = Balancer(config(replicas, replica=5), 2, START)
     fresh.handle(START, [EndpointUpdate(EndpointUpdateKind.SNAPSHOT, [*upstreams(upstream_count)[1:], new])])
-    assert balancer.registry.main.subset.members == fresh.registry.main.subset.members
+    assert (
+        balancer.registry.unrestricted_pool.subset.members == fresh.registry.unrestricted_pool.subset.members
+    )
 
 
 # ---- death and cuts --------------------------------------------------------------------------------------
@@ -165,7 +167,7 @@
     assert min(requested[me] for me in alive) > 0
     # All six replicas that share an upstream are dead in one of eight cases: only widened subsets reach it.
     assert len({number for t, _, number in day.sends if t > 5 * SECOND}) >= 34
-    assert day.messages < day.balancers[0].registry.main.subset.degree * len(day.sends)
+    assert day.messages < day.balancers[0].registry.unrestricted_pool.subset.degree * len(day.sends)
 
 
 @pytest.mark.parametrize("knows", [True, False])
@@ -225,8 +227,8 @@
 
 def fail(checked: CheckedBalancer, result: AttemptResult, seconds: int) -> None:
     """For so long, let attempts within the subset end like this, and all others be served."""
-    main = checked.balancer.registry.main
-    own_subset = {s.id for s in main.subset.order[: main.subset.size]}
+    unrestricted_pool = checked.balancer.registry.unrestricted_pool
+    own_subset = {s.id for s in unrestricted_pool.subset.order[: unrestricted_pool.subset.size]}
     for i in range(20 * seconds):
         checked.give(arrival(f"{checked.now}-{i}", checked.now))
         checked.advance(10 * MS)
@@ -244,16 +246,16 @@
     its subset it draws blindly: an upstream that fails or is congested is no reason to.
     """
     checked = CheckedBalancer(config(40, classes={"read": READ}), upstream_count=40)
-    main = checked.balancer.registry.main
+    unrestricted_pool = checked.balancer.registry.unrestricted_pool
     fail(checked, result, 3)
-    assert (main.subset.width > main.subset.size + 1) is replaced
+    assert (unrestricted_pool.subset.width > unrestricted_pool.subset.size + 1) is replaced
     before = len(checked.classes)
     fail(checked, result, 2)
     late = list(checked.classes)[before:]
     served_share = sum(checked.answer.get(name) == "served" for name in late) / len(late)
     assert served_share > 0.9 or not replaced
     fail(checked, AttemptResult.OK, 8)
-    assert main.subset.width == main.subset.size  # and they make way again
+    assert unrestricted_pool.subset.width == unrestricted_pool.subset.size  # and they make way again
 
 
 @pytest.mark.parametrize("blind", [True, False])
@@ -278,7 +280,7 @@
         )
         rate.rate_per_s = 7.0
         for i in range(1, 6):
-            rate.on_time, token_bank.ran_dry = 10, True
+            rate.on_time, token_bank.was_exhausted = 10, True
             rate.adjust(START + i * SECOND, excess)
         values.append(rate.rate_per_s)
     assert values[1] > 1.5 * values[0]
--- a/tests/policy/test_many_replicas.py
+++ b/tests/policy/test_many_replicas.py
@@ -159,9 +159,12 @@
         checked = CheckedBalancer(
             settings(replica=me, replica_count=replicas, limits=PEERS), seed=me, upstream_count=upstream_count
         )
-        main = checked.balancer.registry.main
-        assert 1 <= main.subset.size <= upstream_count and len(main.subset.order) == upstream_count
-        subsets |= {s.id for s in main.subset.order[: main.subset.size]}
+        unrestricted_pool = checked.balancer.registry.unrestricted_pool
+        assert (
+            1 <= unrestricted_pool.subset.size <= upstream_count
+            and len(unrestricted_pool.subset.order) == upstream_count
+        )
+        subsets |= {s.id for s in unrestricted_pool.subset.order[: unrestricted_pool.subset.size]}
         checked.give(arrival(1, checked.now))
         assert "r1" in checked.sends
     assert len(subsets) == upstream_count
@@ -173,8 +176,8 @@
     """
     subsets: set[int] = set()
     for checked in checked_balancers(40, 60, alive=19):
-        main = checked.balancer.registry.main
-        subsets |= {s.id for s in main.subset.order[: main.subset.size]}
+        unrestricted_pool = checked.balancer.registry.unrestricted_pool
+        subsets |= {s.id for s in unrestricted_pool.subset.order[: unrestricted_pool.subset.size]}
     assert len(subsets) >= 50
 
 
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -55,7 +55,12 @@
     for me in range(1, REPLICAS):
         other = Balancer(settings(limits=PEERS, replica_count=REPLICAS, replica=me), 1, START)
         other.handle(START, [EndpointUpdate(EndpointUpdateKind.SNAPSHOT, upstreams(EMULATORS))])
-        if any(s.id == number for s in other.registry.main.subset.order[: other.registry.main.subset.size]):
+        if any(
+            s.id == number
+            for s in other.registry.unrestricted_pool.subset.order[
+                : other.registry.unrestricted_pool.subset.size
+            ]
+        ):
             subsets.append(me)
     assert {t.peer for t in peer_messages(actions)} <= set(subsets)
     assert len(peer_messages(actions)) == 3
@@ -80,12 +85,12 @@
 def test_upstreams_with_announced_work_are_avoided() -> None:
     """Other replicas have announced work at all upstreams but one: that one is chosen."""
     checked = sharing_desk()
-    order = checked.balancer.registry.main.subset.order
-    own_subset = order[: checked.balancer.registry.main.subset.size]
+    order = checked.balancer.registry.unrestricted_pool.subset.order
+    own_subset = order[: checked.balancer.registry.unrestricted_pool.subset.size]
     free = own_subset[0].id
     for s in own_subset[1:]:
         checked.give(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, s.id, 500)))
-    checked.balancer.registry.main.previous = own_subset[0]
+    checked.balancer.registry.unrestricted_pool.previous = own_subset[0]
     checked.give(arrival(1, checked.now))
     assert checked.sends["r1"][0][0].id == free
 
@@ -104,7 +109,7 @@
 def test_a_message_counts_from_when_it_was_received() -> None:
     """A message was read late: the work that it announces has begun meanwhile."""
     checked = sharing_desk()
-    upstream = checked.balancer.registry.main.subset.order[0]
+    upstream = checked.balancer.registry.unrestricted_pool.subset.order[0]
     checked.advance(SECOND)
     checked.give(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 500), checked.now - 30 * MS))
     assert upstream.queued_work_ns(checked.now, 0) == 20 * MS
@@ -132,7 +137,7 @@
 def test_a_flood_of_messages_needs_no_memory() -> None:
     """A replica announces a thousand attempts at one upstream: what is remembered and counted is bounded."""
     checked = sharing_desk()
-    upstream = checked.balancer.registry.main.subset.order[0]
+    upstream = checked.balancer.registry.unrestricted_pool.subset.order[0]
     checked.give(*(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 0xFFFF)) for _ in range(1000)))
     assert len(upstream.reservations) <= 64
     assert upstream.queued_work_ns(checked.now, 0) <= SECOND  # nor is it left alone for hours
--- a/tests/policy/test_subsets.py
+++ b/tests/policy/test_subsets.py
@@ -21,7 +21,9 @@
     """Return the upstreams in a replica\'s subset."""
     b = Balancer(settings(replica=me, replica_count=replicas), 1, START)
     b.handle(START, [EndpointUpdate(EndpointUpdateKind.SNAPSHOT, listed)])
-    return {s.id for s in b.registry.main.subset.order[: b.registry.main.subset.size]}
+    return {
+        s.id for s in b.registry.unrestricted_pool.subset.order[: b.registry.unrestricted_pool.subset.size]
+    }
 
 
 def test_every_upstream_is_in_some_subset() -> None:
--- a/tests/policy/test_token_bank.py
+++ b/tests/policy/test_token_bank.py
@@ -10,7 +10,7 @@
 from lanelift.policy.balancer import Balancer
 from lanelift.policy.requests import PendingRequest
 from lanelift.policy.settings import Settings
-from lanelift.policy.token_bank import TokenBank, TokenVerdict
+from lanelift.policy.token_bank import TokenBank, TokenResult
 from tests.policy.checked_balancer import MS, READ, SECOND
 
 
@@ -23,7 +23,7 @@
 
 def request(number: int, bank: TokenBank) -> PendingRequest:
     return PendingRequest(
-        f"r{number}", READ, "", bank, Balancer(Settings(), 1, 0).registry.main, 10**15, 10**15, 0
+        f"r{number}", READ, "", bank, Balancer(Settings(), 1, 0).registry.unrestricted_pool, 10**15, 10**15, 0
     )
 
 
@@ -38,8 +38,8 @@
             count += 1
             pending = request(count, bank)
             answer = bank.offer(pending, now)
-            overflow += answer is TokenVerdict.OVERFLOW
-            if answer is TokenVerdict.ADMITTED:
+            overflow += answer is TokenResult.OVERFLOW
+            if answer is TokenResult.ADMITTED:
                 sent.append(pending.id)
         path.append(bank.balance)
         lost.append(overflow)
@@ -100,7 +100,7 @@
     """A client disconnects while its request is buffered: the next token is for the request behind it."""
     bank = token_bank(0, 2, 2)
     first, second = request(1, bank), request(2, bank)
-    assert bank.offer(first, 0) is bank.offer(second, 0) is TokenVerdict.BUFFERED
+    assert bank.offer(first, 0) is bank.offer(second, 0) is TokenResult.BUFFERED
     bank.remove_buffered(first)
     assert list(bank.release_buffered(SECOND)) == [second] and bank.balance == 2
 
@@ -109,7 +109,7 @@
     """R is divided anew while a request is buffered: it remains, and leaves by the new rate."""
     bank = token_bank(0, 2, 2)
     pending = request(1, bank)
-    assert bank.offer(pending, 0) is TokenVerdict.BUFFERED
+    assert bank.offer(pending, 0) is TokenResult.BUFFERED
     bank.set_rate(100.0, 0)
     assert bank.buffer_capacity - bank.balance == 1 and list(bank.buffered) == [pending]
     assert list(bank.release_buffered(20 * MS)) == [pending]
--- a/tests/sim/test_wirehost.py
+++ b/tests/sim/test_wirehost.py
@@ -134,7 +134,7 @@
             ]
 
     monkeypatch.setattr(wirehost, "Balancer", Puppet)
-    reply = json.loads(Host().batch(batch(1, 1, *start())))
+    reply = json.loads(Host().run_batch(batch(1, 1, *start())))
     assert [command.pop("balancer") for command in reply["cmds"]] == [0] * 10
     assert reply["cmds"] == [
         {"t": "submit_to", "ticket": "r1", "upstream": 11, "timeout_ns": 7},
@@ -252,9 +252,9 @@
         raise IndexError("no such place")
 
     host = Host()
-    host.batch(batch(1, 1, *start(3)))
+    host.run_batch(batch(1, 1, *start(3)))
     monkeypatch.setattr(Balancer, "handle", broken)
-    reply = json.loads(host.batch(batch(2, 2, {"t": "timer", "balancer": 3, "name": "1"})))
+    reply = json.loads(host.run_batch(batch(2, 2, {"t": "timer", "balancer": 3, "name": "1"})))
     fault = reply["cmds"][0]
     assert fault["t"] == "fault" and fault["balancer"] == 3
     assert "IndexError: no such place at broken:" in fault["message"]
