--- a/lanelift/__main__.py
+++ b/lanelift/__main__.py
@@ -20,22 +20,22 @@
 
 
 def inherited_socket(descriptor: int) -> socket.socket:
-    """The clients' socket, which was bound before this process was started and outlives it.
+    """Returns the clients' socket, which was bound before this process started and outlives it.
 
     Raises:
-        SettingsError: The descriptor is no TCP socket.
+        SettingsError: The descriptor is not a TCP socket.
     """
     try:
         sock = socket.socket(fileno=descriptor)
         if sock.type != socket.SOCK_STREAM or sock.family not in (socket.AF_INET, socket.AF_INET6):
-            raise OSError("it is no TCP socket")
+            raise OSError("not a TCP socket")
     except OSError as error:
         raise SettingsError(f"BALANCER_FD {descriptor}: {error}") from None
     return sock
 
 
 def listening_socket(address: Address) -> socket.socket:
-    """A socket that is bound to an address, and does not listen yet. Raises OSError."""
+    """Returns a socket that is bound to an address and not listening yet. Raises OSError."""
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind(address)
@@ -43,9 +43,9 @@
 
 
 def run(read: Callable[[], Config]) -> int:
-    """Start with the configuration that `read` gives; the exit code."""
+    """Runs the daemon with the configuration that `read` returns, and returns the exit code."""
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(levelname)s %(message)s")
-    # A reload that is requested before the loop runs waits until then: by itself the signal ends the process.
+    # SIGHUP stays blocked, and so pending, until the loop has a handler: its default action ends the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         config = read()
@@ -60,14 +60,14 @@
         return BAD_CONFIGURATION
     try:
         asyncio.run(serve(config, listener, read, admin_socket))
-    except SettingsError as error:  # found only when its parts are put together
+    except SettingsError as error:  # some errors show only when the parts are constructed
         print(f"lanelift: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
     return 0
 
 
 def main() -> int:
-    """Run the daemon; the exit code."""
+    """Runs the daemon and returns the exit code."""
     return run(partial(read_config, os.environ))
 
 
--- a/lanelift/daemon.py
+++ b/lanelift/daemon.py
@@ -1,4 +1,4 @@
-"""One balancer process: its parts, started and closed in order."""
+"""One balancer process: starts its parts, and closes them in order."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 if TYPE_CHECKING:
     from lanelift.net.hot_restart import HotRestart
 
-HOT_RESTART_FOLDER = "TMPDIR"  # the variable that names where the processes of a hot restart find each other
+# The environment variable with the folder in which the processes of a hot restart find each other.
+HOT_RESTART_FOLDER = "TMPDIR"
 
 
 class Daemon:
-    """The parts of one process. A part that is not configured is None."""
+    """Owns the parts of one process. A part that is not configured is None."""
 
     def __init__(self, config: Config, listener: socket.socket) -> None:
         self._config = config
@@ -47,7 +48,7 @@
         self._admin: AdminServer | None = None
 
     async def start(self, read: Callable[[], Config], admin_socket: socket.socket | None) -> None:
-        """Start all parts: sources first, then clients, then operators and reloads."""
+        """Starts all parts: sources first, then the frontend, then the operators' calls and reloads."""
         await self._start_sources()
         self._start_frontend()
         await self._start_hot_restart()
@@ -59,7 +60,7 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     async def _start_sources(self) -> None:
-        """What the balancer is notified of. The fleet is first: what is wrong with it ends the start."""
+        """Starts the parts that notify the balancer. The fleet is first, as an error in it ends the start."""
         config, dispatcher = self._config, self._dispatcher
         self._fleet = config.fleet.attach(dispatcher) if config.fleet is not None else None
         if self._fleet is not None:
@@ -78,8 +79,8 @@
             self._tenants.start()
 
     def _start_frontend(self) -> None:
-        """Serve clients. Signal handlers are first: from the frontend's construction on clients wait to be
-        answered, and a signal without a handler would end the process over them.
+        """Starts to serve clients. Signal handlers are installed first: once the frontend exists, clients may
+        wait for answers, and a signal without a handler would end the process before they get them.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, lambda: self._frontend.shutdown.shut_down())
@@ -89,7 +90,7 @@
     async def _start_hot_restart(self) -> None:
         folder = os.environ.get(HOT_RESTART_FOLDER)
         if self._config.inherited is not None and folder:
-            from lanelift.net.hot_restart import HotRestart  # only where two processes may meet
+            from lanelift.net.hot_restart import HotRestart  # only loaded if a hot restart is possible
 
             self._hot_restart = HotRestart(Path(folder), self._share_sockets)
             await self._hot_restart.start()
@@ -100,14 +101,14 @@
         self._upstreams.pool.set_max_connections(max_connections)
 
     async def run(self) -> None:
-        """Serve until SIGTERM has come and no connection is open, or the time for that is over."""
+        """Serves until SIGTERM has come and no connection is open, or the shutdown has timed out."""
         shutdown = self._frontend.shutdown
         try:
             await shutdown.started.wait()
             async with asyncio.timeout_at(shutdown.ends_s):
                 await shutdown.finished.wait()
         except TimeoutError:
-            logging.error("left with %d requests open", self._dispatcher.requests.awaiting_answer)
+            logging.error("shutdown timed out: %d requests open", self._dispatcher.requests.awaiting_answer)
         finally:
             await self._close()
 
@@ -133,16 +134,16 @@
     read: Callable[[], Config],
     admin_socket: socket.socket | None = None,
 ) -> None:
-    """Balance until SIGTERM has come and nothing is open.
+    """Serves clients until SIGTERM has come and the balancer has shut down.
 
     Args:
-        config: What to start with.
+        config: The configuration at the start.
         listener: The bound socket for clients.
-        read: Gives the configuration anew, at SIGHUP.
-        admin_socket: The bound socket for operators' calls; None: there is none.
+        read: Reads the configuration again, on SIGHUP.
+        admin_socket: The bound socket for operators' calls, if they are enabled.
     """
     daemon = Daemon(config, listener)
     await daemon.start(read, admin_socket)
     gc.collect()
-    gc.freeze()  # what is there now stays: no collection need look at it again
+    gc.freeze()  # the objects that exist now are permanent: keep them out of later collections
     await daemon.run()
--- a/lanelift/daemon_config.py
+++ b/lanelift/daemon_config.py
@@ -1,4 +1,4 @@
-"""The daemon's configuration, and how it is read from the file that `BALANCER_CONFIG` names."""
+"""The daemon's configuration, read from the file that `BALANCER_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 from lanelift.settings import Json, SettingsError, check_type, optional, read_settings, require
 
 DEFAULT_SOCKETS = 1024
-# Descriptors kept for the listener, discovery (an old and a new one), peers, the configuration and the
-# interpreter, and for sockets that were closed on this turn of the loop and still count.
+# Descriptors reserved for the listener, discovery (an old and a new connection), peers, the configuration and
+# the interpreter, and for sockets that were closed in this loop iteration and still count.
 RESERVED_SOCKETS = 32
-CLIENT_PART = 0.55  # of the other descriptors, for clients; the rest is for upstreams
+CLIENT_FRACTION = 0.55  # of the remaining descriptors, for clients; the rest is for upstreams
 
 
 class Source(Protocol):
-    """A source of upstreams, tenants or leases, other than discovery at an address."""
+    """A configured source of upstreams, tenants or leases other than the address of a discovery server."""
 
     def attach(self, dispatcher: Dispatcher) -> Any:
-        """The part of the daemon that follows it."""
+        """Returns the part of the daemon that follows this source."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """What one process is started and reloaded with. A reload's log line names these fields.
+    """The configuration of one process at its start or after a reload, whose log line names these fields.
 
     Attributes:
         listen: Where clients connect.
-        discovery: Where the endpoint list comes from: an address, or the operator's file itself.
+        discovery: The source of the endpoint list: a discovery server's address, or the operator's own file.
         seed: Seed of all random choices.
-        sockets: How many descriptors the process may have.
-        settings: What the balancer follows.
-        cached_endpoints: The endpoint list as last known, in discovery's form.
-        peer_listen: Where messages of other replicas come in.
+        sockets: The largest number of descriptors that the process may have.
+        settings: The balancer's settings.
+        cached_endpoints: The last known endpoint list, in discovery's format.
+        peer_listen: The address at which messages from other replicas arrive.
         peers: The replicas' addresses, by number.
-        peers_all: Where a message to all replicas goes.
-        tenants: Directories that name tenants.
-        operator: Where operators call.
-        inherited: The descriptor of the clients' socket, where that was bound before this process.
-        fleet: Members that agree with each other; never on the platform.
+        peers_all: The destination of a message to all replicas.
+        tenants: The directories that list tenants.
+        operator: The address for operators' calls.
+        inherited: The descriptor of the clients' socket, if that was bound before this process started.
+        fleet: The fleet that this process is a member of; never set on the platform.
     """
 
     listen: Address
@@ -63,10 +63,10 @@
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """The configuration by the environment's `BALANCER_*` variables and the file that they name.
+    """Reads the configuration from the `BALANCER_*` environment variables and the file that they name.
 
     Raises:
-        SettingsError: It can't be used.
+        SettingsError: The configuration is invalid.
     """
     raw = _read_file(environ.get("BALANCER_CONFIG"))
 
@@ -87,7 +87,7 @@
     peers = [split_address(check_type(peer, "peers", str)) for peer in optional(raw, "peers", list, [])]
     sockets = optional(optional(raw, "limits", dict, {}), "sockets", int, DEFAULT_SOCKETS)
     if sockets < 2 * RESERVED_SOCKETS:
-        raise SettingsError(f"limits.sockets must be {2 * RESERVED_SOCKETS} at least")
+        raise SettingsError(f"limits.sockets must be {2 * RESERVED_SOCKETS} or more")
     inherited = environ.get("BALANCER_FD")
     if inherited is not None and not inherited.isdecimal():
         raise SettingsError(f"BALANCER_FD is {inherited!r}, and must be the number of a descriptor")
@@ -120,7 +120,7 @@
 
 
 def connection_caps(sockets: int, processes: int) -> tuple[int, int]:
-    """How many connections each of so many processes may have to clients, and to upstreams."""
+    """Returns how many connections to clients, and to upstreams, each of `processes` processes may have."""
     available = max(2, sockets // processes - RESERVED_SOCKETS)
-    clients = max(1, int(available * CLIENT_PART))
+    clients = max(1, int(available * CLIENT_FRACTION))
     return clients, available - clients
--- a/lanelift/errors.py
+++ b/lanelift/errors.py
@@ -1,5 +1,5 @@
-"""The root of all errors that lanelift raises on purpose."""
+"""The base class of lanelift's own exceptions."""
 
 
 class LaneliftError(Exception):
-    """Base class of lanelift's own errors; each subclass says what failed and carries it as fields."""
+    """Base class of lanelift's own exceptions; each subclass names a failure, with its details as fields."""
--- a/lanelift/lifecycle.py
+++ b/lanelift/lifecycle.py
@@ -1,10 +1,10 @@
-"""Where a balancer is in its life, and what that means for its clients' connections. Pure: no I/O, no clock.
+"""The lifecycle of a balancer, and what each stage means for clients' connections. Pure: no I/O, no clock.
 
     SERVING  --drain-->      DRAINING  --rejoin-->  SERVING
-    either   --shut_down-->  SHUTTING_DOWN                     (SIGTERM; there is no way back)
+    either   --shut_down-->  SHUTTING_DOWN                     (SIGTERM; final)
 
-A balancer that drains (the operators' call `evacuate`) or shuts down answers all requests that still come;
-each answer is the last on its connection. Only one that shuts down ends when no connection is open.
+A balancer that drains (the operators' call `evacuate`) or shuts down still answers every request it receives,
+and closes each connection after the answer. Only a balancer that shuts down exits once no connection is open.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Stage(Enum):
-    """Where a balancer is in its life."""
+    """A stage of a balancer's lifecycle."""
 
     SERVING = "serving"
     DRAINING = "evacuated"
@@ -21,11 +21,11 @@
 
 
 class Lifecycle:
-    """The stage of one balancer.
+    """Tracks the stage of one balancer.
 
     Attributes:
-        shared_address: The clients' address outlives this process, and its successor answers there as well.
-        stage: Where it is.
+        shared_address: Whether the clients' address outlives this process and its successor serves there too.
+        stage: The current stage.
     """
 
     def __init__(self, shared_address: bool = False) -> None:
@@ -33,20 +33,20 @@
         self.stage = Stage.SERVING
 
     def drain(self) -> bool:
-        """Each answer is the last on its connection from now on; False if it drained or shut down already."""
+        """Starts to drain; returns False if the balancer already drains or shuts down."""
         if self.stage is not Stage.SERVING:
             return False
         self.stage = Stage.DRAINING
         return True
 
     def rejoin(self) -> bool:
-        """The drain ends; False if it shuts down, which has no end."""
+        """Ends a drain; returns False if the balancer shuts down, which can't be undone."""
         if self.stage is not Stage.SHUTTING_DOWN:
             self.stage = Stage.SERVING
         return self.stage is Stage.SERVING
 
     def shut_down(self) -> bool:
-        """SIGTERM; False if it has come before."""
+        """Starts to shut down (SIGTERM); returns False if the balancer already shuts down."""
         if self.stage is Stage.SHUTTING_DOWN:
             return False
         self.stage = Stage.SHUTTING_DOWN
@@ -54,23 +54,23 @@
 
     @property
     def closes_connections(self) -> bool:
-        """Whether an answer is the last on its connection."""
+        """Whether a connection is closed after its next answer."""
         return self.stage is not Stage.SERVING
 
     def reports_ready(self, can_serve: bool) -> bool:
-        """What `/ready` says: whether new connections may be routed to this address.
+        """Returns what `/ready` reports: whether new connections may be routed to this address.
 
         Args:
-            can_serve: This process is able to serve requests.
+            can_serve: Whether this process is able to serve requests.
         """
         shares_shutdown = self.stage is Stage.SHUTTING_DOWN and self.shared_address
         return can_serve and (self.stage is Stage.SERVING or shares_shutdown)
 
     def accepts_connections(self, can_serve: bool) -> bool:
-        """Whether connections are accepted. On a shared address only if they can be served: another process
-        may be able to.
+        """Returns whether to accept connections. On a shared address they are accepted only if this process
+        can serve them, as another process may be able to.
 
         Args:
-            can_serve: This process is able to serve requests.
+            can_serve: Whether this process is able to serve requests.
         """
         return can_serve or not self.shared_address
--- a/lanelift/net/__init__.py
+++ b/lanelift/net/__init__.py
@@ -1,3 +1,3 @@
-"""The daemon's sockets. Nothing here decides: `dispatch.py` hands events to the balancer and carries out its
-actions.
+"""The daemon's network I/O. No decision is made here: `dispatch.py` passes events to the balancer, which is
+in `lanelift.policy`, and executes its actions.
 """
--- a/lanelift/net/addresses.py
+++ b/lanelift/net/addresses.py
@@ -1,4 +1,4 @@
-"""Network addresses as configuration and endpoint lists state them."""
+"""Network addresses as they are written in configuration files and endpoint lists."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def split_address(text: str) -> Address:
-    """`HOST:PORT` as host and port; an IPv6 host stands in brackets.
+    """Splits `HOST:PORT` into host and port; an IPv6 host is written in brackets.
 
     Raises:
-        SettingsError: It is none.
+        SettingsError: The text has another form.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
--- a/lanelift/net/admin.py
+++ b/lanelift/net/admin.py
@@ -1,12 +1,12 @@
-"""The operators' address: HTTP/1.1, one call to a connection. 2xx is yes, 4xx and 5xx are no.
+"""The HTTP/1.1 server for operators' calls, one call per connection. 2xx means success, 4xx and 5xx failure.
 
-| call | does |
+| call | effect |
 | --- | --- |
-| GET /api/ready | yes once this process can serve, until it shuts down |
-| GET /api/telemetry | the metrics (`net/metrics.py`) |
-| POST /api/evacuate | drain the balancer: `/ready` says no, connections end; it runs on |
-| POST /api/rejoin | end of that |
-| GET /api/leases | what this member of a fleet knows of leases, as JSON; only where there is a fleet |
+| GET /api/ready | succeeds from when this process can serve until it shuts down |
+| GET /api/telemetry | returns the metrics (`net/metrics.py`) |
+| POST /api/evacuate | drains the balancer: `/ready` fails, connections end; the process keeps running |
+| POST /api/rejoin | ends the drain |
+| GET /api/leases | returns this fleet member's view of the leases, as JSON; exists only in a fleet |
 """
 
 from __future__ import annotations
@@ -25,29 +25,29 @@
 
 log = logging.getLogger(__name__)
 
-# At the cap a new caller takes the place of the one that has waited longest: callers that hold a connection
-# and send nothing must not keep the others out.
+# At the cap a new caller replaces the one that connected first: callers that hold a connection open without
+# sending anything must not lock out the others.
 MAX_CALLERS = 8
-CALL_TIMEOUT_S = 10.0  # a call that is not complete by then is given up
-MAX_CALL_BYTES = 4096  # a call has no body to speak of
+CALL_TIMEOUT_S = 10.0  # an incomplete call is aborted after this time
+MAX_CALL_BYTES = 4096  # no call needs a body
 Answer = tuple[int, Headers, bytes]  # status, headers, body
 
 
 class FleetMember(Protocol):
-    """What operators may ask of a member of a fleet."""
+    """What the operators' calls use of a fleet member."""
 
     def view(self) -> bytes:
-        """What it knows of leases, as JSON."""
+        """Returns its view of the leases, as JSON."""
 
     def metrics(self) -> str:
-        """Its metrics, in the text form of `net/metrics.py`."""
+        """Returns its metrics, in the text format of `net/metrics.py`."""
 
 
 class AdminServer:
-    """Listens for operators' calls and answers them at once.
+    """Listens for operators' calls and answers them immediately.
 
     Attributes:
-        callers: Open connections, the longest first.
+        callers: Open connections, the oldest first.
     """
 
     def __init__(self, dispatcher: Dispatcher, frontend: Frontend, fleet: FleetMember | None = None) -> None:
@@ -65,28 +65,28 @@
         if fleet is not None:
             self._calls[b"/api/leases"] = b"GET", self._leases
 
-    async def listen(self, bound: socket.socket) -> None:
-        """Accept callers on a bound socket."""
+    async def listen(self, bound_socket: socket.socket) -> None:
+        """Accepts callers on a bound socket."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: AdminConnection(self), sock=bound, backlog=4 * MAX_CALLERS
+            lambda: AdminConnection(self), sock=bound_socket, backlog=4 * MAX_CALLERS
         )
 
     def close(self) -> None:
-        """Stop listening, and close all connections."""
+        """Stops listening and closes all connections."""
         if self._server is not None:
             self._server.close()
         for caller in list(self.callers):
             caller.abort()
 
     def caller_connected(self, caller: AdminConnection) -> None:
-        """A caller has connected."""
+        """Registers a new caller; at the cap the oldest one is disconnected."""
         if len(self.callers) >= MAX_CALLERS:
             next(iter(self.callers)).abort()
         self.callers[caller] = None
 
     def answer(self, call: Request) -> Answer:
-        """Carry out a call."""
+        """Executes a call and returns its answer."""
         path = call.target.partition(b"?")[0]
         if path not in self._calls:
             return 404, [], b"no such call; there are: " + b" ".join(self._calls) + b"\n"
@@ -118,7 +118,7 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """One operator's connection, for one call."""
+    """An operator's connection, which carries one call."""
 
     def __init__(self, server: AdminServer) -> None:
         self._server = server
@@ -128,13 +128,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The caller has connected; its time starts to run."""
+        """Registers the caller and starts its time-out."""
         self._transport = cast(asyncio.Transport, transport)
         self._timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.abort)
         self._server.caller_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """A piece of the call."""
+        """Parses a piece of the call, and answers once the call is complete or invalid."""
         if self._transport is None or self._transport.is_closing():
             return
         self._received_bytes += len(data)
@@ -161,12 +161,12 @@
         self._transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Closes the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended."""
+        """Unregisters the caller after the connection has ended."""
         self._server.callers.pop(self, None)
         self._parser.close()
         if self._timer is not None:
--- a/lanelift/net/attempts.py
+++ b/lanelift/net/attempts.py
@@ -1,4 +1,7 @@
-"""Attempts under way: how they start, and what their outcome does to their request."""
+"""Runs attempts: sends them to upstreams and applies their outcomes to the requests.
+
+The balancer's bookkeeping of attempts is in `lanelift.policy.attempts`.
+"""
 
 from __future__ import annotations
 
@@ -30,14 +33,14 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt under way; it takes its exchange's streamed response and outcome.
+    """An attempt in progress; it receives its exchange's streamed response and outcome.
 
     Attributes:
-        runner: Who started it.
-        request: Its request.
-        number: Its number among the request's attempts, from 0.
+        runner: The runner that started it.
+        request: The request that it tries to serve.
+        number: Its index among the request's attempts, from 0.
         upstream: The upstream's number.
-        started_ns: When it was sent (monotonic clock); of a streamed body, when its last byte came.
+        started_ns: When it was sent (monotonic clock); with a streamed body, when the body's last byte came.
     """
 
     runner: AttemptRunner
@@ -47,14 +50,14 @@
     started_ns: int
 
     def duration_ns(self) -> int:
-        """How long it took. While a response lay here unread is this program's time, not its upstream's."""
+        """Returns how long it took, without the time that the response waited unread in this process."""
         exchange = self.request.attempts[self.number]
         unread_ns = exchange.unread_ns if exchange is not None else 0
         return max(0, time.monotonic_ns() - self.started_ns - unread_ns)
 
     def start_response(self, head: Response) -> None:
-        """Its response is longer than what is buffered: it is streamed, and its request's deadline does not
-        apply any more.
+        """Starts to stream a response that is too long to be buffered. The request's deadline no longer
+        applies.
         """
         request = self.request
         exchange = request.attempts[self.number]
@@ -66,23 +69,23 @@
         if request.overdue_timer is not None:
             request.overdue_timer.cancel()
         if self.runner.settings.classes[request.arrival.class_name].streaming:
-            exchange.progress_due_s = math.inf  # a stream has no end that could be overdue
+            exchange.progress_due_s = math.inf  # a stream is not expected to end
         request_id = request.arrival.request
         self.runner.post(ResponseStarted(request_id, self.number, self.upstream, self.duration_ns()))
         try:
             request.client.start_response(head, exchange)
         except Exception:
-            log.exception("request %s: its answer failed", request_id)
+            log.exception("request %s: writing the answer failed", request_id)
             request.client.abort()
 
     def forward(self, data: bytes) -> None:
-        """A piece of its streamed response."""
+        """Forwards a piece of the streamed response to the client."""
         self.request.client.forward(data)
 
     def finish(
         self, result: AttemptResult, response: Response | None = None, report: LoadReport = None
     ) -> None:
-        """Its outcome: answer its request where it decides that, and notify the balancer."""
+        """Ends the attempt: answers the request if the outcome allows it, and notifies the balancer."""
         request, number, duration_ns = self.request, self.number, self.duration_ns()
         requests = self.runner.requests
         request.attempts[number] = None
@@ -111,12 +114,12 @@
 
 
 class AttemptRunner:
-    """Starts and cancels attempts and load probes as the balancer's actions say.
+    """Executes the balancer's actions that start and cancel attempts and load probes.
 
     Attributes:
-        settings: What is allowed.
+        settings: The settings, which limit attempts.
         requests: The open requests.
-        post: Where outcomes go.
+        post: Passes outcomes to the balancer.
     """
 
     def __init__(
@@ -134,10 +137,10 @@
         self._metrics = metrics
 
     def start(self, action: StartAttempt, now_ns: int) -> None:
-        """Start an attempt. It has one outcome in any case: NOT_SENT if it is not allowed or can't start."""
+        """Starts an attempt, which always has one outcome: NOT_SENT if it is not allowed or can't start."""
         request = self.requests.by_id.get(action.request)
         if request is None:
-            log.error("send for request %s, which is not open", action.request)
+            log.error("attempt for request %s, which is not open", action.request)
             return
         number = len(request.attempts)
         request.attempts.append(None)
@@ -151,7 +154,7 @@
         if is_allowed:
             try:
                 self._send(attempt, min(action.timeout_ns or left_ns, left_ns))
-            except Exception:  # it still has its one outcome, below
+            except Exception:  # the attempt still gets its one outcome, below
                 self.requests.fail_after_exception("an attempt could not start", [action])
         if request.attempts[number] is None:
             attempt.finish(AttemptResult.NOT_SENT)
@@ -184,14 +187,14 @@
         self._metrics.attempts_written += 1
 
     def cancel(self, action: CancelAttempt, now_ns: int) -> None:
-        """End an attempt whose response is no longer wanted."""
+        """Cancels an attempt whose response is no longer needed."""
         request = self.requests.by_id.get(action.request)
         exchange = request.attempts[action.attempt] if request is not None else None
         if exchange is not None:
             exchange.give_up(AttemptResult.CANCELLED)
 
     def probe_load(self, action: ProbeLoad, now_ns: int) -> None:
-        """Ask an upstream for its load. There is one result in any case, as the balancer waits for it."""
+        """Probes an upstream's load. There is always one result, as the balancer waits for it."""
         upstream = action.upstream
 
         def finished(result: AttemptResult, report: LoadReport) -> None:
--- a/lanelift/net/client_connection.py
+++ b/lanelift/net/client_connection.py
@@ -1,4 +1,4 @@
-"""The reading half of a client's connection: requests, `/ready`, streamed bodies, and disconnection."""
+"""The reading half of a client's connection: requests, `/ready`, streamed bodies and disconnection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from lanelift.net.client_responses import ClientResponses
 from lanelift.net.connection_phases import Phase
-from lanelift.net.headers import end_to_end
+from lanelift.net.headers import end_to_end_headers
 from lanelift.net.http_messages import MessageError, Request, decode_text
 from lanelift.net.http_parser import RequestParser
 from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES
@@ -30,24 +30,24 @@
 if TYPE_CHECKING:
     from lanelift.net.frontend import Frontend
 
-ANSWER_MARGIN_NS = 3_000_000  # kept of each deadline for the response's way to the client
-# Parsed at a time: what is sent ahead of responses waits unparsed, and small.
+ANSWER_MARGIN_NS = 3_000_000  # subtracted from each deadline, for the response's transfer to the client
+# The parser is fed this much at a time: pipelined requests wait as raw bytes, which take less memory.
 PARSE_SLICE_BYTES = 16 * 1024
-# A streamed body must bring so much within its phase's time-out to be given it again.
+# The time-out of a streamed body starts again only if at least this much came in meanwhile.
 MIN_BODY_PROGRESS_BYTES = 16 * 1024
 
 
 class ClientConnection(ClientResponses):
-    """One client's connection. It carries one request at a time.
+    """A client's connection, which carries one request at a time.
 
     Attributes:
-        dispatcher: Takes its requests.
-        parser: Reads them.
-        unparsed: What has come and is not parsed yet.
-        received_ns: When what is being parsed came in (monotonic clock).
-        wait_ns: How long the client waits, from the last byte of its request on.
-        received_bytes: Come so far.
-        received_bytes_at_check: And when its body was last seen to make progress.
+        dispatcher: The dispatcher that receives its requests.
+        parser: The parser of its requests.
+        unparsed: Received bytes that are not parsed yet.
+        received_ns: When the bytes that are being parsed came in (monotonic clock).
+        wait_ns: How long the client waits after the last byte of its request.
+        received_bytes: The number of bytes received so far.
+        received_bytes_at_check: That number at the last check of the body's progress.
     """
 
     def __init__(self, frontend: Frontend) -> None:
@@ -61,23 +61,23 @@
 
     @property
     def has_data(self) -> bool:
-        """Part of a request has come."""
+        """Whether part of a request has been received."""
         return self.parser.has_partial or bool(self.parser.messages or self.unparsed)
 
     # ---- the connection ----------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is set up."""
+        """Starts to wait for the first request."""
         self.transport = cast(asyncio.Transport, transport)
         self.table.enter(self, Phase.READING_HEAD)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes came in.
+        """Receives bytes from the client.
 
-        Deadlines count from the client's send: what waited in the backlog, or for a late loop, is not fresh.
-        Work for a client that has left would make those behind it late, until they leave, too. So the kernel
-        is asked when the bytes came and whether the client is still there. And what a client sends behind the
-        one request that may be open is bounded, as it would fill the memory.
+        Deadlines count from when the client sent the request, which may have waited in the backlog or for a
+        late event loop. Work for a client that has disconnected would delay the clients behind it until they
+        disconnect, too. So the kernel is queried for when the bytes came and whether the client is still
+        connected. Bytes that a client sends while its request is open are bounded, as they use memory.
         """
         if self.ignores_input:
             return
@@ -96,19 +96,19 @@
         self._parse()
 
     def eof_received(self) -> bool:
-        """The client ended its sending: it counts as disconnected."""
+        """Treats a client that has ended its sending as disconnected."""
         self._disconnected()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended."""
+        """Ends the open request and leaves the frontend after the connection has ended."""
         self._disconnected()
         self.parser.close()
         self.frontend.client_lost(self)
 
     def _is_connected(self) -> bool:
-        """Whether its request still has a client. While reading is paused its end is not reported, so the
-        kernel is asked.
+        """Returns whether the open request still has a client. While reading is paused, asyncio does not
+        report a disconnection, so the kernel is queried.
         """
         if (
             self.reading_paused
@@ -120,19 +120,19 @@
         return self.request is not None
 
     def _disconnected(self) -> None:
-        """Nobody reads its responses any more: what it sent ahead is not begun, and what is open is ended."""
+        """Drops pipelined requests and ends the open one, as the client no longer reads responses."""
         self.ignores_input = True
         self.unparsed.clear()
         request, self.request = self.request, None
         source, self.source = self.source, None
         self.upload = None
         if source is not None:
-            source.resume()  # nobody is waited for: what still comes ends here
+            source.resume()  # it no longer waits for the client: the rest of the response is discarded here
         if request is not None:
             self.dispatcher.client_disconnected(request)
 
     def phase_timed_out(self) -> None:
-        """It has been in its phase for as long as it may."""
+        """Handles the end of the time that the current phase may last."""
         if self.phase is Phase.READING_HEAD and self.has_data:
             self._reject_input(408, "the request did not come in time")
         elif self.phase is Phase.READING_BODY and (
@@ -150,7 +150,7 @@
     # ---- requests ----------------------------------------------------------------------------------------
 
     def _parse(self) -> None:
-        """Read on, unless a request is open, or responses pile up that are not read."""
+        """Parses further, unless a request is open or the client does not read its responses."""
         parser = self.parser
         while not self.ignores_input and not self.write_paused:
             if self.upload is not None:
@@ -160,8 +160,8 @@
                 return
             elif parser.messages and not parser.messages[0].streamed:
                 self._begin_request(parser.messages.popleft())
-            elif parser.streaming is not None:
-                self._begin_request(parser.streaming, body_pending=True)
+            elif parser.streamed_head is not None:
+                self._begin_request(parser.streamed_head, body_pending=True)
             elif parser.error is not None:
                 self._reject_input(parser.error.status, str(parser.error))
             elif not self._parse_slice():
@@ -169,7 +169,7 @@
                 return
 
     def _parse_slice(self) -> bool:
-        """Parse one slice of what has come; False if nothing is left."""
+        """Parses one slice of the received bytes; returns False if nothing is left."""
         if self.unparsed:
             data = bytes(self.unparsed[:PARSE_SLICE_BYTES])
             del self.unparsed[:PARSE_SLICE_BYTES]
@@ -181,7 +181,7 @@
         return False
 
     def _await_rest(self) -> None:
-        """All that came is parsed: the time for what is missing runs, by what that is."""
+        """Starts the time-out for the missing part of a request, once all received bytes are parsed."""
         if self.phase is Phase.IDLE and self.has_data:
             self.table.enter(self, Phase.READING_HEAD)
         partial = self.parser.partial
@@ -189,16 +189,16 @@
             self._enter_body_phase()
 
     def _enter_body_phase(self) -> None:
-        """Its body is being received, and has made progress."""
+        """Starts the time-out of the body, at its beginning or after progress."""
         self.received_bytes_at_check = self.received_bytes
         self.table.enter(self, Phase.READING_BODY)
 
     def _begin_request(self, message: Request, body_pending: bool = False) -> None:
-        """A request is there.
+        """Begins to serve a request.
 
         Args:
             message: The request.
-            body_pending: Its body is longer than what is buffered, and is streamed.
+            body_pending: Whether its body is too long to be buffered, and is streamed.
         """
         self.is_head_request = message.method == b"HEAD"
         self.keep_alive, self.reads_chunks = message.keep_alive, message.accepts_chunks
@@ -210,10 +210,10 @@
         try:
             arrival = self._read_arrival(message, dict(message.headers), path, query, body_pending)
         except MessageError as error:
-            # Where the message is complete, the connection can go on.
+            # If the message is complete, the connection stays usable.
             self._answer(error.status, [], f"{error}\n".encode(), last=body_pending)
             return
-        headers = [row for row in end_to_end(message.headers) if row[0] not in REPLACED_HEADERS]
+        headers = [row for row in end_to_end_headers(message.headers) if row[0] not in REPLACED_HEADERS]
         request = OpenRequest(arrival, message.method, message.target, headers, message.body, self)
         self.request = request
         if body_pending:
@@ -227,7 +227,7 @@
     def _read_arrival(
         self, message: Request, headers: Mapping[bytes, bytes], path: str, query: str, body_pending: bool
     ) -> RequestArrived:
-        """What the balancer is notified of. Raises MessageError."""
+        """Returns the event that notifies the balancer of the request. Raises MessageError."""
         dispatcher = self.dispatcher
         classes = dispatcher.settings.classes
         class_name = read_class_name(message, headers, path, body_pending, classes)
@@ -235,7 +235,7 @@
         wait_ns = self.wait_ns = read_wait_ns(headers, classes[class_name])
         deadline_ns = self.received_ns + max(0, wait_ns - ANSWER_MARGIN_NS)
         shutdown = self.frontend.shutdown
-        if shutdown.shutting_down:  # it is answered while there is somebody to answer it
+        if shutdown.shutting_down:  # the answer must leave before the process ends
             left_s = shutdown.ends_s - FINAL_ANSWER_MARGIN_S - self._loop.time()
             deadline_ns = min(deadline_ns, time.monotonic_ns() + int(left_s * 1e9))
         return RequestArrived(
@@ -253,7 +253,7 @@
     # ---- streamed bodies ---------------------------------------------------------------------------------
 
     def _forward_body(self, upload: Upload) -> bool:
-        """Hand on what has come of a body; False where that has to wait, or is over."""
+        """Forwards the received part of a body; returns False if it has to wait or the body has ended."""
         parser = self.parser
         data = parser.take_body()
         if data:
@@ -273,7 +273,7 @@
         return not self.reading_paused and self._parse_slice()
 
     def _set_reading(self, enabled: bool) -> None:
-        """The upstream takes more of the body, or no more for now."""
+        """Resumes or pauses reading, as the upstream accepts more of the body or not."""
         if self.upload is None or self.reading_paused is not enabled or self.transport is None:
             return
         self.reading_paused = not enabled
@@ -284,7 +284,7 @@
             self.transport.pause_reading()
 
     def _abandon_request(self, status: int, reason: str) -> None:
-        """Its request will never be complete: what was forwarded of it is cancelled."""
+        """Rejects a request that will never be complete, and cancels what was forwarded of it."""
         request, self.request = self.request, None
         if request is not None:
             self.dispatcher.client_disconnected(request)
--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -1,4 +1,4 @@
-"""The writing half of a client's connection: responses, and when one is the last."""
+"""The writing half of a client's connection: responses, and whether a response is the last one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from lanelift.net.connection_phases import Phase
 from lanelift.net.exchange import Exchange
-from lanelift.net.headers import end_to_end
+from lanelift.net.headers import end_to_end_headers
 from lanelift.net.http_messages import Headers, Response, encode_message, encode_status
 from lanelift.net.requests import OpenRequest
 from lanelift.net.socket_options import abort_with_reset, bound_kernel_buffers, has_unread_data
@@ -17,30 +17,30 @@
 if TYPE_CHECKING:
     from lanelift.net.frontend import Frontend
 
-# Parts of the cap on clients above which an answer ends its connection: one that comes from no upstream, and
-# any. Idle connections are left some seconds, so that with many clients they would fill all places while
-# newcomers wait.
+# The fractions of the cap on clients above which a connection is closed after an answer: one that belongs to
+# no open request (`/ready`, an error), and any answer. Idle connections are kept for some seconds, so with
+# many clients they would take up the whole cap while new clients wait.
 MAX_FILL_FOR_OWN_ANSWERS, MAX_FILL = 0.75, 0.9
 
 
 class ClientResponses(asyncio.Protocol):
-    """Writes the responses of one client's connection; `ClientConnection` is its reading half.
+    """Writes the responses to one client; `ClientConnection` is the reading half.
 
     Attributes:
-        frontend: What it belongs to.
-        table: All clients' connections.
-        transport: None: it is being set up.
+        frontend: The frontend that it belongs to.
+        table: The table of all clients' connections.
+        transport: The transport; None while the connection is being set up.
         request: The open request.
-        phase: The phase it stands in while it has none.
-        upload: The open request's body, while that is streamed.
-        reading_paused: The upstream takes no more of the upload for now.
-        ignores_input: Its last response is given, or it has disconnected: what it sends is not read any more.
-        write_paused: It does not read its responses.
-        keep_alive: It can carry another request.
-        is_head_request: Its response has no body.
-        reads_chunks: It reads responses in chunks.
-        source: The exchange whose response is streamed to it.
-        is_last_response: The response that is being written is the last on this connection.
+        phase: The phase of the connection while it has no open request.
+        upload: The open request's body while that is streamed.
+        reading_paused: Whether reading is paused because the upstream accepts no more of the upload.
+        ignores_input: Whether input is discarded: the last response was written or the client disconnected.
+        write_paused: Whether the write buffer is full because the client does not read its responses.
+        keep_alive: Whether the connection can carry another request.
+        is_head_request: Whether the request is a HEAD request, whose response has no body.
+        reads_chunks: Whether the client accepts chunked responses.
+        source: The exchange whose response is streamed to the client.
+        is_last_response: Whether the current response is the last on this connection.
     """
 
     def __init__(self, frontend: Frontend) -> None:
@@ -64,11 +64,11 @@
 
     @property
     def has_data(self) -> bool:
-        """Part of a request has come."""
+        """Whether part of a request has been received."""
         raise NotImplementedError
 
     def phase_timed_out(self) -> None:
-        """It has been in its phase for as long as it may."""
+        """Handles the end of the time that the current phase may last."""
         raise NotImplementedError
 
     def _parse(self) -> None:
@@ -80,30 +80,30 @@
     # ---- final answers (`interfaces.Client`) -------------------------------------------------------------
 
     def respond(self, response: Response) -> None:
-        """Answer with an upstream's response."""
-        self._answer(200, end_to_end(response.headers), response.body)
+        """Answers with an upstream's response."""
+        self._answer(200, end_to_end_headers(response.headers), response.body)
 
     def reject(self, retry_after_ns: int, rate_limited: bool = False) -> None:
-        """Answer that the request was shed: 429 over a rate limit, else 503."""
+        """Answers that the request was shed: 429 over a rate limit, else 503."""
         headers = [(b"Retry-After", b"%.3f" % (retry_after_ns / 1e9))] if retry_after_ns > 0 else []
         body = b"over the limit\n" if rate_limited else b"refused\n"
         self._answer(429 if rate_limited else 503, headers, body)
 
     def fail(self, status: int, reason: str = "failed") -> None:
-        """Answer with an error."""
+        """Answers with an error."""
         self._answer(status, [], f"{reason}\n".encode())
 
     def _reject_input(self, status: int, reason: str) -> None:
-        """Answer bad input, and read no more of it."""
+        """Answers invalid input with an error, and reads no more."""
         self._answer(status, [], f"{reason}\n".encode(), last=True)
 
     def _answer(self, status: int, headers: Headers, body: bytes, last: bool = False) -> None:
         if self.source is not None:
-            self.abort_response()  # another response has begun: no second one can be given
+            self.abort_response()  # a streamed response has already begun
             return
         from_request, self.request = self.request is not None, None
         if self.upload is not None:
-            self._set_reading(True)  # the rest of its body is read to nobody
+            self._set_reading(True)  # the rest of the body is read and discarded
             self.upload, last = None, True
         rows = [*headers, (b"Content-Length", b"%d" % len(body))]
         self._write_head(status, rows, last, from_request, b"" if self.is_head_request else body)
@@ -112,51 +112,51 @@
     # ---- streamed responses ------------------------------------------------------------------------------
 
     def start_response(self, head: Response, source: Exchange) -> None:
-        """Begin a streamed response."""
+        """Begins a streamed response."""
         assert self.transport is not None
         self.source = source
         if self.upload is not None:
             self._set_reading(True)
             self.upload, self.keep_alive = None, False
         length = head.header(b"content-length")
-        rows = end_to_end(head.headers)
+        rows = end_to_end_headers(head.headers)
         if length is not None:
             rows.append((b"Content-Length", length))
             self.reads_chunks = False
         elif self.reads_chunks:
             rows.append((b"Transfer-Encoding", b"chunked"))
         else:
-            self.keep_alive = False  # its end is the connection's
+            self.keep_alive = False  # the end of the connection marks the end of the response
         self._write_head(200, rows, False, True)
         bound_kernel_buffers(self.transport)
         if self.write_paused:
             source.pause()
 
     def forward(self, data: bytes) -> None:
-        """Write a piece of the streamed response."""
+        """Writes a piece of the streamed response."""
         self._write(b"%x\r\n%b\r\n" % (len(data), data) if self.reads_chunks else data)
 
     def complete(self) -> None:
-        """End the streamed response."""
+        """Ends the streamed response."""
         self.request = self.source = None
         if self.reads_chunks:
             self._write(LAST_CHUNK)
         self._flush()
 
     def abort_response(self) -> None:
-        """End the streamed response before its end: by a reset, as a plain close could look like its end."""
+        """Aborts the streamed response by a reset, as an ordinary close could look like its regular end."""
         self.request = self.source = self.upload = None
         if self.transport is not None:
             abort_with_reset(self.transport)
 
     def pause_writing(self) -> None:
-        """The client does not read its response."""
+        """Pauses the response's source while the client does not read."""
         self.write_paused = True
         if self.source is not None:
             self.source.pause()
 
     def resume_writing(self) -> None:
-        """The client reads on."""
+        """Continues with the response, or with the next request, when the client reads again."""
         self.write_paused = False
         if self.source is not None:
             self.source.resume()
@@ -172,7 +172,7 @@
     def _write_head(
         self, status: int, rows: Headers, last: bool, from_request: bool, body: bytes = b""
     ) -> None:
-        """Write a response's head, and say in it whether it is the last one here."""
+        """Writes a response's head, which says whether the response is the last on this connection."""
         self.is_last_response = (
             last
             or not self.keep_alive
@@ -188,11 +188,11 @@
             self.transport.write(data)
 
     def _flush(self) -> None:
-        """All of a response is written here. What its client has yet to read belongs to it, not to the idle
-        time behind it.
+        """Ends a response once all of it is passed to the transport. The time until the client has read the
+        rest belongs to the response, and does not count as idle time.
         """
         if self.write_paused and self.transport is not None and not self.transport.is_closing():
-            self.transport.set_write_buffer_limits(high=0)  # `resume_writing` comes when nothing is left
+            self.transport.set_write_buffer_limits(high=0)  # calls `resume_writing` when the buffer is empty
             self.table.enter(self, Phase.FLUSHING)
         else:
             self._response_written()
@@ -200,11 +200,11 @@
     # ---- the end of a response, and of the connection ----------------------------------------------------
 
     def _response_written(self) -> None:
-        """The response has left.
+        """Decides whether to keep the connection after a complete response.
 
-        Failure guarded against: a response whose head was written before the drain began did not say that it
-        is the last. Kept open, its connection would bring requests up to the process's end. So it is the last
-        after all, if nothing has come behind its request.
+        Failure guarded against: the head of a response that was written before the drain began does not say
+        that the response is the last. If its connection stayed open, requests could arrive on it until the
+        process ends. So it is closed after all, unless more input has come after the request.
         """
         idle_closed = self.frontend.shutdown.idle_closed
         if self.is_last_response or (
@@ -217,20 +217,20 @@
             self._loop.call_soon(self._parse)
 
     def _close_after_response(self) -> None:
-        """End the connection once its last response has been read (RFC 9112, 9.6).
+        """Ends the connection once its last response has been read (RFC 9112, 9.6).
 
-        Failure guarded against: closing over bytes that are unread, or come in this very moment, resets the
-        connection and takes the response along. So only the sending ends, and what still comes is ignored.
+        Failure guarded against: closing a socket with unread bytes, or just as bytes come in, resets the
+        connection, and the response is lost. So only the sending side is closed, and input is ignored.
         """
         self.ignores_input = True
         if self.transport is None or self.transport.is_closing():
             return
         self.table.enter(self, Phase.CLOSING)
-        with suppress(OSError):  # it is broken, and that is reported on the next turn
+        with suppress(OSError):  # the connection is broken, which is reported in the next loop iteration
             self.transport.write_eof()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Closes the connection immediately."""
         self.table.leave(self)
         if self.transport is not None:
             self.transport.abort()
--- a/lanelift/net/connection_phases.py
+++ b/lanelift/net/connection_phases.py
@@ -1,4 +1,4 @@
-"""The clients' connections: their cap, and the phases in which they have no request open."""
+"""The table of clients' connections: their cap, and their phases while they have no open request."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class Phase(Enum):
-    """What a connection without an open request is doing."""
+    """What a connection without an open request is doing or waiting for."""
 
-    READING_HEAD = "its request is not complete yet"
-    READING_BODY = "its body is being received"
-    IDLE = "between two requests"
-    FLUSHING = "the rest of its response is being read"
-    CLOSING = "its last response is being read"
+    READING_HEAD = "the head of a request is not complete yet"
+    READING_BODY = "the body of a request is being received"
+    IDLE = "no request has begun since the last response"
+    FLUSHING = "the client is reading the rest of a response"
+    CLOSING = "the client is reading the last response"
 
 
-# How long a phase may last. READING_HEAD counts from the connect, or from the first byte on a connection that
-# was used before; READING_BODY begins anew when the body has made progress.
+# How long a phase may last. READING_HEAD starts when the client connects, or with the first byte of a later
+# request on the same connection; READING_BODY starts again whenever the body makes progress.
 PHASE_TIMEOUT_S = {
     Phase.READING_HEAD: 2.5,
     Phase.READING_BODY: 2.5,
@@ -29,9 +29,9 @@
     Phase.FLUSHING: CLIENT_STALL_TIMEOUT_S,
     Phase.CLOSING: 1.0,
 }
-# At the cap one of these is closed for a newcomer: the first in this order that has been in its phase for so
-# many seconds. Clients count on it that an idle connection is left 2 s, and an honest one sends its request
-# in 1 s.
+# At the cap a connection is closed to make room for a new one: the first in this order that has been in its
+# phase for at least this many seconds. Clients rely on an idle connection being kept for 2 s, and a
+# well-behaved client sends its request within 1 s.
 EVICTION_ORDER = (
     (Phase.CLOSING, 0.1),
     (Phase.READING_HEAD, 1.0),
@@ -41,31 +41,31 @@
 
 
 class TrackedConnection(Protocol):
-    """A client's connection as the table needs it."""
+    """What the table needs of a client's connection."""
 
     phase: Phase | None
     transport: asyncio.Transport | None
 
     @property
     def has_data(self) -> bool:
-        """Part of a request has come."""
+        """Whether part of a request has been received."""
 
     def phase_timed_out(self) -> None:
-        """It has been in its phase for as long as it may."""
+        """Handles the end of the time that the current phase may last."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Closes the connection immediately."""
 
 
 class ConnectionTable:
-    """All connections of clients, under a cap.
+    """All clients' connections, and the cap on their number.
 
     Attributes:
-        clients: The connections, accepted or being set up.
+        clients: The connections, including those that are being set up.
         max_clients: The cap.
-        by_phase: Those without an open request and since when (loop's clock), the longest first, so that one
-            timer serves them all.
-        timer: When the first of them will have been in its phase for too long.
+        by_phase: The connections without an open request, with the time at which each entered its phase
+            (loop's clock), the oldest first, so that one timer serves them all.
+        timer: The timer for the first phase time-out.
     """
 
     def __init__(self, max_clients: int, on_evictable: Callable[[], None]) -> None:
@@ -73,15 +73,15 @@
         self.max_clients = max_clients
         self.by_phase: dict[Phase, dict[TrackedConnection, float]] = {phase: {} for phase in Phase}
         self.timer: asyncio.TimerHandle | None = None
-        self._on_evictable = on_evictable  # called at the cap when a connection comes to rest
+        self._on_evictable = on_evictable  # called at the cap when a connection enters a phase
         self._loop = asyncio.get_running_loop()
 
-    def is_filled(self, part: float) -> bool:
-        """Whether at least this part of the cap is used."""
-        return len(self.clients) >= part * self.max_clients
+    def is_filled(self, fraction: float) -> bool:
+        """Returns whether at least this fraction of the cap is used."""
+        return len(self.clients) >= fraction * self.max_clients
 
     def enter(self, client: TrackedConnection, phase: Phase) -> None:
-        """A connection has no request open from now on, and can make room for others."""
+        """Records that a connection has no open request, and so may be evicted."""
         self.leave(client)
         client.phase = phase
         self.by_phase[phase][client] = self._loop.time()
@@ -90,16 +90,17 @@
             self._on_evictable()
 
     def leave(self, client: TrackedConnection) -> None:
-        """A connection has a request open, or ends."""
+        """Records that a connection has an open request, or has ended."""
         if client.phase is not None:
             del self.by_phase[client.phase][client]
             client.phase = None
 
     def evict(self) -> tuple[bool, float | None]:
-        """Close one connection to make room. Its place is free on the loop's next turn.
+        """Closes one connection to make room. Its place is free in the next loop iteration.
 
         Returns:
-            Whether one was closed; if not, after how many seconds one can be (None: when one comes to rest).
+            Whether a connection was closed; if not, after how many seconds one can be. None means that a
+            connection must first enter a phase.
         """
         now = self._loop.time()
         due_times = []
@@ -120,7 +121,7 @@
             self.timer = self._loop.call_at(when, self._end_expired)
 
     def _end_expired(self) -> None:
-        """End what has been in its phase for too long, and set the timer for the next."""
+        """Times out the connections whose phase has lasted too long, and sets the timer for the next one."""
         self.timer = None
         now = self._loop.time()
         for phase, clients in self.by_phase.items():
@@ -134,7 +135,7 @@
                 client.phase_timed_out()
 
     def close(self) -> None:
-        """Close all connections."""
+        """Closes all connections."""
         if self.timer is not None:
             self.timer.cancel()
         for client in list(self.clients):
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: which are open, which are idle, and how an exchange gets one."""
+"""The pool of connections to upstreams, which gives each exchange an idle connection or a new one."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 
 log = logging.getLogger(__name__)
 
-# Of the time after which upstreams close idle connections; after this part of it they are closed here.
-IDLE_TIMEOUT_PART = 0.6
-SETTLE_S = 0.01  # a connection has settled this long after its last response
-# Before that it is used for idempotent requests where responses take this many times as long on average.
+# Idle connections are closed after this fraction of the time after which upstreams would close them.
+IDLE_TIMEOUT_FRACTION = 0.6
+SETTLE_S = 0.01  # a connection counts as settled this long after its last response
+# An unsettled connection may serve idempotent requests if the mean response time is this many times longer.
 MIN_RESPONSE_TO_SETTLE_RATIO = 4
-# A handshake's time-out that fires so late tells of this program's want of time, not of an upstream.
+# A handshake's time-out that fires this late shows that this process is short of CPU time, and says nothing
+# about the upstream.
 LATE_TIMER_S = 0.01
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
 SHORTAGE_LOG_INTERVAL_S = 5.0
@@ -32,14 +33,14 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamTarget:
-    """An upstream's address and what leads there.
+    """An upstream's address and the connections to it.
 
     Attributes:
-        endpoint: The upstream as discovery lists it.
-        idle: Its idle connections in the order in which they came free, the newest last.
-        connecting: Exchanges that wait for a new connection to come up.
-        idle_timer: When the oldest idle connection is closed.
-        keeps_idle: Connections that come free are kept.
+        endpoint: The upstream's entry in the endpoint list.
+        idle: Its idle connections in the order in which they were released, the newest last.
+        connecting: Exchanges that wait for a new connection.
+        idle_timer: The timer that closes the oldest idle connection.
+        keeps_idle: Whether released connections are kept.
     """
 
     endpoint: ResolvedEndpoint
@@ -50,23 +51,23 @@
 
 
 class ConnectionPool:
-    """Connections to all upstreams, under one cap.
+    """Connections to all upstreams, with one cap on their number.
 
     Attributes:
         connect_timeout_s: How long a handshake may take, in seconds.
-        handshakes: How long a request waits for one.
-        idle_timeout_s: After how many seconds without use a connection is closed.
+        handshakes: The estimator of how long a request waits for a handshake.
+        idle_timeout_s: The idle time after which a connection is closed, in seconds.
         max_connections: The cap.
         targets: The listed upstreams by number.
-        mean_response_s: How long responses take, smoothed, in seconds.
-        open_connections: Those open and those being opened.
-        connect_tasks: Handshakes under way.
+        mean_response_s: The smoothed response time, in seconds.
+        open_connections: The number of connections, including those that are being opened.
+        connect_tasks: The tasks of handshakes in progress.
     """
 
     def __init__(self, limits: Limits, max_connections: int) -> None:
         self.connect_timeout_s = limits.connect_timeout_ns / 1e9
         self.handshakes = HandshakeEstimator(self.connect_timeout_s)
-        self.idle_timeout_s = limits.upstream_idle_timeout_ns * IDLE_TIMEOUT_PART / 1e9
+        self.idle_timeout_s = limits.upstream_idle_timeout_ns * IDLE_TIMEOUT_FRACTION / 1e9
         self.max_connections = max_connections
         self.targets: dict[int, UpstreamTarget] = {}
         self.mean_response_s = 0.0
@@ -77,10 +78,11 @@
     # ---- the endpoint list -------------------------------------------------------------------------------
 
     def update_endpoints(self, endpoints: Iterable[ResolvedEndpoint], is_snapshot: bool) -> None:
-        """Apply an update of the endpoint list.
+        """Applies an update of the endpoint list.
 
-        Idle connections to what drains, restarted, moved or was removed are closed at once. What waits for a
-        new one goes elsewhere: its handshake would take it past the drain's grace.
+        Idle connections to an upstream that drains, restarted, moved or was removed are closed immediately.
+        Exchanges that wait for a new connection to it are given up, so that their requests go elsewhere: the
+        handshake could outlast the drain's grace period.
         """
         listed = set()
         for new in endpoints:
@@ -90,7 +92,7 @@
                 self._remove(new.entry.id)
                 continue
             if target is None or target.endpoint.process != new.process:
-                # A new target: connections in use that belong to the old one are not kept either.
+                # A new process: connections to the old one that are in use now are not kept later.
                 self._remove(new.entry.id)
                 target = self.targets[new.entry.id] = UpstreamTarget(new)
             target.endpoint = new
@@ -119,7 +121,7 @@
     # ---- a connection for an exchange --------------------------------------------------------------------
 
     def start(self, target: UpstreamTarget, exchange: Exchange, is_probe: bool = False) -> None:
-        """Start an exchange on an idle connection or a new one; its outcome never comes within this call."""
+        """Starts an exchange on an idle or a new connection; never reports the outcome within this call."""
         loop = asyncio.get_running_loop()
         if _client_left(exchange):
             loop.call_soon(exchange.give_up, AttemptResult.NOT_SENT)
@@ -140,17 +142,17 @@
     def _take_idle(
         self, target: UpstreamTarget, exchange: Exchange, is_probe: bool
     ) -> UpstreamConnection | None:
-        """The newest idle connection that has settled: the others may become idle for good and close.
+        """Takes the newest idle connection that has settled, so that the older ones can time out.
 
-        Failure guarded against: what a server sends late behind a response, a second copy or noise, would
-        answer the next request on that connection. It comes within milliseconds, so a connection is used
-        only after `SETTLE_S`. If none has settled, the oldest may serve an idempotent request, or
-        a load probe, whose wrong result reaches no client; `distrust_until_s` then marks what comes too soon
-        to be believed.
+        Failure guarded against: bytes that a server sends after a response, such as a second copy or noise,
+        would be read as the answer to the next request. They arrive within milliseconds, so a connection is
+        used only after `SETTLE_S`. If none has settled, the oldest may serve an idempotent request or a load
+        probe, as a wrong result of a probe reaches no client; for an idempotent request `distrust_until_s`
+        marks the bytes that came too early to be its response.
         """
         idle = target.idle
         settled_s = asyncio.get_running_loop().time() - SETTLE_S
-        # They stand in the order in which they came free: where requests are many, most have not settled.
+        # A binary search, as under a high load most idle connections have not settled.
         settled = bisect_right(idle, settled_s, key=lambda connection: connection.idle_since)
         for place in range(settled - 1, -1, -1):
             if _is_usable(idle[place]):
@@ -165,11 +167,11 @@
         return None
 
     def _log_shortage(self) -> None:
-        """Once in a while, not for each request: when connections are short, every request finds it so."""
+        """Logs that the cap is reached, at intervals: during a shortage each request would log it."""
         now = asyncio.get_running_loop().time()
         if now >= self._shortage_logged_until:
             self._shortage_logged_until = now + SHORTAGE_LOG_INTERVAL_S
-            log.warning("no connection to spare: %d open", self.open_connections)
+            log.warning("no upstream connection available: %d open", self.open_connections)
 
     async def _connect(self, target: UpstreamTarget, exchange: Exchange) -> None:
         connection = UpstreamConnection(
@@ -183,11 +185,11 @@
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await loop.create_connection(lambda: connection, target.endpoint.host, target.endpoint.port)
-        except Exception as error:  # OSError, and whatever an address that is none may raise
+        except Exception as error:  # an OSError, or any error that an invalid address raises
             if connection.transport is None:
                 self.open_connections -= 1
             connection.abort()
-            # No upstream is at fault where descriptors are short here.
+            # A shortage of descriptors in this process is no fault of the upstream.
             is_local = isinstance(error, OSError) and error.errno in OUT_OF_DESCRIPTORS
             exchange.give_up(AttemptResult.NOT_SENT if is_local else AttemptResult.CONNECT_FAILED)
             return
@@ -198,17 +200,17 @@
         self._connected(target, connection, exchange)
 
     def _connected(self, target: UpstreamTarget, connection: UpstreamConnection, exchange: Exchange) -> None:
-        """A handshake is done: start its exchange, unless that was given up meanwhile."""
+        """Starts the exchange after its handshake, unless it was given up meanwhile."""
         if connection.closed:
             exchange.give_up(AttemptResult.CONNECT_FAILED)
         elif exchange.on_finished is None or _client_left(exchange):
             exchange.give_up(AttemptResult.NOT_SENT)
-            self._release(target, connection)  # it serves the next one
+            self._release(target, connection)  # another exchange can use it
         else:
             connection.start(exchange)
 
     def _handshake_overdue(self, exchange: Exchange, due_s: float) -> None:
-        """An exchange waits no longer for its connection. No upstream is at fault where this comes late."""
+        """Gives up an exchange whose handshake takes too long. A late timer is no fault of the upstream."""
         is_late = asyncio.get_running_loop().time() > due_s + LATE_TIMER_S
         exchange.give_up(AttemptResult.NOT_SENT if is_late else AttemptResult.CONNECT_FAILED)
 
@@ -224,16 +226,16 @@
             self._watch_idle(target)
 
     def _watch_idle(self, target: UpstreamTarget) -> None:
-        """One timer for each upstream that has idle connections, set for the oldest of them."""
+        """Sets the upstream's one idle timer for its oldest idle connection."""
         target.idle_timer = asyncio.get_running_loop().call_at(
             target.idle[0].idle_since + self.idle_timeout_s, self._close_expired, target
         )
 
     def _close_expired(self, target: UpstreamTarget) -> None:
-        """Close what has been idle for too long.
+        """Closes the connections that have been idle for too long.
 
-        Failure guarded against: a request written to a connection that its upstream is just closing ends as
-        a reset, and may have run. So none is used that comes near the upstream's own idle limit.
+        Failure guarded against: a request that is written while the upstream closes the idle connection ends
+        in a reset, and may have run. So connections are closed well before the upstream's own idle limit.
         """
         target.idle_timer = None
         now = asyncio.get_running_loop().time()
@@ -249,7 +251,7 @@
             target.idle.remove(connection)
 
     def _close_longest_idle(self) -> bool:
-        """Make room at the cap; False: no connection is idle."""
+        """Makes room at the cap; returns False if no connection is idle."""
         longest_idle = min(
             (target.idle[0] for target in self.targets.values() if target.idle),
             key=lambda connection: connection.idle_since,
@@ -261,13 +263,13 @@
         return True
 
     def set_max_connections(self, connections: int) -> None:
-        """Change the cap. Idle connections above it are closed at once, those in use when they come free."""
+        """Changes the cap. Above it, idle connections are closed now, and others when they are released."""
         self.max_connections = connections
         while self.open_connections > connections and self._close_longest_idle():
             pass
 
     def close(self) -> None:
-        """End handshakes, and close what is idle."""
+        """Cancels handshakes and closes idle connections."""
         for task in self.connect_tasks:
             task.cancel()
         for number in list(self.targets):
@@ -275,11 +277,11 @@
 
 
 def _is_usable(connection: UpstreamConnection) -> bool:
-    """Is it open, as far as the kernel knows, and has nothing come on it?"""
+    """Returns whether a connection is open and has no unread data, as far as the kernel knows."""
     transport = connection.transport
     return transport is not None and not transport.is_closing() and is_quiescent(transport)
 
 
 def _client_left(exchange: Exchange) -> bool:
-    """Has its client disconnected, unnoticed as reading from it was paused?"""
+    """Returns whether the client has disconnected, which is not reported while reading from it is paused."""
     return exchange.upload is not None and not exchange.upload.is_client_connected()
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the first endpoint list, the watch for changes, and what to do when it does not respond."""
+"""The discovery client: fetches the endpoint list, watches for changes and retries failed calls."""
 
 from __future__ import annotations
 
@@ -22,57 +22,57 @@
 
 
 class WatchTiming(NamedTuple):
-    """How long a watch call waits.
+    """The time limits of a watch call.
 
     Attributes:
-        hold_ms: How long discovery may hold it while nothing changes, in milliseconds.
-        response_s: How long its response may take after that, in seconds.
+        hold_ms: How long discovery may hold the call while nothing changes, in milliseconds.
+        response_s: How long the response may take after that, in seconds.
     """
 
     hold_ms: int
     response_s: float
 
 
-# Where an agent on this machine pushes changes it answers at once and at no cost; discovery that is polled
-# works for all replicas. A watch that fell silent is noticed early enough for a fetch of the snapshot before
-# the updates that it missed count as notified.
+# An agent that pushes changes runs on this machine, and answers fast and cheaply; a polled discovery server
+# serves all replicas. A watch that has gone silent is noticed early enough to fetch the snapshot before the
+# updates that the watch missed count as delivered.
 PUSH_TIMING = WatchTiming(hold_ms=1_000, response_s=0.5)
 POLL_TIMING = WatchTiming(hold_ms=3_000, response_s=1.5)
-SNAPSHOT_TIMEOUT_S = 2.5  # a call for the snapshot, which discovery does not hold
-# An agent is silent while discovery is down; what it receives at the return counts as notified at once, and
-# calls that came before are never answered. So it is called anew this often, at the latest, on connections of
-# their own: a return is noticed well within the shortest drain grace, 500 ms. Older calls may still be
-# answered.
+SNAPSHOT_TIMEOUT_S = 2.5  # for a call for the snapshot, which discovery does not hold
+# An agent does not respond while discovery is down. The updates that it receives when discovery returns
+# count as delivered immediately, and calls from before are never answered. So a new call is made at least
+# this often, each on its own connection: the return is noticed well within the shortest drain grace period,
+# 500 ms. Older calls stay open, as a slow agent may still answer them.
 RETRY_INTERVAL_S = 0.25
-START_TIMEOUT_S = 0.25  # a start waits so long for the agent; then it serves from the cached list
-MAX_PARALLEL_CALLS = 4  # an agent that responds at all needs no longer than these leave it
-MIN_CALL_INTERVAL_S = 0.02  # whatever comes back: well within what a watch may pause
+START_TIMEOUT_S = 0.25  # how long a start waits for the agent before it serves from the cached list
+MAX_PARALLEL_CALLS = 4  # a working agent responds in the time that this leaves to each call
+MIN_CALL_INTERVAL_S = 0.02  # after any response; well below the pause that a watch may make
 MAX_LIST_BYTES = 4 * 1024 * 1024
 LIST_TARGET = b"/v1/endpoints"
 
 
 class DiscoveryError(LaneliftError):
-    """A call failed: discovery is down, or sent what can't be read."""
+    """A call failed: discovery is down, or its response is invalid."""
 
 
 class DiscoveryTimeoutError(DiscoveryError):
-    """A call had no response in its time.
+    """A call had no response within its time-out.
 
-    Discovery that is down ends its calls: this one may run, and the watch be broken.
+    When discovery is down its calls are ended, so here discovery may be up and the watch broken.
     """
 
 
 class Discovery:
-    """Watches the endpoint list of discovery at an address.
+    """Watches the endpoint list of the discovery server at an address.
 
     Attributes:
-        dispatcher: Gets the updates.
-        address: Where discovery is.
-        push: An agent pushes changes; else discovery is polled.
-        version: The newest version received; -1: none from this address.
+        dispatcher: The dispatcher that receives the updates.
+        address: The server's address.
+        push: Whether an agent pushes changes; otherwise the server is polled.
+        version: The newest version received; -1 if none came from this address.
         connection: The connection for calls, one at a time.
-        watch_task: The watch.
-        fetch_task: A fetch of the snapshot.
+        watch_task: The task of the watch.
+        fetch_task: The task of a snapshot fetch.
     """
 
     def __init__(self, dispatcher: Dispatcher, address: Address, seed: int) -> None:
@@ -88,11 +88,11 @@
         self._failure_logged = False
 
     def start(self, cached: Json | None) -> None:
-        """Begin from the cached list, and watch at once where changes are pushed.
+        """Applies the cached list, and starts the watch if changes are pushed.
 
-        Whoever responds may count versions otherwise than the source of the cached list: the first snapshot
-        stands. What an agent has sent counts as notified from a process's first moment on, so nothing is
-        forwarded by an old list.
+        The server that responds may number versions differently from the source of the cached list, so its
+        first snapshot is always accepted. Updates that an agent has sent count as delivered from the start
+        of the process on, so no request is forwarded before the agent's list is there.
         """
         if cached is not None:
             self.dispatcher.update_endpoints(EndpointUpdateKind.CACHED, read_endpoint_list(cached).endpoints)
@@ -101,17 +101,17 @@
             self.subscribe(True)
 
     def subscribe(self, enabled: bool) -> None:
-        """Open or end the watch."""
+        """Starts or ends the watch."""
         if self.watch_task is not None:
             self.watch_task.cancel()
         self.watch_task = asyncio.get_running_loop().create_task(self._watch()) if enabled else None
 
     def change_source(self, address: Address) -> None:
-        """Discovery is elsewhere from now on.
+        """Changes the discovery server's address.
 
-        Pending calls to the old address, and waits before a retry, must not delay the new one. That one
-        counts its versions for itself: its first snapshot stands. The watch begins anew also where its end
-        was reported: the balancer may wait for seconds until it subscribes again.
+        Pending calls to the old address, and waits before a retry, must not delay calls to the new one. The
+        new server numbers versions independently, so its first snapshot is accepted. The watch is restarted
+        even after its failure was reported, as the balancer may wait for seconds before it subscribes again.
         """
         self.address = address
         self.version = -1
@@ -124,12 +124,12 @@
             self.fetch()
 
     def fetch(self) -> None:
-        """Fetch a snapshot, unless that is under way."""
+        """Fetches a snapshot, unless a fetch is in progress."""
         if self.fetch_task is None or self.fetch_task.done():
             self.fetch_task = asyncio.get_running_loop().create_task(self._fetch())
 
     def close(self) -> None:
-        """End watch, fetch and connection."""
+        """Ends the watch and any fetch, and closes the connection."""
         for task in (self.watch_task, self.fetch_task):
             if task is not None:
                 task.cancel()
@@ -138,11 +138,11 @@
     # ---- the watch ---------------------------------------------------------------------------------------
 
     async def _watch(self) -> None:
-        """Without a gap: each call follows on the response before it, the snapshot comes first.
+        """Runs the watch: fetches the snapshot, then makes each call right after the previous response.
 
-        When it fails the old list stands. Where discovery is polled the balancer is notified, and says when
-        to try again; a poll that timed out behind others that worked is repeated here. What an agent has
-        counts already, so a watch of one that has worked is opened anew at once.
+        After a failure the old list stays in use. With polling, the balancer is notified and decides when to
+        try again, except that a poll that times out after a successful call is repeated here. An agent's
+        updates count as delivered already, so a watch of an agent that has worked is reopened immediately.
         """
         timing = PUSH_TIMING if self.push else POLL_TIMING
         while True:
@@ -168,7 +168,7 @@
                 )
 
     async def _reach_agent(self) -> None:
-        """Ask the agent for the snapshot until it responds, with several calls at once."""
+        """Calls the agent for the snapshot until it responds, with several calls in parallel."""
         loop = asyncio.get_running_loop()
         calls: list[asyncio.Task[tuple[UpstreamConnection, Response]]] = []
         try:
@@ -191,11 +191,11 @@
                             self._apply(response)
                             return
                         self._log_failure(error)
-                await asyncio.sleep(next_call_s - loop.time())  # all have failed: not at once again
+                await asyncio.sleep(next_call_s - loop.time())  # all calls have failed: wait before the next
         finally:
             for call in calls:
                 if not call.cancel() and not call.cancelled() and call.exception() is None:
-                    call.result()[0].abort()  # responded to at the same time as another
+                    call.result()[0].abort()  # it succeeded at the same time as another
 
     async def _fetch(self) -> None:
         try:
@@ -205,8 +205,8 @@
             self.dispatcher.update_endpoints(EndpointUpdateKind.FAILED, [])
 
     def _log_failure(self, error: BaseException) -> None:
-        """One line for an outage. An error that nobody foresaw is logged with its traceback, as it must not
-        end the watch for good, unseen.
+        """Logs one line for an outage. An unexpected error is logged each time with its traceback, as the
+        watch goes on after it.
         """
         expected = isinstance(error, DiscoveryError | SettingsError)
         if expected and self._failure_logged:
@@ -215,9 +215,9 @@
         log.warning("discovery: %s", error or type(error).__name__, exc_info=None if expected else error)
 
     def _apply(self, response: Response) -> None:
-        """Pass on what a response says.
+        """Passes the update in a response to the dispatcher.
 
-        A list that is older than what is known, or no newer and partial, says nothing.
+        A list older than the known version, or a partial list that is not newer, is ignored.
         """
         if response.status != 200:
             raise DiscoveryError(f"answered {response.status}")
@@ -240,9 +240,9 @@
     # ---- calls -------------------------------------------------------------------------------------------
 
     async def _call(self, target: bytes, timeout_s: float) -> None:
-        """One call on the watch's own connection, one at a time; an update that it brings is passed on.
+        """Makes a call on the watch's own connection, one at a time, and applies the response.
 
-        An agent is reachable at once, or is better called several times (`_reach_agent`).
+        An agent either accepts a connection soon or is better called several times (`_reach_agent`).
         """
         async with self._lock:
             if self.connection is None or self.connection.closed:
@@ -251,7 +251,7 @@
         self._apply(response)
 
     async def _call_anew(self) -> tuple[UpstreamConnection, Response]:
-        """A call for the snapshot on a connection of its own, which is kept if it is responded to."""
+        """Calls for the snapshot on a new connection, and returns the connection with the response."""
         connection = await self._connect(SNAPSHOT_TIMEOUT_S)
         try:
             return connection, await self._get(connection, LIST_TARGET, SNAPSHOT_TIMEOUT_S)
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -1,7 +1,7 @@
-"""The dispatcher: the one caller of `Balancer.handle`.
+"""The dispatcher, the only caller of `Balancer.handle`.
 
-Events go in as they came, on the monotonic clock; what one turn of the loop brings is handed over together.
-Actions are carried out in order.
+Events are handed over in the order in which they came, with times of the monotonic clock; all events of one
+loop iteration are handed over together. Actions are executed in order.
 """
 
 from __future__ import annotations
@@ -49,29 +49,30 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_PEER_MESSAGES = 256  # received, and waiting for an event to be handed over with
+MAX_PENDING_PEER_MESSAGES = 256  # that wait to be handed over together with an event
 NS_PER_S = 1e9
 
 
 class Dispatcher:
-    """Hands events to the balancer and carries out its actions.
+    """Hands events to the balancer and executes its actions.
 
     Attributes:
-        settings: What the balancer follows.
-        upstreams: Where attempts go.
-        discovery: Where the endpoint list comes from.
-        peers: Carries messages to other replicas; None: there are none.
-        balancer: The decisions.
-        metrics: What is counted.
-        requests: The open requests.
-        attempts: Starts attempts and load probes.
+        settings: The balancer's settings.
+        upstreams: Sends attempts and load probes to upstreams.
+        discovery: The source of the endpoint list.
+        peers: Sends messages to other replicas; None if there are none.
+        balancer: The balancer, which makes all decisions.
+        metrics: The counters.
+        requests: The table of open requests.
+        attempts: Executes the actions on attempts and load probes.
         on_ready_changed: Called when `ready` may have changed.
-        pending_events: What waits for the next hand-over.
-        pending_peer_messages: Messages of other replicas since the last hand-over.
+        pending_events: The events that wait for the next hand-over.
+        pending_peer_messages: The messages of other replicas since the last hand-over.
         timer: The balancer's one timer.
-        resolve_tenant: Gives the tenant that an `X-Tenant` header names.
-        awaits_tenants: Nothing is served before a directory has named tenants.
-        endpoint_list_timer: Until when nothing is served before discovery has sent its list; None: no wait.
+        resolve_tenant: Returns the name of the tenant that an `X-Tenant` header's value means.
+        awaits_tenants: Whether no request is served until a directory has listed tenants.
+        endpoint_list_timer: Limits the wait for discovery's first list, before which no request is served;
+            None if there is no wait.
     """
 
     def __init__(self, settings: Settings, seed: int, upstreams: Upstreams) -> None:
@@ -105,11 +106,11 @@
             Log: self._log,
         }
 
-    # ---- state that others read --------------------------------------------------------------------------
+    # ---- state for other parts ---------------------------------------------------------------------------
 
     @property
     def ready(self) -> bool:
-        """Whether requests can be served: an upstream is listed as ready, and nothing is awaited."""
+        """Whether requests can be served: an upstream is listed as ready, and the start's waits are over."""
         return (
             not self.awaits_tenants
             and self.endpoint_list_timer is None
@@ -126,7 +127,7 @@
         return self.settings.tenants if known is None else known
 
     def metrics_text(self) -> str:
-        """The metrics as operators read them."""
+        """Returns the metrics in their text format."""
         now = time.monotonic_ns()
         return self.metrics.text(
             {
@@ -136,15 +137,15 @@
             }
         )
 
-    # ---- what a start waits for --------------------------------------------------------------------------
+    # ---- waits at the start ------------------------------------------------------------------------------
 
     def end_tenant_wait(self) -> None:
-        """Tenants are not awaited any more: directories have named them, or have taken too long."""
+        """Ends the wait for tenants: the directories have listed them or taken too long."""
         self.awaits_tenants = False
         self.on_ready_changed()
 
     def await_endpoint_list(self, seconds: float) -> None:
-        """Serve nothing before discovery has sent its list, for so many seconds at the most."""
+        """Serves no request until discovery has sent its list, or until the given time is over."""
         self.endpoint_list_timer = self.loop.call_later(seconds, self._end_endpoint_list_wait)
 
     def _end_endpoint_list_wait(self) -> None:
@@ -156,24 +157,25 @@
     # ---- events ------------------------------------------------------------------------------------------
 
     def post(self, event: Event) -> None:
-        """Hand an event over on the next turn of the loop, with all others that come until then."""
+        """Hands an event over in the next loop iteration, together with all others that come until then."""
         if not self.pending_events:
             self.loop.call_soon(self._hand_over)
         self.pending_events.append(event)
 
     def receive_peer_message(self, sender: int, data: bytes) -> None:
-        """A message of another replica.
+        """Queues a message of another replica.
 
-        It calls for no decision of its own, and is handed over before the next event that does: a turn of the
-        loop for each would cost more than what messages tell is worth. At the bound they are handed over
-        alone; the comparison is exact, as beyond it a hand-over is under way already.
+        A message needs no decision by itself, and is handed over with the next event, ahead of it: handing
+        over each message in a loop iteration of its own would cost more than its information is worth. At
+        the bound messages are handed over without an event; the test is for equality, as beyond the bound a
+        hand-over is scheduled already.
         """
         self.pending_peer_messages.append(PeerMessageReceived(sender, data, time.monotonic_ns()))
         if len(self.pending_peer_messages) == MAX_PENDING_PEER_MESSAGES and not self.pending_events:
             self.loop.call_soon(self._hand_over)
 
     def receive_request(self, request: OpenRequest) -> None:
-        """A client's request. Where too many are open it is rejected here, and the balancer never sees it."""
+        """Takes a client's request. If too many are open it is rejected without notifying the balancer."""
         limits = self.settings.limits
         requests = self.requests
         if requests.awaiting_answer >= limits.max_open_requests:
@@ -189,7 +191,7 @@
         self.post(request.arrival)
 
     def body_received(self, request: OpenRequest, deadline_ns: int) -> None:
-        """The last byte of a streamed body came: the request's time starts to run."""
+        """Starts a request's deadline after the last byte of its streamed body."""
         if request.closed or request.upload is None:
             return
         request.arrival = request.arrival._replace(deadline_ns=deadline_ns, body_pending=False)
@@ -203,7 +205,7 @@
         self.post(BodyReceived(request.arrival.request, deadline_ns))
 
     def client_disconnected(self, request: OpenRequest) -> None:
-        """A request's client has left. The rest of a streamed response would go to nobody: it is ended."""
+        """Closes a request whose client has disconnected, and cancels a streamed response."""
         if self.requests.close(request):
             self.post(ClientDisconnected(request.arrival.request))
         for exchange in request.attempts:
@@ -211,7 +213,7 @@
                 exchange.give_up(AttemptResult.CANCELLED)
 
     def update_endpoints(self, kind: EndpointUpdateKind, endpoints: list[ResolvedEndpoint]) -> None:
-        """An update of the endpoint list."""
+        """Applies an update of the endpoint list, and notifies the balancer of it."""
         if kind is not EndpointUpdateKind.FAILED:
             is_snapshot = kind is not EndpointUpdateKind.DELTA
             self.upstreams.pool.update_endpoints(endpoints, is_snapshot=is_snapshot)
@@ -237,7 +239,7 @@
                 self._executors[type(action)](action, now)
             except Exception:
                 self.requests.fail_after_exception("an action failed", [action])
-        # Only now: the balancer may act for a request until it has been notified of its end.
+        # Not earlier: the balancer may act on a request until it has been notified of the request's end.
         for event in events:
             if isinstance(event, AttemptFinished | ClientDisconnected):
                 self.requests.forget(event.request)
--- a/lanelift/net/endpoint_list.py
+++ b/lanelift/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery sends them: JSON, with the platform's keys."""
+"""Parsing of endpoint lists, which discovery sends as JSON with the platform's keys."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 }
 NS_PER_MS = 1_000_000
 MAX_STARTED_MS = 1 << 53
-# Measured once: an upstream's start must not seem to move between two lists.
+# Determined once, so that an upstream's start time does not change between two lists.
 UNIX_TO_MONOTONIC_NS = time.monotonic_ns() - time.time_ns()
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A list as it was read.
+    """A parsed endpoint list.
 
     Attributes:
-        version: Its version, which grows.
-        is_snapshot: It names all upstreams; else only those that changed.
-        endpoints: Its entries; those that can't be read are skipped.
+        version: The list's version; versions increase.
+        is_snapshot: Whether it lists all upstreams; otherwise it lists only those that changed.
+        endpoints: Its entries, without the invalid ones.
     """
 
     version: int
@@ -44,19 +44,19 @@
 
 
 def upstream_number(name: str) -> int:
-    """An upstream's id as the number that decisions know it by: the same on every replica."""
+    """Returns the number that the balancer uses for an upstream's id; it is the same on every replica."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def read_endpoint(row: Any) -> ResolvedEndpoint:
-    """One entry of a list. A host name is not accepted: to look it up takes a thread, and may take long.
+    """Parses an entry of a list. Host names are rejected, as a look-up needs a thread and may take long.
 
     Raises:
-        SettingsError: It can't be read.
+        SettingsError: The entry is invalid.
     """
     row = check_type(row, "server", dict)
     state = choice(row, "state", STATES, "Ready")
-    # What was removed needs no address.
+    # A removed upstream needs no address.
     host, port = split_address(require(row, "addr", str)) if state is not EndpointState.REMOVED else ("", 0)
     try:
         ipaddress.ip_address(host or "::")
@@ -84,10 +84,10 @@
 
 
 def read_endpoint_list(raw: Any) -> EndpointList:
-    """A list; entries that can't be read are skipped and logged in one line.
+    """Parses a list; invalid entries are skipped and logged in one line.
 
     Raises:
-        SettingsError: It is no list at all.
+        SettingsError: The list as a whole is invalid.
     """
     raw = check_type(raw, "list", dict)
     endpoints, skipped = [], []
--- a/lanelift/net/endpoints.py
+++ b/lanelift/net/endpoints.py
@@ -1,4 +1,4 @@
-"""An upstream with its address, as discovery lists it."""
+"""An upstream with its network address."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolvedEndpoint:
-    """An entry of the endpoint list with the address, which the balancer's decisions do not need.
+    """An entry of the endpoint list together with the address, which the balancer does not need.
 
     Attributes:
-        entry: What the decisions follow.
+        entry: The part of the entry that the balancer uses.
         host: The IP address; empty for one that was removed.
         port: The TCP port.
     """
@@ -23,5 +23,5 @@
 
     @property
     def process(self) -> tuple[str, int, int]:
-        """What identifies the process: connections lead to it, and not to the one that takes its place."""
+        """Identifies the upstream's process: connections to it are useless once the process is replaced."""
         return self.host, self.port, self.entry.started_ns
--- a/lanelift/net/exchange.py
+++ b/lanelift/net/exchange.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 request to a server and its one outcome.
+"""An HTTP/1.1 request to a server and its one outcome.
 
-An exchange is sent once: nothing here sends a request again. The moment at which its last byte left is known:
-if the connection breaks before it, that proves that the request never ran.
+An exchange is sent only once; this module never repeats a request. It records when the last byte was written:
+a connection that breaks before that proves that the request never ran.
 """
 
 from __future__ import annotations
@@ -19,57 +19,58 @@
 if TYPE_CHECKING:
     from lanelift.net.upstream_connection import UpstreamConnection
 
-# While a response is streamed: an upstream that sends nothing for this long counts as gone.
+# While a response is streamed, an upstream that sends nothing for this long is given up.
 UPSTREAM_SILENCE_TIMEOUT_S = 10.0
-# And a client that takes nothing for this long counts as one that reads no more.
+# A client that reads nothing of its response for this long is given up.
 CLIENT_STALL_TIMEOUT_S = 30.0
-# A streamed response without a stated length must bring this many bytes in each such interval once its time
-# is over, until it is longer than what is buffered.
+# After its time-out, a streamed response without a stated length must bring this many bytes in each such
+# interval, until it is longer than `MAX_BUFFERED_BODY_BYTES`.
 MIN_PROGRESS_BYTES = 1600
 MIN_PROGRESS_INTERVAL_S = 0.2
 
 
 class ResponseSink(Protocol):
-    """Who takes a response that is streamed; the exchange's outcome tells its end."""
+    """The receiver of a streamed response, whose end is reported as the exchange's outcome."""
 
     def start_response(self, head: Response) -> None:
-        """Its head; the body follows in pieces."""
+        """Receives the response's head; the body follows in pieces."""
 
     def forward(self, data: bytes) -> None:
-        """A piece of its body."""
+        """Receives a piece of the body."""
 
 
 class Exchange:
-    """A request and its outcome, which is reported exactly once: OK with a response, or why there is none.
+    """A request and its outcome, which is reported exactly once: OK with a response, or the kind of failure.
 
-    With a `sink`, a response that is longer than what is buffered is streamed: from `start_streaming` on no
-    time-out runs but `UPSTREAM_SILENCE_TIMEOUT_S` and `CLIENT_STALL_TIMEOUT_S`, and the outcome OK comes with
-    a response that has no body.
+    With a `sink`, a response that is too long to be buffered is streamed: from `start_streaming` on the only
+    time-outs are `UPSTREAM_SILENCE_TIMEOUT_S` and `CLIENT_STALL_TIMEOUT_S`, and the outcome OK has a response
+    without a body.
 
-    A response without a stated length may be a long one, or a short one that never ends (a corrupt or stuck
-    upstream): its client would wait for ever. Guard: once the attempt's time is over, such a response has to
-    make progress (`MIN_PROGRESS_BYTES` in each `MIN_PROGRESS_INTERVAL_S`) until it is longer than what is
-    buffered of any; else it is given up. One with a stated length is known to be long: only silence ends it.
+    Failure guarded against: a streamed response without a stated length may be a short one that never ends
+    (a corrupt or stuck upstream), and its client would wait for ever. So after the attempt's time-out such a
+    response has to make progress (`MIN_PROGRESS_BYTES` in each `MIN_PROGRESS_INTERVAL_S`) until it is longer
+    than `MAX_BUFFERED_BODY_BYTES`, or it is given up. A response with a stated length is known to be long,
+    and is given up only if it makes no progress at all.
 
     Attributes:
         request: The bytes to write: the head, and the body unless that is an `upload`.
         on_finished: Called once with the outcome; None afterwards.
-        max_body_bytes: The longest response that is buffered.
-        on_written: Called once when its last byte has left.
-        sink: Takes a streamed response; None: nothing is streamed.
+        max_body_bytes: The longest response body that is buffered.
+        on_written: Called once when the request's last byte was written.
+        sink: The receiver of a streamed response; None if responses are not streamed.
         upload: The request's streamed body.
-        written: Its last byte has left.
-        connection: The connection that carries it.
-        timer: The time-out that runs.
-        unread_ns: How long the response's end, or its beginning if it is streamed, lay here unread.
-        streaming: Its response is being streamed.
-        paused: The taker of its streamed response has no capacity for now.
-        last_progress_s: When some of it was last forwarded, on the loop's clock.
-        progress_due_s: When it has to be complete, or seen to make progress, on the loop's clock.
-        distrust_until_s: What comes before this (loop's clock) is not taken for its response: it may stand
-            behind another's.
-        streamed_bytes: Bytes forwarded so far.
-        streamed_bytes_at_check: Bytes forwarded at the last check of progress.
+        written: Whether the request's last byte was written.
+        connection: The connection that carries the exchange.
+        timer: The timer of the current time-out.
+        unread_ns: How long the response's end, or its start if it is streamed, waited unread in this process.
+        streaming: Whether the response is being streamed.
+        paused: Whether the sink accepts no more of the streamed response for now.
+        last_progress_s: When part of the response was last forwarded, on the loop's clock.
+        progress_due_s: When the response has to be complete or have made progress, on the loop's clock.
+        distrust_until_s: Bytes that came before this time (loop's clock) are not accepted as the response:
+            they may belong to the previous response on the connection.
+        streamed_bytes: The number of bytes forwarded so far.
+        streamed_bytes_at_check: That number at the last check of progress.
     """
 
     __slots__ = (
@@ -121,26 +122,26 @@
     # ---- time-outs ---------------------------------------------------------------------------------------
 
     def expire_in(self, seconds: float) -> None:
-        """Time out after so many seconds, in place of the time-out that runs."""
+        """Sets the time-out, in seconds from now; replaces the current one."""
         self.cancel_timeout()
         self.timer = asyncio.get_running_loop().call_later(seconds, self.expire)
 
     def expire_without_progress(self) -> None:
-        """Time out unless the upstream takes something in time."""
+        """Sets the time-out for an upstream that accepts no more of the request."""
         self.expire_in(UPSTREAM_SILENCE_TIMEOUT_S)
 
     def cancel_timeout(self) -> None:
-        """No time-out runs."""
+        """Cancels the current time-out."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def expire(self) -> None:
-        """The time is over. What was not fully written can't have run, and the close makes sure of it."""
+        """Times out. A request not fully written has not run, and closing its connection ensures that."""
         self.give_up(AttemptResult.TIMEOUT if self.written else AttemptResult.CONNECT_FAILED)
 
     def give_up(self, result: AttemptResult) -> None:
-        """Stop waiting; the connection is closed, so that the server knows."""
+        """Ends the exchange with a result, and closes its connection so that the server notices."""
         connection = self.connection
         self.finish(result)
         if connection is not None:
@@ -149,14 +150,14 @@
     # ---- progress ----------------------------------------------------------------------------------------
 
     def request_written(self) -> None:
-        """Its last byte has left."""
+        """Records that the request's last byte was written."""
         self.written = True
         on_written, self.on_written = self.on_written, None
         if on_written is not None:
             on_written()
 
     def start_streaming(self, head: Response) -> None:
-        """Its response is streamed from here on."""
+        """Starts to stream the response."""
         self.streaming = True
         if self.timer is not None and head.header(b"content-length") is None:
             self.progress_due_s = self.timer.when()
@@ -167,7 +168,7 @@
         self.sink.start_response(head)
 
     def _check_progress(self) -> None:
-        """While a response is streamed: give it up once it has stood still for too long."""
+        """Gives up a streamed response without enough progress, or sets the timer of the next check."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         timeout_s = CLIENT_STALL_TIMEOUT_S if self.paused else UPSTREAM_SILENCE_TIMEOUT_S
@@ -185,24 +186,24 @@
             self.timer = loop.call_at(next_check_s, self._check_progress)
 
     def forward(self, data: bytes) -> None:
-        """A piece of the streamed response."""
+        """Passes a piece of the streamed response to the sink."""
         self.streamed_bytes += len(data)
         self.last_progress_s = asyncio.get_running_loop().time()
         assert self.sink is not None
         self.sink.forward(data)
 
     def pause(self) -> None:
-        """Whoever takes the response has no capacity: read no more of it."""
+        """Pauses reading the response, as the sink accepts no more."""
         self.paused = True
         if self.connection is not None and self.connection.transport is not None:
             self.connection.transport.pause_reading()
 
     def resume(self) -> None:
-        """Whoever takes the response has capacity again."""
+        """Resumes reading the response, as the sink accepts more again."""
         self.paused = False
         self.last_progress_s = asyncio.get_running_loop().time()
         if self.progress_due_s < math.inf and self.on_finished is not None:
-            # Nothing could come while it was paused: its interval begins anew.
+            # No progress was possible while it was paused, so the interval starts again.
             self.streamed_bytes_at_check = self.streamed_bytes
             self.progress_due_s = max(self.progress_due_s, self.last_progress_s + MIN_PROGRESS_INTERVAL_S)
             self.cancel_timeout()
@@ -213,11 +214,11 @@
     # ---- the outcome -------------------------------------------------------------------------------------
 
     def connection_lost(self) -> None:
-        """Its connection broke."""
+        """Ends the exchange after its connection was lost."""
         self.finish(AttemptResult.RESET if self.written else AttemptResult.CONNECT_FAILED)
 
     def finish(self, result: AttemptResult, response: Response | None = None) -> None:
-        """Report the outcome; later calls report nothing."""
+        """Reports the outcome; later calls do nothing."""
         self.cancel_timeout()
         if self.upload is not None:
             self.upload.connection = None
--- a/lanelift/net/frontend.py
+++ b/lanelift/net/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side: listener, connections and shutdown."""
+"""The client-facing side of the balancer: listener, connections and shutdown."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
 
 
 class Frontend:
-    """Serves clients from its construction on.
+    """Serves clients, starting with its construction.
 
     Attributes:
-        dispatcher: Takes their requests.
+        dispatcher: The dispatcher that receives requests.
         lifecycle: Whether this balancer serves, drains or shuts down.
-        table: Their connections.
-        listener: Accepts them.
-        shutdown: Drains and ends them.
+        table: The table of clients' connections.
+        listener: The listener that accepts connections.
+        shutdown: Drains and closes the connections.
     """
 
     def __init__(
         self,
         dispatcher: Dispatcher,
-        bound: socket.socket,
+        bound_socket: socket.socket,
         max_clients: int,
         lifecycle: Lifecycle | None = None,
     ) -> None:
         self.dispatcher = dispatcher
         self.lifecycle = lifecycle or Lifecycle()
         self.shutdown = GracefulShutdown(self)
-        self.listener = Listener(self, bound)
+        self.listener = Listener(self, bound_socket)
         self.table = ConnectionTable(max_clients, self.listener.resume)
         dispatcher.on_ready_changed = self.listener.resume
         self.listener.resume()
 
     def set_max_clients(self, max_clients: int) -> None:
-        """Change the cap; above it answers end their connections."""
+        """Changes the cap; connections above it are closed after their answers."""
         self.table.max_clients = max_clients
         self.listener.resume()
 
     def client_lost(self, client: ClientConnection) -> None:
-        """A connection has ended: there may be a place for another, or none is left at all."""
+        """Removes a connection that has ended, which may make room for another or complete the shutdown."""
         self.table.clients.discard(client)
         self.table.leave(client)
         self.listener.resume()
         self.shutdown.check_finished()
 
     def close(self) -> None:
-        """Close the listener and all connections at once."""
+        """Closes the listener and all connections immediately."""
         self.listener.pause()
         self.listener.close()
         self.table.close()
--- a/lanelift/net/handshakes.py
+++ b/lanelift/net/handshakes.py
@@ -1,22 +1,22 @@
-"""How long a connection may take to come up before its request goes elsewhere."""
+"""The time-out of TCP handshakes, after which a request goes to another upstream."""
 
 from __future__ import annotations
 
-# Not less than this, however fast others came up.
+# The lower bound of the time-out, however fast earlier handshakes were.
 MIN_HANDSHAKE_TIMEOUT_S = 0.03
 
 
 class HandshakeEstimator:
-    """The time-out of a handshake, by those that came up: the estimator of RFC 6298 (2.2, 2.3).
+    """Estimates the time-out of a handshake from earlier ones, by the algorithm of RFC 6298 (2.2, 2.3).
 
-    A segment that is lost on the way costs a second (RFC 6298, 2.1). A request need not wait for that:
-    nothing of it was written, so that it can go to another upstream. The handshake itself goes on to the
-    settings' limit; what comes up late is learned from, and its connection is kept.
+    A lost segment delays a handshake by a second (RFC 6298, 2.1). A request need not wait for that: nothing
+    of it has been written, so it can go to another upstream. The handshake itself continues up to the limit
+    in the settings; if it succeeds late, its time is recorded and its connection is kept.
 
     Attributes:
-        limit_s: The longest that the settings allow, in seconds.
-        mean_s: The smoothed handshake time in seconds; None: none was measured.
-        deviation_s: Its smoothed deviation in seconds.
+        limit_s: The upper bound from the settings, in seconds.
+        mean_s: The smoothed handshake time in seconds; None if none was measured.
+        deviation_s: Its smoothed deviation, in seconds.
     """
 
     def __init__(self, limit_s: float) -> None:
@@ -25,7 +25,7 @@
         self.deviation_s = 0.0
 
     def record(self, seconds: float) -> None:
-        """A handshake took so long."""
+        """Records the time that a handshake took."""
         if self.mean_s is None:
             self.mean_s, self.deviation_s = seconds, seconds / 2
         else:
--- a/lanelift/net/headers.py
+++ b/lanelift/net/headers.py
@@ -1,4 +1,4 @@
-"""Which headers a proxy forwards (RFC 9110, 7.6.1)."""
+"""Selection of the headers that a proxy forwards (RFC 9110, 7.6.1)."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 )
 
 
-def end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """The headers that are forwarded: not those of the connection, nor of the body's framing."""
+def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
+    """Returns the headers to forward: without those of the connection and of the body's framing."""
     rows = list(headers)
     named = {
         token.strip().lower() for name, value in rows if name == b"connection" for token in value.split(b",")
--- a/lanelift/net/hot_restart.py
+++ b/lanelift/net/hot_restart.py
@@ -1,8 +1,9 @@
-"""Hot restart: two processes of one balancer know of each other, and share its descriptors.
+"""Hot restart: two processes of one balancer detect each other and share its limit on descriptors.
 
-Each listens on a Unix socket in the folder that both are given (`$TMPDIR`), and a new one connects to those
-it finds there. Nothing is sent on these connections: that one is open means that the other process runs, and
-the kernel ends it with the process, however that ends. No file has to be trusted or removed in time.
+Each process listens on a Unix socket in a folder that both are given (`$TMPDIR`), and a new process connects
+to the sockets that it finds there. Nothing is sent on these connections: an open connection means that the
+other process runs, and the kernel closes it with the process, however that ends. So there is no state file
+that might be stale or not be removed in time.
 """
 
 from __future__ import annotations
@@ -18,18 +19,18 @@
 log = logging.getLogger(__name__)
 
 SOCKET_PREFIX, SOCKET_SUFFIX = "lanelift-", ".sock"
-CONNECT_TIMEOUT_S = 0.2  # the kernel connects at once; a backlog at capacity must not hold up the start
-MAX_PATH_BYTES = 100  # of 108 that a Unix socket's address has (unix(7))
+CONNECT_TIMEOUT_S = 0.2  # the kernel connects immediately; a full backlog must not delay the start
+MAX_PATH_BYTES = 100  # a Unix socket's address has 108 (unix(7))
 
 
 class HotRestart:
-    """Knows how many processes of this balancer run.
+    """Keeps track of how many processes of this balancer run.
 
     Attributes:
-        path: Where this process listens.
-        links: Connections with the others.
-        server: Where the next process connects; None: it could not listen.
-        on_processes_changed: Called with the number of processes, this one among them, when that changes.
+        path: The path of this process's socket.
+        links: The connections with other processes.
+        server: The server to which the next process connects; None if it could not be started.
+        on_processes_changed: Called with the number of processes, including this one, when it changes.
     """
 
     def __init__(
@@ -42,14 +43,14 @@
 
     @property
     def processes(self) -> int:
-        """How many processes share the limits: a hot restart has two; of more, all but one are leaving."""
+        """How many processes share the limits: two in a hot restart; if more run, all but one are leaving."""
         return 2 if self.links else 1
 
     async def start(self) -> None:
-        """Connect to the process before, and listen for the next. What fails is logged."""
+        """Connects to the previous process and listens for the next one. Failures are logged."""
         loop = asyncio.get_running_loop()
         if len(os.fsencode(self.path)) > MAX_PATH_BYTES:
-            log.warning("%s is too long for a socket: in an upgrade limits will not be shared", self.path)
+            log.warning("%s is too long for a socket: limits will not be shared in a hot restart", self.path)
             return
         for other in self.path.parent.glob(f"{SOCKET_PREFIX}*{SOCKET_SUFFIX}"):
             try:
@@ -63,10 +64,10 @@
         try:
             self.server = await loop.create_unix_server(lambda: ProcessLink(self), str(self.path))
         except OSError as error:
-            log.warning("%s: %s: in an upgrade limits will not be shared", self.path, error)
+            log.warning("%s: %s: limits will not be shared in a hot restart", self.path, error)
 
     def close(self) -> None:
-        """Stop listening, remove the socket, and close all links."""
+        """Stops listening, removes the socket and closes all links."""
         if self.server is not None:
             self.server.close()
             with suppress(OSError):
@@ -75,37 +76,37 @@
             link.abort()
 
     def link_opened(self, link: ProcessLink) -> None:
-        """Another process runs."""
+        """Adds a link; with the first one, the limits are shared."""
         self.links.add(link)
         if len(self.links) == 1:
-            log.info("another process of this balancer runs: limits are shared")
+            log.info("another process of this balancer is running: limits are shared")
             self.on_processes_changed(self.processes)
 
     def link_closed(self, link: ProcessLink) -> None:
-        """Another process has ended."""
+        """Removes a link; without any, this process has the limits to itself."""
         self.links.discard(link)
         if not self.links:
-            log.info("no other process of this balancer runs any more")
+            log.info("no other process of this balancer is running: limits are not shared")
             self.on_processes_changed(self.processes)
 
 
 class ProcessLink(asyncio.Protocol):
-    """A connection with another process of this balancer. What comes on it is ignored."""
+    """A connection with another process of this balancer. Received bytes are ignored."""
 
     def __init__(self, hot_restart: HotRestart) -> None:
         self._hot_restart = hot_restart
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """Registers the link."""
         self._transport = cast(asyncio.Transport, transport)
         self._hot_restart.link_opened(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """It has ended."""
+        """Unregisters the link, as the other process has ended."""
         self._hot_restart.link_closed(self)
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Closes the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
--- a/lanelift/net/http_messages.py
+++ b/lanelift/net/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as values, and as they are written to a connection (RFC 9112)."""
+"""HTTP/1.1 messages and their encoding (RFC 9112)."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class MessageError(LaneliftError):
-    """A message that can't be accepted.
+    """A message is invalid or not acceptable.
 
     Attributes:
-        status: The status with which a request like this is answered.
+        status: The status code with which such a request is answered.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -25,16 +25,16 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request as it was read.
+    """A parsed request.
 
     Attributes:
-        method: Its method, in capitals.
-        target: Its request target, with the query.
+        method: The method, in upper case.
+        target: The request target, with the query.
         headers: Names in lower case, with their values.
-        body: Its body; empty where that is streamed.
-        keep_alive: Its connection can carry another request.
-        accepts_chunks: Its sender reads responses with chunked coding (HTTP/1.1).
-        streamed: Its body was taken piece by piece while it came in, and is not here.
+        body: The body; empty if it is streamed.
+        keep_alive: Whether the connection can carry another request.
+        accepts_chunks: Whether the sender accepts responses with chunked coding (HTTP/1.1).
+        streamed: Whether the body was passed on in pieces as it came in, and is not in `body`.
     """
 
     method: bytes
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True)
 class Response:
-    """A response as it was read.
+    """A parsed response.
 
     Attributes:
-        status: Its status code.
+        status: The status code.
         headers: Names in lower case, with their values.
-        body: Its body; empty where that is streamed.
-        keep_alive: Its connection can carry another request.
-        streamed: Its body was taken piece by piece while it came in, and is not here.
+        body: The body; empty if it is streamed.
+        keep_alive: Whether the connection can carry another request.
+        streamed: Whether the body was passed on in pieces as it came in, and is not in `body`.
     """
 
     status: int
@@ -65,12 +65,12 @@
     streamed: bool = False
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of the header with this name in lower case; None: it has none."""
+        """Returns the first value of a header, or None; `name` is in lower case."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 def decode_text(value: bytes) -> str:
-    """A header's value as text: UTF-8, or else Latin-1, in which every byte has a meaning."""
+    """Decodes a header's value as UTF-8, or else as Latin-1, in which every byte is valid."""
     try:
         return value.decode()
     except UnicodeDecodeError:
@@ -78,14 +78,14 @@
 
 
 def encode_status(status: int) -> bytes:
-    """The first line of a response, without its end."""
+    """Returns the first line of a response, without the line break."""
     return b"HTTP/1.1 %d %b" % (status, HTTPStatus(status).phrase.encode())
 
 
 def encode_message(start_line: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
-    """A message as it is written.
+    """Encodes a message.
 
-    Nothing is escaped: start line and headers were read by a parser, or are this program's own.
+    Nothing is escaped, as start line and headers come from a parser or from this program itself.
     """
     rows = b"".join(b"%b: %b\r\n" % row for row in headers)
     return b"%b\r\n%b\r\n%b" % (start_line, rows, body)
--- a/lanelift/net/http_parser.py
+++ b/lanelift/net/http_parser.py
@@ -1,4 +1,4 @@
-"""Parsers of HTTP/1.1 requests and responses: bytes in, complete messages out; no socket."""
+"""Parsers of HTTP/1.1 requests and responses, which turn bytes into messages without any I/O."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from lanelift.net.http_messages import Request, Response
 from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES, MessageParser, PartialMessage
 
-MAX_INTERIM_RESPONSES = 8  # 1xx ahead of the final one: more are a response that never ends
-# Requests that repeat one of these are ambiguous: this balancer would follow one, and the upstream perhaps
-# the other (request smuggling, RFC 9112, 11.2).
+MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one; more count as a response that never ends
+# A request that repeats one of these is ambiguous: this balancer would use one value, and the upstream might
+# use the other (request smuggling, RFC 9112, 11.2).
 UNIQUE_HEADERS = frozenset(
     {
         b"host",
@@ -29,10 +29,10 @@
 
 
 class RequestParser(MessageParser[Request]):
-    """Reads the requests of one connection.
+    """Parses the requests of one connection.
 
     Attributes:
-        expects_continue: The client waits for `100 Continue` before it sends the body.
+        expects_continue: Whether the client waits for `100 Continue` before it sends the body.
     """
 
     parser: httptools.HttpRequestParser | None
@@ -44,12 +44,12 @@
         self.may_stream = True
 
     def on_url(self, target: bytes) -> None:
-        """A piece of the request target."""
+        """Receives a piece of the request target."""
         assert self.partial is not None
         self.partial.target += target
 
     def on_headers_complete(self) -> None:
-        """All headers are there: check what concerns requests only."""
+        """Checks the headers for what applies to requests only."""
         super().on_headers_complete()
         assert self.partial is not None and self.parser is not None
         counts = Counter(name for name, _ in self.partial.headers)
@@ -61,7 +61,7 @@
         if self.parser.get_method() in (b"CONNECT", b"TRACE"):
             self._fail(405, "no such method here")
         self.expects_continue = (b"expect", b"100-continue") in self.partial.headers and self.error is None
-        if self.streaming is None and self._needs_streaming():
+        if self.streamed_head is None and self._needs_streaming():
             self.start_streaming()
 
     def _complete(self, partial: PartialMessage) -> None:
@@ -77,9 +77,9 @@
 
 
 class ResponseParser(MessageParser[Response]):
-    """Reads the responses of one connection.
+    """Parses the responses of one connection.
 
-    `messages` holds at most the response and what should not have come behind it.
+    `messages` holds the response, and any messages that wrongly follow it.
     """
 
     parser: httptools.HttpResponseParser | None
@@ -91,7 +91,7 @@
         self._ends_with_connection = False
 
     def expect_response(self, max_body_bytes: int, may_stream: bool = False) -> None:
-        """The next response may have a body of this length, or a longer one if it may be streamed."""
+        """Sets the longest body of the next response, which may be longer if it may be streamed."""
         self.max_body_bytes = max_body_bytes
         self.may_stream = may_stream
         self._interim_responses = 0
@@ -99,28 +99,28 @@
 
     @property
     def length_unknown(self) -> bool:
-        """A complete head is there, of a response whose length can't be known before its end."""
+        """Whether the head is complete, of a response whose length is unknown until its end."""
         partial = self.partial
         return (
             partial is not None
             and partial.head_complete
             and self.error is None
-            and self.streaming is None
+            and self.streamed_head is None
             and not any(name == b"content-length" for name, _ in partial.headers)
         )
 
     def connection_ended(self) -> None:
-        """The connection has ended, and with it a response whose end is stated in no other way."""
+        """Completes a response whose end is marked by the end of the connection."""
         if self._ends_with_connection and self.partial is not None and self.partial.head_complete:
             self.on_message_complete()
 
     def on_headers_complete(self) -> None:
-        """All headers are there: check that the end of the response can be recognized.
+        """Checks that the end of the response can be recognized.
 
-        Only a response that states its own end, and in one way, can be distinguished from one that was cut
-        off; one that is said to be too large is not read to find out. Without a length it ends with its
-        connection (RFC 9112, 6.3). That is believed only of a response with `Connection: close`: a corrupt
-        one may stay open and never end.
+        Only a response that states its end, and in one way only, can be distinguished from a truncated one.
+        A response whose stated length is too large is not read at all. Without a length a response ends with
+        its connection (RFC 9112, 6.3). That is accepted only if the response has `Connection: close`: the
+        connection of a corrupt one may stay open, so that it never ends.
         """
         super().on_headers_complete()
         assert self.partial is not None and self.parser is not None
@@ -133,8 +133,8 @@
             closes = closes or (name == b"connection" and b"close" in value.lower())
         self._ends_with_connection = not framings and closes
         if framings != 1 and not self._ends_with_connection:
-            self._fail(502, "no length, or two")
-        elif self.streaming is None and self._needs_streaming():
+            self._fail(502, "the length is missing or ambiguous")
+        elif self.streamed_head is None and self._needs_streaming():
             self.start_streaming()
 
     def _complete(self, partial: PartialMessage) -> None:
@@ -144,7 +144,7 @@
             return
         self._interim_responses += 1
         if self._interim_responses > MAX_INTERIM_RESPONSES:
-            self._fail(502, "1xx answers without end")
+            self._fail(502, "too many 1xx responses")
 
     def _build(self, partial: PartialMessage, body: bytes) -> Response:
         assert self.parser is not None
--- a/lanelift/net/interfaces.py
+++ b/lanelift/net/interfaces.py
@@ -1,4 +1,4 @@
-"""What the dispatch of events and actions needs of the parts around it."""
+"""The interfaces of the parts that the dispatcher uses."""
 
 from __future__ import annotations
 
@@ -9,53 +9,53 @@
 
 
 class Client(Protocol):
-    """Whoever waits for the one final answer of a request."""
+    """The receiver of a request's one final answer."""
 
     def respond(self, response: Response) -> None:
-        """Answer with an upstream's response."""
+        """Answers with an upstream's response."""
 
     def reject(self, retry_after_ns: int, rate_limited: bool = False) -> None:
-        """Answer that the request was shed before any effect.
+        """Answers that the request was shed and had no effect.
 
         Args:
-            retry_after_ns: When a retry is welcome; 0: not stated.
-            rate_limited: A rate limit of its tenant was exceeded.
+            retry_after_ns: The time after which a retry is allowed; 0 if none is stated.
+            rate_limited: Whether the request exceeded its tenant's rate limit.
         """
 
     def fail(self, status: int, reason: str = "failed") -> None:
-        """Answer with an error."""
+        """Answers with an error."""
 
     def start_response(self, head: Response, source: Exchange) -> None:
-        """Begin a streamed response with its head; `source` is paused while the client takes no more."""
+        """Begins a streamed response with its head; `source` is paused while the client accepts no more."""
 
     def forward(self, data: bytes) -> None:
-        """Write a piece of the streamed response."""
+        """Writes a piece of the streamed response."""
 
     def complete(self) -> None:
-        """End the streamed response: all of it was forwarded."""
+        """Ends the streamed response after all of it was forwarded."""
 
     def abort_response(self) -> None:
-        """End the streamed response before its end, so that the client can tell."""
+        """Aborts the streamed response in a way that the client can distinguish from its regular end."""
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Closes the connection immediately."""
 
 
 class Discovery(Protocol):
-    """Where the endpoint list comes from."""
+    """The source of the endpoint list."""
 
     def subscribe(self, enabled: bool) -> None:
-        """Open or end the watch of the endpoint list."""
+        """Starts or ends the watch of the endpoint list."""
 
     def fetch(self) -> None:
-        """Fetch a snapshot of the endpoint list."""
+        """Fetches a snapshot of the endpoint list."""
 
 
 class PeerChannel(Protocol):
-    """Carries messages to other replicas."""
+    """Sends messages to other replicas."""
 
     def send(self, peer: int, data: bytes) -> None:
-        """Send a message to a replica; -1: to all. It may be lost."""
+        """Sends a message, which may be lost, to a replica, or to all if `peer` is -1."""
 
     def close(self) -> None:
-        """Close its socket."""
+        """Closes the socket."""
--- a/lanelift/net/listener.py
+++ b/lanelift/net/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket: when connections are accepted, and which."""
+"""The listening socket for clients."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 256
-ACCEPT_RETRY_S = 0.05  # after an accept that failed, mostly for want of descriptors
+ACCEPT_RETRY_S = 0.05  # after an accept that failed, mostly because no descriptor was free
 
 
 class Listener:
-    """Accepts clients up to the cap.
+    """Accepts clients' connections up to the cap.
 
     Attributes:
         socket: The bound socket.
-        listening: Newcomers are accepted.
-        stopping: It closes as soon as nobody waits in its backlog.
-        closed: It is closed.
+        listening: Whether new connections are accepted.
+        stopping: Whether the socket is closed as soon as its backlog is empty.
+        closed: Whether the socket is closed.
     """
 
-    def __init__(self, frontend: Frontend, bound: socket.socket) -> None:
-        self.socket = bound
+    def __init__(self, frontend: Frontend, bound_socket: socket.socket) -> None:
+        self.socket = bound_socket
         self.listening = False
         self.stopping = False
         self.closed = False
         self._frontend = frontend
         self._loop = asyncio.get_running_loop()
-        self._setup_tasks: set[asyncio.Task[None]] = set()  # referenced, or they may be collected
-        bound.setblocking(False)
-        bound.listen(BACKLOG)
+        self._setup_tasks: set[asyncio.Task[None]] = set()  # a task without a reference may be collected
+        bound_socket.setblocking(False)
+        bound_socket.listen(BACKLOG)
 
     def resume(self) -> None:
-        """There may be capacity, or something to serve: accept if that is so."""
+        """Accepts again if that is possible now; called after any change that may allow it."""
         frontend = self._frontend
         if self.stopping:
-            self._loop.call_soon(frontend.shutdown.stop_listening)  # there may be a place for who still waits
+            self._loop.call_soon(frontend.shutdown.stop_listening)  # accepts what still waits in the backlog
         elif (
             not self.listening
             and not self.closed
@@ -55,7 +55,7 @@
             self._loop.add_reader(self.socket, self.accept)
 
     def pause(self, seconds: float | None = None) -> None:
-        """Stop accepting: for so many seconds, or (None) until a connection comes to rest or ends."""
+        """Stops accepting for the given time, or (None) until `resume` is called after a change."""
         paused = self.listening or self.stopping
         if self.listening:
             self.listening = False
@@ -64,14 +64,15 @@
             self._loop.call_later(seconds, self.resume)
 
     def accept(self) -> bool:
-        """Accept who waits, up to the cap.
+        """Accepts the connections in the backlog, up to the cap.
 
-        At the cap a connection without a request makes room. If none can yet, newcomers stay in the backlog:
-        one that was accepted is owed an answer, so none is accepted to be dropped. This accepts no further
-        than to the cap: whether anybody waits beyond it is seen on the next turn, or at the next free place.
+        At the cap a connection without an open request is evicted. If none can be evicted yet, new
+        connections stay in the backlog: each accepted connection is owed an answer, so none is accepted only
+        to be dropped. Whether connections wait beyond the cap is checked in the next loop iteration, or when
+        the next place is free.
 
         Returns:
-            True: nobody waits any more.
+            Whether the backlog is empty.
         """
         table = self._frontend.table
         if len(table.clients) >= table.max_clients:
@@ -86,21 +87,21 @@
                 return True
             except (InterruptedError, ConnectionAbortedError):
                 continue
-            except OSError as error:  # out of descriptors: a later connection's end makes room
-                log.error("accept: %s", error)
+            except OSError as error:  # no descriptor is free until a connection ends
+                log.error("accept failed: %s", error)
                 self.pause(ACCEPT_RETRY_S)
                 return False
             if peer_state(sock)[0]:
-                sock.close()  # it gave up while it waited here: nobody would read an answer
+                sock.close()  # the client disconnected while it waited in the backlog
                 continue
             self._set_up(sock)
         return False
 
     def _set_up(self, sock: socket.socket) -> None:
-        """Make an accepted socket a client's connection.
+        """Creates the client's connection for an accepted socket.
 
-        It counts against the cap from here on, and once: counted again while its transport is made, it would
-        drive out another client for nothing.
+        It counts towards the cap from here on, and only once: if it counted twice until its transport is
+        ready, another client would be evicted needlessly.
         """
         sock.setblocking(False)
         client = ClientConnection(self._frontend)
@@ -113,11 +114,11 @@
         try:
             await self._loop.connect_accepted_socket(lambda: client, sock)
         except OSError as error:
-            log.error("a client's connection failed: %s", error)
+            log.error("setting up a client's connection failed: %s", error)
             sock.close()
             self._frontend.client_lost(client)
 
     def close(self) -> None:
-        """Close the socket; who waits in its backlog is reset, unless another process shares it."""
+        """Closes the socket, which resets connections in the backlog unless another process shares it."""
         self.closed = True
         self.socket.close()
--- a/lanelift/net/load_reports.py
+++ b/lanelift/net/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of upstreams: `inflight=7,queue=2`."""
+"""Parsing of upstreams' load reports, such as `inflight=7,queue=2`."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def read_load_report(text: bytes | None, fields: Collection[str]) -> LoadReport:
-    """What can be read of a load report, and is among the agreed fields; None: nothing.
+    """Parses a load report: returns the valid values of the configured fields, or None without any.
 
-    A value that is not finite or negative must not reach the decisions: with not-a-number every comparison
-    is false, and an upstream would compare as neither more nor less loaded than any other.
+    A value that is negative or not finite must not reach the balancer: every comparison with not-a-number is
+    false, so the upstream would count as neither more nor less loaded than any other.
     """
     report = {}
     for part in (text or b"").decode("latin-1").split(","):
--- a/lanelift/net/message_parser.py
+++ b/lanelift/net/message_parser.py
@@ -1,7 +1,8 @@
-"""What parsers of HTTP/1.1 requests and responses share: bytes in, complete messages out; no socket.
+"""The common base of the HTTP/1.1 request and response parsers, which do no I/O.
 
-`httptools` (llhttp) reads them, and is strict: bare line feeds, folded headers, two lengths or a length and a
-coding, and bad chunks are errors. What it accepts although it is ambiguous or unbounded is checked here.
+`httptools` (llhttp) does the parsing, and is strict: bare line feeds, folded headers, two lengths, a length
+together with a coding, and bad chunks are errors. Ambiguous or unbounded input that it accepts is checked
+here.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed, or rejected
 MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024
-MAX_HEAD_BYTES = 16 * 1024  # ahead of a body; httptools sets no bound of its own
-# A message may have this many times the longest body in all: small chunks are mostly framing.
+MAX_HEAD_BYTES = 16 * 1024  # httptools has no limit of its own
+# A whole message may be this many times as long as the longest body, as small chunks are mostly framing.
 MAX_FRAMING_FACTOR = 8
 MAX_NUMBER_DIGITS = 15
 
@@ -26,14 +27,14 @@
 
 @dataclass(slots=True)
 class PartialMessage:
-    """A message that is being read.
+    """A message of which part has been parsed.
 
     Attributes:
         target: The request target so far.
         headers: The headers so far.
-        body: The body so far, where it is buffered.
-        size_bytes: Bytes read for it; those that also held another message's end are not counted.
-        head_complete: All headers are there: what comes as a header now is a trailer.
+        body: The body so far, if it is buffered.
+        size_bytes: The number of bytes read for it, without a read that also held the previous message's end.
+        head_complete: Whether all headers have come; a later header is a trailer.
     """
 
     target: bytearray = field(default_factory=bytearray)
@@ -44,20 +45,20 @@
 
 
 class MessageParser(Generic[Message]):
-    """What both directions share: it collects what httptools calls out.
+    """Builds messages from httptools' callbacks, in both directions.
 
-    A message that can't be accepted is the last: `error` says why, and nothing is read behind it.
+    An invalid message is the last one: it sets `error`, and no further input is parsed.
 
-    A body that is longer than what is buffered can be streamed. `streaming` is then the message's head,
-    `take_body` gives what has come of its body, and in `messages` it stands without one. Nothing else is
-    streamed before `finish_streamed` says that this one is done with.
+    A body that is too long to be buffered can be streamed. `streamed_head` is then the message without its
+    body, `take_body` returns the body as it comes in, and the complete message in `messages` has no body. No
+    other message is streamed until `finish_streamed` is called.
 
     Attributes:
         messages: Complete messages, the oldest first.
-        error: Why nothing more is read; None: all is well.
-        partial: The message that is being read.
-        may_stream: Bodies longer than what is buffered may be streamed.
-        streaming: The head of the message whose body is streamed.
+        error: The error after which nothing more is parsed.
+        partial: The message that is being parsed.
+        may_stream: Whether bodies that are too long to be buffered may be streamed.
+        streamed_head: The message whose body is streamed, without the body.
     """
 
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None
@@ -68,18 +69,18 @@
         self.error: MessageError | None = None
         self.partial: PartialMessage | None = None
         self.may_stream = False
-        self.streaming: Message | None = None
+        self.streamed_head: Message | None = None
         self._streamed_partial: PartialMessage | None = None  # the streamed message until it is complete
         self._body_parts: list[bytes] = []
         self._streamed_bytes = 0
 
     @property
     def has_partial(self) -> bool:
-        """Part of a message has been read."""
+        """Whether part of a message has been parsed."""
         return self.partial is not None
 
     def feed(self, data: bytes) -> None:
-        """Read bytes from the connection."""
+        """Parses bytes from the connection."""
         if self.error is not None or self.parser is None:
             return
         before = self.partial
@@ -87,7 +88,7 @@
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             if self.messages:
-                # A request to change the protocol may be ignored, but httptools reads no further.
+                # A request to change the protocol may be ignored, but httptools parses no further.
                 self.messages[-1].keep_alive = False
             else:
                 self._fail(400, "no other protocol is spoken here")
@@ -111,10 +112,10 @@
         return MAX_STREAMED_BODY_BYTES if self.may_stream else self.max_body_bytes
 
     def start_streaming(self) -> None:
-        """From here on the body of the message that is being read is not buffered."""
+        """Starts to stream the body of the message that is being parsed."""
         assert self.partial is not None
         partial = self._streamed_partial = self.partial
-        self.streaming = self._build(partial, b"")
+        self.streamed_head = self._build(partial, b"")
         if partial.body:
             self._body_parts.append(bytes(partial.body))
             self._streamed_bytes = len(partial.body)
@@ -123,18 +124,18 @@
                 self._fail(413, "the body is too large")
 
     def take_body(self) -> bytes:
-        """What has come of the streamed body since the last call."""
+        """Returns the part of the streamed body that has come since the last call."""
         parts, self._body_parts = self._body_parts, []
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def finish_streamed(self) -> None:
-        """The streamed message is done with. One that came close behind it may be streamed now."""
-        self.streaming, self._streamed_bytes = None, 0
+        """Ends the streaming of a message, and may start that of the next one."""
+        self.streamed_head, self._streamed_bytes = None, 0
         if self.partial is not None and self.partial.head_complete and self._needs_streaming():
             self.start_streaming()
 
     def close(self) -> None:
-        """End the cycle of references between httptools and this: else memory waits for the collector."""
+        """Breaks the reference cycle with httptools, so that memory is freed without garbage collection."""
         self.parser = None
 
     def _fail(self, status: int, reason: str) -> None:
@@ -143,17 +144,17 @@
     # ---- called by httptools -----------------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """A message begins."""
+        """Starts a new message."""
         self.partial = PartialMessage()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header; trailers are dropped."""
+        """Adds a header; trailers are dropped."""
         assert self.partial is not None
         if not self.partial.head_complete:
             self.partial.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """All headers are there: check what can be checked without the body."""
+        """Checks the complete head."""
         assert self.partial is not None and self.parser is not None
         self.partial.head_complete = True
         headers = self.partial.headers
@@ -172,7 +173,7 @@
             self._fail(413, "the body is too large")
 
     def on_body(self, data: bytes) -> None:
-        """A piece of a body."""
+        """Buffers or streams a piece of the body."""
         assert self.partial is not None
         if self.error is not None:
             return
@@ -185,13 +186,13 @@
             return
         self.partial.body += data
         if len(self.partial.body) > self.max_body_bytes:
-            if self.may_stream and self.streaming is None:
+            if self.may_stream and self.streamed_head is None:
                 self.start_streaming()
             else:
                 self._fail(413, "the body is too large")
 
     def _needs_streaming(self) -> bool:
-        """Is the body, by its stated length or what has come of it, longer than what is buffered?"""
+        """Returns whether the body must be streamed, by its stated length or by the part that has come."""
         assert self.partial is not None
         if self.error is not None or not self.may_stream:
             return False
@@ -199,7 +200,7 @@
         return max(stated, len(self.partial.body)) > self.max_body_bytes
 
     def on_message_complete(self) -> None:
-        """The last byte of a message."""
+        """Completes the message after its last byte."""
         partial, self.partial = self.partial, None
         assert partial is not None
         if self.error is None:
--- a/lanelift/net/metrics.py
+++ b/lanelift/net/metrics.py
@@ -1,6 +1,6 @@
-"""What a balancer has done since it started, counted where it happens, and the text that operators read.
+"""Counters of what a balancer has done since its start, and their text format for operators.
 
-Text form: Prometheus exposition format 0.0.4 (`# TYPE` lines, `name{label="value"} number`).
+The format is the Prometheus exposition format 0.0.4 (`# TYPE` lines, `name{label="value"} number`).
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class Metrics:
-    """Counters; they only grow. One addition for an event: the text is made when it is asked for.
+    """Counters, which only increase. An event costs one addition; the text is generated on request.
 
     Attributes:
-        requests_ended: By class, then by how they ended (`FULFILLED`, `THROTTLED`, `FAULTED`).
-        attempts_written: Attempts whose last byte was written to an upstream.
+        requests_ended: The number of requests by class and outcome (`FULFILLED`, `THROTTLED`, `FAULTED`).
+        attempts_written: The number of attempts whose last byte was written to an upstream.
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
@@ -25,7 +25,7 @@
         self.attempts_written = 0
 
     def text(self, gauges: Mapping[str, int]) -> str:
-        """All counters, and the gauges given by name and value."""
+        """Returns all counters, and the given gauges, in the text format."""
         rows = [f"# TYPE {PREFIX}operations_total counter"]
         for name, counts in self.requests_ended.items():
             label = name.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/lanelift/net/peers.py
+++ b/lanelift/net/peers.py
@@ -1,4 +1,4 @@
-"""Messages between replicas: UDP datagrams, late or lost as it happens."""
+"""Messages between replicas, sent as UDP datagrams, which may be late or lost."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Peers:
-    """The socket for messages of replicas.
+    """The socket for messages between replicas.
 
-    It is read and written without a transport: asyncio's datagram transport takes 256 KiB for each message
-    that it reads, and messages are many.
+    It is used without a transport, as asyncio's datagram transport allocates 256 KiB for each message that it
+    reads, and there are many messages.
 
     Attributes:
         peers: The replicas' addresses, in the order of their numbers.
-        broadcast: Where a message to all goes; None: nowhere.
+        broadcast: The address for a message to all replicas; None if there is none.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._dispatcher = dispatcher
         self._numbers = {address: number for number, address in enumerate(peers)}
         self._socket = socket.socket(socket.AF_INET6 if ":" in own[0] else socket.AF_INET, socket.SOCK_DGRAM)
-        # Shared: in a hot restart the next process binds it while this one still runs.
+        # In a hot restart the next process binds the same address while this process still runs.
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._socket.setblocking(False)
         self._socket.bind(own)
@@ -44,14 +44,14 @@
     def _read(self) -> None:
         try:
             data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
-        except OSError:  # a peer that is down refused the last one sent, or there is nothing after all
+        except OSError:  # a peer that is down refused the last message sent, or no message is there
             return
         sender = self._numbers.get(address)
         if sender is not None and len(data) <= MAX_DATAGRAM_BYTES:
             self._dispatcher.receive_peer_message(sender, data)
 
     def send(self, peer: int, data: bytes) -> None:
-        """Send a message to a replica; -1: to all. It may be lost."""
+        """Sends a message, which may be lost, to a replica, or to all if `peer` is -1."""
         address = self.broadcast
         if peer >= 0:
             address = self.peers[peer] if peer < len(self.peers) else None
@@ -62,6 +62,6 @@
             self._socket.sendto(data, address)
 
     def close(self) -> None:
-        """Close the socket."""
+        """Closes the socket."""
         asyncio.get_running_loop().remove_reader(self._socket)
         self._socket.close()
--- a/lanelift/net/request_head.py
+++ b/lanelift/net/request_head.py
@@ -1,4 +1,4 @@
-"""What is read from the head of a client's request; MessageError is raised for what is not allowed."""
+"""Reads the head of a client's request. The functions raise MessageError for an invalid value."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from lanelift.policy.settings import Idempotency, RequestClass
 
 NS_PER_MS, NS_PER_US = 1_000_000, 1_000
-MAX_REQUEST_ID_BYTES = 128  # it is a key of tables and stands in the log
-# This balancer sets these itself on what it forwards.
+MAX_REQUEST_ID_BYTES = 128  # limits the size of table keys and log lines
+# Headers that this balancer sets itself on forwarded requests.
 REPLACED_HEADERS = frozenset({b"x-deadline-ms"})
 
 
@@ -22,10 +22,10 @@
     body_pending: bool,
     classes: Mapping[str, RequestClass],
 ) -> str:
-    """The request's class, by `X-Class` or the path's first part.
+    """Returns the request's class, given by `X-Class` or the path's first segment.
 
     Raises:
-        MessageError: No such class, no Host, or a method or body that its class does not have.
+        MessageError: The class is unknown, Host is missing, or the class does not allow the method or a body.
     """
     first = unquote(path.strip("/").partition("/")[0])
     name = decode_text(headers[b"x-class"]) if b"x-class" in headers else first
@@ -42,7 +42,7 @@
 
 
 def read_request_id(headers: Mapping[bytes, bytes], open_requests: Container[str]) -> str:
-    """The request's identifier, which must differ from that of each open request."""
+    """Returns the request's identifier, which must differ from that of each open request."""
     request_id = headers.get(b"x-request-id", b"").decode("latin-1")
     if not request_id:
         raise MessageError(400, "no X-Request-Id")
@@ -54,9 +54,9 @@
 
 
 def read_wait_ns(headers: Mapping[bytes, bytes], request_class: RequestClass) -> int:
-    """How long the client waits, in ns: by `X-Deadline-Ms`, and never longer than its class allows.
+    """Returns how long the client waits, in ns: `X-Deadline-Ms`, limited to the deadline of the class.
 
-    The process counts on that bound when it shuts down.
+    The shutdown relies on that limit.
     """
     longest_ns = request_class.deadline_ns
     default_ms = longest_ns // NS_PER_MS
@@ -64,17 +64,17 @@
 
 
 def read_cost_hint_ns(headers: Mapping[bytes, bytes]) -> int:
-    """How long the client expects it to take, in ns: by `X-Cost-Hint` (microseconds); 0: not stated."""
+    """Returns the processing time that the client expects, in ns (`X-Cost-Hint`, in microseconds), or 0."""
     return read_integer(headers, b"x-cost-hint", 0) * NS_PER_US
 
 
 def read_ordering_key(query: str) -> str:
-    """The request's ordering key: the query's first `obj`; empty: it has none."""
+    """Returns the request's ordering key, the query's first `obj`, or an empty string."""
     return parse_qs(query).get("obj", [""])[0] if "obj=" in query else ""
 
 
 def read_integer(headers: Mapping[bytes, bytes], name: bytes, default: int) -> int:
-    """A header's value as a number; the default where the header is absent."""
+    """Returns a header's value as a number, or the default if the header is absent."""
     value = headers.get(name)
     if value is None:
         return default
--- a/lanelift/net/requests.py
+++ b/lanelift/net/requests.py
@@ -1,4 +1,7 @@
-"""The table of open requests. Each gets exactly one final answer."""
+"""The table of open requests, each of which gets exactly one final answer.
+
+The balancer's bookkeeping of requests is in `lanelift.policy.requests`.
+"""
 
 from __future__ import annotations
 
@@ -18,28 +21,28 @@
 
 log = logging.getLogger(__name__)
 
-OVERDUE_S = 0.008  # after its deadline: a request without an answer gets a 504 here
+OVERDUE_S = 0.008  # this long after its deadline an unanswered request gets a 504 here
 NS_PER_S = 1e9
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A client's request from its arrival until its last attempt has ended.
+    """A client's request, from its arrival until it is closed and its last attempt has ended.
 
     Attributes:
-        arrival: What the balancer was notified of.
-        method: Its method.
-        target: Its request target.
+        arrival: The event that notified the balancer of the request.
+        method: The method.
+        target: The request target.
         headers: The headers that are forwarded.
-        body: Its body; empty where that is streamed.
-        client: Who gets the answer.
-        upload: Its streamed body.
-        attempts: Its attempts by number; None: it is over, or was never sent.
-        unfinished_attempts: Attempts without an outcome.
-        closed: It was answered, or its client has disconnected.
-        last_attempt_timed_out: Its latest attempt to end timed out.
-        streaming_attempt: The attempt whose response is streamed.
-        overdue_timer: When it is ended if nobody has answered it.
+        body: The body; empty if it is streamed.
+        client: The receiver of the answer.
+        upload: The streamed body.
+        attempts: The exchanges of its attempts by number; None for one that has ended or was never sent.
+        unfinished_attempts: The number of attempts without an outcome.
+        closed: Whether it was answered or its client has disconnected.
+        last_attempt_timed_out: Whether the attempt that ended last timed out.
+        streaming_attempt: The number of the attempt whose response is streamed.
+        overdue_timer: The timer that fails the request if it has no answer by then.
     """
 
     arrival: RequestArrived
@@ -58,12 +61,12 @@
 
 
 class RequestTable:
-    """Open requests by identifier; at most as many as the settings allow (`max_open_requests`) and their
-    unfinished attempts hold.
+    """Open requests by identifier: at most `max_open_requests` of the settings, and closed requests that
+    still have unfinished attempts.
 
     Attributes:
-        by_id: The requests. One stays until it is closed and has no unfinished attempt.
-        awaiting_answer: How many are owed an answer.
+        by_id: The requests. Each stays until it is closed and has no unfinished attempt.
+        awaiting_answer: The number of requests that are owed an answer.
     """
 
     def __init__(self, metrics: Metrics, post: Callable[[Event], None]) -> None:
@@ -74,10 +77,10 @@
         self._loop = asyncio.get_running_loop()
 
     def start_deadline(self, request: OpenRequest) -> float:
-        """A request's time starts to run.
+        """Starts the timer for a request's deadline.
 
         Returns:
-            How many seconds are left.
+            The number of seconds left.
         """
         left_s = (request.arrival.deadline_ns - time.monotonic_ns()) / NS_PER_S
         request.overdue_timer = self._loop.call_later(
@@ -86,13 +89,13 @@
         return left_s
 
     def answer(self, request: OpenRequest, outcome: str, give: Callable[[Client], None]) -> bool:
-        """Close a request with its final answer.
+        """Closes a request with its final answer.
 
-        An answer that can't be given (its connection fails while it is written) is logged and the connection
-        closed: the events behind it must not be lost with it.
+        An exception while the answer is written is logged, and the connection is closed: events that follow
+        must not be lost because of it.
 
         Returns:
-            False, and nothing is answered, if it was closed already.
+            False, without an answer, if the request was closed already.
         """
         if not self.close(request):
             return False
@@ -100,15 +103,15 @@
         try:
             give(request.client)
         except Exception:
-            log.exception("request %s: its answer failed", request.arrival.request)
+            log.exception("request %s: writing the answer failed", request.arrival.request)
             request.client.abort()
         return True
 
     def close(self, request: OpenRequest) -> bool:
-        """Mark a request as closed; False if it was already.
+        """Marks a request as closed; returns False if it was closed already.
 
-        What has not been written to its last byte is not sent any more: it never ran, so that to cancel it
-        the settings need allow nothing.
+        Attempts whose last byte was not written yet are given up. They have not run, so that needs no
+        permission to cancel attempts in the settings.
         """
         if request.closed:
             return False
@@ -124,13 +127,13 @@
         return True
 
     def forget(self, request_id: str) -> None:
-        """Remove a request that is closed and has no unfinished attempt."""
+        """Removes a request that is closed and has no unfinished attempt."""
         request = self.by_id.get(request_id)
         if request is not None and request.closed and not request.unfinished_attempts:
             del self.by_id[request_id]
 
     def fail_after_exception(self, what: str, about: Sequence[Event | Action]) -> None:
-        """Called in an exception's handler: log it with its requests, and end these as failed."""
+        """Logs the current exception and fails the requests that it concerns; for `except` blocks."""
         names = [name for name in (getattr(item, "request", None) for item in about) if name is not None]
         log.exception("%s; requests %s", what, " ".join(names) or "-")
         for name in names:
@@ -139,7 +142,7 @@
                 self._post(ClientDisconnected(name))
 
     def fail_all(self) -> None:
-        """The process ends: answer requests that would wait beyond that, and reset streamed responses."""
+        """Fails all open requests and resets streamed responses, as the process is about to end."""
         for request in list(self.by_id.values()):
             if request.streaming_attempt is None:
                 answered = self.answer(request, FAULTED, lambda client: client.fail(504))
@@ -149,16 +152,16 @@
                 self._post(ClientDisconnected(request.arrival.request))
 
     def _defer_overdue(self, request: OpenRequest) -> None:
-        """Wait for one more turn of the loop.
+        """Waits for one more loop iteration.
 
-        Failure guarded against: when the loop has stood still, the attempt's time-out is due on the same turn
-        as this, and waits to be handed over. Without one more turn a rejection with its Retry-After would
-        come out as a 504.
+        Failure guarded against: after the loop was blocked, the attempt's time-out is due in the same loop
+        iteration as this timer, and waits to be handed over. Without one more iteration the client would get
+        a 504 in place of a rejection with its Retry-After.
         """
         self._loop.call_soon(self._end_overdue, request)
 
     def _end_overdue(self, request: OpenRequest) -> None:
-        """The balancer owes an answer and the client's time is over: answer here, and log it."""
+        """Fails a request whose deadline passed without an answer from the balancer, and logs it."""
         if request.streaming_attempt is None and self.answer(
             request, FAULTED, lambda client: client.fail(504)
         ):
--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -1,15 +1,15 @@
-"""How a balancer drains (`evacuate`) and shuts down (SIGTERM) without losing a request.
+"""Drain (`evacuate`) and graceful shutdown (SIGTERM) of a balancer, without losing a request.
 
-At SIGTERM, in this order:
+The steps after SIGTERM, in order:
 
-1. Each answer from now on is the last on its connection, and `/ready` says no, unless another process shares
-   the address (`Lifecycle`). SIGINT does the same.
-2. After `ACCEPT_WHILE_DRAINING_S` the listener stops: it closes once nobody waits in its backlog.
-3. `CLOSE_IDLE_DELAY_S` after it stopped, and again after it closed, idle connections are closed; those with a
-   request after their answer.
+1. Each connection is closed after its next answer, and `/ready` answers 503, unless another process shares
+   the address (`Lifecycle`). SIGINT has the same effect.
+2. After `ACCEPT_WHILE_DRAINING_S` the listener stops: it closes once its backlog is empty.
+3. `CLOSE_IDLE_DELAY_S` after it stopped, and again after it closed, idle connections are closed; connections
+   with an open request are closed after the answer.
 4. When no connection is left, `finished` is set and the process ends.
-5. It ends at the latest `EXIT_AFTER_DEADLINE_S` after the longest deadline, which counts as
-   `LONGEST_DEADLINE_S` at most; requests that would still wait then get a 504 shortly before.
+5. The process ends at the latest `EXIT_AFTER_DEADLINE_S` after the longest deadline, which counts as
+   `LONGEST_DEADLINE_S` at most; requests that are still open shortly before get a 504.
 """
 
 from __future__ import annotations
@@ -28,24 +28,25 @@
 
 log = logging.getLogger(__name__)
 
-# Connections keep coming for this long after `/ready` first said no, until the front has noticed. Idle ones
-# are closed after that and not before: their clients would come straight back.
+# New connections keep coming for this long after `/ready` first fails, until the front tier has noticed. Idle
+# connections are closed only after that, as their clients would reconnect immediately.
 ACCEPT_WHILE_DRAINING_S = 0.5
-LONGEST_DEADLINE_S = 3.0  # longer deadlines count as this at SIGTERM
+LONGEST_DEADLINE_S = 3.0  # longer deadlines are cut to this at SIGTERM
 # The process ends this long after the longest deadline; SIGKILL comes 0.7 s after it.
 EXIT_AFTER_DEADLINE_S = 0.6
-FINAL_ANSWER_MARGIN_S = 0.03  # requests that would wait beyond the end are answered this long before it
-CLOSE_IDLE_DELAY_S = 0.02  # between the listener's stop and the end of idle connections
+FINAL_ANSWER_MARGIN_S = 0.03  # requests are answered at the latest this long before the process ends
+CLOSE_IDLE_DELAY_S = 0.02  # between the listener's stop and the closing of idle connections
 
 
 class GracefulShutdown:
-    """Drain, rejoin and shutdown of one balancer.
+    """Performs the drain, rejoin and shutdown of one balancer.
 
     Attributes:
-        started: SIGTERM has come.
-        finished: The listener is closed and no connection is open.
+        started: Set when SIGTERM has come.
+        finished: Set when the listener is closed and no connection is open.
         ends_s: When the process ends at the latest, on the loop's clock.
-        idle_closed: Idle connections have been closed: what comes to rest from now on is closed, too.
+        idle_closed: Whether idle connections have been closed; from then on a connection that becomes idle
+            is closed, too.
     """
 
     def __init__(self, frontend: Frontend) -> None:
@@ -59,14 +60,14 @@
 
     @property
     def shutting_down(self) -> bool:
-        """SIGTERM has come."""
+        """Whether SIGTERM has come."""
         return self._frontend.lifecycle.stage is Stage.SHUTTING_DOWN
 
     def drain(self) -> None:
-        """Empty the balancer, and run on.
+        """Drains the balancer without ending the process.
 
-        It accepts on; each answer is the last on its connection, and idle connections are closed after
-        `ACCEPT_WHILE_DRAINING_S`.
+        New connections are still accepted; each connection is closed after its next answer, and idle
+        connections are closed after `ACCEPT_WHILE_DRAINING_S`.
         """
         frontend = self._frontend
         if frontend.lifecycle.drain():
@@ -75,7 +76,7 @@
             self._close_idle_timer = self._loop.call_later(ACCEPT_WHILE_DRAINING_S, self.close_idle)
 
     def rejoin(self) -> bool:
-        """End of `drain`; False where it shuts down."""
+        """Ends a drain; returns False if the balancer shuts down."""
         if not self._frontend.lifecycle.rejoin():
             return False
         if self._close_idle_timer is not None:
@@ -86,14 +87,14 @@
         return True
 
     def shut_down(self) -> None:
-        """SIGTERM: as `drain`, and once it is empty it has `finished`."""
+        """Starts the shutdown (SIGTERM): drains the balancer, and later sets `finished`."""
         dispatcher = self._frontend.dispatcher
         if self._frontend.lifecycle.shut_down():
             classes = dispatcher.settings.classes.values()
             longest_s = max((c.deadline_ns for c in classes), default=0) / 1e9
             self.ends_s = self._loop.time() + min(longest_s, LONGEST_DEADLINE_S) + EXIT_AFTER_DEADLINE_S
-            # One turn of the loop later than the ordinary time-outs of that moment: their rejections (503)
-            # are better than these failures (504).
+            # One loop iteration later than ordinary time-outs that are due at the same time: their rejections
+            # (503) are better than these failures (504).
             self._loop.call_at(
                 self.ends_s - FINAL_ANSWER_MARGIN_S / 2, self._loop.call_soon, dispatcher.requests.fail_all
             )
@@ -101,10 +102,10 @@
             self._loop.call_later(ACCEPT_WHILE_DRAINING_S, self.stop_listening)
 
     def stop_listening(self) -> None:
-        """Close the listener once nobody waits in its backlog, however long that takes.
+        """Closes the listener once its backlog is empty, however long that takes.
 
-        Failure guarded against: the kernel has completed the connections in the backlog, and closing the
-        listener resets them. On a shared address another process takes them.
+        Failure guarded against: the kernel has established the connections in the backlog, and closing the
+        listener would reset them. On a shared address another process accepts them.
         """
         listener = self._frontend.listener
         if listener.closed:
@@ -118,7 +119,7 @@
             self._loop.call_later(CLOSE_IDLE_DELAY_S, self.close_idle)
 
     def close_idle(self) -> None:
-        """Close connections on which nothing has come: no request is lost with them."""
+        """Closes connections on which no part of a request has come, so that no request is lost."""
         self.idle_closed = True
         for phase in (Phase.READING_HEAD, Phase.IDLE):
             for client in list(self._frontend.table.by_phase[phase]):
@@ -127,6 +128,6 @@
         self.check_finished()
 
     def check_finished(self) -> None:
-        """Set `finished` if that is so."""
+        """Sets `finished` if the listener is closed and no connection is open."""
         if self._frontend.listener.closed and not self._frontend.table.clients:
             self.finished.set()
--- a/lanelift/net/socket_options.py
+++ b/lanelift/net/socket_options.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a TCP connection and the event loop does not tell, and options of its socket."""
+"""Socket options, and the kernel's state of a TCP connection, which the event loop does not expose."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 import termios
 from typing import Protocol
 
-# Of Linux's `struct tcp_info`: the connection's state, and the milliseconds since data last came.
+# Fields of Linux's `struct tcp_info`: the connection's state, and the milliseconds since data last came.
 TCP_INFO = struct.Struct("B51xI")
-TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8  # linux/tcp_states.h: the peer has reset it, or ended its sending
+TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8  # linux/tcp_states.h: reset by the peer, or the peer has ended its sending
 ENDED_STATES = (TCP_CLOSE, TCP_CLOSE_WAIT)
 NS_PER_MS = 1_000_000
-KERNEL_BUFFER_BYTES = 128 * 1024  # of a connection with a streamed body; the kernel doubles it for itself
+KERNEL_BUFFER_BYTES = 128 * 1024  # for a connection with a streamed body; the kernel doubles the value
 
 
 class Socket(Protocol):
-    """The part of a socket, or of asyncio's wrapper of one, that is needed here."""
+    """The part of a socket, or of asyncio's wrapper of one, that this module uses."""
 
     def getsockopt(self, level: int, option: int, length: int, /) -> bytes:
-        """An option of the socket, as bytes."""
+        """Returns an option of the socket, as bytes."""
 
 
 def peer_state(sock: Socket) -> tuple[bool, int]:
-    """Whether the peer has ended the connection, and how many ns ago data last came in.
+    """Returns whether the peer has ended the connection, and how many ns ago data last came in.
 
-    A late loop sees both only afterwards: it would take a request for fresh, and its client for connected.
-    The kernel counts in ticks of about 4 ms.
+    A late event loop sees both with a delay, in which an old request looks new and its client connected.
+    The kernel's resolution is about 4 ms.
 
     Returns:
-        (False, 0) where the kernel does not tell: the peer is connected, and has only just sent.
+        (False, 0), as if the peer were connected and had just sent data, if the kernel does not say.
     """
     if sys.platform != "linux":
         return False, 0
@@ -46,30 +46,30 @@
 
 
 def has_unread_data(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the peer has sent what is not read yet; closing over it would reset the connection."""
+    """Returns whether received data is unread; closing the socket then would reset the connection."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     count = array.array("i", [0])
     try:
         if sock is not None:
             fcntl.ioctl(sock.fileno(), termios.FIONREAD, count)
     except OSError:
-        return False  # it is closed already
+        return False  # the socket is closed already
     return count[0] > 0
 
 
 def is_quiescent(transport: asyncio.BaseTransport) -> bool:
-    """Whether nothing has come on this connection since it was last read: no byte and no end.
+    """Returns whether the connection has no unread data and the peer has not ended it.
 
-    The loop reports both only on its next turn. What is written before that may be lost, and may be answered
-    by what lies there already.
+    The loop reports both only in its next iteration. A request that is written before that may be lost, or
+    the unread data may be read as its response.
     """
     return not peer_state(transport.get_extra_info("socket"))[0] and not has_unread_data(transport)
 
 
 def bound_kernel_buffers(transport: asyncio.BaseTransport) -> None:
-    """Bound what the kernel buffers of a connection in each direction.
+    """Limits the kernel's buffers of a connection in each direction.
 
-    Left to itself it lets that grow to some megabytes, which many streamed bodies would fill at once.
+    By default they grow to some megabytes, which many streamed bodies would fill at the same time.
     """
     sock = transport.get_extra_info("socket")
     for option in (socket.SO_SNDBUF, socket.SO_RCVBUF):
@@ -77,15 +77,15 @@
 
 
 def shut_down_now(transport: asyncio.Transport) -> None:
-    """End a connection's sending and receiving now, not on the loop's next turn."""
+    """Ends a connection's sending and receiving now, not in the next loop iteration."""
     sock = transport.get_extra_info("socket")
-    with contextlib.suppress(OSError):  # it is broken or closed already
+    with contextlib.suppress(OSError):  # the connection is broken or closed already
         if sock is not None:
             sock.shutdown(socket.SHUT_RDWR)
 
 
 def abort_with_reset(transport: asyncio.Transport) -> None:
-    """End a connection by a reset: to a peer that reads to its end, a plain close would look like the end."""
+    """Ends a connection by a reset; an ordinary close could look like the regular end of the response."""
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/lanelift/net/static_endpoints.py
+++ b/lanelift/net/static_endpoints.py
@@ -1,4 +1,4 @@
-"""Upstreams from the operator's own file: a list that changes only when the file is read again."""
+"""A static endpoint list from the operator's own file, which changes only on a reload."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StaticEndpoints:
-    """Stands in a configuration where the address of discovery would.
+    """A configured endpoint list, in place of the address of a discovery server.
 
     Attributes:
         endpoints: The listed upstreams.
@@ -20,7 +20,7 @@
     endpoints: tuple[ResolvedEndpoint, ...]
 
     def attach(self, dispatcher: Dispatcher) -> StaticDiscovery:
-        """The source of the endpoint list for a dispatcher."""
+        """Returns the source of the endpoint list for a dispatcher."""
         return StaticDiscovery(dispatcher, self)
 
     def __str__(self) -> str:
@@ -28,10 +28,10 @@
 
 
 class StaticDiscovery:
-    """Sends the list as a snapshot whenever it is asked for.
+    """Sends the list as a snapshot on each fetch.
 
-    An upstream that a new list lacks is removed: it gets nothing new, and what it is doing goes on to its
-    end.
+    An upstream that is missing from a new list is removed: it gets no new attempts, and those in progress
+    run to their end.
     """
 
     def __init__(self, dispatcher: Dispatcher, source: StaticEndpoints) -> None:
@@ -39,20 +39,20 @@
         self.source = source
 
     def start(self, cached: object) -> None:
-        """Send the list."""
+        """Sends the list."""
         self.fetch()
 
     def subscribe(self, enabled: bool) -> None:
-        """All was sent, and nothing comes by itself."""
+        """Does nothing, as the list never changes by itself."""
 
     def fetch(self) -> None:
-        """Send the list."""
+        """Sends the list."""
         self.dispatcher.update_endpoints(EndpointUpdateKind.SNAPSHOT, list(self.source.endpoints))
 
     def change_source(self, source: StaticEndpoints) -> None:
-        """Send another list from now on."""
+        """Replaces the list, and sends the new one."""
         self.source = source
         self.fetch()
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing, as nothing is open."""
--- a/lanelift/net/upload.py
+++ b/lanelift/net/upload.py
@@ -1,4 +1,4 @@
-"""The body of a request that is too long to be buffered, on its way from client to upstream."""
+"""A request body that is too long to be buffered, and is streamed from client to upstream."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class Upload:
-    """A request's body that is streamed.
+    """A streamed request body.
 
-    Until a connection takes it, what has come is buffered here and reading from its client is paused: so far
-    the request can still go to another upstream. Then each piece is written as it comes, and reading follows
-    the upstream's pace.
+    Until a connection is attached, the received part is buffered here and reading from the client is paused;
+    the request can still go to another upstream. After that each piece is written as it comes, and reading
+    follows the upstream's pace.
 
     Attributes:
-        set_reading: Called with True or False: read from the client, or pause that.
-        is_client_connected: Tells whether the client is still there. While reading is paused nothing is read
-            of it, so its disconnection is not noticed either.
-        length_bytes: Its stated length; None: it is sent in chunks.
-        buffered: What has come and no connection has taken; no more than what is buffered of a message, and
-            one read.
-        complete: Its last byte has come.
-        consumed: Its first byte has left: the request can't be sent again.
-        connection: The connection that takes it.
+        set_reading: Called with True to resume reading from the client, and with False to pause it.
+        is_client_connected: Returns whether the client is still connected, as a disconnection is not reported
+            while reading is paused.
+        length_bytes: The stated length; None if the body is sent in chunks.
+        buffered: The received part before a connection is attached; at most the longest buffered body and one
+            read.
+        complete: Whether the last byte has come.
+        consumed: Whether a connection was attached, after which the request can't be sent again.
+        connection: The attached connection.
     """
 
     __slots__ = (
@@ -55,7 +55,7 @@
         self.connection: UpstreamConnection | None = None
 
     def receive(self, data: bytes) -> None:
-        """A piece came from the client. Nobody is left to take it where its attempt is over."""
+        """Forwards or buffers a piece from the client; drops it if the attempt is over."""
         if self.connection is not None:
             self.connection.write_body(self._frame(data))
         elif not self.consumed:
@@ -64,16 +64,16 @@
             self.set_reading(False)
 
     def finish(self) -> None:
-        """Its last byte came."""
+        """Ends the body after its last byte."""
         self.complete = True
         if self.connection is not None:
             self.connection.write_body(b"" if self.length_bytes is not None else LAST_CHUNK)
 
     def attach(self, connection: UpstreamConnection) -> bytes:
-        """A connection takes it from here on.
+        """Attaches the connection to which the body is written.
 
         Returns:
-            What has come so far, framed, to be written first.
+            The received part, framed, which has to be written first.
         """
         self.connection, self.consumed = connection, True
         buffered, self.buffered = self.buffered, []
--- a/lanelift/net/upstream_connection.py
+++ b/lanelift/net/upstream_connection.py
@@ -14,9 +14,9 @@
 from lanelift.policy.events import AttemptResult
 
 READ_BUFFER_BYTES = 64 * 1024
-# One read; shared by all connections, as each is parsed before the next read of any.
+# Shared by all connections, as the bytes of each read are parsed before the next read.
 READ_BUFFER = memoryview(bytearray(READ_BUFFER_BYTES))
-# A response without a stated length is held for so long before it is streamed: a short one is complete then.
+# How long a response without a stated length is held before it is streamed; a short one is complete by then.
 UNKNOWN_LENGTH_HOLD_S = 0.02
 
 
@@ -24,15 +24,15 @@
     """A persistent connection to a server: an upstream, or discovery.
 
     Attributes:
-        on_idle: Called when it can carry another exchange.
-        on_closed: Called once at its end.
-        parser: Reads its responses.
-        transport: None: it is not up yet.
-        exchange: The one under way.
-        hold_timer: Until when a response without a stated length is held.
-        idle_since: When it was last released, on the loop's clock.
-        closed: It has ended.
-        write_paused: The server takes no more for now.
+        on_idle: Called when the connection can carry another exchange.
+        on_closed: Called once when the connection ends.
+        parser: The parser of its responses.
+        transport: The transport; None while the connection is being established.
+        exchange: The exchange in progress.
+        hold_timer: The timer that ends the holding of a response without a stated length.
+        idle_since: When the connection was last released, on the loop's clock.
+        closed: Whether the connection has ended.
+        write_paused: Whether part of the written data still waits in the write buffer.
     """
 
     def __init__(
@@ -51,8 +51,8 @@
         self.write_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up. Its write buffer counts as full from the first byte on, so that `resume_writing` means
-        that all was written.
+        """Sets up the transport. Its write buffer counts as full from the first byte on, so that
+        `resume_writing` means that all data was written.
         """
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
@@ -60,7 +60,7 @@
     # ---- the request -------------------------------------------------------------------------------------
 
     def start(self, exchange: Exchange) -> None:
-        """Write an exchange's request; none may be under way."""
+        """Writes the request of an exchange; no other exchange may be in progress."""
         assert self.transport is not None
         self.exchange, exchange.connection = exchange, self
         self.parser.expect_response(exchange.max_body_bytes, exchange.sink is not None)
@@ -69,7 +69,7 @@
             bound_kernel_buffers(self.transport)
             self.write_body(exchange.request + upload.attach(self))
             return
-        exchange.written = True  # unless the transport says at once that it could not take all, or nothing
+        exchange.written = True  # `pause_writing` resets this if `write` leaves data in the buffer
         self.transport.write(exchange.request)
         if self.transport.is_closing():
             exchange.written = False
@@ -77,19 +77,19 @@
             exchange.request_written()
 
     def write_body(self, data: bytes) -> None:
-        """Write a piece of a streamed body, and have its client go on or wait."""
+        """Writes a piece of a streamed body, and resumes or pauses reading from the client."""
         exchange = self.exchange
         if self.transport is None or exchange is None or exchange.upload is None:
             return
-        self.write_paused = False  # unless the transport says at once that it could not take all
+        self.write_paused = False  # `pause_writing` sets this if `write` leaves data in the buffer
         self.transport.write(data)
         self._follow_upload(exchange, exchange.upload)
 
     def _follow_upload(self, exchange: Exchange, upload: Upload) -> None:
-        """Act on whether the server takes more of the body."""
+        """Resumes or pauses reading from the client, as the server accepts more of the body or not."""
         assert self.transport is not None
         if self.transport.is_closing():
-            return  # it took nothing: its end is reported on the next turn
+            return  # nothing was written: the end of the connection is reported in the next loop iteration
         if not upload.complete:
             if self.write_paused and exchange.timer is None:
                 exchange.expire_without_progress()
@@ -100,13 +100,13 @@
             exchange.request_written()
 
     def pause_writing(self) -> None:
-        """The transport could not write all of it at once."""
+        """Records that part of the written data waits in the write buffer."""
         self.write_paused = True
         if self.exchange is not None:
             self.exchange.written = False
 
     def resume_writing(self) -> None:
-        """All that was given to the transport is written."""
+        """Continues after all data in the write buffer was written."""
         self.write_paused = False
         exchange = self.exchange
         if exchange is None:
@@ -119,16 +119,16 @@
     # ---- the response ------------------------------------------------------------------------------------
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where to read to."""
+        """Returns the buffer for the next read."""
         return READ_BUFFER
 
     def buffer_updated(self, count: int) -> None:
-        """Bytes came in.
+        """Receives bytes from the server.
 
-        Failure guarded against: a response that a server sent twice, or noise behind one, is read as the
-        answer to the next request. Bytes without an exchange end the connection. Where an exchange was
-        started soon after another (`distrust_until_s`), what the kernel received before that moment is not
-        its answer, as no server answers so soon: it ends the connection, and with it the exchange.
+        Failure guarded against: a response that a server sent twice, or noise after a response, is read as
+        the answer to the next request. Bytes without an exchange end the connection. If an exchange was
+        started soon after another, bytes that the kernel received before `distrust_until_s` are not its
+        response, as no server answers that fast: they end the connection, and with it the exchange.
         """
         exchange = self.exchange
         if exchange is None:
@@ -144,22 +144,22 @@
         self._process(exchange)
 
     def _process(self, exchange: Exchange) -> None:
-        """Act on what the parser has made of the bytes that came."""
+        """Handles the parser's results for the exchange."""
         parser = self.parser
-        if parser.streaming is not None and parser.error is None:
-            if parser.streaming.status != 200:
-                # A long error: the status says all that is needed, and its body is not forwarded.
-                exchange.finish(AttemptResult.OK, parser.streaming)
+        if parser.streamed_head is not None and parser.error is None:
+            if parser.streamed_head.status != 200:
+                # A long error response: the status is sufficient, and the body is not forwarded.
+                exchange.finish(AttemptResult.OK, parser.streamed_head)
                 self.abort()
                 return
-            self._stream(exchange, parser.streaming)
+            self._stream(exchange, parser.streamed_head)
         if exchange.on_finished is None:
-            return  # given up while it was streamed
+            return  # it was given up while it was streamed
         if parser.messages:
             self._complete(exchange, parser.messages.popleft())
         elif parser.error is not None:
-            # The server has answered, if with what can't be read: its work is done and it is no break of the
-            # network. Nothing on this connection can be believed any more.
+            # An invalid response still means that the server has processed the request, and that the network
+            # did not fail. Further input on this connection is not trusted.
             exchange.finish(AttemptResult.ERROR)
             self.abort()
         elif self.hold_timer is None and exchange.sink is not None and parser.length_unknown:
@@ -167,7 +167,7 @@
             self.hold_timer = loop.call_later(UNKNOWN_LENGTH_HOLD_S, self._end_hold, exchange)
 
     def _end_hold(self, exchange: Exchange) -> None:
-        """A response without a stated length was held for long enough: stream it."""
+        """Starts to stream a response without a stated length after it was held."""
         self.hold_timer = None
         if self.exchange is exchange and self.parser.length_unknown:
             self.parser.start_streaming()
@@ -184,8 +184,8 @@
             exchange.forward(data)
 
     def eof_received(self) -> None:
-        """The server ended its sending: a response under way is incomplete, unless it was to end with its
-        connection.
+        """Closes the connection when the server ends its sending. A response in progress is incomplete,
+        unless its end is marked by the end of the connection.
         """
         self.parser.connection_ended()
         if self.exchange is not None and self.parser.messages:
@@ -193,10 +193,10 @@
         self.abort()
 
     def _complete(self, exchange: Exchange, response: Response) -> None:
-        """A complete response: release the connection, and report the outcome.
+        """Releases the connection after a complete response, and reports the outcome.
 
-        What stands behind a response, a second copy or noise, would be read as the next request's: such a
-        connection is closed.
+        Bytes after a response, such as a second copy or noise, would be read as the response to the next
+        request, so such a connection is closed.
         """
         assert self.transport is not None
         if not exchange.streaming:
@@ -208,7 +208,7 @@
         parser = self.parser
         clean = not (parser.messages or parser.has_partial or parser.error)
         if clean and exchange.written and response.keep_alive:
-            self.transport.resume_reading()  # its end may have come while it was paused
+            self.transport.resume_reading()  # the response may have ended while reading was paused
             self.on_idle(self)
         else:
             self.abort()
@@ -217,11 +217,11 @@
     # ---- the end -----------------------------------------------------------------------------------------
 
     def abort(self) -> None:
-        """Close at once. The exchange on it, if any, ends as broken.
+        """Closes the connection immediately. An exchange in progress ends as broken.
 
-        Failure guarded against: the transport closes its socket only on the loop's next turn, behind whatever
-        is sent there for the same request, and the server would have the request twice. So the socket's
-        sending and receiving end here and now.
+        Failure guarded against: the transport closes its socket only in the next loop iteration, after
+        another attempt for the same request may have been sent, so that the server would have the request
+        twice. So the socket is shut down here, in both directions.
         """
         if not self.closed and self.transport is not None:
             shut_down_now(self.transport)
@@ -229,7 +229,7 @@
         self._close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """It has ended."""
+        """Cleans up after the transport has ended."""
         self._close()
 
     def _close(self) -> None:
