--- a/lanelift/net/upstreams.py
+++ b/lanelift/net/upstreams.py
@@ -1,4 +1,7 @@
-"""Attempts and load probes at upstreams, and what their responses mean."""
+"""Sends attempts and load probes to upstreams, and classifies the responses.
+
+The balancer's bookkeeping of upstreams is in `lanelift.policy.upstreams`.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,8 @@
 from lanelift.policy.events import AttemptResult
 from lanelift.policy.settings import Limits
 
-NOT_RUN_STATUSES = (503, 504)  # with `X-Not-Run: 1` the upstream says that the request never ran
-RESPONSE_TIME_SMOOTHING = 16  # the mean moves by this part of each difference
+NOT_RUN_STATUSES = (503, 504)  # with `X-Not-Run: 1` they state that the request never ran
+RESPONSE_TIME_SMOOTHING = 16  # the mean changes by each difference divided by this
 AttemptCallback = Callable[[AttemptResult, Response | None, LoadReport], None]
 
 
@@ -22,9 +25,9 @@
     """Starts attempts and load probes at the listed upstreams.
 
     Attributes:
-        pool: The connections to them.
-        report_fields: Names of the numbers in a load report.
-        probe_path: Where an upstream answers load probes.
+        pool: The connections to the upstreams.
+        report_fields: The names of the values in a load report.
+        probe_path: The path of load probes.
     """
 
     def __init__(self, limits: Limits, max_connections: int, report_fields: Collection[str]) -> None:
@@ -42,19 +45,19 @@
         sink: ResponseSink | None = None,
         upload: Upload | None = None,
     ) -> Exchange | None:
-        """Start one attempt. Its outcome never comes within this call.
+        """Starts an attempt. Its outcome is never reported within this call.
 
         Args:
-            number: The upstream.
+            number: The upstream's number.
             request: The bytes to write.
-            timeout_s: How long it may take, in seconds; None: no time-out runs yet.
+            timeout_s: How long the attempt may take, in seconds; None if its time-out is set later.
             on_finished: Called once with the outcome.
             on_written: Called when the last byte was written.
-            sink: Takes a response that is too long to be buffered.
+            sink: The receiver of a response that is too long to be buffered.
             upload: The request's streamed body.
 
         Returns:
-            The exchange; None: no such upstream is listed.
+            The exchange, or None if the upstream is not listed.
         """
         pool = self.pool
         target = pool.targets.get(number)
@@ -74,11 +77,11 @@
         exchange = Exchange(request, finished, on_written=on_written, sink=sink, upload=upload)
         pool.start(target, exchange)
         if timeout_s is not None:
-            exchange.expire_in(timeout_s)  # last: what could not start must not come to a second end
+            exchange.expire_in(timeout_s)  # last, so that an exchange that failed to start has no time-out
         return exchange
 
     def probe_load(self, number: int, on_finished: Callable[[AttemptResult, LoadReport], None]) -> bool:
-        """Ask an upstream for its load; False: no such upstream is listed, and no result comes."""
+        """Probes an upstream's load; returns False, without a result, if the upstream is not listed."""
         target = self.pool.targets.get(number)
         if target is None:
             return False
@@ -101,12 +104,12 @@
         return True
 
     def close(self) -> None:
-        """Close connections that are idle or coming up."""
+        """Closes connections that are idle or being established."""
         self.pool.close()
 
 
 def classify_response(result: AttemptResult, response: Response | None) -> AttemptResult:
-    """What an upstream's response means for the attempt: all but 200 are errors, and not forwarded."""
+    """Returns an attempt's result for a response. Responses other than 200 are errors, and not forwarded."""
     if result is not AttemptResult.OK or response is None:
         return result
     if response.status == 200:
@@ -119,7 +122,7 @@
 def encode_attempt(
     method: bytes, target: bytes, headers: Headers, body: bytes, wait_ms: int, upload: Upload | None = None
 ) -> bytes:
-    """A client's request as it is forwarded: with its own length, and how long this balancer will wait."""
+    """Encodes a client's request for an upstream, with the body's length and the time this balancer waits."""
     rows = [*headers, (b"X-Deadline-Ms", b"%d" % wait_ms)]
     if upload is not None:
         rows.append(
--- a/lanelift/reload.py
+++ b/lanelift/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again, and what may change in a running balancer is applied."""
+"""Reload on SIGHUP: reads the configuration again and applies what may change in a running balancer."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from lanelift.daemon_config import Config
 
 APPLIED_FIELDS = frozenset({"discovery", "tenants"})
-# These matter to a start only, and may differ at each reading.
+# These are used at the start only, and may differ each time the configuration is read.
 START_FIELDS = frozenset({"seed", "cached_endpoints"})
 
 
 class Reloader:
-    """Reads the configuration off the loop, and applies it. One that can't be used changes nothing."""
+    """Reads the configuration in a thread and applies it. An invalid configuration changes nothing."""
 
     def __init__(self, config: Config, discovery: Any, tenants: Any, read: Callable[[], Config]) -> None:
         self._config = config
         self._discovery = discovery
         self._tenants = tenants
         self._read = read
-        self._requested = False  # once more, for a file that was replaced while it was being read
+        self._requested = False  # also set during a reload: the file may be replaced while it is read
         self._task: asyncio.Task[None] | None = None
 
     def reload(self) -> None:
-        """Read the configuration again, now or once the reading under way is done."""
+        """Reads the configuration again, now or after the reload in progress."""
         self._requested = True
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._reload())
@@ -49,7 +49,7 @@
         } - START_FIELDS
         applied = changed & APPLIED_FIELDS
         if type(new.discovery) is not type(old.discovery):
-            applied -= {"discovery"}  # listed upstreams and discovery are two different parts
+            applied -= {"discovery"}  # static endpoints and a discovery server need different parts
         if self._tenants is None or new.tenants is None:
             applied -= {"tenants"}
         if changed - applied:
--- a/tests/net/test_http_parser.py
+++ b/tests/net/test_http_parser.py
@@ -174,11 +174,11 @@
         reader.feed(data[at : at + step])
         at += step
         assert reader.partial is None or len(reader.partial.body) <= MAX_BUFFERED_BODY_BYTES
-        if reader.streaming is not None:
+        if reader.streamed_head is not None:
             got += reader.take_body()
     assert reader.error is None and not reader.has_partial
     whole = reader.messages.popleft()
-    assert (reader.streaming is not None) == (size > MAX_BUFFERED_BODY_BYTES)
+    assert (reader.streamed_head is not None) == (size > MAX_BUFFERED_BODY_BYTES)
     assert (got or whole.body) == body and not (got and whole.body)
 
 
@@ -240,7 +240,7 @@
         while True:
             if reader.messages and not reader.messages[0].streamed:
                 got.append(reader.messages.popleft().body)
-            elif reader.streaming is not None:
+            elif reader.streamed_head is not None:
                 long += reader.take_body()
                 if not reader.messages:
                     break
