--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -53,11 +53,11 @@
     settings = {**SETTINGS, "me": 0, "replicas_of_me": PEERS if fleet else 1}
     config = {
         "listen": f"127.0.0.1:{port}",
-        "discovery": "{}:{}".format(*discovery.where),
+        "discovery": "{}:{}".format(*discovery.socket_address),
         "seed": "7",
         "peer_listen": own,
         "peers": peers,
-        "known": discovery.whole(),
+        "known": discovery.snapshot(),
         "settings": settings,
     }
     path = folder / "config.json"
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -82,7 +82,7 @@
         self.waiting: dict[asyncio.Task[None], http.Connection] = {}
 
     @property
-    def where(self) -> tuple[str, int]:
+    def socket_address(self) -> tuple[str, int]:
         return self.host, self.port
 
     async def start(self) -> None:
@@ -184,7 +184,7 @@
         self.rows = [r for r in self.rows if r["id"] not in names] + [r for r in rows if r["state"] != "Gone"]
         self.notify()
 
-    def whole(self) -> Json:
+    def snapshot(self) -> Json:
         return {"version": self.version, "full": True, "servers": self.rows}
 
     async def _tell(self, message: Message) -> bytes | None:
@@ -193,7 +193,7 @@
         if self.silent:
             return await never()
         if "from=" not in message.start[1]:
-            return answer(200, json.dumps(self.whole()).encode())
+            return answer(200, json.dumps(self.snapshot()).encode())
         known = int(message.start[1].partition("from=")[2].partition("&")[0])
         await self.until(lambda: self.version > known)
         change = {"version": self.version, "full": False, "servers": self.changes}
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -149,7 +149,9 @@
     listener = listening_socket(("127.0.0.1", 0))
     listener.listen()  # connections wait for the balancer
     w.address = listener.getsockname()
-    plain = Config(w.address, discovery.where, 7, sockets, settings, discovery.whole(), None, [], None)
+    plain = Config(
+        w.address, discovery.socket_address, 7, sockets, settings, discovery.snapshot(), None, [], None
+    )
     task = asyncio.create_task(serve(replace(plain, **config), listener, lambda: plain, operators))
     try:
         yield w
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -172,7 +172,7 @@
             )
             new = FakeDiscovery([w.upstreams[0].row("Terminating")])
             await new.start()
-            watchers[0].change_source(new.where)
+            watchers[0].change_source(new.socket_address)
             await recorded.until(
                 lambda: (
                     recorded.of(EndpointUpdate)[-1].kind is EndpointUpdateKind.SNAPSHOT
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -105,7 +105,7 @@
 
             async def reply(message: Message) -> bytes | None:
                 await late.wait()
-                return answer(200, json.dumps(w.discovery.whole()).encode())
+                return answer(200, json.dumps(w.discovery.snapshot()).encode())
 
             w.discovery.reply = reply
             before = len(w.discovery.links)
--- a/tests/program/test_end.py
+++ b/tests/program/test_end.py
@@ -86,7 +86,7 @@
             await box.start()
         discovery = FakeDiscovery(box.row() for box in boxes)
         await discovery.start()
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.whole(), settings=SETTINGS)
+        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.snapshot(), settings=SETTINGS)
         async with program(tmp_path / "config.json", told) as process:
             first = await connect(listen_address(told))
             first.close()
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -124,7 +124,7 @@
             return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow"
 
         upstream.script = [slow]
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.whole())
+        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.snapshot())
         async with program(tmp_path / "config.json", told) as process:
             address = listen_address(told)
             # It has seen discovery: so it listens, or is about to.
@@ -164,7 +164,7 @@
         if old != "refuses":
             await before.start()
         await after.start()
-        told = config(known=before.whole())
+        told = config(known=before.snapshot())
         if old != "refuses":
             told["discovery"] = f"127.0.0.1:{before.port}"
         path = tmp_path / "config.json"
@@ -266,7 +266,7 @@
 
             peers = f"127.0.0.1:{free_port()}"  # the same for both
             command = (sys.executable, "-m", "lanelift")
-            old_told = told(tmp_path / "old.json", known=discovery.whole())
+            old_told = told(tmp_path / "old.json", known=discovery.snapshot())
             async with started(*command, fds=[fd], **old_told) as old:
                 stop = asyncio.Event()
                 clients = [asyncio.create_task(ask_on(stop)) for _ in range(8)]
