--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -63,7 +63,7 @@
     for name, bounds in BOUNDS.items():
         began = time.monotonic()
         small = Model(bounds)
-        found = explore(small.begin(), small.follow, small.wrong, 4_000_000)
+        found = explore(small.initial_states(), small.successors, small.violation_in, 4_000_000)
         print(
             f"{name:28}{found.states:10,} states {found.steps:12,} steps {time.monotonic() - began:7.1f} s  "
             f"{'whole' if found.complete else 'not whole'}  {found.violation or 'nothing wrong'}",
@@ -76,17 +76,17 @@
 def mistakes() -> int:
     """Each planted mistake's shortest story in the model."""
     from tests.leases.mistakes import MEMBERS, PROPOSERS
-    from tests.leases.test_model import HOLDS, NOT_HERE, WHERE
+    from tests.leases.test_model import BOUNDS_BY_MISTAKE, HOLDS, NOT_EXPLORED_HERE
 
     missed = 0
     for name in (*MEMBERS, *PROPOSERS):
-        bounds = RENEWS if name in NOT_HERE else WHERE.get(name, HOLDS)
+        bounds = RENEWS if name in NOT_EXPLORED_HERE else BOUNDS_BY_MISTAKE.get(name, HOLDS)
         planted = {
             "member_class": MEMBERS.get(name, VotingMember),
             "proposer_class": PROPOSERS.get(name, Proposer),
         }
         small = type("Planted", (Model,), planted)(bounds)
-        found = explore(small.begin(), small.follow, small.wrong, 4_000_000)
+        found = explore(small.initial_states(), small.successors, small.violation_in, 4_000_000)
         print(
             f"{name}: {found.violation or 'not found'}, {found.states:,} states, "
             f"{len(found.counterexample)} steps",
@@ -108,7 +108,7 @@
     """Plays one schedule; returns what is summed up of it."""
     world = LeaseSimulation(schedule(seed), TIMING)
     world.play()
-    found = world.found
+    found = world.findings
     return (
         seed,
         found.breaches,
@@ -127,8 +127,8 @@
     wait_timeouts = (None,)
     killed_ns = 0
 
-    def after(self) -> None:
-        super().after()
+    def after_event(self) -> None:
+        super().after_event()
         if self.killed_ns or not self.held_tokens or self.now < 4_000 * MS:
             return
         (holder,) = self.held_tokens
@@ -145,7 +145,7 @@
     """Nanoseconds without holder after a death; None: none died."""
     world = Waiting(Schedule(seed, tuple("abcde"), ("p1", "p2", "p3"), UNTIL_MS), TIMING)
     world.play()
-    after = [at for at, *_ in world.found.holdings if at > world.killed_ns]
+    after = [at for at, *_ in world.findings.holdings if at > world.killed_ns]
     return after[0] - world.killed_ns if world.killed_ns and after else None
 
 
@@ -313,8 +313,8 @@
         leases = LeaseSimulation(given, TIMING, keep_trace=True)
         leases.play()
         print("\n".join(leases.trace or []))
-        print(leases.found.breaches or "no breach")
-        return int(bool(leases.found.breaches))
+        print(leases.findings.breaches or "no breach")
+        return int(bool(leases.findings.breaches))
 
     async def whole(folder: Path) -> int:
         rates = {who: int(part * 1e6) for who, part in given.rates}
--- a/lanelift/faults/simulation.py
+++ b/lanelift/faults/simulation.py
@@ -93,7 +93,7 @@
 
 
 class Simulation:
-    """Plays a schedule. A subclass starts the nodes (`start_node`), and checks them (`after`).
+    """Plays a schedule. A subclass starts the nodes (`start_node`), and checks them (`after_event`).
 
     Attributes:
         schedule: What is played.
@@ -134,7 +134,7 @@
         """Returns a node that starts at its own time `now` (ns)."""
         raise NotImplementedError
 
-    def after(self) -> None:
+    def after_event(self) -> None:
         """Called after each event, at true time `now`: checks look here."""
 
     def node_killed(self, name: str, slot: NodeSlot, disk_lost: bool) -> None:
@@ -151,7 +151,7 @@
         while self._events and self._events[0][0] <= until_ns:
             self.now, _, callback, arguments = heapq.heappop(self._events)
             callback(*arguments)
-            self.after()
+            self.after_event()
 
     def call_at(self, when_ns: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
         """Enters an event: a call at a true time."""
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -68,13 +68,13 @@
         """Begins with an empty table of nodes."""
         self.nodes = NodeTable(self.bounds, self.member_class, self.proposer_class)
 
-    def begin(self) -> list[State]:
+    def initial_states(self) -> list[State]:
         """Returns the first state: three voters that may vote, two idle proposers."""
         voters = tuple(self.nodes.first_voter(i) for i in range(len(VOTERS)))
         proposers = tuple(self.nodes.first_proposer(i) for i in PROPOSERS)
         return [State(0, voters, proposers, 0, self.bounds.restarts, 0, NO_HOLDER)]
 
-    def follow(self, state: State) -> Iterator[tuple[str, State]]:
+    def successors(self, state: State) -> Iterator[tuple[str, State]]:
         """Yields each step from a state: its name, and the state that it leads to."""
         if state.tick < self.bounds.ticks:
             yield "a tick", self._checked(state._replace(tick=state.tick + 1))
@@ -88,7 +88,7 @@
                     state._replace(voters=restarted, restarts=state.restarts - 1),
                 )
 
-    def wrong(self, state: State) -> str:
+    def violation_in(self, state: State) -> str:
         """Returns which rule is broken in a state; empty for none."""
         holding = [i for i in PROPOSERS if self.nodes.holds(i, state.proposers[i], state.tick)]
         if len(holding) > 1:
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -242,7 +242,7 @@
             for voters in (schedule.voters, *schedule.plans)
         ]
         self.state_files: dict[str, PersistentState] = {}
-        self.found = Findings()
+        self.findings = Findings()
         self.held_tokens: dict[str, int] = {}
         self.highest_token = 0
         self.store = Fenced()
@@ -280,15 +280,15 @@
 
     def acted(self, name: str, token: int) -> None:
         """Notes that a task has acted on the store, under a token."""
-        self.found.acts += 1
+        self.findings.acts += 1
         if self.held_tokens.get(name) != token:
-            self.found.late_acts += 1
+            self.findings.late_acts += 1
         try:
             self.store.write(token, name)
         except Refused:
-            self.found.fenced += 1
+            self.findings.fenced += 1
 
-    def after(self) -> None:
+    def after_event(self) -> None:
         """Checks both rules after each event."""
         held: dict[str, int] = {}
         for name in self.schedule.contenders:
@@ -319,14 +319,14 @@
 
     def _check_new_holding(self, name: str, token: int) -> None:
         self.note(f"{name} holds under {token}")
-        self.found.holdings.append((self.now, self.lease, name, token))
+        self.findings.holdings.append((self.now, self.lease, name, token))
         if token <= self.highest_token:
             self._breach(f"{name} holds under {token}, after a token of {self.highest_token}")
         self.highest_token = max(self.highest_token, token)
 
     def _breach(self, text: str) -> None:
         self.note(text)
-        self.found.breaches.append(f"{self.now / MS:.3f} ms: {text}")
+        self.findings.breaches.append(f"{self.now / MS:.3f} ms: {text}")
 
 
 def simulate(
@@ -335,4 +335,4 @@
     """Runs a schedule, and returns what was found."""
     simulation = simulation_class(schedule, timing)
     simulation.play()
-    return simulation.found
+    return simulation.findings
--- a/lanelift/membership/detector.py
+++ b/lanelift/membership/detector.py
@@ -107,9 +107,10 @@
     def count_alive(self, now: int) -> int:
         """Returns how many members may be alive, this one among them.
 
-        Never fewer than are alive, under two assumptions: no partition lasts `ProbeTiming.death_ns`, less one
-        round of probes; and no member returns after it was counted as dead. Members do return in service, so
-        the second one does not hold there yet (docs/design/membership.md).
+        The count is never below the number that are alive, under two assumptions: no partition lasts longer
+        than `ProbeTiming.dead_after_ns` less one round of probes, and no member returns after it was counted
+        as dead. In service members do return, so the second assumption does not hold there yet
+        (docs/design/membership.md).
         """
         return 1 + sum(not self._is_dead(record, now) for record in self.members.values())
 
@@ -117,7 +118,7 @@
         state = record.update.state
         if state is MemberState.LEFT:
             return True
-        return state is MemberState.UNREACHABLE and now - record.since_ns >= self.timing.death_ns
+        return state is MemberState.UNREACHABLE and now - record.since_ns >= self.timing.dead_after_ns
 
     # Time and messages.
 
--- a/lanelift/membership/timing.py
+++ b/lanelift/membership/timing.py
@@ -14,9 +14,9 @@
     Attributes:
         period_ns: Time between two probes that one member sends.
         ack_timeout_ns: An acknowledgement takes no longer while the network is healthy.
-        death_ns: No partition lasts longer; a member that was unreachable for so long counts as dead.
+        dead_after_ns: No partition lasts longer; a member that was unreachable for so long counts as dead.
     """
 
     period_ns: int = 1000 * MILLISECOND_NS
     ack_timeout_ns: int = 200 * MILLISECOND_NS
-    death_ns: int = 60_000 * MILLISECOND_NS
+    dead_after_ns: int = 60_000 * MILLISECOND_NS
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -30,7 +30,7 @@
 ) -> Exploration:
     kind = type("Planted", (Model,), {"member_class": member, "proposer_class": proposer})
     model = kind(bounds)
-    return explore(model.begin(), model.follow, model.wrong, most)
+    return explore(model.initial_states(), model.successors, model.violation_in, most)
 
 
 @pytest.mark.parametrize(
@@ -43,7 +43,7 @@
     assert not found.violation, "\n".join(found.counterexample)
 
 
-WHERE = {
+BOUNDS_BY_MISTAKE = {
     "no silence after a start": AT_ONCE,
     "the token is not kept": RESTARTS,
     "the floor is not raised": RESTARTS,
@@ -52,13 +52,13 @@
 }
 # One needs a third term (test_schedules.py finds it), the other more states than each run of the tests has
 # time for (benchmarks/leases.py, and test_proposer.py by itself).
-NOT_HERE = {"any release ends any lease", "any answer counts for the latest question"}
+NOT_EXPLORED_HERE = {"any release ends any lease", "any answer counts for the latest question"}
 
 
-@pytest.mark.parametrize("mistake", [m for m in (*MEMBERS, *PROPOSERS) if m not in NOT_HERE])
+@pytest.mark.parametrize("mistake", [m for m in (*MEMBERS, *PROPOSERS) if m not in NOT_EXPLORED_HERE])
 def test_a_planted_mistake_is_found(mistake: str) -> None:
     """A mistake is planted (`mistakes.py`): the model finds it, by its shortest story."""
-    bounds = WHERE.get(mistake, HOLDS)
+    bounds = BOUNDS_BY_MISTAKE.get(mistake, HOLDS)
     found = explored(bounds, MEMBERS.get(mistake, VotingMember), PROPOSERS.get(mistake, Proposer))
     assert found.violation and found.counterexample
     print(
--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -182,7 +182,7 @@
     for seed in range(40):
         world = Waiting(replace(calm(voters=5), seed=seed), TIMING)
         world.play()
-        following = [at for at, *_ in world.found.holdings if at > world.killed_ns]
+        following = [at for at, *_ in world.findings.holdings if at > world.killed_ns]
         if world.killed_ns and following:
             waits.append(following[0] - world.killed_ns)
     assert len(waits) > 20
@@ -235,7 +235,7 @@
     ]
     world = EndlessTask(calm(*steps, voters=voters, until_ms=6_000 + 2_000 * voters), TIMING)
     world.play()
-    assert not world.found.breaches and len(world.found.holdings) == 1 and world.held_tokens
+    assert not world.findings.breaches and len(world.findings.holdings) == 1 and world.held_tokens
 
 
 class EndlessTask(LeaseSimulation):
--- a/tests/membership/test_budgets.py
+++ b/tests/membership/test_budgets.py
@@ -17,7 +17,7 @@
 from lanelift.membership.simulation import MembershipSimulation, RecordingDetector, membership_schedule
 from lanelift.membership.timing import ProbeTiming
 
-TIMING = ProbeTiming(death_ns=40_000 * MS)
+TIMING = ProbeTiming(dead_after_ns=40_000 * MS)
 COUNT = 8
 
 
@@ -52,7 +52,7 @@
     checks = 0
     next_ns = 0
 
-    def after(self) -> None:
+    def after_event(self) -> None:
         if self.now < self.next_ns:
             return
         self.next_ns = self.now + 1000 * MS
@@ -65,7 +65,7 @@
 def schedule(seed: int) -> list[Step]:
     """Deaths, some with a return before it counts as death, and cuts between any two sides; each is over
     within 20 s, and followed by time enough for a round of questions: the promise's assumption, that nobody
-    who lives is out of reach for `death_ns`."""
+    who lives is out of reach for `dead_after_ns`."""
     rng, steps, here = random.Random(seed), [], list(range(COUNT))
     at = 5_000
     while at < 200_000:
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -26,7 +26,7 @@
 from lanelift.membership.simulation import MembershipSimulation, RecordingDetector, membership_schedule
 from lanelift.membership.timing import ProbeTiming
 
-TIMING = ProbeTiming(death_ns=40_000 * MS)
+TIMING = ProbeTiming(dead_after_ns=40_000 * MS)
 N = 24
 
 
--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -343,9 +343,9 @@
         self.line("act", name, token)
         super().acted(name, token)
 
-    def after(self) -> None:
+    def after_event(self) -> None:
         before = self.held_tokens
-        super().after()
+        super().after_event()
         for name in sorted({*before, *self.held_tokens}):
             if before.get(name) != self.held_tokens.get(name):
                 self.line("token", name, before.get(name, 0), self.held_tokens.get(name, 0))
@@ -362,7 +362,7 @@
     )
     world = TracedLeases(schedule, timing)
     world.play()
-    found = world.found
+    found = world.findings
     counts = (len(found.breaches), len(found.holdings), found.acts, found.late_acts, found.fenced)
     return [to_json(schedule).decode(), *world.lines, f"counts {counts} {world.messages}"]
 
@@ -405,7 +405,7 @@
         self.line("died", name)
         super().node_killed(name, slot, disk_lost)
 
-    def after(self) -> None:
+    def after_event(self) -> None:
         for _, who, whom, state in self.changes[self.noted :]:
             self.line("view", who, whom, state.value)
         self.noted = len(self.changes)
@@ -418,7 +418,7 @@
     schedule = membership_schedule(
         count, seed, 60_000, (0.0, 0.05, 0.3)[seed % 3], _membership_steps(rng, count)
     )
-    timing = ProbeTiming(death_ns=20_000 * MS)
+    timing = ProbeTiming(dead_after_ns=20_000 * MS)
     world = TracedMembers(schedule, ["abc"[n % 3] for n in range(count)], timing)
     world.call_at(rng.randrange(10_000, 50_000) * MS, world._leave, str(rng.randrange(count)))
     world.play()
