--- a/lanelift/tenants/__init__.py
+++ b/lanelift/tenants/__init__.py
@@ -1,24 +1,24 @@
-"""Tenants from LDAP directories: what they may ask for, learned while traffic goes on.
+"""Tenants read from LDAP directories while the balancer runs: shares, quotas, limits and suspensions.
 
-A process of its own reads the directories, as the LDAP client blocks; the balancer's process never imports
-that client.
+The LDAP client blocks, so a separate process, the sync process, reads the directories. The balancer's process
+never imports the client.
 
-| module | what it holds |
+| module | contents |
 | --- | --- |
-| `entries` | attribute map; a directory's entry read and validated. A new tenant attribute begins here |
-| `names` | the folded form under which tenants' names are compared |
-| `store` | what holds of each tenant after all readings |
-| `tenant_state` | what holds of one tenant, and changes of it |
+| `entries` | attribute map; parsing and validation of a directory entry. A new tenant attribute begins here |
+| `names` | case folding and normalization of tenant names |
+| `store` | merges readings of directories into the state of each tenant |
+| `tenant_state` | the state of one tenant, and changes of states |
 | `removals` | guard against too many removals; tombstones |
-| `validity` | when tenants' validity begins or ends |
-| `notices` | what the store logs, each text once |
-| `schedule` | which directory is read when: full reads and reads of changes |
+| `validity` | timer for the begin and end of tenants' validity |
+| `notices` | log messages of the store, without repetitions |
+| `schedule` | schedule of the full reads and the reads of changes |
 | `client` | one connection to a directory, by `ldap3` |
 | `replica_reader` | the thread that reads one replica at a time |
 | `sync_worker` | the sync process: its main thread and its entry point |
-| `sync_config` | what the sync process is told to read |
+| `sync_config` | configuration of the sync process |
 | `sync_messages` | messages between the balancer and the sync process, and their JSON |
 | `sync_process` | the balancer's side: keeps the sync process running and posts updates to the dispatcher |
 
-All but the last six are pure: they touch no socket, clock, file or process.
+All modules but the last six are pure: they use no socket, clock, file or process.
 """
--- a/lanelift/tenants/client.py
+++ b/lanelift/tenants/client.py
@@ -28,34 +28,34 @@
     ADMIN_LIMIT: "an administrative limit",
 }
 PAGED_RESULTS = "1.2.840.113556.1.4.319"  # the control of RFC 2696
-MAX_PASSWORD_BYTES = 4096  # of a password file: a longer one is the wrong file
-MAX_MESSAGE_CHARACTERS = 200  # of the server's own text that are shown
+MAX_PASSWORD_BYTES = 4096  # a longer file is not a password file
+MAX_MESSAGE_CHARACTERS = 200  # of the server's diagnostic message, in an error
 
-Row = tuple[str, dict[str, list[bytes]]]  # an entry's name, and its values by lower-case attribute
+Row = tuple[str, dict[str, list[bytes]]]  # distinguished name, values by lower-case attribute name
 
 
 class DirectoryError(LaneliftError):
-    """A directory could not be read to its end.
+    """A directory could not be read completely.
 
     Attributes:
-        server: The directory's address, as a URL; empty where a password file was read by itself.
+        server: The directory's address, as a URL; empty for a password file that belongs to no directory.
     """
 
     def __init__(self, message: str, server: str) -> None:
-        """Take the reason, without the password, and the failing server."""
+        """Store the reason, which must not contain the password, and the server that failed."""
         super().__init__(message)
         self.server = server
 
 
 def read_password(path: str, server: str = "") -> str:
-    """Return what a password file holds, without its line end.
+    """Return the content of a password file, without the line end.
 
     Args:
         path: The file.
-        server: The directory that the password is for.
+        server: The directory that the password is for, as a URL.
 
     Raises:
-        DirectoryError: The file can't be read, or is not one line of UTF-8 of a sensible length.
+        DirectoryError: The file can't be read, exceeds `MAX_PASSWORD_BYTES`, or is not one line of UTF-8.
     """
     try:
         with Path(path).open("rb") as file:
@@ -64,7 +64,7 @@
         raise DirectoryError(f"password file {path}: {error.strerror}", server) from error
     text = content.decode("utf-8", "replace").removesuffix("\n").removesuffix("\r")
     if not text or len(content) > MAX_PASSWORD_BYTES or "\ufffd" in text or "\n" in text:
-        allowed = f"allowed is one line of UTF-8, 1 to {MAX_PASSWORD_BYTES} bytes"
+        allowed = f"it must hold one line of UTF-8, 1 to {MAX_PASSWORD_BYTES} bytes"
         raise DirectoryError(f"password file {path}: {allowed}", server)
     return text
 
@@ -82,13 +82,13 @@
         """Connect, secure the connection and bind.
 
         Raises:
-            DirectoryError: One of them failed, or the session was closed meanwhile.
+            DirectoryError: One of these steps failed, or another thread closed the session meanwhile.
         """
         self.connection = connection = self._new_connection()
         with self._converted_errors("connect"):
             connection.open(read_server_info=False)
             if self.closed:
-                raise self._error("given up on")
+                raise self._error("the session was closed")
             if self.directory.tls == "starttls" and not connection.start_tls(read_server_info=False):
                 raise self._error(f"StartTLS: {_description(connection.result)}")
             if not connection.bind(read_server_info=False):
@@ -107,7 +107,7 @@
             use_ssl=directory.tls == "ldaps",
             tls=tls,
             get_info=ldap3.NONE,
-            # It stays set on the socket, so that each receive is held to it, too.
+            # ldap3 leaves this timeout on the socket, so it limits each receive, too.
             connect_timeout=directory.timeout_s,
         )
         password = None
@@ -127,7 +127,7 @@
         """Yield the entries found, page by page.
 
         Raises:
-            DirectoryError: The rest can't be read; the pages before it still count.
+            DirectoryError: A page can't be read completely; the entries yielded before remain valid.
         """
         connection, cookie = self.connection, None
         assert connection is not None
@@ -152,20 +152,20 @@
                 return
 
     def _require_complete(self, result: dict[str, Any], response: Sequence[dict[str, Any]]) -> None:
-        """Raise DirectoryError unless the server has sent all of this page, and refers to nobody else."""
+        """Raise DirectoryError if the server did not send the whole page, or refers to other servers."""
         if any(row["type"] == "searchResRef" for row in response):
-            raise self._error("it sends on to other directories for a part, which is not followed")
+            raise self._error("it refers to other directories for a part, which is not followed")
         code = result["result"]
         if code == REFERRAL:
             servers = ", ".join(result["referrals"] or ["?"])
-            raise self._error(f"it sends on to {servers}, which is not followed")
+            raise self._error(f"it refers to {servers}, which is not followed")
         if code in INCOMPLETE:
             raise self._error(f"search: {INCOMPLETE[code]} was reached")
         if code != SUCCESS:
             raise self._error(f"search: {_description(result)}")
 
     def close(self) -> None:
-        """End the connection, from any thread; a thread that waits in it fails at once."""
+        """Close the connection. Any thread may call this; a thread that waits on it fails immediately."""
         self.closed = True
         sock: socket.socket | None = getattr(self.connection, "socket", None)
         if sock is not None:
@@ -179,10 +179,11 @@
 
     @contextlib.contextmanager
     def _converted_errors(self, action: str) -> Iterator[None]:
-        """Raise whatever ldap3 raises as a DirectoryError.
+        """Convert every exception that ldap3 raises to a DirectoryError.
 
-        On bytes that are no LDAP ldap3 fails with errors of many types (IndexError, struct.error, ...). One
-        that passed here would end the thread that reads, and the directory would not be read any more.
+        If the received bytes are not LDAP, ldap3 raises exceptions of many types (IndexError, struct.error,
+        ...). An exception that was not converted would end the reading thread, and the directory would not
+        be read any more.
         """
         try:
             yield
@@ -203,7 +204,7 @@
 
 
 def _description(result: dict[str, Any]) -> str:
-    """The result's name, and the server's own text where it sent one."""
+    """Return the name of the result code, and the server's diagnostic message if there is one."""
     message = _shortened(str(result.get("message") or ""))
     return f"{result['description']}" + (f" ({message})" if message else "")
 
--- a/lanelift/tenants/entries.py
+++ b/lanelift/tenants/entries.py
@@ -1,6 +1,6 @@
-"""What one directory entry says of a tenant: its attributes against the operator's map. Pure.
+"""Parses and validates a directory entry according to the operator's attribute map. Pure.
 
-A new tenant attribute takes a field of `AttributeMap` and one of `Record`, and its reading in `parse`.
+A new tenant attribute needs a field in `AttributeMap`, a field in `Record`, and code in `parse`.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from lanelift.tenants.names import folded
 
-Attributes = Mapping[str, Sequence[bytes]]  # by lower-case name
-MAX_CLASSES = 64  # classes or limits of one tenant: more is a slip
-MAX_SHARE, MAX_LIMIT_PER_S = 1e6, 1e9  # as in the operator's file
-MAX_VALUE_CHARACTERS = 256  # what is read here is a name, a word, a number or a time
-SHOWN_CHARACTERS = 40  # of an invalid value
+Attributes = Mapping[str, Sequence[bytes]]  # values by lower-case attribute name
+MAX_CLASSES = 64  # classes or limits of one tenant; more are taken for a mistake
+MAX_SHARE, MAX_LIMIT_PER_S = 1e6, 1e9  # the same bounds as in the operator's file
+MAX_VALUE_CHARACTERS = 256  # each value is a name, a word, a number or a time
+SHOWN_CHARACTERS = 40  # of an invalid value, in its problem
 GENERALIZED_TIME = re.compile(
     r"(\d{8})(\d\d)(?:(\d\d)(\d\d)?)?(?:[.,](\d{1,9}))?(Z|[+-]\d\d(?:\d\d)?)", re.ASCII
 )
@@ -26,21 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AttributeMap:
-    """Which attribute holds what; an empty name: it is not read. The fields are the operator's keys.
+    """Names of the LDAP attributes to read; empty: not read. The fields are keys of the operator's file.
 
     Attributes:
         name: The tenant's name.
-        standing: Whether it is suspended, as a word.
-        suspended: Folded words of `standing` that suspend.
-        good: Folded words of `standing` that do not.
-        share: Its part of the capacity, beside the others'.
-        quota: Requests per second, of all classes together.
-        classes: The only classes it may ask for, a value each.
-        limits: `CLASS=REQUESTS_PER_S`, a value each.
-        valid_from: When its validity begins.
-        valid_until: When its validity ends.
-        stamp: The entry's last change: set by the server (RFC 4512, 3.4).
-        id: What stays for the entry's life (RFC 4530).
+        standing: A word that says whether the tenant is suspended.
+        suspended: Values of `standing` that mean suspended, folded.
+        good: Values of `standing` that mean not suspended, folded.
+        share: The tenant's weight when capacity is divided among tenants.
+        quota: Requests per second, over all classes.
+        classes: The classes that the tenant may request, one per value.
+        limits: `CLASS=REQUESTS_PER_S`, one per value.
+        valid_from: When the tenant's validity begins.
+        valid_until: When the tenant's validity ends.
+        stamp: When the entry was last changed; set by the server (RFC 4512, 3.4).
+        id: An identifier that never changes during the entry's life (RFC 4530).
     """
 
     name: str = "cn"
@@ -65,20 +65,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What an entry says, all of it valid. Times are seconds since 1970 on the directory's clock.
+    """The validated content of an entry. Times are seconds since 1970 on the directory's clock.
 
     Attributes:
-        id: What stays for the entry's life.
+        id: The entry's identifier, which never changes.
         name: The tenant's folded name.
-        suspended: Its standing is a word that suspends.
-        share: Its part of the capacity, beside the others'.
-        quota_per_s: Requests per second, of all classes together; None: not limited.
-        classes: The only classes it may ask for; empty: any.
+        suspended: Whether the entry suspends the tenant.
+        share: The tenant's weight when capacity is divided among tenants.
+        quota_per_s: Requests per second, over all classes; None: not limited.
+        classes: The classes that the tenant may request; empty: any.
         limits: Requests per second by class, in the order of the classes' names.
-        valid_from_s: When its validity begins; None: always valid before `valid_until_s`.
-        valid_until_s: When its validity ends; None: never.
-        stamp_us: Its last change, in microseconds since 1970; 0: the directory does not show it.
-        present: Attributes of the map that had a value, in lower case.
+        valid_from_s: When the tenant's validity begins; None: valid at any time before `valid_until_s`.
+        valid_until_s: When the tenant's validity ends; None: never.
+        stamp_us: When the entry was last changed, in microseconds since 1970; 0: the directory does not say.
+        present: Mapped attributes that had a value, in lower case.
     """
 
     id: str
@@ -96,16 +96,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Parsed:
-    """An entry as read. `name`, `suspended` and `stamp_us` are read even if other attributes are invalid.
+    """The result of parsing an entry.
+
+    `name`, `suspended` and `stamp_us` are set even if other attributes are invalid.
 
     Attributes:
-        dn: Its distinguished name.
-        id: What stays for the entry's life; its folded distinguished name where it shows no id.
-        name: The tenant's folded name; empty: it can't be read.
-        suspended: Its standing suspends.
-        stamp_us: Its last change, in microseconds since 1970; 0: not shown.
-        record: What it says; None: it is invalid.
-        problems: What is invalid.
+        dn: The entry's distinguished name.
+        id: The entry's identifier; its folded distinguished name if it has none.
+        name: The tenant's folded name; empty: it is missing or invalid.
+        suspended: Whether the entry suspends the tenant.
+        stamp_us: When the entry was last changed, in microseconds since 1970; 0: unknown.
+        record: The validated content; None: the entry is invalid.
+        problems: Descriptions of all invalid values.
     """
 
     dn: str
@@ -118,7 +120,7 @@
 
 
 def parse(dn: str, attributes: Attributes, attribute_map: AttributeMap) -> Parsed:
-    """Read and validate one entry."""
+    """Parse and validate one entry."""
     values = _EntryValues(attributes)
     name = _name(values, attribute_map)
     suspended = _is_suspended(values, attribute_map)
@@ -158,7 +160,7 @@
 
 
 def _is_suspended(values: _EntryValues, attribute_map: AttributeMap) -> bool:
-    """Tell whether any standing suspends; other words than those of the map are invalid."""
+    """Return whether any value of the standing means suspended; a word that the map lacks is invalid."""
     standing = values.single(attribute_map.standing, "standing")
     suspended = any(folded(text) in attribute_map.suspended for text in values.texts(attribute_map.standing))
     if standing is not None and not suspended and folded(standing) not in attribute_map.good:
@@ -194,19 +196,19 @@
 
 
 class _EntryValues:
-    """One entry's values, and what is found to be invalid in them."""
+    """The values of one entry, and the problems found in them."""
 
     def __init__(self, attributes: Attributes) -> None:
         self.problems: list[str] = []
         self._attributes = attributes
-        self._texts: dict[str, list[str]] = {}  # what was read: its problems are added only once
+        self._texts: dict[str, list[str]] = {}  # a cache, so that problems are added only once
 
     def add_problem(self, attribute: str, found: str, allowed: str) -> None:
         shown = found if len(found) <= SHOWN_CHARACTERS else found[:SHOWN_CHARACTERS] + "…"
         self.problems.append(f"{attribute}: found {shown!r}; allowed: {allowed}")
 
     def texts(self, attribute: str) -> list[str]:
-        """Return the values that are text, and not only spaces."""
+        """Return the values of an attribute that are valid text, without those that are only spaces."""
         if attribute in self._texts:
             return self._texts[attribute]
         found = self._texts[attribute] = []
@@ -265,7 +267,7 @@
 
 
 def generalized_time(text: str) -> float | None:
-    """Return the seconds since 1970 of a GeneralizedTime (RFC 4517, 3.3.13); None: it is none."""
+    """Return a GeneralizedTime (RFC 4517, 3.3.13) in seconds since 1970; None: the text is invalid."""
     found = GENERALIZED_TIME.fullmatch(text)
     if found is None:
         return None
@@ -282,12 +284,12 @@
         return None
     time_s = calendar.timegm(day.timetuple()) + hours * 3600 + minutes * 60 + min(seconds, 59)
     time_s -= offset_s
-    unit_s = 1 if second else 60 if minute else 3600  # a fraction is of the last unit that is there
+    unit_s = 1 if second else 60 if minute else 3600  # a fraction refers to the last unit that is given
     return time_s + (float(f"0.{fraction}") * unit_s if fraction else 0.0)
 
 
 def _zone_offset_s(zone: str) -> int | None:
-    """Return how far a zone ("Z", "+HH" or "+HHMM") is ahead of UTC, in seconds; None: it is none."""
+    """Return the offset of a zone ("Z", "+HH" or "+HHMM") from UTC, in seconds; None: it is invalid."""
     if zone == "Z":
         return 0
     hours, minutes = int(zone[1:3]), int(zone[3:5] or 0)
--- a/lanelift/tenants/names.py
+++ b/lanelift/tenants/names.py
@@ -1,4 +1,4 @@
-"""When two names are the same tenant's.
+"""Case folding and normalization of tenant names.
 
 Names are compared as directories compare them, without regard to case, Unicode form or runs of spaces
 (caseIgnoreMatch, RFC 4517, 4.2.11, with the preparation of RFC 4518).
@@ -10,10 +10,10 @@
 
 
 def folded(text: str) -> str:
-    """Return the form under which a tenant is stored and looked up."""
+    """Return the folded form of a name, by which tenants are stored and looked up."""
     if not text.isascii():
-        # Case folding can undo the normal form, and normalizing the folding: `ﬀ`, `İ` and others need both
-        # twice.
+        # The result of case folding may not be normalized, and that of normalization may not be folded:
+        # `ﬀ`, `İ` and others need both steps twice.
         text = unicodedata.normalize("NFKC", unicodedata.normalize("NFKC", text).casefold())
         return " ".join(unicodedata.normalize("NFKC", text.casefold()).split())
     return " ".join(text.lower().split())
--- a/lanelift/tenants/notices.py
+++ b/lanelift/tenants/notices.py
@@ -1,28 +1,28 @@
-"""What the tenant store logs: each text once for as long as it holds. Pure."""
+"""Log messages of the tenant store, which are not repeated while they still apply. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence, Set
 from dataclasses import dataclass, field
 
-MAX_NAME_CHARACTERS = 200  # of an entry's name that are logged
-MAX_PROBLEMS_LOGGED = 20  # of single entries by one reading: `lanelift tenants check` lists all
-NAMES_SHOWN = 3  # of a list
-ENTRY, NAME = "entry ", "name "  # how subjects begin that are an entry, and a tenant's name
+MAX_NAME_CHARACTERS = 200  # of a name, in the log
+MAX_PROBLEMS_LOGGED = 20  # of single entries, for each reading; `lanelift tenants check` lists all
+NAMES_SHOWN = 3  # of a list of names, in the log
+ENTRY, NAME = "entry ", "name "  # prefixes of subjects, before an entry's id and a tenant's name
 
 Notify = Callable[[str, str], None]
 
 
 @dataclass(slots=True)
 class Notices:
-    """Remembers by subject what was logged last, so that no reading repeats it.
+    """Remembers the last message on each subject, so that the next reading does not repeat it.
 
-    Subjects are at most one for each entry read, one for each tenant and three others.
+    There is at most one subject for each entry read, one for each tenant, and three others.
 
     Attributes:
-        notify: Takes the level and the text.
-        texts: By subject: the last text.
-        problems: Validation problems of single entries in this reading.
+        notify: Logs a message; its arguments are the level and the text.
+        texts: By subject: the text of the last message.
+        problems: Number of validation problems of single entries in this reading.
     """
 
     notify: Notify
@@ -30,7 +30,7 @@
     problems: int = 0
 
     def begin_reading(self) -> None:
-        """Count validation problems anew."""
+        """Reset the number of validation problems."""
         self.problems = 0
 
     def end_reading(self) -> None:
@@ -40,7 +40,7 @@
             self.notify("warning", f"{more} more entries with mistakes: see lanelift tenants check")
 
     def validation_problem(self, subject: str, text: str) -> None:
-        """Log a problem of one entry, if it is among the first of this reading."""
+        """Log a problem of one entry, if it is new and among the first of this reading."""
         if self.texts.get(subject) != text:
             self.texts[subject] = text
             self.problems += 1
@@ -48,17 +48,17 @@
                 self.notify("warning", text)
 
     def log_once(self, level: str, subject: str, text: str) -> None:
-        """Log a text, unless it is the subject's last one."""
+        """Log a text, unless the last message on the subject has the same text."""
         if self.texts.get(subject) != text:
             self.texts[subject] = text
             self.notify(level, text)
 
     def forget(self, subject: str) -> None:
-        """Forget what was logged of a subject: it does not hold any more."""
+        """Forget the last message on a subject, as it does not apply any more."""
         self.texts.pop(subject, None)
 
     def forget_others(self, prefix: str, kept: Set[str]) -> None:
-        """Forget all subjects with this prefix, but for those whose rest is among `kept`."""
+        """Forget all subjects with this prefix, except those that are in `kept` without the prefix."""
         start = len(prefix)
         known = [subject for subject in self.texts if subject.startswith(prefix)]
         for subject in known:
@@ -67,11 +67,11 @@
 
 
 def shortened(name: str) -> str:
-    """Return a name as it is logged: a directory's names may be of any length."""
+    """Return a name shortened for the log, as names in a directory may be of any length."""
     return name if len(name) <= MAX_NAME_CHARACTERS else name[:MAX_NAME_CHARACTERS] + "…"
 
 
 def listed(names: Sequence[str]) -> str:
-    """Return the first few names, and how many more there are."""
+    """Return the first few names and the number of the others, as text."""
     shown = ", ".join(shortened(name) for name in names[:NAMES_SHOWN])
     return shown + (f" and {len(names) - NAMES_SHOWN} more" if len(names) > NAMES_SHOWN else "")
--- a/lanelift/tenants/replica_reader.py
+++ b/lanelift/tenants/replica_reader.py
@@ -1,7 +1,7 @@
-"""Reading one replica of the directory at a time, in a thread of the sync process.
+"""Threads of the sync process, each of which reads one replica of the directory at a time.
 
-The threads decide nothing: what to read comes as orders, and what was read goes back as events that the main
-thread runs.
+The main thread makes all decisions: it sends orders to these threads, and they return the entries read in
+events that the main thread runs.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 
 class ReadResult(NamedTuple):
-    """What a reading returned.
+    """The result of a reading.
 
     Attributes:
         entries: The entries received.
-        failure: Why these are not all; empty: they are.
+        failure: Why the reading is incomplete; empty: it is complete.
     """
 
     entries: list[Parsed]
@@ -41,12 +41,12 @@
     attribute_map: AttributeMap,
     on_page: Callable[[list[Parsed]], None] | None = None,
 ) -> ReadResult:
-    """Read all that a search finds, up to `MAX_TENANTS` entries and the page that passes them.
+    """Read all entries that a search finds, but no further than the page that exceeds `MAX_TENANTS` entries.
 
     Args:
         session: An open session.
         search: What to read.
-        attribute_map: Which attribute holds what.
+        attribute_map: Names of the attributes to parse.
         on_page: Called with each page as it is received.
     """
     found: list[Parsed] = []
@@ -57,16 +57,14 @@
             if on_page is not None:
                 on_page(page)
             if len(found) > MAX_TENANTS:
-                return ReadResult(
-                    found, f"it shows more than {MAX_TENANTS} entries: it is not read to its end"
-                )
+                return ReadResult(found, f"it shows more than {MAX_TENANTS} entries: the others are not read")
     except DirectoryError as error:
         return ReadResult(found, str(error))
     return ReadResult(found, "")
 
 
 class ReplicaReader(threading.Thread):
-    """Makes the readings of one kind, one at a time, over a connection that stays open between them."""
+    """Performs the readings of one kind one by one, over a connection that stays open between them."""
 
     def __init__(
         self,
@@ -81,33 +79,33 @@
         Args:
             kind: The kind of the readings.
             config: What to read.
-            events: Takes what the main thread is to run.
-            on_page: Run with each page of changes.
-            on_result: Run when a reading has ended.
+            events: The queue of events that the main thread runs.
+            on_page: Called in the main thread with each page of changes.
+            on_result: Called in the main thread when a reading has ended.
         """
         super().__init__(name=kind, daemon=True)
         self.config = config
         self.events = events
         self.on_page = on_page
         self.on_result = on_result
-        # At most one order, and the one to leave: the schedule gives none while a reading runs.
+        # At most one order, as the schedule gives none while a reading runs, and None to end the thread.
         self.orders: queue.SimpleQueue[ReadOrder | None] = queue.SimpleQueue()
         self.session: Session | None = None
         self.source = NO_SOURCE
 
     def run(self) -> None:
-        """Make one reading after the other, until None is ordered."""
+        """Perform the ordered readings, until an order is None."""
         while (order := self.orders.get()) is not None:
             result = self._read(order)
             self.events.put(partial(self.on_result, self, order, result))
 
     def stop(self) -> None:
-        """Let the thread leave; a reading that runs fails at once."""
+        """End the thread; a running reading fails immediately."""
         self.orders.put(None)
         self.disconnect()
 
     def disconnect(self) -> None:
-        """Give up the connection, from any thread; a reading that runs fails at once."""
+        """Close the connection. Any thread may call this; a running reading fails immediately."""
         session, self.session = self.session, None
         if session is not None:
             session.close()
@@ -117,8 +115,8 @@
         if order.kind is ReadKind.CHANGES:
             search = changed_since(search, self.config.map, order.since_us)
             on_page = partial(self._page_received, order)
-        # The main thread may disconnect at any time, which sets `self.session` to None: a reading that looked
-        # it up again would fail with an AttributeError and end the thread. So it is held here.
+        # The main thread may disconnect at any time, which sets `self.session` to None. A reading that used
+        # `self.session` again would fail with an AttributeError and end the thread, so it uses a local name.
         session = self.session
         if session is None or self.source != order.source:
             self.disconnect()
--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -1,11 +1,9 @@
-"""When which directory is read, and how.
+"""Schedules the readings of directories. Pure: the caller passes the time.
 
-Decided here, and carried out by `replica_reader.py`. Pure: the caller hands it the time.
-
-Two kinds of reading run beside each other, so that a long full read never delays a suspension. Full reads
-begin at the preferred directory each time, and go down the list where one fails. Reads of changes stay with
-the directory that served them last and go on to the next at once when it fails: they come back to the
-preferred one when a full read there has succeeded.
+`replica_reader.py` performs the readings. Full reads and reads of changes run concurrently, so that a long
+full read never delays a suspension. Each full read begins at the preferred directory, and goes on to the next
+one if a directory fails. Reads of changes stay with the directory that was read last, and go on to the next
+one immediately if it fails; they return to the preferred directory when a full read there has succeeded.
 """
 
 from __future__ import annotations
@@ -13,12 +11,12 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 10.0)  # by the number of rounds in a row in which all directories failed
-PAGE_TIMEOUT_S = 10.0  # longest wait for a page of changes: a directory that trickles is given up then
-OVERLAP_S = 60.0  # changes are searched from this long before the latest one: replication brings some late
-LARGE_OVERLAP_ENTRIES = 2000  # more than this many in the overlap, none of them new: it is not read again
+BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 10.0)  # by the number of consecutive rounds in which all directories failed
+PAGE_TIMEOUT_S = 10.0  # longest wait for a page of changes, for directories that send a byte now and then
+OVERLAP_S = 60.0  # a search for changes begins this long before the latest stamp: replication may be late
+LARGE_OVERLAP_ENTRIES = 2000  # an overlap with more entries, none of them new, is not read again
 NO_CLOCK_US = 1 << 62  # a time of day that is later than any stamp
-MAX_INVALIDATIONS = 2  # reads of changes in a row that lack what they must hold, before no more are made
+MAX_INVALIDATIONS = 2  # consecutive reads of changes without an expected entry, before no more are made
 
 
 class ReadKind(StrEnum):
@@ -30,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadOrder:
-    """One reading to be made now.
+    """An order to perform a reading now.
 
     Attributes:
-        kind: All entries, or those that changed.
-        source: The directory's place in the list of preference, from 0.
-        until_s: The reading is given up if it still runs then.
-        since_us: For changes: the stamp from which on to search, in microseconds since 1970.
-        mark_us: For changes: the latest stamp that was known.
+        kind: Whether to read all entries, or only changed ones.
+        source: The directory's index in the order of preference.
+        until_s: The reading is given up if it still runs at this time.
+        since_us: For changes: the earliest stamp to search for, in microseconds since 1970.
+        mark_us: For changes: the latest stamp known when the reading began.
     """
 
     kind: ReadKind
@@ -49,14 +47,14 @@
 
 @dataclass(slots=True)
 class ReadState:
-    """Where the readings of one kind stand.
+    """State of the readings of one kind.
 
     Attributes:
-        due_s: When the next one begins; None: not before something happens.
-        source: The directory that the next one reads.
-        failed_sources: Directories that failed in this round.
-        failed_rounds: Rounds in a row in which all of them failed.
-        order: The reading that runs, if any.
+        due_s: When the next reading begins; None: not before some event.
+        source: The directory that the next reading uses.
+        failed_sources: Number of directories that failed in this round.
+        failed_rounds: Number of consecutive rounds in which all directories failed.
+        order: The running reading, if any.
     """
 
     due_s: float | None
@@ -71,18 +69,18 @@
     """Plans full reads and reads of changes. Times are seconds on the caller's clock.
 
     Attributes:
-        directories: How many directories there are.
-        change_interval_s: Between two reads of changes.
-        full_interval_s: Between two full reads.
+        directories: Number of directories.
+        change_interval_s: Interval between two reads of changes.
+        full_interval_s: Interval between two full reads.
         full_timeout_s: A full read that takes longer is given up.
-        has_stamps: The map names an attribute for the last change; without it changes can't be searched.
+        has_stamps: Whether the map names the attribute of the last change, which a search for changes needs.
         now_s: When the schedule begins.
         full: State of the full reads.
         changes: State of the reads of changes.
-        invalidations: By directory: reads of changes in a row that lacked what they must hold.
+        invalidations: By directory: consecutive reads of changes that lacked an expected entry.
         mark_us: The latest stamp seen.
-        marked_s: When it was first seen.
-        reread_mark_us: The mark up to which a large overlap was read again without any news.
+        marked_s: When `mark_us` was first seen.
+        reread_mark_us: The mark whose large overlap was read again without any change.
     """
 
     directories: int
@@ -103,13 +101,13 @@
         self.changes = ReadState(None)  # there is no mark to search from before the first full read
 
     def orders(self, now_s: float, mark_us: int, clock_us: int = NO_CLOCK_US) -> list[ReadOrder]:
-        """Return the readings to begin now, and count them as running.
+        """Return the readings to begin now, and mark them as running.
 
         Args:
             now_s: The time.
             mark_us: The latest stamp seen in any directory.
-            clock_us: The time of day here. A stamp from the future would hide all that is written until then,
-                so the mark is cut to this. Where it is this clock that is behind, more is read than needed.
+            clock_us: The local time of day, which limits the mark: a stamp from the future would hide all
+                changes until that time. If the local clock is behind, more entries are read than needed.
         """
         mark_us = min(mark_us, clock_us)
         if mark_us != self.mark_us:
@@ -129,11 +127,11 @@
         return ReadOrder(ReadKind.CHANGES, self.changes.source, until_s, since_us, self.mark_us)
 
     def _since_us(self, now_s: float) -> int:
-        """Return the stamp from which on to search for changes.
+        """Return the earliest stamp to search for.
 
-        What is stamped up to the mark can't be written any more a second after the mark was seen, and has
-        been replicated a while later; from then on only later stamps are new. Without that, 50,000 entries
-        that were loaded in one second would be read anew each time.
+        A second after the mark was seen, no more entries can be written with stamps up to the mark, and after
+        `OVERLAP_S` they have been replicated. From then on only later stamps are searched for; otherwise
+        50,000 entries that were loaded in one second would be read again each time.
         """
         replicated = now_s - self.marked_s >= OVERLAP_S
         if replicated or self.reread_mark_us == self.mark_us > 0:
@@ -144,30 +142,30 @@
         return min(PAGE_TIMEOUT_S, self.full_timeout_s)
 
     def page_received(self, order: ReadOrder, now_s: float) -> None:
-        """Give the next page of changes its own time."""
+        """Extend the deadline of a read of changes, as each page has its own timeout."""
         running = self.changes.order
         if running is not None and (running.kind, running.source) == (order.kind, order.source):
             self.changes.order = replace(running, until_s=now_s + self._page_timeout_s())
 
     def next_s(self) -> float | None:
-        """Return when there is something to begin or to end next; None: not before something happens."""
+        """Return when the next reading is to begin or to be given up; None: not before some event."""
         states = (self.full, self.changes)
         times = [state.order.until_s if state.order else state.due_s for state in states]
         return min((time_s for time_s in times if time_s is not None), default=None)
 
     def overdue(self, now_s: float) -> list[ReadOrder]:
-        """Return the readings that have taken too long."""
+        """Return the running readings that have exceeded their time."""
         orders = [state.order for state in (self.full, self.changes) if state.order is not None]
         return [order for order in orders if order.until_s <= now_s]
 
     def done(self, order: ReadOrder, now_s: float, found: int = 0, any_new: bool = True) -> None:
-        """Count a reading as succeeded, and plan the next one.
+        """Record the success of a reading, and plan the next one.
 
         Args:
             order: The reading.
             now_s: The time.
-            found: How many entries it returned.
-            any_new: Whether it changed anything.
+            found: Number of entries that the reading returned.
+            any_new: Whether the reading changed any tenant.
         """
         state = self._end(order)
         if state is None:
@@ -183,7 +181,7 @@
     def _full_read_done(self, order: ReadOrder, now_s: float) -> None:
         self.full.source, self.full.due_s = 0, now_s + self.full_interval_s
         if not self.has_stamps or self.invalidations.get(order.source, 0) >= MAX_INVALIDATIONS:
-            # Changes can't be searched there: full reads take their place, at their interval.
+            # The directory can't be searched for changes: it is read in full, at the interval of changes.
             self.full.due_s = now_s + self.change_interval_s
             self.changes.due_s = None
             return
@@ -192,7 +190,7 @@
             self.changes.due_s = now_s + self.change_interval_s
 
     def failed(self, order: ReadOrder, now_s: float) -> None:
-        """Count a reading as failed: the next directory at once, or all again after a backoff."""
+        """Record the failure of a reading: the next directory is due now, or all again after a backoff."""
         state = self._end(order)
         if state is None:
             return
@@ -207,15 +205,15 @@
                 state.source = 0
 
     def invalidate(self, order: ReadOrder, now_s: float, any_found: bool) -> bool:
-        """Check a read of changes that must show an entry, as its directory holds one of that age.
+        """Check a read of changes that must return an entry, as its directory is known to have a match.
 
         Args:
             order: The reading.
             now_s: The time.
-            any_found: Whether it returned an entry; without one it is not valid.
+            any_found: Whether the reading returned an entry; otherwise it is invalid.
 
         Returns:
-            Whether this was the one too many: the directory is searched for changes no more.
+            Whether this invalid reading is the last one: the directory is no longer searched for changes.
         """
         if any_found:
             self.invalidations.pop(order.source, None)
@@ -228,10 +226,10 @@
         return count == MAX_INVALIDATIONS
 
     def _end(self, order: ReadOrder) -> ReadState | None:
-        """Return the state of the reading's kind, with nothing running.
+        """Mark a reading as ended, and return the state of its kind.
 
-        None if the reading is not the one that runs: it belongs to an earlier configuration, or was given up,
-        and its thread came back after all. Counting it would end a reading that still runs.
+        Returns None if the reading is not the running one: it belongs to an earlier configuration, or was
+        given up and has ended late. Its result must not end the reading that is running now.
         """
         state = self.full if order.kind is ReadKind.FULL else self.changes
         if state.order is None or replace(state.order, until_s=order.until_s) != order:
--- a/lanelift/tenants/store.py
+++ b/lanelift/tenants/store.py
@@ -1,8 +1,8 @@
-"""What holds of each tenant, worked out from readings of directories. Pure: the caller hands it the time.
+"""Merges readings of directories into the state of each tenant. Pure: the caller passes the time.
 
-Three rules stand above all others. An explicit suspension counts at once. What a reading does not show is
-not removed unless the reading is complete, its directory is not behind, and not too much would be removed at
-once. And an entry that can't be read leaves its tenant as it was last read well.
+Three rules take precedence over all others. An explicit suspension takes effect immediately. An entry that a
+reading lacks is removed only if the reading is complete, its directory is not behind, and not too many
+tenants would be removed. An invalid entry leaves its tenant in the last valid state.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from lanelift.tenants.tenant_state import Changes, TenantState, denial_reason
 from lanelift.tenants.validity import ValidityTimer
 
-MAX_TENANTS = 200_000  # entries stored, some 600 bytes each
+MAX_TENANTS = 200_000  # stored entries, about 600 bytes each
 SETTINGS_SOURCE = -1  # the source of tenants that no directory has shown
-FORMER_SOURCE = -2  # the source of entries that a directory of an earlier configuration has shown
+FORMER_SOURCE = -2  # the source of entries from directories of an earlier configuration
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What one directory was seen to hold.
+    """The entries that were read from one directory.
 
     Attributes:
-        source: The directory's place in the order of preference.
+        source: The directory's index in the order of preference.
         entries: The entries read.
-        complete: Every page of all that the filter finds was received; else it is a part, or changes only.
-        began_revision: The store's revision when the reading began: what was seen since then is not missing.
+        complete: Whether these are all entries that the filter finds; otherwise a part of them, or changes.
+        began_revision: The store's revision when the reading began; entries seen since then are not missing.
     """
 
     source: int
@@ -40,12 +40,12 @@
 
 @dataclass(slots=True)
 class StoredEntry:
-    """An entry as last read well.
+    """The last valid state of an entry.
 
     Attributes:
-        record: What it says.
-        source: The directory that it was read from.
-        seen_revision: The store's revision when it was last seen.
+        record: The entry's content.
+        source: The directory that the entry was read from.
+        seen_revision: The store's revision when the entry was last seen.
     """
 
     record: Record
@@ -54,19 +54,19 @@
 
 
 class TenantStore:
-    """All entries known, and what they make of each tenant.
+    """All known entries, and the states of tenants that follow from them.
 
     Attributes:
-        guard: Holds back removals that are too many.
-        notices: Logs each text once for as long as it holds.
-        entries: By id, at most `MAX_TENANTS`.
-        claims: By tenant: ids of the entries that bear its name, the one that holds first.
-        sent: By tenant: what was returned last in `Changes`; None: known from the settings.
-        tombstones: Entries that were removed.
+        guard: Holds back removals if they are too many.
+        notices: Logs messages without repetitions.
+        entries: By id: at most `MAX_TENANTS` entries.
+        claims: By tenant: ids of the entries with its name; the first one determines the tenant's state.
+        sent: By tenant: the state last returned in `Changes`; None: the tenant of the settings.
+        tombstones: Removed entries.
         marks_us: By directory: the latest stamp seen there, in microseconds since 1970.
         validity: When a tenant's validity begins or ends next.
-        revision: How many readings were merged.
-        remapped: The map has changed: the same entry may read differently.
+        revision: Number of merged readings.
+        remapped: Whether the map has changed, so that an unchanged entry may be parsed differently.
     """
 
     def __init__(
@@ -75,12 +75,12 @@
         confirmed: frozenset[str] = frozenset(),
         notify: Notify = lambda level, text: None,
     ) -> None:
-        """Begin without tenants.
+        """Create a store without tenants.
 
         Args:
             removal_part: Part of all tenants, 0 to 1, that may be removed without confirmation.
-            confirmed: Marks of the removals that the operator has confirmed.
-            notify: Takes the level and the text of what is to be logged.
+            confirmed: Ids of the removals that the operator has confirmed.
+            notify: Logs a message; its arguments are the level and the text.
         """
         self.guard = RemovalGuard(removal_part, confirmed)
         self.notices = Notices(notify)
@@ -94,20 +94,20 @@
         self.remapped = False
 
     def seed(self, tenants: Iterable[tuple[str, bool, float]]) -> None:
-        """Take tenants that are known from elsewhere: they hold until a directory shows them.
+        """Add tenants from another source, which stay unchanged until a directory shows them.
 
         Args:
-            tenants: For each its folded name, whether it is suspended, and its share.
+            tenants: The folded name of each, whether it is suspended, and its share.
         """
         for name, suspended, share in tenants:
             self._put(Record(f"seed:{name}", name, suspended, share), SETTINGS_SOURCE)
             self.sent[name] = None
 
     def merge(self, reading: Reading, now_s: float) -> Changes:
-        """Merge a reading, and return what it changes.
+        """Merge a reading, and return the tenants that it changes.
 
         Args:
-            reading: What a directory was seen to hold.
+            reading: The entries that were read from a directory.
             now_s: Seconds since 1970.
         """
         touched: set[str] = set()
@@ -115,8 +115,8 @@
         self.notices.begin_reading()
         self.revision += 1
         latest_us = self._mark(reading)
-        # Of several new entries for one name, the one that has stood longest unchanged comes first; of one
-        # that stands on two pages, as it changed between them, the later state last.
+        # Of several new entries for one name, the one that has been unchanged for longest comes first. Of an
+        # entry that is on two pages because it changed between them, the later state comes last.
         for parsed in sorted(reading.entries, key=lambda entry: (entry.stamp_us, entry.id, entry.suspended)):
             seen.add(parsed.id)
             self._merge_entry(parsed, reading.source, touched)
@@ -129,17 +129,18 @@
         return self._changes(touched, now_s)
 
     def tick(self, now_s: float) -> Changes:
-        """Return what changes as validities begin or end with time."""
+        """Return the tenants whose validity has begun or ended."""
         return self._changes(self.validity.pop_due(now_s), now_s)
 
     def next_s(self) -> float | None:
-        """Return when `tick` is due next, at the earliest."""
+        """Return the earliest time at which `tick` is due; None: not before the next reading."""
         return self.validity.next_s()
 
     def reconfigure(self) -> None:
-        """Prepare for other directories, another filter or map.
+        """Prepare for other directories, another filter or another map.
 
-        The same entry may read differently from now on, and what was known of single directories is void.
+        An unchanged entry may be parsed differently from now on, and the marks and sources of entries no
+        longer refer to the configured directories.
         """
         self.remapped = True
         self.marks_us.clear()
@@ -148,14 +149,14 @@
                 stored.source = FORMER_SOURCE
 
     def latest_stamp_us(self) -> int:
-        """Return the latest stamp seen in these directories, or else of any entry; 0: there is none."""
+        """Return the latest stamp seen in the current directories, or else of any entry; 0: there is none."""
         mark_us = max(self.marks_us.values(), default=0)
         return mark_us or max((stored.record.stamp_us for stored in self.entries.values()), default=0)
 
     # ---- single entries ----------------------------------------------------------------------------------
 
     def _mark(self, reading: Reading) -> int:
-        """Note the latest stamp that the directory shows, and return that of the reading."""
+        """Update the latest stamp of the directory, and return the latest stamp of the reading."""
         latest_us = max((entry.stamp_us for entry in reading.entries), default=0)
         before_us = 0 if reading.complete else self.marks_us.get(reading.source, 0)
         self.marks_us[reading.source] = max(before_us, latest_us)
@@ -177,7 +178,7 @@
         if not parsed.problems:
             self.notices.forget(ENTRY + parsed.id)
         if old is None and len(self.entries) >= MAX_TENANTS:
-            text = f"more than {MAX_TENANTS} entries: the others are not taken"
+            text = f"more than {MAX_TENANTS} entries: the others are ignored"
             self.notices.log_once("error", "bound", text)
             return
         touched.add(new.name)
@@ -186,7 +187,7 @@
         self._put(new, source)
 
     def _accepted(self, parsed: Parsed, stored: StoredEntry | None, source: int) -> Record | None:
-        """Return what holds of the entry now; None: what held before."""
+        """Return the new record of an entry; None: its record stays as it is."""
         if parsed.record is None:
             return _suspension_only(parsed, stored.record if stored else None)
         if stored is None:
@@ -200,12 +201,12 @@
         return accepted
 
     def _reconciled(self, stored: StoredEntry, new: Record, source: int, dn: str) -> Record | None:
-        """Return what holds of an entry that was known, now that a directory shows it so; None: as it was."""
+        """Return the new record of a known entry that a directory shows; None: its record stays as it is."""
         old = stored.record
         newly_suspended = new.suspended and not old.suspended
         if new.stamp_us < old.stamp_us:
-            # A replica that is behind, or one that may not read the stamp. What the first shows is outdated;
-            # of the second only that counts which is never held up, a suspension.
+            # Either the replica is behind, and its entry is outdated. Or the stamp could not be read: then
+            # only a suspension is accepted, as suspensions are never delayed.
             return replace(old, suspended=True) if newly_suspended and not new.stamp_us else None
         if new.stamp_us > old.stamp_us or self.remapped:
             return new
@@ -214,7 +215,7 @@
             self._report_lost_attributes(old, lost, dn)
             return replace(old, suspended=True) if newly_suspended else None
         if old.suspended and not new.suspended and source != stored.source:
-            return None  # two directories differ: the one that showed the suspension lifts it
+            return None  # two directories differ: only the one that showed the suspension can lift it
         return new
 
     def _report_lost_attributes(self, old: Record, lost: frozenset[str], dn: str) -> None:
@@ -228,7 +229,7 @@
         ids = self.claims.setdefault(record.name, [])
         if record.id in ids:
             return
-        # What a directory shows takes the place of what was only known from the settings.
+        # An entry of a directory replaces the one that was only known from the settings.
         for other in [known for known in ids if self.entries[known].source == SETTINGS_SOURCE]:
             ids.remove(other)
             del self.entries[other]
@@ -247,7 +248,7 @@
     def _remove_missing(
         self, reading: Reading, seen: set[str], latest_us: int, touched: set[str], now_s: float
     ) -> None:
-        """Remove the entries that a complete reading does not show, unless something speaks against it."""
+        """Remove the entries that a complete reading lacks, if its directory and the guard allow it."""
         missing = [
             stored.record
             for entry_id, stored in self.entries.items()
@@ -258,7 +259,7 @@
             return
         others = (mark_us for source, mark_us in self.marks_us.items() if source != reading.source)
         if reading.entries and latest_us < max(others, default=0):
-            text = f"directory {reading.source + 1} is behind: it removes nothing"
+            text = f"directory {reading.source + 1} is behind: the entries that it lacks are not removed"
             self.notices.log_once("warning", "behind", text)
             return
         missing_ids = {record.id for record in missing}
@@ -286,8 +287,8 @@
         self.notices.log_once(
             "error",
             "removals",
-            f"{len(names)} of {total} tenants are missing ({listed(names)}), {why}: all stay as they are. If "
-            f'they shall go, set confirm = ["{self.guard.pending}"] in [tenants] and send SIGHUP',
+            f"{len(names)} of {total} tenants are missing ({listed(names)}), {why}: all stay as they are. To "
+            f'remove them, set confirm = ["{self.guard.pending}"] in [tenants] and send SIGHUP',
         )
         return False
 
@@ -297,15 +298,15 @@
             self.notices.forget(subject)
 
     def _report_conflicts(self) -> None:
-        """Log the tenants whose name more than one entry bears."""
+        """Log the tenants that are named by more than one entry."""
         conflicts = {name: ids for name, ids in self.claims.items() if len(ids) > 1}
         self.notices.forget_others(NAME, conflicts.keys())
         for name, ids in conflicts.items():
-            rule = "the first holds, and a suspension by any"
+            rule = "the first one applies, and a suspension by any of them"
             text = f"tenant {name}: {len(ids)} entries ({listed(ids)}); {rule}"
             self.notices.log_once("warning", NAME + name, text)
 
-    # ---- what holds --------------------------------------------------------------------------------------
+    # ---- tenant states -----------------------------------------------------------------------------------
 
     def _changes(self, touched: Iterable[str], now_s: float) -> Changes:
         changes = Changes()
@@ -334,7 +335,7 @@
 
 
 def _suspension_only(parsed: Parsed, old: Record | None) -> Record | None:
-    """Return what holds of an entry that can't be read: only a suspension in it counts."""
+    """Return the new record of an invalid entry, of which only a suspension counts; None: no change."""
     if not parsed.suspended or not (old or parsed.name):
         return None
     if old is None:
--- a/lanelift/tenants/sync_config.py
+++ b/lanelift/tenants/sync_config.py
@@ -1,7 +1,7 @@
-"""What the sync process is told to read: the directories, the search, the attribute map and the times.
+"""Configuration of the sync process: the directories, the search, the attribute map and the times.
 
-Pure, and free of the LDAP client: the balancer's process imports it, too. The keys under which it crosses the
-pipe to the sync process are the operator's keys; they are mapped to the fields here, and nowhere else.
+Pure and without the LDAP client, as the balancer's process imports this module, too. The configuration is
+sent to the sync process as JSON with the keys of the operator's file; only this module maps them to fields.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Directory:
-    """Where one directory server is, and as whom it is read.
+    """Address and credentials of one directory server.
 
     Attributes:
         host: Name or address.
         port: TCP port.
         tls: "ldaps", "starttls" or "none".
-        verify: Check the certificate, and that it is this host's.
-        ca_file: Certificates of the authorities that are trusted; empty: the system's.
-        user: Distinguished name of the simple bind; empty: anonymous.
-        password_file: File whose one line is the password; empty: none.
-        timeout_s: For connecting, and for each answer, in seconds.
+        verify: Whether to verify the server's certificate and its host name.
+        ca_file: File with the certificates of trusted authorities; empty: the system's.
+        user: Distinguished name for the simple bind; empty: anonymous.
+        password_file: File that has the password as its only line; empty: none.
+        timeout_s: Timeout of the connection attempt, and of each receive, in seconds.
     """
 
     host: str
@@ -51,7 +51,7 @@
         base: Distinguished name of the subtree's root.
         filter: Search filter (RFC 4515).
         attributes: The attributes to return.
-        page: Entries on a page (RFC 2696).
+        page: Number of entries on a page (RFC 2696).
     """
 
     base: str
@@ -67,12 +67,12 @@
     Attributes:
         directories: The directory servers, in order of preference.
         search: The search that finds every tenant's entry.
-        map: Which attribute holds what.
-        change_interval_s: Between two readings of changes, in seconds.
-        full_interval_s: Between two full reads, in seconds.
-        full_timeout_s: A full read that takes longer is given up, in seconds.
-        removal_part: Part of all tenants, 0 to 1, that may be removed at once without confirmation.
-        confirmed: Marks of the removals that the operator has confirmed.
+        map: Names of the attributes to parse.
+        change_interval_s: Interval between two reads of changes, in seconds.
+        full_interval_s: Interval between two full reads, in seconds.
+        full_timeout_s: Longest duration of a full read, in seconds.
+        removal_part: Part of all tenants, 0 to 1, that may be removed without confirmation.
+        confirmed: Ids of the removals that the operator has confirmed.
     """
 
     directories: tuple[Directory, ...]
@@ -85,7 +85,7 @@
     confirmed: frozenset[str]
 
     def to_json(self) -> Json:
-        """Return the form that crosses the pipe to the sync process."""
+        """Return the JSON object that is sent to the sync process."""
         return {
             "directories": [_fields(directory) for directory in self.directories],
             "search": _fields(self.search),
@@ -99,7 +99,7 @@
 
     @classmethod
     def from_json(cls, raw: Json) -> SyncConfig:
-        """Build the configuration from what `to_json` returned.
+        """Build the configuration from the result of `to_json`.
 
         Raises:
             KeyError: A key is missing.
@@ -118,12 +118,12 @@
 
 
 def changed_since(search: Search, attribute_map: AttributeMap, since_us: int) -> Search:
-    """Return the same search, restricted to entries that changed at that time or later.
+    """Return the same search, restricted to entries that changed at a given time or later.
 
     Args:
         search: The search for all entries.
         attribute_map: Names the attribute that holds the time of an entry's last change.
-        since_us: Microseconds since 1970; the filter has whole seconds.
+        since_us: Microseconds since 1970, cut to whole seconds in the filter.
     """
     stamp = time.strftime("%Y%m%d%H%M%SZ", time.gmtime(since_us // 1_000_000))
     filter_since = f"(&{search.filter}({attribute_map.stamp}>={stamp}))"
--- a/lanelift/tenants/sync_messages.py
+++ b/lanelift/tenants/sync_messages.py
@@ -1,6 +1,6 @@
-"""What the balancer and its sync process say to each other: lines of JSON on a pipe, mapped to messages here.
+"""Messages between the balancer and its sync process, and their encoding as lines of JSON. Pure.
 
-The balancer sends `Configure`; the sync process sends the others. Pure.
+The balancer sends `Configure`; the sync process sends the other messages.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 Json = dict[str, Any]
 KnownTenant = tuple[str, bool, float]  # folded name, whether it is suspended, share
 
-# Tenants in one line, each class and limit that they have counted as one more: what the balancer takes in on
-# one turn of its loop. With what the last one has: 229 values of 256 characters at most (`entries.py`).
+# Tenants in one line, where each class and each limit of a tenant counts as one more. The balancer handles
+# one line in each iteration of its event loop. The last tenant may exceed this number, so that a line has at
+# most 229 values of 256 characters (`entries.py`).
 MAX_BATCH_VALUES = 100
 MAX_LINE_BYTES = 2**20  # 229 values of 256 characters, 12 bytes each in JSON
 
@@ -28,14 +29,14 @@
 
     Attributes:
         config: What to read, and when.
-        known: The tenants that hold until a directory shows them; None: as before.
+        known: The tenants that stay unchanged until a directory shows them; None: none are added.
     """
 
     config: SyncConfig
     known: Sequence[KnownTenant] | None = None
 
     def to_json(self) -> Json:
-        """Return the JSON object that stands for the message."""
+        """Return the message as a JSON object."""
         known = {} if self.known is None else {"seed": self.known}
         return {"job": self.config.to_json(), **known}
 
@@ -52,38 +53,38 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantsChanged:
-    """From the sync process: tenants as they are now."""
+    """From the sync process: the new states of tenants."""
 
     tenants: Sequence[TenantState]
 
     def to_json(self) -> Json:
-        """Return the JSON object that stands for the message."""
+        """Return the message as a JSON object."""
         return {"tenants": self.tenants}
 
 
 @dataclass(frozen=True, slots=True)
 class TenantsRemoved:
-    """From the sync process: names of those that are no tenants any more."""
+    """From the sync process: the names of removed tenants."""
 
     names: Sequence[str]
 
     def to_json(self) -> Json:
-        """Return the JSON object that stands for the message."""
+        """Return the message as a JSON object."""
         return {"gone": self.names}
 
 
 @dataclass(frozen=True, slots=True)
 class FirstReadComplete:
-    """From the sync process: a directory was read to its end for the first time.
+    """From the sync process: a directory was read completely for the first time.
 
     Attributes:
-        tenants: How many tenants there are. From now on whoever was not sent is unknown.
+        tenants: Number of tenants. From now on a tenant that was not sent is unknown.
     """
 
     tenants: int
 
     def to_json(self) -> Json:
-        """Return the JSON object that stands for the message."""
+        """Return the message as a JSON object."""
         return {"complete": self.tenants}
 
 
@@ -95,7 +96,7 @@
     text: str
 
     def to_json(self) -> Json:
-        """Return the JSON object that stands for the message."""
+        """Return the message as a JSON object."""
         return {"log": [self.level, self.text]}
 
 
@@ -108,10 +109,10 @@
 
 
 def decoded(line: bytes | str) -> SyncMessage | None:
-    """Read one line of the sync process; None: it is of a kind that is not known here.
+    """Parse one line of the sync process; None: the message is of an unknown kind.
 
     Raises:
-        ValueError: The line is no JSON, or a tenant has too many or too few values.
+        ValueError: The line is not JSON, or a tenant has too many or too few values.
     """
     raw = json.loads(line)
     if "tenants" in raw:
@@ -127,7 +128,7 @@
 
 
 def change_messages(changes: Changes) -> Iterator[SyncMessage]:
-    """Yield the messages that send these changes, each short enough for one turn of the balancer's loop."""
+    """Yield messages for these changes, each short enough for one iteration of the balancer's event loop."""
     for batch in batches(changes.tenants):
         yield TenantsChanged(batch)
     for start in range(0, len(changes.removed), MAX_BATCH_VALUES):
@@ -135,7 +136,7 @@
 
 
 def batches(tenants: Sequence[TenantState]) -> Iterator[list[TenantState]]:
-    """Yield the tenants in the same order, in batches of `MAX_BATCH_VALUES` and what the last one has."""
+    """Yield the tenants in the same order; a batch ends when its values reach `MAX_BATCH_VALUES`."""
     batch: list[TenantState] = []
     size = 0
     for tenant in tenants:
--- a/lanelift/tenants/sync_process.py
+++ b/lanelift/tenants/sync_process.py
@@ -1,8 +1,8 @@
 """The balancer's side of tenants from directories.
 
-It keeps the sync process (`sync_worker.py`) running, and posts what that sends to the dispatcher as
-`TenantUpdate`. Nothing here blocks, whatever the directories do: they are the other process's business, and
-its lines are taken in one a turn of the loop.
+It keeps the sync process (`sync_worker.py`) running, and posts the changes that the process sends to the
+dispatcher as `TenantUpdate`. Nothing here blocks, whatever the directories do: only the sync process connects
+to them, and one of its lines is handled in each iteration of the event loop.
 """
 
 from __future__ import annotations
@@ -36,21 +36,22 @@
 
 log = logging.getLogger(__name__)
 
-# Until a process that ended is started again, by ends in a row without an update: it should not end at all.
+# Wait before an ended process is started again, by the number of consecutive ends without an update. Normally
+# the process does not end.
 RESTART_BACKOFF_S = (0.2, 1.0, 5.0, 30.0)
-MAX_SHARED_SETS = 4096  # of classes, and of limits, that tenants share: most have one of a few
+MAX_SHARED_SETS = 4096  # cached sets of classes, and of limits, as most tenants have one of a few
 LOG_LEVELS = {"info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
 @dataclass(frozen=True, slots=True)
 class TenantSource:
-    """Stands in a configuration; `attach` puts it to work.
+    """The directories of a configuration; `attach` creates the object that reads them.
 
     Attributes:
         config: What to read, and when.
-        unknown_tenants: What is done with a tenant that no directory shows.
+        unknown_tenants: How the requests of a tenant that no directory shows are treated.
         wait_s: How long /ready waits for the first reading, in seconds; 0: not at all.
-        settings: The tenants to begin with.
+        settings: The tenants of the settings, by name, which apply until a directory is read.
     """
 
     config: SyncConfig
@@ -59,25 +60,25 @@
     settings: Mapping[str, Tenant] = field(default_factory=dict)
 
     def attach(self, dispatcher: Dispatcher) -> SyncProcess:
-        """Return what reads these directories for a dispatcher; `start` begins it."""
+        """Return a `SyncProcess`, not yet started, that reads these directories for a dispatcher."""
         return SyncProcess(dispatcher, self)
 
 
 class SyncProcess:
-    """Keeps a sync process for as long as the balancer lives.
+    """Keeps a sync process running for as long as the balancer runs.
 
     Attributes:
-        dispatcher: Where updates are posted.
+        dispatcher: Receives the updates.
         source: What to read.
-        process: The process that runs, if any.
-        task: Starts the process, and starts it again.
-        first_read_complete: A directory was read to its end once.
-        gc_frozen: What was there after the first reading is kept from collections.
-        updates: Messages that told of tenants.
+        process: The running process, if any.
+        task: Starts the process, and restarts it when it ends.
+        first_read_complete: Whether a directory has been read completely.
+        gc_frozen: Whether the objects of the first reading have been exempted from garbage collection.
+        updates: Number of messages with changes of tenants.
     """
 
     def __init__(self, dispatcher: Dispatcher, source: TenantSource) -> None:
-        """Prepare it; from now on the dispatcher compares tenants' names as directories do."""
+        """Set up without starting; from now on the dispatcher compares tenant names as directories do."""
         self.dispatcher = dispatcher
         self.source = source
         self.process: asyncio.subprocess.Process | None = None
@@ -88,7 +89,7 @@
         dispatcher.tenant_name = folded
 
     def start(self) -> None:
-        """Start the process, and the wait for the first reading where there is one."""
+        """Start the process, and the wait for the first reading if one is configured."""
         loop = asyncio.get_running_loop()
         if self.source.wait_s > 0:
             self.dispatcher.awaits_tenants = True
@@ -96,7 +97,7 @@
         self.task = loop.create_task(self._keep_running())
 
     def reconfigure(self, source: TenantSource) -> None:
-        """Read other directories, or in another way; tenants stay until these show otherwise."""
+        """Apply another configuration; tenants stay as they are until its directories show other states."""
         changed = source.unknown_tenants is not self.source.unknown_tenants
         self.source = source
         if changed and self.first_read_complete:
@@ -124,14 +125,14 @@
             updates = self.updates
             try:
                 await self._run()
-            except Exception:  # whatever it is, tenants stay as they are, and it is tried again
+            except Exception:  # after any error tenants stay as they are, and the process is restarted
                 log.exception("the reader of directories failed")
             ends_in_a_row = 1 if self.updates > updates else ends_in_a_row + 1
             log.error("the reader of directories has ended; tenants stay as they are until it is back")
             await asyncio.sleep(RESTART_BACKOFF_S[min(ends_in_a_row, len(RESTART_BACKOFF_S)) - 1])
 
     async def _run(self) -> None:
-        """Start the process, and receive until it ends."""
+        """Start the process, and handle its messages until it ends."""
         process = self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -147,9 +148,9 @@
         try:
             while line := await process.stdout.readline():
                 self._receive(decoded(line))
-                await asyncio.sleep(0)  # a line a turn: requests must not wait behind 50,000 tenants
+                await asyncio.sleep(0)  # one line per iteration: requests must not wait for 50,000 tenants
         except ValueError as error:
-            log.error("the reader of directories told what can't be read: %s", error)
+            log.error("the reader of directories sent an invalid line: %s", error)
         finally:
             _kill(process)
             self.process = None
@@ -179,14 +180,15 @@
         log.info("tenants read from a directory: %d", count)
         self.dispatcher.post(TenantUpdate(unknown_tenants=self.source.unknown_tenants))
         if not self.gc_frozen:
-            # As at the start: what is there now stays, and a collection that walked through 50,000 tenants
-            # would stop the loop for 30 ms. Once only: garbage of this moment stays, too.
+            # As at the balancer's start: the present objects are long-lived, and a collection that visits
+            # 50,000 tenants would block the event loop for 30 ms. This is done only once, because garbage
+            # that is present now is never collected.
             self.gc_frozen = True
             gc.freeze()
 
 
 def policy_tenant(state: TenantState) -> Tenant:
-    """Return a tenant as the policy takes it; tenants share their sets of classes and of limits."""
+    """Return a tenant's state as a tenant of the policy; equal sets of classes or limits are one object."""
     limits = _limits(state.quota_per_s, state.limits)
     return Tenant(state.name, state.share, 0.0, state.denial_reason, _classes(state.classes), limits)
 
--- a/lanelift/tenants/sync_worker.py
+++ b/lanelift/tenants/sync_worker.py
@@ -1,9 +1,9 @@
 """The process that reads directories for one balancer: `python -m lanelift.tenants.sync_worker`.
 
-It receives its configuration as a line of JSON on standard input, and another when that changes; it sends the
-changes of tenants as lines of JSON on standard output (`sync_messages.py`). All that takes time or may block
-runs here: the threads of `ldap3`, names being looked up, and the work of 50,000 entries. It leaves when its
-input ends.
+The process receives its configuration as a line of JSON on standard input, and another line when the
+configuration changes; it sends the changes of tenants as lines of JSON on standard output
+(`sync_messages.py`). All work that takes long or may block runs here: the threads that use `ldap3`, DNS
+lookups, and the processing of 50,000 entries. The process exits when its input ends.
 """
 
 from __future__ import annotations
@@ -34,27 +34,27 @@
 )
 from lanelift.tenants.tenant_state import Changes
 
-MAX_LOG_CHARACTERS = 1000  # of a line of the log: directories' own words may be of any length
-MAX_HUNG_THREADS = 4  # that could not be ended (a name being looked up): then the whole process is
-INTERVAL_JITTER = 0.1  # part of an interval, by chance: balancers must not search a directory in step
+MAX_LOG_CHARACTERS = 1000  # of a log message, as texts from directories may be of any length
+MAX_HUNG_THREADS = 4  # threads that could not be ended (in a DNS lookup), before the whole process exits
+INTERVAL_JITTER = 0.1  # random part of an interval, so that balancers do not search a directory in step
 JOIN_TIMEOUT_S = 0.2  # for a thread whose connection was closed
 
 
 class SyncWorker:
-    """The main thread: it alone owns the store, decides by the schedule, and sends.
+    """The main thread of the sync process; only this thread uses the store and the schedule, and sends.
 
     Attributes:
-        events: What the main thread is to run, from the readers' threads and from standard input.
-        store: What holds of each tenant.
+        events: Functions to be run by the main thread, from the readers' threads and from standard input.
+        store: The state of each tenant.
         config: What to read; None before the first configuration.
-        schedule: When to read it.
+        schedule: When to read; None before the first configuration.
         readers: The thread for each kind of reading.
-        began_revision: By kind: the store's revision when the reading that runs began.
-        hung_threads: Threads that were left to themselves.
-        awaiting_first_read: No full read has been completed.
-        stopping: The process is to leave.
+        began_revision: By kind: the store's revision when the running reading began.
+        hung_threads: Number of abandoned threads.
+        awaiting_first_read: Whether no full read has been completed yet.
+        stopping: Whether the process is to exit.
         faults: By directory: why it can't be read.
-        changes_found: The read of changes that runs has changed something.
+        changes_found: Whether the running read of changes has changed a tenant.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
         clock: Callable[[], float] = time.monotonic,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        """Begin without a configuration.
+        """Create a worker without a configuration.
 
         Args:
             send: Sends a message to the balancer.
-            clock: Seconds on a clock that never steps.
-            wall_clock: Seconds since 1970.
+            clock: Returns the seconds of a monotonic clock.
+            wall_clock: Returns the seconds since 1970.
         """
         self.send = send
         self.clock = clock
@@ -86,7 +86,7 @@
         self.changes_found = False
 
     def receive(self, raw: dict[str, Any]) -> None:
-        """Take in one line of standard input, as JSON.
+        """Handle one line of standard input, which is decoded JSON.
 
         Raises:
             KeyError: A key is missing.
@@ -95,7 +95,7 @@
         self.configure(Configure.from_json(raw))
 
     def configure(self, message: Configure) -> None:
-        """Read other directories, or the same in another way, from now on."""
+        """Apply a new configuration; readings of the previous one are given up."""
         config = message.config
         self.store.guard.removal_part = config.removal_part
         self.store.guard.confirmed = config.confirmed
@@ -130,7 +130,7 @@
         return reader
 
     def step(self) -> None:
-        """Begin and end what is due, and wait for the next thing to happen."""
+        """Begin the readings that are due, give up overdue ones, and wait for the next event."""
         now_s = self.clock()
         if self.schedule is not None:
             for order in self.schedule.overdue(now_s):
@@ -146,7 +146,7 @@
         event()
 
     def _wait_s(self) -> float | None:
-        """Return how long nothing is due, in seconds; None: not before an event."""
+        """Return the seconds until something is due; None: nothing is due before the next event."""
         waits = []
         if self.schedule is not None and (due_s := self.schedule.next_s()) is not None:
             waits.append(due_s - self.clock())
@@ -161,28 +161,29 @@
         self.readers[order.kind].orders.put(order)
 
     def _give_up(self, order: ReadOrder) -> None:
-        """Close the connection of a reading that takes too long, and leave its thread to itself."""
+        """Close the connection of an overdue reading, abandon its thread and start another."""
         assert self.schedule is not None
         reader = self.readers[order.kind]
         reader.stop()
         reader.join(JOIN_TIMEOUT_S)
         self.hung_threads += reader.is_alive()
         if self.hung_threads >= MAX_HUNG_THREADS:
-            self._log("error", "lookups of directories' names hang: the reader starts again")
+            self._log("error", "DNS lookups of directories hang: the reader of directories is restarted")
             self.stopping = True
         self.readers[order.kind] = self._start_reader(order.kind)
         self._report_fault(order, "it was not read in time")
         self.schedule.failed(order, self.clock())
 
     def _is_current(self, reader: ReplicaReader, order: ReadOrder) -> bool:
-        """Tell whether this thread still makes the readings; one that was given up on is ignored.
+        """Return whether a thread still performs the readings of its kind.
 
-        Its reading belongs to directories or a map that do not count any more, or has been made again.
+        The readings of an abandoned thread are ignored: they belong to an earlier configuration, or have been
+        ordered from another thread.
         """
         return self.schedule is not None and reader is self.readers.get(order.kind)
 
     def _page_received(self, reader: ReplicaReader, order: ReadOrder, page: list[Parsed]) -> None:
-        """Merge a page of changes: a suspension on it does not wait for the rest."""
+        """Merge a page of changes, so that a suspension on it does not wait for the other pages."""
         if not self._is_current(reader, order):
             return
         assert self.schedule is not None
@@ -211,7 +212,7 @@
             self._read_succeeded(order, len(result.entries), now_s)
         self._send_changes(changes)
         if complete and self.awaiting_first_read and result.entries:
-            # From now on whoever was not sent is unknown: an empty reading must not make everybody so.
+            # From now on a tenant that was not sent is unknown; an empty reading must not make all unknown.
             self.awaiting_first_read = False
             self.send(FirstReadComplete(len(self.store.sent)))
 
@@ -224,17 +225,17 @@
         self.schedule.done(order, now_s, found, self.changes_found)
         if order.kind is ReadKind.FULL or order.since_us > self.store.marks_us.get(order.source, 0):
             return
-        # The directory holds an entry of that age, so a read of changes must show one.
+        # The directory has an entry with a stamp in this range, so a read of changes must return one.
         if self.schedule.invalidate(order, now_s, bool(found)):
             server = self.config.directories[order.source] if self.config else "?"
-            self._log("warning", f"{server} does not find changes by their time: it is read whole")
+            self._log("warning", f"{server} does not find changes by their time: it is read in full")
 
     def _server(self, order: ReadOrder) -> str:
         assert self.config is not None
         return str(self.config.directories[order.source])
 
     def _report_fault(self, order: ReadOrder, reason: str) -> None:
-        """Log why a directory can't be read, unless that is known."""
+        """Log why a directory can't be read, unless the reason is the same as before."""
         server = self._server(order)
         if self.faults.get(server) != reason:
             self.faults[server] = reason
@@ -254,7 +255,7 @@
 
 
 def receive_lines(lines: BinaryIO, worker: SyncWorker) -> None:
-    """Hand on each line of standard input, and its end."""
+    """Pass each line of standard input, and its end, to the worker as an event."""
 
     def stop() -> None:
         worker.stopping = True
@@ -265,7 +266,7 @@
 
 
 def main() -> int:
-    """Run the process until its input ends, or nobody reads its output any more."""
+    """Run the process until its input ends or its output is closed."""
     output = sys.stdout.buffer
 
     def send(message: SyncMessage) -> None:
@@ -277,9 +278,9 @@
     try:
         while not worker.stopping:
             worker.step()
-    except BrokenPipeError:  # the balancer has gone
+    except BrokenPipeError:  # the balancer has ended
         pass
-    os._exit(0)  # threads that hang in a name's lookup must not hold the process
+    os._exit(0)  # threads that hang in a DNS lookup must not keep the process running
 
 
 if __name__ == "__main__":
--- a/lanelift/tenants/tenant_state.py
+++ b/lanelift/tenants/tenant_state.py
@@ -1,4 +1,4 @@
-"""What holds of tenants, as it is sent to the balancer's process. Pure."""
+"""States of tenants, as they are sent to the balancer's process. Pure."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class TenantState(NamedTuple):
-    """What holds of one tenant now.
+    """The current state of one tenant.
 
     Attributes:
         name: Folded name.
-        denial_reason: Why none of its requests is served; empty: they are.
-        share: Its part of the capacity, beside the others'.
-        quota_per_s: Requests per second, of all classes together; None: not limited.
-        classes: The only classes it may ask for, sorted; empty: any.
+        denial_reason: Why all requests of the tenant are denied; empty: they are served.
+        share: The tenant's weight when capacity is divided among tenants.
+        quota_per_s: Requests per second, over all classes; None: not limited.
+        classes: The classes that the tenant may request, sorted; empty: any.
         limits: Requests per second, by class.
     """
 
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Changes:
-    """What is to be sent: tenants as they are now, and the names of those that are none any more."""
+    """Changes to be sent: the new states of tenants, and the names of removed tenants."""
 
     tenants: list[TenantState] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)
@@ -41,10 +41,10 @@
 
 
 def denial_reason(records: Sequence[Record], now_s: float) -> str:
-    """Return why a tenant is not served, or nothing: a suspension by any entry, or the validity of the first.
+    """Return why the requests of a tenant are denied; empty: they are served.
 
     Args:
-        records: What the tenant's entries say, the one that holds first.
+        records: The tenant's records. Any of them can suspend it; the validity is that of the first.
         now_s: Seconds since 1970.
     """
     first = records[0]
--- a/lanelift/tenants/validity.py
+++ b/lanelift/tenants/validity.py
@@ -1,4 +1,4 @@
-"""When tenants' validity begins or ends next. Pure: the caller hands it the time."""
+"""Timer for the begin and end of tenants' validity. Pure: the caller passes the time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from lanelift.tenants.entries import Record
 
-MIN_HEAP_SLACK = 3  # outdated boundaries that are never worth a rebuild of the heap
+MIN_HEAP_SLACK = 3  # number of outdated boundaries for which the heap is never rebuilt
 
 
 @dataclass(slots=True)
@@ -16,15 +16,15 @@
 
     Attributes:
         due: By tenant: when its validity begins or ends next.
-        boundaries: The same as a heap. Outdated ones stay in it until it has twice as many as there are
-            tenants in `due`: values that change all the time must not fill it.
+        boundaries: The same times as a heap. Outdated ones stay in the heap until it is twice as long as
+            `due`; then it is rebuilt, so that validities that change often do not fill it.
     """
 
     due: dict[str, float] = field(default_factory=dict)
     boundaries: list[tuple[float, str]] = field(default_factory=list)
 
     def schedule(self, record: Record, now_s: float) -> None:
-        """Note when the validity of a record's tenant begins or ends next."""
+        """Store when the validity of a record's tenant begins or ends next."""
         limits = (record.valid_from_s, record.valid_until_s)
         ahead = [limit_s for limit_s in limits if limit_s is not None and limit_s > now_s]
         if not ahead:
@@ -43,7 +43,7 @@
         self.due.pop(name, None)
 
     def pop_due(self, now_s: float) -> set[str]:
-        """Take out the boundaries that have passed, and return whose they were."""
+        """Remove the boundaries that have passed, and return their tenants."""
         passed = set()
         while self.boundaries and self.boundaries[0][0] <= now_s:
             due_s, name = heapq.heappop(self.boundaries)
@@ -52,5 +52,5 @@
         return passed
 
     def next_s(self) -> float | None:
-        """Return when the next boundary passes, at the earliest."""
+        """Return the earliest time at which a boundary may pass; None: there is none."""
         return self.boundaries[0][0] if self.boundaries else None
