--- a/lanelift/cli/__init__.py
+++ b/lanelift/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, `lanelift`. `python -m lanelift`, as the platform starts it, imports none."""
+"""The command line, `lanelift`. `python -m lanelift`, which the platform starts, does not import it."""
--- a/lanelift/cli/config.py
+++ b/lanelift/cli/config.py
@@ -1,4 +1,4 @@
-"""`lanelift config`: looks at the operator's file without starting anything."""
+"""`lanelift config`: checks the operator's file without starting the daemon."""
 
 from __future__ import annotations
 
--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -1,4 +1,4 @@
-"""`lanelift lease`: who holds what over the fleet, and commands that run only while a lease is held."""
+"""`lanelift lease`: shows the fleet's leases, and runs commands only while a lease is held."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
     statuses = [status for pages in found.values() for page in pages for status in page.leases]
     names = sorted({status.lease for status in statuses})
     for name in names:
-        of_name = [status for status in statuses if status.lease == name]
-        click.echo(_summary(name, of_name, len(source.cluster.voters)))
+        lease_statuses = [status for status in statuses if status.lease == name]
+        click.echo(_summary(name, lease_statuses, len(source.cluster.voters)))
     if not names:
         click.echo("no lease is held or waited for")
     _require_majority(source, found)
@@ -108,7 +108,7 @@
 
 
 def _source(path: Path) -> FleetSource:
-    """Returns the fleet of the operator's file; ends the program with its mistakes, if it has any."""
+    """Returns the fleet of the operator's file; prints the problems and exits if the file is invalid."""
     try:
         source: FleetSource | None = read_operator_file(path).fleet_source()
     except (FileValidationError, SettingsError) as error:
@@ -119,7 +119,7 @@
 
 
 def _summary(name: str, statuses: list[LeaseStatus], voters: int) -> str:
-    """Returns one line on a lease, by what each voter that knows it responded."""
+    """Returns one line on a lease, from the responses of the voters that know the lease."""
     held = [status for status in statuses if status.holder]
     waiters = max(status.waiters for status in statuses)
     latest = max(held, key=lambda status: status.token, default=None)
@@ -133,7 +133,7 @@
 
 
 def _described(pages: list[LeaseList] | None, name: str) -> str:
-    """Returns what one voter responded on a lease."""
+    """Returns the state of a lease in the response of one voter, as text."""
     if pages is None:
         return "no answer"
     if pages[0].quiet_ns:
--- a/lanelift/cli/main.py
+++ b/lanelift/cli/main.py
@@ -1,6 +1,6 @@
-"""`lanelift`: one command, its parts in modules of their own, loaded when they are called for.
+"""`lanelift`: the group of all commands, whose modules are imported on demand.
 
-Exit codes: 0 done, 1 the run fell short (also: was void), 2 bad input, said in one clear message.
+Exit codes: 0 success; 1 the command failed, or its run was void; 2 bad input, which a message explains.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 import click
 
 EXIT_FAILURE, EXIT_BAD_INPUT = 1, 2
-# Command: the module that holds it under its own name, and what the help says of it. A module is imported
-# only when its command runs or its own help is asked for: `lanelift serve` must not carry the kit along.
+# By command: the module that defines it under the command's name, and its help text. A module is imported
+# only if its command runs or its help is requested: `lanelift serve` must not import the rehearsal kit.
 COMMANDS = {
     "serve": ("lanelift.cli.serve", "Balance over the servers that FILE lists."),
     "config": ("lanelift.cli.config", "Check the operator's file."),
@@ -22,7 +22,7 @@
     "lease": ("lanelift.cli.lease", "Run commands under leases of the fleet, and show them."),
     "rehearse": ("lanelift.cli.rehearse", "Play a day on loopback sockets and judge it."),
 }
-FILE = click.Path(path_type=Path)  # whether it can be read is reported with its other problems
+FILE = click.Path(path_type=Path)  # a file that can't be read is reported in the same way as other problems
 CONFIG = click.option(
     "--config",
     "-c",
@@ -35,14 +35,14 @@
 
 
 class LazyGroup(click.Group):
-    """Imports a command's module only when the command runs or its own help is asked for."""
+    """A group that imports a command's module only if the command runs or its help is requested."""
 
     def list_commands(self, context: click.Context) -> list[str]:
-        """The commands' names."""
+        """Return the names of all commands."""
         return list(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """A command by its name; None: there is no such command."""
+        """Return a command by its name; None: there is no such command."""
         if name not in COMMANDS:
             return None
         command = getattr(importlib.import_module(COMMANDS[name][0]), name)
@@ -70,6 +70,6 @@
 
 
 def exit_with_bad_input(message: object) -> NoReturn:
-    """Bad input: say so and leave with exit code 2."""
+    """Print a message about bad input, and exit with code 2."""
     click.echo(str(message), err=True)
     sys.exit(EXIT_BAD_INPUT)
--- a/lanelift/cli/tenants.py
+++ b/lanelift/cli/tenants.py
@@ -1,4 +1,4 @@
-"""`lanelift tenants`: what directories say, and what is wrong there, without a balancer."""
+"""`lanelift tenants`: shows the tenants of directories and checks their entries, without a balancer."""
 
 from __future__ import annotations
 
@@ -71,13 +71,13 @@
 
 
 def _check_directory(config: SyncConfig, number: int, before: dict[str, TenantState]) -> bool:
-    """Print what one directory shows against the tenants of before; return whether all of it is valid."""
+    """Print a directory's problems, and its changes from `before`; return whether it has no problems."""
     found, failure = _read(config, number)
     incomplete = f"; not whole: {failure}" if failure else ""
     click.echo(f"{config.directories[number]}: {len(found)} entries{incomplete}")
     if failure and not found:
         return False
-    # Seeded with what holds now, so that removals past the share are seen as a balancer would see them.
+    # Seeded with the present tenants, so that too many removals are detected as in a balancer.
     notices: list[str] = []
     store = TenantStore(config.removal_part, config.confirmed, lambda _, text: notices.append(text))
     store.seed((tenant.name, tenant.denial_reason == "suspended", tenant.share) for tenant in before.values())
@@ -115,7 +115,7 @@
 
 
 def _read(config: SyncConfig, number: int) -> ReadResult:
-    # Only here: without the extra `tenants` there is no client, and `_source` has said so by now.
+    # Imported only here: without the extra `tenants` there is no LDAP client, which `_source` has reported.
     from lanelift.tenants.client import DirectoryError, Session
     from lanelift.tenants.replica_reader import ReadResult, read_all
 
@@ -130,7 +130,7 @@
 
 
 def _before(source: TenantSource, against: Path | None) -> dict[str, TenantState]:
-    """Return the tenants to compare with, by name."""
+    """Return the tenants to compare with, by name, from a file or from the settings."""
     if against is None:
         listed = source.settings.values()
         return {tenant.name: TenantState(tenant.name, "", tenant.share, None, (), ()) for tenant in listed}
@@ -150,7 +150,7 @@
 
 
 def _to_json(tenant: TenantState) -> dict[str, Any]:
-    """Return a tenant under the names that `show --json` prints; files of before have them, too."""
+    """Return a tenant with the keys of `show --json`, which must not change, as existing files have them."""
     fields = tenant._asdict()
     return {"barred" if name == "denial_reason" else name: value for name, value in fields.items()}
 
@@ -167,7 +167,7 @@
 
 
 def _summary(tenant: TenantState) -> str:
-    """Return one tenant at a glance."""
+    """Return a summary of one tenant, in one line."""
     parts = [tenant.denial_reason or "served", f"share {tenant.share:g}"]
     if tenant.quota_per_s is not None:
         parts.append(f"at most {tenant.quota_per_s:g}/s")
--- a/lanelift/config/__init__.py
+++ b/lanelift/config/__init__.py
@@ -1,1 +1,1 @@
-"""Files that people write: each is checked as a whole before anything of it is used."""
+"""Configuration files, each of which is validated as a whole before any of its values is used."""
--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -1,7 +1,7 @@
-"""Reads a TOML file against a model and reports every problem in it at once.
+"""Reads a TOML file, validates it with a model, and reports all of its problems together.
 
-A problem names the file, the key's path, what was found and what is allowed; an unknown key names the nearest
-known one. The checking itself is pydantic's; this module turns its findings into one form.
+A problem names the file, the path of the key, the value found and the values allowed; for an unknown key it
+names the most similar known key. pydantic validates the file; this module converts its errors to problems.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 from lanelift.errors import LaneliftError
 
 SHOWN_CHARACTERS = 60  # of a value in a message
-MIN_SIMILARITY = 0.6  # of a known key to an unknown one, to be suggested (difflib's ratio)
+MIN_SIMILARITY = 0.6  # of a known key that is suggested in place of an unknown one (difflib's ratio)
 
 
 @dataclass(frozen=True, slots=True)
 class ValidationProblem:
-    """One thing that is wrong with a file.
+    """One problem of a file.
 
     Attributes:
-        place: The key's path (`upstream[2].address`); empty: the file as a whole.
-        found: What stands there; empty: nothing that could be shown.
-        allowed: What may stand there, in words.
+        place: The path of the key (`upstream[2].address`); empty: the file as a whole.
+        found: The value found, as text; empty: there is no value to show.
+        allowed: The values that are allowed, in words.
     """
 
     place: str
@@ -46,16 +46,16 @@
 
 
 class Table(BaseModel):
-    """A table of a file: no key but the known ones, no text taken for a number, and it stays as read."""
+    """A table of a file: immutable, without unknown keys, and with values that are not converted."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
     @classmethod
     def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
-        """Problems that lie between several keys of the file.
+        """Return the problems that concern several keys of the file.
 
-        It gets the raw tables, since it is called also where single keys are wrong: whatever is no value of
-        the right type is left to the checks of single keys.
+        The argument is raw input, as this is called even if single keys are invalid. Values of the wrong type
+        are ignored here; the checks of single keys report them.
         """
         return ()
 
@@ -64,11 +64,11 @@
 
 
 class FileValidationError(LaneliftError):
-    """A file that can't be used.
+    """A file is invalid or can't be read.
 
     Attributes:
-        file: How messages name it.
-        problems: All that is wrong with it, in the order of its keys.
+        file: The name of the file in messages.
+        problems: All problems of the file, in the order of its keys.
     """
 
     def __init__(self, file: str, problems: Sequence[ValidationProblem]) -> None:
@@ -81,10 +81,10 @@
 
 
 def read_file(path: Path, model: type[T], changes: Mapping[str, Any] | None = None) -> T:
-    """The file's content as a `model`.
+    """Return the content of a file as an instance of `model`.
 
     Raises:
-        FileValidationError: It has problems, can't be read or is no TOML.
+        FileValidationError: The file has problems, can't be read or is not TOML.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -101,16 +101,16 @@
 
 
 def read_text(text: str, model: type[T], file: str, changes: Mapping[str, Any] | None = None) -> T:
-    """The content of a text as a `model`.
+    """Return the content of a text as an instance of `model`.
 
     Args:
         text: The TOML.
-        model: What it must fit.
-        file: How messages name it.
-        changes: Values by the path of their key, in place of what the text says.
+        model: The model that validates the text.
+        file: The name of the text's file in messages.
+        changes: Values that replace those of the text, by the path of their key.
 
     Raises:
-        FileValidationError: It has problems or is no TOML.
+        FileValidationError: The text has problems or is not TOML.
     """
     try:
         raw = tomllib.loads(text)
@@ -134,7 +134,7 @@
 
 
 def tables(raw: dict[str, Any], key: str) -> list[tuple[str, dict[str, Any]]]:
-    """The tables of an array in raw input, each with its path; nothing where the input is something else."""
+    """Return the tables of an array in raw input, each with its path; none if the value is not an array."""
     rows = raw.get(key, [])
     return (
         [(f"{key}[{i}]", row) for i, row in enumerate(rows) if isinstance(row, dict)]
@@ -144,7 +144,10 @@
 
 
 def number(row: dict[str, Any], key: str, default: float) -> float:
-    """A number in raw input, or the default. Not-a-number for what is none: no comparison holds for it."""
+    """Return a number of raw input, or the default if it is missing.
+
+    The result for a value of another type is NaN, for which every comparison is false.
+    """
     value = row.get(key, default)
     fits = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
     return value if fits else math.nan
@@ -153,7 +156,7 @@
 def order_problems(
     raw: dict[str, Any], key: str, low: str, high: str, model: type[Table]
 ) -> Iterable[ValidationProblem]:
-    """Two figures of each table in an array, the first of which may not be above the second."""
+    """Yield a problem for each table of an array in which the number `low` is greater than `high`."""
     for path, row in tables(raw, key):
         found, most = (number(row, name, model.model_fields[name].get_default()) for name in (low, high))
         if found > most:
@@ -161,7 +164,7 @@
 
 
 def duplicate_name_problems(raw: dict[str, Any], key: str) -> Iterable[ValidationProblem]:
-    """Names that stand more than once in an array of tables."""
+    """Yield a problem for each table of an array that has the name of an earlier one."""
     seen: dict[str, str] = {}
     for path, row in tables(raw, key):
         name = row.get("name")
@@ -172,8 +175,8 @@
 
 
 def _problem(error: ErrorDetails, model: type[BaseModel]) -> ValidationProblem:
-    """A finding of pydantic's as a problem."""
-    # The tag of a union of tables stands in pydantic's path, and not in the file.
+    """Convert an error of pydantic to a problem."""
+    # The tag of a union of tables is in pydantic's path, but not in the file.
     path = _path([part for part in error["loc"] if not _is_tag(part, error["loc"], model)])
     kind, context = error["type"], error.get("ctx", {})
     if kind == "extra_forbidden":
@@ -184,7 +187,7 @@
         return ValidationProblem(path, "", f"unknown key; {hint}")
     if kind == "missing":
         return ValidationProblem(path, "", "missing; it must be set")
-    if kind == "value_error":  # a validator's own words, which say what is allowed
+    if kind == "value_error":  # the message of a validator, which says what is allowed
         message = str(context.get("error", error["msg"]))
         return ValidationProblem(path, _shown(error["input"]) if path else "", message)
     return ValidationProblem(
@@ -201,7 +204,7 @@
 
 
 def _shown(value: object) -> str:
-    """A value as messages show it."""
+    """Return a value as text for a message."""
     try:
         text = json.dumps(value, ensure_ascii=False)
     except (TypeError, ValueError):  # dates and times, which TOML has and JSON has not
@@ -217,8 +220,10 @@
 
 
 def _is_tag(part: int | str, loc: Sequence[int | str], model: type[BaseModel]) -> bool:
-    """Is this word of the path the name of a union's member? It follows on a list's index, where the file
-    has a table, and is no key of that table."""
+    """Return whether a part of a path is the tag of a union's member.
+
+    A tag follows the index of a list, where the file has a table, and is not a key of that table.
+    """
     at = list(loc).index(part)
     return (
         isinstance(part, str)
@@ -237,7 +242,7 @@
 
 
 def _members(annotation: Any) -> list[type[BaseModel]]:
-    """The tables that an annotation may stand for."""
+    """Return the models that an annotation allows."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return [annotation]
     return [m for argument in get_args(annotation) if argument is not NoneType for m in _members(argument)]
--- a/lanelift/config/directories.py
+++ b/lanelift/config/directories.py
@@ -1,7 +1,7 @@
-"""`[tenants]` of the operator's file: directories that name tenants, and how their entries are read.
+"""`[tenants]` of the operator's file: directories that list tenants, and how their entries are read.
 
-The names of the tables' fields are the file's keys, and stay as operators have written them. Times are
-seconds.
+The names of the tables' fields are the file's keys and must not change, as existing files have them. Times
+are in seconds.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from pydantic import AfterValidator, Field
 
 from lanelift.config.checked import Table, ValidationProblem, tables
-from lanelift.config.fields import Part
+from lanelift.config.fields import Fraction
 from lanelift.policy import settings as policy
 from lanelift.settings import SettingsError
 from lanelift.tenants.names import folded
 
 _ATTRIBUTE = re.compile(r"[A-Za-z][A-Za-z0-9-]*|[0-9]+(\.[0-9]+)*")  # RFC 4512, 2.5
-_MARK = re.compile("[0-9a-f]{8}")  # of a pending removal, as the log names it
+_REMOVAL_ID = re.compile("[0-9a-f]{8}")  # the id of a pending removal, as in the log
 MAX_PORT = 65_535
 
 
@@ -39,7 +39,7 @@
     depth, is_enclosed = 0, len(text) > 2
     for at, char in enumerate(text):
         depth += (char == "(") - (char == ")")
-        # One pair of parentheses encloses all of it.
+        # One pair of parentheses must enclose the whole filter.
         is_enclosed = is_enclosed and (depth > 0 or at == len(text) - 1)
     if depth or not is_enclosed:
         raise ValueError("allowed: one filter in parentheses (RFC 4515), like (objectClass=person)")
@@ -52,9 +52,9 @@
     return text
 
 
-def _mark(text: str) -> str:
-    if not _MARK.fullmatch(text):
-        raise ValueError("allowed: marks as the log names them, 8 hexadecimal digits")
+def _removal_id(text: str) -> str:
+    if not _REMOVAL_ID.fullmatch(text):
+        raise ValueError("allowed: ids of removals as in the log, 8 hexadecimal digits")
     return text
 
 
@@ -63,7 +63,7 @@
 
 
 class TenantMap(Table):
-    """Which attribute of an entry holds what; "" for what is not read."""
+    """Names of the LDAP attributes to read; "" for one that is not read."""
 
     name: Annotated[Attribute, Field(min_length=1)] = "cn"
     standing: Attribute = ""
@@ -80,7 +80,7 @@
 
 
 class LdapDirectory(Table):
-    """One directory; several stand in the order of preference."""
+    """One directory server; the file lists them in the order of preference."""
 
     url: Annotated[str, AfterValidator(_ldap_url)]
     tls: Literal["verify", "unverified", "off"] = "verify"
@@ -91,7 +91,7 @@
 
 
 class Tenants(Table):
-    """Tenants from directories: `[tenants]`. Times are seconds here."""
+    """`[tenants]`: tenants read from directories. Times are in seconds."""
 
     directories: Annotated[list[LdapDirectory], Field(min_length=1, max_length=8, alias="directory")]
     base: Annotated[str, Field(max_length=1024)]
@@ -104,12 +104,12 @@
     whole_s: Annotated[float, Field(ge=1, le=86_400)] = 60.0
     reading_s: Annotated[float, Field(ge=1, le=3600)] = 120.0
     page: Annotated[int, Field(ge=1, le=10_000)] = 500
-    removal_part: Part = 0.1
-    confirm: Annotated[list[Annotated[str, AfterValidator(_mark)]], Field(max_length=32)] = []  # noqa: RUF012  pydantic copies defaults
+    removal_part: Fraction = 0.1
+    confirm: Annotated[list[Annotated[str, AfterValidator(_removal_id)]], Field(max_length=32)] = []  # noqa: RUF012  pydantic copies defaults
 
     @classmethod
     def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
-        """Problems between several keys of the table."""
+        """Return the problems that concern several keys of the table."""
         raw = raw if isinstance(raw, dict) else {}
         yield from cls._words_in_common(raw)
         for path, row in tables(raw, "directory"):
@@ -140,10 +140,10 @@
             yield ValidationProblem("tenants.map.good", found, "allowed: words that are not among suspended")
 
     def source(self, known: dict[str, policy.Tenant]) -> Any:
-        """What the daemon attaches. The modules that read directories are imported only where this is set.
+        """Return the `TenantSource` that the daemon attaches; this imports the modules of the source.
 
         Args:
-            known: The tenants to begin with.
+            known: The tenants of the settings, by name.
 
         Raises:
             SettingsError: The LDAP client is not installed.
--- a/lanelift/config/fields.py
+++ b/lanelift/config/fields.py
@@ -1,4 +1,4 @@
-"""Kinds of values that several tables of the operator's file share."""
+"""Types of values that several tables of the operator's file use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from lanelift.net.addresses import split_address
 from lanelift.settings import SettingsError
 
-MAX_MS = 3_600_000  # an hour: more is a slip of the unit
+MAX_MS = 3_600_000  # an hour; a longer time is probably given in the wrong unit
 
 
 def _address(text: str) -> str:
@@ -26,4 +26,4 @@
 Name = Annotated[str, Field(min_length=1, max_length=128)]
 Milliseconds = Annotated[float, Field(ge=0, le=MAX_MS)]
 PriorityWeight = Annotated[float, Field(ge=0, le=1e9)]
-Part = Annotated[float, Field(ge=0, le=1)]
+Fraction = Annotated[float, Field(ge=0, le=1)]
--- a/lanelift/config/fleet.py
+++ b/lanelift/config/fleet.py
@@ -1,4 +1,4 @@
-"""`[fleet]` of the operator's file: its members, its timings, and what of them does not go together."""
+"""`[fleet]` of the operator's file: the members, the timings, and the checks of their combinations."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     from lanelift.leases.node import FleetSource
 
 MS = 1_000_000
-MAX_MEMBERS = 256  # checked here alone; a request goes to each voter: more would cost too many messages
+MAX_MEMBERS = 256  # checked only here; a request goes to each voter, so more would cost too many messages
 
 
-def _bare(text: str) -> str:
+def _printable_id(text: str) -> str:
     if not re.fullmatch(r"[!-.0-~]+", text) or text.startswith("."):
         raise ValueError('allowed: printable ASCII without spaces and "/", not beginning with "."')
     return text
 
 
-Id = Annotated[str, Field(min_length=1, max_length=64), AfterValidator(_bare)]
+Id = Annotated[str, Field(min_length=1, max_length=64), AfterValidator(_printable_id)]
 
 
 class FleetMember(Table):
-    """One member; `votes`: whether it is a voter. Three or five voters suffice."""
+    """One member of the fleet. `votes` says whether it is a voter; three or five voters suffice."""
 
     id: Id
     address: Address
@@ -39,7 +39,7 @@
 
 
 class FleetTask(Table):
-    """A command that one member at a time runs, again and again."""
+    """A command that is run periodically, by one member at a time."""
 
     name: Id
     command: Annotated[list[Annotated[str, Field(min_length=1)]], Field(min_length=1, max_length=64)]
@@ -47,7 +47,7 @@
 
 
 class Fleet(Table):
-    """`[fleet]`: members that agree on leases. Field names are the file's keys, and stay as they are."""
+    """`[fleet]`: members that agree on leases. The field names are the file's keys and must not change."""
 
     name: Id
     me: Id
@@ -64,7 +64,7 @@
 
     @classmethod
     def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
-        """Problems between several keys of the table."""
+        """Return the problems that concern several keys of the table."""
         raw = raw if isinstance(raw, dict) else {}
         rows = tables(raw, "member")
         for key in ("id", "address"):
@@ -100,18 +100,18 @@
         keys = ("lease_ms", "answer_ms", "margin_ms", "drift_ppm")
         values = [number(raw, key, cls.model_fields[key].get_default()) for key in keys]
         if any(value != value for value in values):
-            return  # what is no number is reported by itself
+            return  # a value that is not a number is reported by the check of its key
         lease, answer, margin, drift = values
         for key, found, allowed in LeaseTiming(_ns(lease), _ns(answer), _ns(margin), drift / 1e6).problems():
             yield ValidationProblem(f"fleet.{key}", found, allowed)
 
     @property
     def voters(self) -> int:
-        """How many members vote."""
+        """Number of voters."""
         return sum(m.votes for m in self.members)
 
     def warnings(self) -> Iterable[str]:
-        """Warnings: settings that are valid and probably not intended."""
+        """Yield warnings about settings that are valid but probably not intended."""
         if self.voters % 2 == 0:
             yield (
                 f"fleet.member: {self.voters} voters bear the loss of {(self.voters - 1) // 2}, no more than"
@@ -121,7 +121,7 @@
             yield "fleet: clock_ahead_ms and clock_ppm are for rehearsals; this clock is wrong by them"
 
     def summary(self) -> str:
-        """The fleet's timings and majority, in a line."""
+        """Return the fleet's majority and timings, in one line."""
         from lanelift.fleet.cluster import majority
 
         timing = self._timing()
@@ -133,7 +133,7 @@
         )
 
     def source(self) -> FleetSource:
-        """The member that the daemon attaches. Imports the fleet's modules: only where `[fleet]` is set."""
+        """Return the member that the daemon attaches; this imports the fleet's modules."""
         from lanelift.fleet.clocks import Clock
         from lanelift.fleet.cluster import ClusterConfiguration, Member
         from lanelift.leases.node import FleetSource
--- a/lanelift/config/operator.py
+++ b/lanelift/config/operator.py
@@ -1,10 +1,10 @@
-"""The operator's own file, `deploy/lanelift.toml`: its schema, and the daemon's configuration by it.
+"""The operator's file, `deploy/lanelift.toml`: its schema, and its conversion to the daemon's configuration.
 
-The platform's configuration (JSON, `BALANCER_CONFIG`) is another matter and needs none of this. Here times
-are in milliseconds and named so; the daemon's are nanoseconds.
+The platform's configuration (JSON, `BALANCER_CONFIG`) does not use this module. Times are in milliseconds
+here, as the names of the keys say; the daemon's times are in nanoseconds.
 
-The names of the tables' fields are the file's keys (or stand beside them as `alias`), and stay as operators
-have written them; `OperatorFile.settings` maps them to this program's names, and nothing else does.
+The names of the tables' fields, or their `alias`, are the file's keys and must not change, as existing files
+have them. Only `OperatorFile.settings` maps them to the program's names.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 class Serve(Table):
-    """Where it listens and what it may hold."""
+    """The balancer's addresses, its limit of sockets, and its number among the balancers."""
 
     listen: Address
     sockets: Annotated[int, Field(ge=2 * RESERVED_SOCKETS, le=1_048_576)] = DEFAULT_SOCKETS
@@ -62,9 +62,9 @@
 
 
 class RequestClass(Table):
-    """A class of requests, as `X-Class` and the path's first part name it.
+    """A class of requests, as named by the header `X-Class` and the first segment of the path.
 
-    The keys `aim_ms`, `worth` and `late_worth` are what the program calls latency objective, priority weight
+    The program's names for the keys `aim_ms`, `worth` and `late_worth` are latency objective, priority weight
     and late weight.
     """
 
@@ -79,7 +79,7 @@
 
 
 class Tenant(Table):
-    """A listed tenant: its weight against others, and requests a second that it was sold (0: not stated)."""
+    """A listed tenant: its weight among tenants, and its quota in requests per second (0: not stated)."""
 
     name: Name
     share: Annotated[float, Field(gt=0, le=1e6)] = 1.0
@@ -87,7 +87,7 @@
 
 
 class Limits(Table):
-    """What the balancer may do for one request and towards upstreams."""
+    """Limits and permissions for the attempts of a request, and for connections to upstreams."""
 
     max_attempts: Annotated[int, Field(ge=1, le=100)] = 1
     cancel: bool = False
@@ -100,7 +100,7 @@
 
 
 class Rules(Table):
-    """How upstreams drain, start and are overloaded."""
+    """Timings and thresholds for upstreams that drain, start or are overloaded."""
 
     drain_grace_ms: Milliseconds = 500.0
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.3
@@ -143,7 +143,7 @@
 
     @classmethod
     def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
-        """Problems between several tables."""
+        """Return the problems that concern several tables."""
         yield from Tenants.cross_field_problems(raw.get("tenants", {}))
         if "fleet" in raw:
             yield from Fleet.cross_field_problems(raw["fleet"])
@@ -160,7 +160,7 @@
             )
 
     def settings(self) -> policy.Settings:
-        """What the balancer follows, under this program's names."""
+        """Return the settings of the balancer, under the program's names."""
         effects = {effect.value: effect for effect in policy.Idempotency}
         return policy.Settings(
             replica=self.serve.number,
@@ -203,12 +203,12 @@
 
     def _tenants(self) -> Iterable[policy.Tenant]:
         for row in self.tenants:
-            # Where directories name tenants, names are compared as they compare them.
+            # If directories list tenants, names are compared as directories compare them.
             name = row.name if self.directory is None else folded(row.name)
             yield policy.Tenant(name, row.share, row.quota_per_s)
 
     def endpoints(self) -> list[ResolvedEndpoint]:
-        """The listed upstreams."""
+        """Return the listed upstreams."""
         found = []
         for row in self.upstreams:
             host, port = split_address(row.address)
@@ -225,10 +225,10 @@
         return found
 
     def config(self) -> Config:
-        """What the daemon is started and reloaded with.
+        """Return the configuration with which the daemon starts or reloads.
 
         Raises:
-            SettingsError: A part that the file asks for is not installed.
+            SettingsError: A package that the file's settings need is not installed.
         """
         source = (
             StaticEndpoints(tuple(self.endpoints()))
@@ -252,10 +252,10 @@
         )
 
     def fleet_source(self) -> Any:
-        """What the fleet's part of the daemon and `lanelift lease` start with; None: there is no fleet.
+        """Return the fleet's configuration for the daemon and `lanelift lease`; None: there is no fleet.
 
         Raises:
-            SettingsError: A package that it needs is not installed.
+            SettingsError: A package that the fleet needs is not installed.
         """
         if self.fleet is None:
             return None
@@ -269,5 +269,5 @@
 
 
 def read_operator_file(path: Path) -> OperatorFile:
-    """The file as a whole. Raises FileValidationError with all that is wrong."""
+    """Read and validate an operator's file. Raises FileValidationError with all of its problems."""
     return read_file(path, OperatorFile)
--- a/tests/config/test_checked.py
+++ b/tests/config/test_checked.py
@@ -1,4 +1,4 @@
-"""Files that people write: all mistakes at once, each with place, found and allowed."""
+"""Validation of files: all problems are reported, each with its place, the value and what is allowed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lanelift.policy.events import EndpointState
 from lanelift.policy.settings import Idempotency
 
-GOOD = """
+VALID = """
 [serve]
 listen = "127.0.0.1:8000"
 [[class]]
@@ -26,8 +26,8 @@
 name = "a"
 address = "127.0.0.1:9001"
 """
-# One line of the good file, what takes its place, and what is said of that.
-MISTAKES = [
+# A line of the valid file, the invalid line that replaces it, and the expected problem.
+INVALID_LINES = [
     ('listen = "127.0.0.1:8000"', 'listen = "box.example:80"', 'serve.listen: found "box.example:80"; allo'),
     ('listen = "127.0.0.1:8000"', 'listen = "127.0.0.1:0"', "serve.listen"),
     ('listen = "127.0.0.1:8000"', "listen = 8000", "serve.listen: found 8000; allowed: string"),
@@ -55,27 +55,27 @@
 ]
 
 
-@pytest.mark.parametrize(("line", "instead", "said"), MISTAKES)
-def test_each_mistake_is_named(line: str, instead: str, said: str) -> None:
-    """A good file gets one line that is wrong. The problem is named with its place, what was found and what
-    is allowed, and nothing else is reported.
+@pytest.mark.parametrize(("line", "replacement", "expected"), INVALID_LINES)
+def test_each_problem_is_reported_with_its_place(line: str, replacement: str, expected: str) -> None:
+    """One line of a valid file is replaced by an invalid one. Exactly one problem is reported, with its
+    place, the value found and the values allowed.
     """
-    only_mistake(GOOD, line, instead, said)
+    assert_only_problem(VALID, line, replacement, expected)
 
 
-def only_mistake(good: str, line: str, instead: str, said: str) -> None:
-    """With another line in a good file's, this is said, and nothing else."""
-    assert line in good
+def assert_only_problem(valid: str, line: str, replacement: str, expected: str) -> None:
+    """Assert that a file with one line replaced has exactly one problem, with the expected text."""
+    assert line in valid
     with pytest.raises(FileValidationError) as caught:
-        read_text(good.replace(line, instead, 1), OperatorFile, "f.toml")
-    assert f"f.toml: {said}" in str(caught.value)
+        read_text(valid.replace(line, replacement, 1), OperatorFile, "f.toml")
+    assert f"f.toml: {expected}" in str(caught.value)
     assert len(caught.value.problems) == 1
 
 
-def test_all_mistakes_at_once() -> None:
-    """A file has several problems. All are reported at once, so that one start is enough to see them."""
+def test_all_problems_are_reported_together() -> None:
+    """A file has several problems. They are reported together, so that a single start shows all of them."""
     text = (
-        GOOD.replace("listen", "lisen")
+        VALID.replace("listen", "lisen")
         .replace('"safe"', '"saef"')
         .replace("264", "700")
         .replace("127.0.0.1:9001", "nowhere")
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    ("content", "said"),
+    ("content", "expected"),
     [
         (None, "can't be read: No such file"),
         (b"\xff", "byte 0 that is not UTF-8"),
@@ -102,14 +102,14 @@
         (b"", "serve: missing"),
     ],
 )
-def test_a_file_that_is_none(tmp_path: Path, content: bytes | None, said: str) -> None:
-    """A file can't be read, is no UTF-8 or no TOML. That is one problem of the file as a whole."""
+def test_an_unreadable_file_is_one_problem(tmp_path: Path, content: bytes | None, expected: str) -> None:
+    """A file can't be read, or is not UTF-8 or not TOML. This is reported as a problem of the whole file."""
     path = tmp_path / "f.toml"
     if content is not None:
         path.write_bytes(content)
     with pytest.raises(FileValidationError) as caught:
         read_operator_file(path)
-    assert said in str(caught.value) and str(path) in str(caught.value)
+    assert expected in str(caught.value) and str(path) in str(caught.value)
 
 
 PLAIN = st.none() | st.booleans() | st.integers() | st.floats() | st.sampled_from(["", "a"])
@@ -119,16 +119,16 @@
 
 
 @given(st.dictionaries(TABLES, PLAIN | ROWS, max_size=3))
-def test_whatever_stands_there_is_read_or_refused(raw: dict[str, object]) -> None:
-    """Checks across keys get raw input of any type, also where single keys are wrong. They must not fall
-    over it.
+def test_cross_field_checks_accept_any_raw_input(raw: dict[str, object]) -> None:
+    """Checks of several keys get raw input of any type, even if single keys are invalid. They report problems
+    or none, and raise no exception.
     """
-    for mistake in OperatorFile.cross_field_problems(raw):
-        assert mistake.place and mistake.allowed
+    for problem in OperatorFile.cross_field_problems(raw):
+        assert problem.place and problem.allowed
 
 
-def test_what_the_daemon_is_told() -> None:
-    read = read_text(GOOD, OperatorFile, "f.toml").config()
+def test_the_daemons_configuration() -> None:
+    read = read_text(VALID, OperatorFile, "f.toml").config()
     assert read.listen == ("127.0.0.1", 8000) and isinstance(read.discovery, StaticEndpoints)
     cls = read.settings.classes["quote"]
     assert (cls.idempotency, cls.latency_objective_ns, cls.deadline_ns) == (
@@ -140,5 +140,5 @@
     assert (endpoint.host, endpoint.port, endpoint.entry.state) == ("127.0.0.1", 9001, EndpointState.READY)
 
 
-def test_the_shipped_file_is_good() -> None:
+def test_the_shipped_file_is_valid() -> None:
     read_operator_file(Path(__file__).parents[2] / "deploy" / "lanelift.toml")
--- a/tests/config/test_fleet.py
+++ b/tests/config/test_fleet.py
@@ -1,4 +1,4 @@
-"""`[fleet]` of the operator's file: what is refused, with where, what and what is allowed."""
+"""`[fleet]` of the operator's file: problems are reported with the place, the value and what is allowed."""
 
 from __future__ import annotations
 
@@ -40,19 +40,19 @@
     return read_operator_file(path)
 
 
-def test_off_without_the_section(tmp_path: Path) -> None:
+def test_without_the_section_there_is_no_fleet(tmp_path: Path) -> None:
     file = read(tmp_path, "")
     assert file.fleet is None and file.config().fleet is None
 
 
-def test_what_the_daemon_is_told(tmp_path: Path) -> None:
+def test_the_daemons_configuration(tmp_path: Path) -> None:
     source = read(tmp_path, FLEET + "lease_ms = 6000\nmargin_ms = 500" + ABC).fleet_source()
     assert source.cluster.voters == ("a", "b", "c") and source.member_id == "a"
     assert source.cluster.timing.lease_ns == 6000 * MS and source.state_folder == Path("/var/lib/lanelift")
 
 
 @pytest.mark.parametrize(
-    ("text", "mistake"),
+    ("text", "problem"),
     [
         (
             FLEET + ABC + member("a", 4),
@@ -73,17 +73,17 @@
         (FLEET + ABC.replace('id = "a"', 'id = "../a"'), "fleet.member[0].id: found"),
     ],
 )
-def test_mistakes_are_named(tmp_path: Path, text: str, mistake: str) -> None:
-    """`[fleet]` has keys that do not go together. The problem is named with its place."""
+def test_problems_are_reported_with_their_place(tmp_path: Path, text: str, problem: str) -> None:
+    """`[fleet]` has invalid values or combinations of values. The problem names its place."""
     with pytest.raises(FileValidationError) as found:
         read(tmp_path, text)
-    assert mistake in str(found.value)
+    assert problem in str(found.value)
 
 
 @pytest.mark.parametrize(("members", "warned"), [(ABC, False), (ABC + member("d", 4), True)])
-def test_an_even_number_of_voters_is_warned_of(tmp_path: Path, members: str, warned: bool) -> None:
-    """An even number of members votes. That works and bears no more failures than one fewer, so it is a
-    warning.
+def test_an_even_number_of_voters_gives_a_warning(tmp_path: Path, members: str, warned: bool) -> None:
+    """The number of voters is even. The fleet works, but tolerates no more failures than with one voter
+    fewer, so the file is valid with a warning.
     """
     fleet = read(tmp_path, FLEET + members).fleet
     assert fleet is not None
--- a/tests/config/test_tenants.py
+++ b/tests/config/test_tenants.py
@@ -1,4 +1,4 @@
-"""`[tenants]` in the operator's file: each mistake, and what the balancer is told."""
+"""`[tenants]` in the operator's file: its problems, and the configuration that the balancer gets."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from lanelift.settings import SettingsError
 from lanelift.tenants.sync_config import SyncConfig
 from lanelift.tenants.sync_process import TenantSource
-from tests.config.test_checked import only_mistake
+from tests.config.test_checked import assert_only_problem
 
-GOOD = """
+VALID = """
 [serve]
 listen = "127.0.0.1:8000"
 [[class]]
@@ -38,8 +38,8 @@
 user = "cn=x"
 password_file = "/x"
 """
-# What takes the place of which line, and what is said of it.
-MISTAKES = [
+# A line of the valid file, the invalid line that replaces it, and the expected problem.
+INVALID_LINES = [
     ('base = "ou=agents"', "", "tenants.base: missing"),
     ('base = "ou=agents"', 'base = "x"\nevery = 1', "tenants.every: unknown key; did you mean every_s?"),
     (
@@ -48,7 +48,7 @@
         "tenants.unknown: found \"drop\"; allowed: 'share'",
     ),
     ('base = "ou=agents"', 'base = "x"\nremoval_part = 2', "tenants.removal_part: found 2; allowed"),
-    ('base = "ou=agents"', 'base = "x"\nconfirm = ["x"]', 'tenants.confirm[0]: found "x"; allowed: marks'),
+    ('base = "ou=agents"', 'base = "x"\nconfirm = ["x"]', 'tenants.confirm[0]: found "x"; allowed: ids of r'),
     ('"(&(objectClass=agent)(!(cn=x)))"', '"(a=b"', 'tenants.filter: found "(a=b"; allowed: one filter'),
     ('"(&(objectClass=agent)(!(cn=x)))"', '"(a=b)(c=d)"', "tenants.filter"),
     ('"(&(objectClass=agent)(!(cn=x)))"', '"a=b"', "tenants.filter"),
@@ -74,27 +74,27 @@
 ]
 
 
-@pytest.mark.parametrize(("line", "instead", "said"), MISTAKES)
-def test_each_mistake_is_named(line: str, instead: str, said: str) -> None:
-    """`[tenants]` has a line that is wrong. The problem is named with its place."""
-    only_mistake(GOOD, line, instead, said)
+@pytest.mark.parametrize(("line", "replacement", "expected"), INVALID_LINES)
+def test_each_problem_is_reported_with_its_place(line: str, replacement: str, expected: str) -> None:
+    """`[tenants]` has one invalid line. The problem names its place."""
+    assert_only_problem(VALID, line, replacement, expected)
 
 
 @pytest.mark.parametrize("raw", ["tenants = 3", "tenants = []", "[tenants]\nmap = 3\ndirectory = 5"])
-def test_whatever_stands_there_is_refused(raw: str) -> None:
-    """`tenants` in the file is no table. That is a problem of the file, and no crash."""
-    text = raw + "\n" + GOOD[: GOOD.index("[tenants]")] if "=" in raw.split("\n")[0] else ""
-    text = text or GOOD[: GOOD.index("[tenants]")] + raw
+def test_a_value_of_the_wrong_type_is_refused(raw: str) -> None:
+    """`tenants` or a part of it has the wrong type. This is reported as a problem of the file."""
+    text = raw + "\n" + VALID[: VALID.index("[tenants]")] if "=" in raw.split("\n")[0] else ""
+    text = text or VALID[: VALID.index("[tenants]")] + raw
     with pytest.raises(FileValidationError, match="tenants"):
         read_text(text, OperatorFile, "f.toml")
 
 
-def told(text: str) -> Any:
+def config_of(text: str) -> Any:
     return read_text(text, OperatorFile, "f.toml").config()
 
 
-def test_what_the_balancer_is_told() -> None:
-    config = told(GOOD)
+def test_the_balancers_configuration() -> None:
+    config = config_of(VALID)
     source = config.tenants
     assert isinstance(source, TenantSource)
     first, second = source.config.directories
@@ -107,28 +107,26 @@
 
 
 @pytest.mark.parametrize(
-    ("url", "tls", "how"),
+    ("url", "tls", "security"),
     [
         ("ldap://a:1", "off", "none"),
         ("ldap://a:1", "unverified", "starttls"),
         ("ldaps://a:1", "unverified", "ldaps"),
     ],
 )
-def test_tls(url: str, tls: str, how: str) -> None:
-    changed = GOOD.replace('url = "ldaps://[::1]:636"', f'url = "{url}"\ntls = "{tls}"')
-    first = told(changed).tenants.config.directories[0]
-    assert (first.tls, first.verify) == (how, False)
+def test_tls(url: str, tls: str, security: str) -> None:
+    changed = VALID.replace('url = "ldaps://[::1]:636"', f'url = "{url}"\ntls = "{tls}"')
+    first = config_of(changed).tenants.config.directories[0]
+    assert (first.tls, first.verify) == (security, False)
 
 
-def test_without_the_client_library_that_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The file asks for directories, and the LDAP client is not installed. The message says how to install
-    it.
-    """
+def test_a_missing_client_library_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The file has directories, but the LDAP client is not installed. The error says how to install it."""
     monkeypatch.setattr(importlib.util, "find_spec", lambda name: None)
     with pytest.raises(SettingsError, match=r"pip install 'lanelift\[tenants\]'"):
-        told(GOOD)
+        config_of(VALID)
 
 
 def test_without_directories_nothing_changes() -> None:
-    config = told(GOOD[: GOOD.index("[tenants]")])
+    config = config_of(VALID[: VALID.index("[tenants]")])
     assert config.tenants is None and config.settings.tenants.keys() == {"Miami  Desk"}
