--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test files start from: events that are watched, and settled connections."""
+"""Fixtures of several test modules: recorded events and settled connections; and pytest's options."""
 
 from __future__ import annotations
 
@@ -12,23 +12,21 @@
 
 @pytest.fixture
 def recorded(monkeypatch: pytest.MonkeyPatch) -> EventRecorder:
-    """The events that the module of each balancer started from here on is handed."""
+    """Records the events that each balancer started by the test gets."""
     recorded = EventRecorder()
-    monkeypatch.setattr(dispatch, "Balancer", recorded.listen(Balancer))
+    monkeypatch.setattr(dispatch, "Balancer", recorded.recording_subclass(Balancer))
     return recorded
 
 
 @pytest.fixture
 def settled(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections to upstreams have settled as soon as their answer is there."""
+    """Makes connections to upstreams count as settled as soon as their response is complete."""
     monkeypatch.setattr(connection_pool, "SETTLE_S", 0.0)
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    parser.addoption("--long", action="store_true", help="long and exhaustive runs, at their full length")
-    parser.addoption(
-        "--known-red-passed", metavar="FILE", help="where the ids of known red tests are written"
-    )
+    parser.addoption("--long", action="store_true", help="do long and exhaustive runs at their full length")
+    parser.addoption("--known-red-passed", metavar="FILE", help="write the ids of known red tests to FILE")
 
 
 def pytest_configure(config: pytest.Config) -> None:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,6 +1,6 @@
-"""The other ends of the balancer's sockets, on loopback: scripted upstreams and discovery, and a client.
+"""The peers of a balancer, on loopback: scripted upstreams, a scripted discovery server, and a client.
 
-Everything waits on events: `until` returns once its condition holds, and `run` bounds a whole test.
+Tests wait for conditions: `until` returns once its condition holds, and `run` limits the time of a test.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Observable:
-    """Something whose changes can be waited for."""
+    """An object whose changes a test can wait for."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
@@ -47,10 +47,10 @@
 
 @dataclass
 class Message:
-    start: list[str]  # the words of the first line
+    start: list[str]  # the parts of the first line
     headers: dict[str, str]
     body: bytes
-    link: int = 0  # which connection it came on
+    link: int = 0  # the number of the connection it came on, from 1
 
     @property
     def status(self) -> int:
@@ -69,8 +69,8 @@
     return http.answer(status, body, [(name, value.strip()) for name, _, value in rows])
 
 
-class Scripted(Observable, http.Server):
-    """A server that does as it is told. `reply` gives what to write; None resets the connection."""
+class ScriptedServer(Observable, http.Server):
+    """A server that writes what `reply` returns for each request; None resets the connection."""
 
     def __init__(self, reply: Callable[[Message], Awaitable[bytes | None]]) -> None:
         Observable.__init__(self)
@@ -78,7 +78,7 @@
         self.reply = reply
         self.seen: list[Message] = []
         self.links: list[http.Connection] = []
-        self.ended = 0  # connections that are no more
+        self.ended = 0  # how many connections have ended
         self.waiting: dict[asyncio.Task[None], http.Connection] = {}
 
     @property
@@ -135,9 +135,9 @@
     return None
 
 
-class FakeUpstream(Scripted):
-    """Answers 200 with its name, or what stands in `script`, one entry a request: bytes to write, `never` to
-    be silent, None to reset."""
+class FakeUpstream(ScriptedServer):
+    """Answers 200 with its name, or with the entries of `script`, one for each request: bytes to write,
+    `never` to give no answer, or None to reset the connection."""
 
     def __init__(self, name: str) -> None:
         super().__init__(self._next)
@@ -166,8 +166,8 @@
         }
 
 
-class FakeDiscovery(Scripted):
-    """Tells a list and its changes; `down` makes it break every call, `silent` leave it open."""
+class FakeDiscovery(ScriptedServer):
+    """Serves a list and its changes; with `down` it resets every call, with `silent` it never answers."""
 
     def __init__(self, rows: Iterable[Json]) -> None:
         super().__init__(self._tell)
@@ -250,15 +250,15 @@
         self.writer.close()
 
     def reset(self) -> None:
-        """Leave by a reset; what was sent before it has left."""
+        """Disconnects by a reset."""
         sock = self.writer.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
 @contextmanager
-def deaf() -> Iterator[tuple[str, int]]:
-    """The address of a listener whose backlog is full: it answers nothing to the next connection."""
+def unresponsive_listener() -> Iterator[tuple[str, int]]:
+    """Gives the address of a listener whose backlog is full: it does not answer a new handshake."""
     full, *waiting = (socket.socket() for _ in range(5))
     full.bind(("127.0.0.1", 0))
     full.listen(0)
@@ -271,7 +271,7 @@
 
 
 def free_port() -> int:
-    """A loopback port where nobody listens."""
+    """Returns a loopback port on which no socket listens."""
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         port: int = taken.getsockname()[1]
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -1,7 +1,7 @@
-"""A whole balancer in this process, with scripted upstreams and discovery.
+"""A complete balancer in the test's process, with scripted upstreams and discovery.
 
-`in_process_balancer` starts and ends one. `recorded` (a fixture) keeps the events that its decisions get;
-with `script_balancer` a test decides in their place.
+`in_process_balancer` starts and ends one. The fixture `recorded` records the events that the `Balancer` gets;
+with `script_balancer` a test makes the decisions in its place.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class EventRecorder(Observable):
-    """The events that the module is handed."""
+    """Records the events that the balancer gets."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -56,10 +56,10 @@
     def results(self) -> list[AttemptResult]:
         return [event.result for event in self.of(AttemptFinished)]
 
-    def listen(self, module: type[Balancer]) -> type[Balancer]:
+    def recording_subclass(self, base: type[Balancer]) -> type[Balancer]:
         recorded = self
 
-        class Listening(module):  # type: ignore[misc, valid-type]
+        class Recording(base):  # type: ignore[misc, valid-type]
             def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
                 taken = list(events)
                 actions: list[Action] = super().handle(now, taken)
@@ -67,11 +67,11 @@
                 recorded.notify()
                 return actions
 
-        return Listening
+        return Recording
 
 
 class ScriptedBalancer(Balancer):
-    """A module that does what a test says."""
+    """A balancer whose actions are chosen by a test."""
 
     acts: Callable[[Event], list[Action]]
 
@@ -82,7 +82,7 @@
 def script_balancer(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, acts: Callable[[Event, int], list[Action]]
 ) -> None:
-    """Have `acts` decide: it gets the event and the number of the first upstream listed."""
+    """Lets `acts` choose the actions; it gets the event and the number of the first listed upstream."""
     known: list[int] = []
 
     def decide(event: Event) -> list[Action]:
@@ -91,11 +91,11 @@
         return acts(event, known[0]) if known else []
 
     monkeypatch.setattr(ScriptedBalancer, "acts", staticmethod(decide), raising=False)
-    monkeypatch.setattr(dispatch, "Balancer", recorded.listen(ScriptedBalancer))
+    monkeypatch.setattr(dispatch, "Balancer", recorded.recording_subclass(ScriptedBalancer))
 
 
 class InProcessBalancer:
-    """A balancer in this process, its upstreams and discovery."""
+    """A balancer in the test's process, with its upstreams and discovery."""
 
     def __init__(self, upstreams: Sequence[FakeUpstream], discovery: FakeDiscovery) -> None:
         self.upstreams = upstreams
@@ -105,8 +105,8 @@
     async def client(self) -> Client:
         return await Client.to(self.address)
 
-    async def held(self, name: str, **more: Any) -> Client:
-        """A client whose request is at the first upstream, which says nothing to it."""
+    async def client_with_open_request(self, name: str, **more: Any) -> Client:
+        """Returns a client whose request is at the first upstream, which does not answer it."""
         upstream = self.upstreams[0]
         upstream.script, before = [never], len(upstream.seen)
         client = await self.client()
@@ -114,13 +114,13 @@
         await upstream.until(lambda: len(upstream.seen) > before)
         return client
 
-    async def tell(self, *rows: Json) -> None:
-        """Have discovery tell a change, and wait until the balancer has it: it then watches from there on."""
-        await self.watching()
+    async def change_endpoints(self, *rows: Json) -> None:
+        """Changes entries of discovery's list, and waits until the balancer watches from the new version."""
+        await self.until_watching()
         self.discovery.change(*rows)
-        await self.watching()
+        await self.until_watching()
 
-    async def watching(self) -> None:
+    async def until_watching(self) -> None:
         target = f"from={self.discovery.version}&"
         await self.discovery.until(lambda: any(target in m.start[1] for m in self.discovery.seen))
 
@@ -145,16 +145,16 @@
         await upstream.start()
     discovery = FakeDiscovery(upstream.row() for upstream in upstreams)
     await discovery.start()
-    w = InProcessBalancer(upstreams, discovery)
+    lb = InProcessBalancer(upstreams, discovery)
     listener = listening_socket(("127.0.0.1", 0))
-    listener.listen()  # connections wait for the balancer
-    w.address = listener.getsockname()
+    listener.listen()  # clients can connect before the balancer has started
+    lb.address = listener.getsockname()
     plain = Config(
-        w.address, discovery.socket_address, 7, sockets, settings, discovery.snapshot(), None, [], None
+        lb.address, discovery.socket_address, 7, sockets, settings, discovery.snapshot(), None, [], None
     )
     task = asyncio.create_task(serve(replace(plain, **config), listener, lambda: plain, operators))
     try:
-        yield w
+        yield lb
     finally:
         task.cancel()
         with suppress(asyncio.CancelledError):
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -1,4 +1,4 @@
-"""What tests of several modules share: orders of events that are forced, framings, and settings."""
+"""Helpers that several test modules share: forced orders of events, message framings, and settings."""
 
 from __future__ import annotations
 
@@ -30,32 +30,32 @@
 
 
 @asynccontextmanager
-async def ending(
+async def shutting_down_balancer(
     monkeypatch: pytest.MonkeyPatch, **more: Any
 ) -> AsyncIterator[tuple[InProcessBalancer, asyncio.Event]]:
-    """A balancer in which SIGTERM stops the listener at once, and an event that says when that was tried."""
+    """Runs a balancer in which SIGTERM stops the listener immediately; the event is set when it does."""
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 2 * TEST_S)
     stopped = asyncio.Event()
     stop = GracefulShutdown.stop_listening
 
-    def watched(ending: GracefulShutdown) -> None:
-        stop(ending)
+    def watched(shutting_down_balancer: GracefulShutdown) -> None:
+        stop(shutting_down_balancer)
         stopped.set()
 
     monkeypatch.setattr(GracefulShutdown, "stop_listening", watched)
-    async with in_process_balancer(**more) as w:
-        yield w, stopped
+    async with in_process_balancer(**more) as lb:
+        yield lb, stopped
 
 
-def terminate() -> None:
+def send_sigterm() -> None:
     os.kill(os.getpid(), signal.SIGTERM)
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
-LONG = bytes(range(251)) * 2000  # half a megabyte, no piece of it like the next
+LONG_BODY = bytes(range(251)) * 2000  # half a megabyte, in which shifted pieces differ
 
 
 def response_with_length(body: bytes) -> bytes:
@@ -68,8 +68,8 @@
     return OK + b"Transfer-Encoding: chunked\r\n\r\n" + rows + b"0\r\nX-Trailer: t\r\n\r\n"
 
 
-async def body_of(client: Client) -> tuple[dict[str, str], bytes]:
-    """An answer in any framing, as RFC 9112 tells a client to read it."""
+async def read_response(client: Client) -> tuple[dict[str, str], bytes]:
+    """Reads a response in any framing, as RFC 9112 describes it for a client."""
     head = (await client.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = head.strip().split("\r\n")
     assert first.split(" ")[1] == "200", first
@@ -86,13 +86,13 @@
     return headers, await client.reader.read()
 
 
-class Steps:
-    """An upstream's answer that is written step by step; `link` is the connection that it goes to."""
+class StepwiseResponse:
+    """A response that an upstream writes step by step, on the connection `link`."""
 
-    def __init__(self, w: InProcessBalancer) -> None:
-        self.w = w
+    def __init__(self, lb: InProcessBalancer) -> None:
+        self.lb = lb
         self.asked = asyncio.Event()
-        w.upstreams[0].script = [self._reply]
+        lb.upstreams[0].script = [self._reply]
 
     async def _reply(self) -> bytes:
         self.asked.set()
@@ -101,7 +101,7 @@
 
     @property
     def link(self) -> Connection:
-        return self.w.upstreams[0].links[-1]
+        return self.lb.upstreams[0].links[-1]
 
     async def write(self, data: bytes) -> None:
         await self.asked.wait()
@@ -114,23 +114,25 @@
 
 
 @asynccontextmanager
-async def stepwise(**more: Any) -> AsyncIterator[tuple[InProcessBalancer, Client, Steps]]:
-    async with in_process_balancer(**more) as w:
-        steps = Steps(w)
-        client = await w.client()
+async def balancer_with_stepwise_response(
+    **more: Any,
+) -> AsyncIterator[tuple[InProcessBalancer, Client, StepwiseResponse]]:
+    async with in_process_balancer(**more) as lb:
+        steps = StepwiseResponse(lb)
+        client = await lb.client()
         client.send("r1")
-        yield w, client, steps
+        yield lb, client, steps
         client.close()
 
 
 R = AttemptResult
 
 
-# Nothing may be called off, and a handshake may take its time.
+# Attempts may not be cancelled, and a handshake may take a minute.
 LIMITS = replace(SETTINGS.limits, may_cancel=False, max_attempts=2, connect_timeout_ns=60 * SECOND)
 
 
-PATIENT = replace(SETTINGS, limits=LIMITS)
+NO_CANCEL = replace(SETTINGS, limits=LIMITS)
 
 
 class Gate:
@@ -150,8 +152,8 @@
         loop.create_connection = held  # type: ignore[method-assign, assignment]
 
 
-def to_first_then_second(monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder) -> None:
-    """A module that sends each request to `s-0`, and to `s-1` once that has come to nothing."""
+def retry_on_second_upstream(monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder) -> None:
+    """Installs a balancer that sends each request to `s-0`, and to `s-1` if the first attempt fails."""
 
     def acts(event: Event, _: int) -> list[Action]:
         if isinstance(event, RequestArrived):
@@ -163,11 +165,11 @@
     script_balancer(monkeypatch, recorded, acts)
 
 
-def ids(seen: FakeUpstream) -> list[str]:
+def request_ids(seen: FakeUpstream) -> list[str]:
     return [m.headers["x-request-id"] for m in seen.seen]
 
 
-LEAVES = {"end": lambda client: client.close(), "reset": lambda client: client.reset()}
+DISCONNECTS = {"end": lambda client: client.close(), "reset": lambda client: client.reset()}
 
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/net/test_backlog_at_shutdown.py
+++ b/tests/net/test_backlog_at_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM while clients wait in the backlog of the listener."""
+"""SIGTERM while clients wait in the listener's backlog."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 from lanelift.net.frontend import Frontend
 from tests.fakes import TEST_S, run
 from tests.in_process import InProcessBalancer
-from tests.net.support import ending, terminate
+from tests.net.support import send_sigterm, shutting_down_balancer
 
 TWO_PLACES = RESERVED_SOCKETS + 2 * 2  # two clients, two connections to upstreams
 
 
-def test_who_waits_in_the_backlog_at_sigterm_with_all_places_taken_is_answered(
+def test_clients_in_the_backlog_at_sigterm_are_answered_at_the_cap(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGTERM comes while all places are taken and clients wait in the backlog. They wait there for as long
-    as requests are open, and closing the listener would reset them. The listener stays open until each of
-    them is answered.
+    """SIGTERM comes at the cap on clients, while more clients wait in the backlog. They wait for as long
+    as requests are open, and closing the listener would reset them. The listener stays open until each
+    of them is answered.
     """
 
     async def test() -> None:
-        async with ending(monkeypatch, sockets=TWO_PLACES) as (w, stopped):
+        async with shutting_down_balancer(monkeypatch, sockets=TWO_PLACES) as (lb, stopped):
             go_on = asyncio.Event()
 
             async def slow() -> bytes:
                 await go_on.wait()
                 return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow"
 
-            w.upstreams[0].script = [slow, slow]
-            busy = [await w.client() for _ in range(2)]
+            lb.upstreams[0].script = [slow, slow]
+            busy = [await lb.client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(f"b{number}")
-            await w.upstreams[0].until(lambda: len(w.upstreams[0].seen) == 2)
-            waiting = [await w.client() for _ in range(5)]
+            await lb.upstreams[0].until(lambda: len(lb.upstreams[0].seen) == 2)
+            waiting = [await lb.client() for _ in range(5)]
             for number, client in enumerate(waiting):
                 client.send(f"w{number}")
-            terminate()
+            send_sigterm()
             await stopped.wait()
             go_on.set()
             for client in busy:
@@ -52,16 +52,16 @@
             for client in waiting:
                 assert (await client.answer()).status == 200
             with pytest.raises(ConnectionRefusedError):
-                await refused(w)
+                await refused(lb)
 
     run(test())
 
 
-def test_who_waits_at_a_shared_address_at_sigterm_is_left_to_the_next_process(
+def test_a_client_in_a_shared_backlog_at_sigterm_is_left_to_the_next_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """SIGTERM comes while a client waits in the backlog of a listener that another process shares. This
-    process closes its copy at once, and the client is served by the other.
+    process closes its copy immediately, and the other process serves the client.
     """
     listeners: list[socket.socket] = []
     fronts: list[Frontend] = []
@@ -75,11 +75,11 @@
     monkeypatch.setattr(Frontend, "__init__", seen)
 
     async def test() -> None:
-        async with ending(monkeypatch, sockets=TWO_PLACES, inherited=9) as (w, stopped):
-            held = [await w.held(f"b{number}") for number in range(2)]
-            waiting = await w.client()
+        async with shutting_down_balancer(monkeypatch, sockets=TWO_PLACES, inherited=9) as (lb, stopped):
+            held = [await lb.client_with_open_request(f"b{number}") for number in range(2)]
+            waiting = await lb.client()
             waiting.send("w")
-            terminate()
+            send_sigterm()
             await stopped.wait()
             assert fronts[0].listener.closed
             for client in held:
@@ -92,33 +92,36 @@
     run(test())
 
 
-async def refused(w: InProcessBalancer) -> None:
-    """Returns once the listener is closed, by way of its error."""
+async def refused(lb: InProcessBalancer) -> None:
+    """Connects until the listener is closed, and the error of that is raised."""
     while True:
-        client = await w.client()
+        client = await lb.client()
         await client.ended()
         client.close()
 
 
-def test_who_waits_in_the_backlog_at_sigterm_behind_some_that_have_left_is_answered(
+def test_a_client_in_the_backlog_behind_disconnected_ones_is_answered_at_sigterm(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGTERM comes while some in the backlog have left already. They are as many as there are places, so
-    all of these are free, and no end of a client is to come that would have the listener looked at again.
-    The client behind them is answered nevertheless.
+    """SIGTERM comes when the first clients in the backlog have disconnected, as many as the cap allows. No
+    client is connected whose end would make the listener accept again. The client behind them in the
+    backlog is answered nevertheless.
     """
     monkeypatch.setattr(discovery, "START_TIMEOUT_S", 2 * TEST_S)
 
     async def test() -> None:
-        async with ending(monkeypatch, sockets=TWO_PLACES, cached_endpoints=None) as (w, stopped):
-            w.discovery.silent = True
-            waiting = [await w.client() for _ in range(3)]
+        async with shutting_down_balancer(monkeypatch, sockets=TWO_PLACES, cached_endpoints=None) as (
+            lb,
+            stopped,
+        ):
+            lb.discovery.silent = True
+            waiting = [await lb.client() for _ in range(3)]
             for number, client in enumerate(waiting):
                 client.send(f"w{number}")
-            await w.discovery.until(lambda: w.discovery.seen)
+            await lb.discovery.until(lambda: lb.discovery.seen)
             for client in waiting[:2]:
                 client.reset()
-            terminate()
+            send_sigterm()
             await stopped.wait()
             assert (await waiting[2].answer()).status == 503
 
@@ -126,11 +129,11 @@
 
 
 @pytest.mark.parametrize("rest", [True, False])
-def test_who_waits_in_the_backlog_at_sigterm_is_answered_though_the_places_are_taken_by_who_says_nothing(
+def test_a_client_in_the_backlog_at_sigterm_is_answered_though_silent_clients_fill_the_cap(
     monkeypatch: pytest.MonkeyPatch, rest: bool
 ) -> None:
-    """SIGTERM comes while all places are taken by clients that send nothing and are not closed for others.
-    The listener's stop closes them, and who waits in the backlog is answered.
+    """SIGTERM comes at the cap, with clients connected that send nothing and are not evicted. They are
+    closed after the listener has stopped, and the client in the backlog is answered.
     """
     monkeypatch.setattr(
         connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 2 * TEST_S), (Phase.READING_HEAD, 2 * TEST_S))
@@ -139,45 +142,45 @@
         monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, phase, 2 * TEST_S)
 
     async def test() -> None:
-        async with ending(monkeypatch, sockets=TWO_PLACES) as (w, stopped):
-            # Answers end no connection for want of places.
+        async with shutting_down_balancer(monkeypatch, sockets=TWO_PLACES) as (lb, stopped):
+            # No connection is closed after an answer because of the cap.
             monkeypatch.setattr(client_responses, "MAX_FILL", 9.0)
-            silent = [await w.client() for _ in range(2)]
+            silent = [await lb.client() for _ in range(2)]
             if rest:
                 for number, client in enumerate(silent):
                     assert (await client.request(f"r{number}")).status == 200
-            waiting = await w.client()
+            waiting = await lb.client()
             waiting.send("w")
-            terminate()
+            send_sigterm()
             await stopped.wait()
             assert (await waiting.answer()).status == 200
 
     run(test())
 
 
-def test_who_waits_in_the_backlog_at_sigterm_for_want_of_descriptors_is_answered(
+def test_a_client_in_the_backlog_at_sigterm_is_answered_though_descriptors_are_short(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGTERM comes while descriptors are short, so that a client in the backlog can't be accepted.
-    Accepting is tried again until it works, and the client is answered.
+    """SIGTERM comes while no descriptor is free, so that a client in the backlog can't be accepted. The
+    accept is repeated until it succeeds, and the client is answered.
     """
 
     async def test() -> None:
-        async with ending(monkeypatch) as (w, stopped):
+        async with shutting_down_balancer(monkeypatch) as (lb, stopped):
             accept = socket.socket.accept
             short: list[None] = []
 
             def scarce(sock: socket.socket) -> Any:
-                if sock.getsockname() == w.address and len(short) < 3:
+                if sock.getsockname() == lb.address and len(short) < 3:
                     short.append(None)
                     raise OSError(errno.EMFILE, "too many open files")
                 return accept(sock)
 
-            assert (await w.request("r0")).status == 200
+            assert (await lb.request("r0")).status == 200
             monkeypatch.setattr(socket.socket, "accept", scarce)
-            client = await w.client()
+            client = await lb.client()
             client.send("r1")
-            terminate()
+            send_sigterm()
             await stopped.wait()
             assert (await client.answer()).status == 200
             assert len(short) == 3
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -15,28 +15,28 @@
 )
 from tests.fakes import SECOND, answer, read_message, run
 from tests.in_process import CLASSES, EventRecorder, in_process_balancer
-from tests.net.support import LEAVES, PATIENT, R, ids
+from tests.net.support import DISCONNECTS, NO_CANCEL, R, request_ids
 
 
-def test_ready_once_the_module_can_serve() -> None:
+def test_ready_succeeds_only_while_the_balancer_can_serve() -> None:
     async def test() -> None:
-        async with in_process_balancer(cached_endpoints=None) as w:
-            await w.watching()
-            assert (await w.request("r", path="/ready")).status == 200
-            await w.tell(w.upstreams[0].row("Terminating"))
-            assert (await w.request("r", path="/ready")).status == 503
+        async with in_process_balancer(cached_endpoints=None) as lb:
+            await lb.until_watching()
+            assert (await lb.request("r", path="/ready")).status == 200
+            await lb.change_endpoints(lb.upstreams[0].row("Terminating"))
+            assert (await lb.request("r", path="/ready")).status == 503
 
     run(test())
 
 
-def test_bad_input_gets_an_answer_and_harms_nobody() -> None:
-    """Clients send what is no HTTP, or what a request must not be. Each gets an answer with the right
-    status, and a client beside them is served.
+def test_invalid_input_is_answered_and_other_clients_are_served() -> None:
+    """Clients send bytes that are not HTTP, or invalid requests. Each gets an answer with the right status,
+    and another client is served.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            other = await w.client()
+        async with in_process_balancer() as lb:
+            other = await lb.client()
             other.send("r0")
             for junk, status in [
                 (b"\x00\x01\r\n\r\n", 400),
@@ -45,10 +45,10 @@
                 (b"GET /" + b"x" * 70_000, 431),
                 (raw_request("Content-Length: -4"), 400),
             ]:
-                bad = await w.client()
+                bad = await lb.client()
                 assert (await bad.raw(junk)).status == status, junk[:40]
                 await bad.ended()
-            client = await w.client()
+            client = await lb.client()
             assert (await client.request("r1", path="/nowhere")).status == 404
             assert (await client.request("r2", "unheard-of")).status == 404
             assert (await client.request("", X_Request_Id=None)).status == 400
@@ -62,74 +62,78 @@
     run(test())
 
 
-def test_requests_follow_each_other_on_a_connection_also_when_sent_ahead() -> None:
+def test_a_connection_carries_pipelined_requests_in_order() -> None:
     async def test() -> None:
-        async with in_process_balancer() as w:
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            client = await lb.client()
             client.send("r1")
             client.send("r2")
             for _ in range(2):
                 assert (await read_message(client.reader)).body == b"s-0"
-            assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r1", "r2"]
+            assert [m.headers["x-request-id"] for m in lb.upstreams[0].seen] == ["r1", "r2"]
 
     run(test())
 
 
-def test_a_flood_behind_an_open_request_is_cut_off() -> None:
-    """A client sends a flood of bytes while its request is open. It would fill the memory, so its
-    connection is closed, and others are served.
+def test_a_flood_of_bytes_after_an_open_request_closes_the_connection() -> None:
+    """A client sends a flood of bytes while its request is open. Buffering them would fill the memory, so
+    its connection is closed, and other clients are served.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            client = await w.held("r1")
+        async with in_process_balancer() as lb:
+            client = await lb.client_with_open_request("r1")
             client.writer.write(b"x" * 1_000_000)
             await client.ended()
-            assert (await w.request("r2")).status == 200
+            assert (await lb.request("r2")).status == 200
 
     run(test())
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-def test_a_client_that_left_before_it_was_read_is_not_served(recorded: EventRecorder) -> None:
+def test_a_client_that_disconnected_before_its_request_was_read_is_not_served(
+    recorded: EventRecorder,
+) -> None:
     """A client sends a request and disconnects before the loop reads it, on a new connection or one that
-    was used before. Work for it would make those behind it late. Its request is not begun.
+    was used before. Work for it would delay the clients behind it. Its request is not begun.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            used = await w.client()
+        async with in_process_balancer() as lb:
+            used = await lb.client()
             assert (await used.request("r0")).status == 200
-            # No turn of the loop between a client's request and its leaving: the balancer finds both at once,
-            # on a connection that is still in the backlog and on one that was used before.
-            for client in (used, await w.client()):
+            # The loop does not run between a client's request and its disconnection, so the balancer finds
+            # both together, on a connection that is still in the backlog and on one that was used before.
+            for client in (used, await lb.client()):
                 client.send("gone")
                 client.close()
-            with socket.create_connection(w.address) as early:
+            with socket.create_connection(lb.address) as early:
                 early.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: early\r\n\r\n")
-            assert (await w.request("r1")).status == 200
+            assert (await lb.request("r1")).status == 200
             assert [e.request for e in recorded.of(RequestArrived)] == ["r0", "r1"]
-            assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r0", "r1"]
+            assert [m.headers["x-request-id"] for m in lb.upstreams[0].seen] == ["r0", "r1"]
 
     run(test())
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
-def test_a_request_counts_from_when_it_came_not_from_when_it_was_read(recorded: EventRecorder) -> None:
-    """The loop is late, and requests lie in the kernel for a while. Their deadlines count from when they
+def test_a_deadline_counts_from_when_the_request_came_not_from_when_it_was_read(
+    recorded: EventRecorder,
+) -> None:
+    """The loop is late, and requests wait in the kernel for a while. Their deadlines count from when they
     came, not from when they were read.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
+        async with in_process_balancer() as lb:
             late = 0.2
-            used = await w.client()
+            used = await lb.client()
             assert (await used.request("r0")).status == 200
             used.send("r1")
-            with socket.create_connection(w.address) as new:
+            with socket.create_connection(lb.address) as new:
                 new.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n")
                 sent_ns = time.monotonic_ns()
-                time.sleep(late)  # the loop stands still
+                time.sleep(late)  # blocks the loop
                 await recorded.until(lambda: len(recorded.of(RequestArrived)) == 3)
             for arrival in recorded.of(RequestArrived)[1:]:
                 assert arrival.received_ns < sent_ns + late / 2 * SECOND
@@ -146,8 +150,8 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        # What stands behind the chunk without length would be read as a request by whoever goes by the
-        # coding.
+        # A server that follows the coding would read the bytes after the empty chunk as another
+        # request.
         (
             raw_request(
                 "Content-Length: 60",
@@ -166,65 +170,67 @@
         (raw_request("X-Pad: " + "p" * 20_000), 431),
     ],
 )
-def test_a_request_that_could_be_read_in_two_ways_is_turned_away(data: bytes, status: int) -> None:
-    """A request is ambiguous: with two lengths, a length and a coding, or a repeated header. An upstream
-    might read it otherwise than this balancer (request smuggling). It is rejected, and nothing of it
+def test_an_ambiguous_request_is_rejected(data: bytes, status: int) -> None:
+    """A request is ambiguous: it has two lengths, a length and a coding, or a repeated header. An upstream
+    might parse it differently from this balancer (request smuggling). It is rejected, and nothing of it
     reaches an upstream.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            client = await lb.client()
             assert (await client.raw(data)).status == status
             await client.ended()
-            assert (await w.request("r3")).status == 200
-            assert [m.headers["x-request-id"] for m in w.upstreams[0].seen] == ["r3"]
+            assert (await lb.request("r3")).status == 200
+            assert [m.headers["x-request-id"] for m in lb.upstreams[0].seen] == ["r3"]
 
     run(test())
 
 
 def test_a_request_of_a_client_that_reset_its_connection_is_not_begun(recorded: EventRecorder) -> None:
-    """A client sends a request and resets its connection, and the loop finds both in one turn. The kernel
-    is asked, and the request is not begun.
+    """A client sends a request and resets its connection, and the loop finds both in one iteration. The
+    kernel is queried, and the request is not begun.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            assert (await w.request("r0")).status == 200
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            assert (await lb.request("r0")).status == 200
+            client = await lb.client()
             await recorded.until(lambda: recorded.results() == [R.OK])
             client.send("r1")
             client.reset()
-            assert (await w.request("r2")).status == 200
+            assert (await lb.request("r2")).status == 200
             assert [e.request for e in recorded.of(RequestArrived)] == ["r0", "r2"]
 
     run(test())
 
 
-@pytest.mark.parametrize("how", LEAVES)
-def test_what_a_client_sent_ahead_is_not_begun_once_it_has_left(recorded: EventRecorder, how: str) -> None:
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_a_pipelined_request_is_not_begun_once_its_client_has_disconnected(
+    recorded: EventRecorder, how: str
+) -> None:
     """A client sends two requests and disconnects while the first is open. Attempts may not be cancelled,
-    so the first goes on at its upstream. Its end must not begin the second.
+    so the first continues at its upstream. When it ends the second must not be begun.
     """
 
     async def test() -> None:
-        async with in_process_balancer(settings=PATIENT) as w:
+        async with in_process_balancer(settings=NO_CANCEL) as lb:
             go_on = asyncio.Event()
 
             async def slow() -> bytes:
                 await go_on.wait()
                 return answer(200, b"slow")
 
-            w.upstreams[0].script = [slow]
-            client = await w.client()
+            lb.upstreams[0].script = [slow]
+            client = await lb.client()
             client.send("first")
             client.send("ahead")
-            await w.upstreams[0].until(lambda: len(w.upstreams[0].seen) == 1)
-            LEAVES[how](client)
+            await lb.upstreams[0].until(lambda: len(lb.upstreams[0].seen) == 1)
+            DISCONNECTS[how](client)
             await recorded.until(lambda: recorded.of(ClientDisconnected))
             go_on.set()
             await recorded.until(lambda: recorded.results() == [R.OK])
-            assert (await w.request("last")).status == 200
-            assert ids(w.upstreams[0]) == ["first", "last"]
+            assert (await lb.request("last")).status == 200
+            assert request_ids(lb.upstreams[0]) == ["first", "last"]
 
     run(test())
--- a/tests/net/test_client_responses.py
+++ b/tests/net/test_client_responses.py
@@ -1,4 +1,4 @@
-"""The writing half of a client's connection: last responses, and clients that do not read."""
+"""The writing half of a client's connection: last responses, and clients that do not read them."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 )
 from tests.fakes import Client, answer, run
 from tests.in_process import EventRecorder, in_process_balancer
-from tests.net.support import LONG, response_with_length
+from tests.net.support import LONG_BODY, response_with_length
 
 
 @pytest.mark.parametrize("when", ["before", "behind"])
-def test_bytes_that_come_as_a_connection_is_ended_do_not_take_its_last_answer_along(
+def test_bytes_that_come_as_a_connection_is_closed_do_not_lose_its_last_answer(
     monkeypatch: pytest.MonkeyPatch, when: str
 ) -> None:
-    """A client's bytes come as its connection is being ended. A close over unread bytes resets the
-    connection and takes the last response along. Only the sending ends, so the client reads its response
-    whether they come before or behind that.
+    """A client's bytes come while its connection is being closed. Closing a socket with unread bytes resets
+    the connection, and the last response is lost. So only the sending side is closed, and the client
+    reads its response whether the bytes come before or after that.
     """
     leave = ClientConnection._close_after_response
     peers: list[socket.socket] = []
@@ -39,9 +39,9 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        async with in_process_balancer() as w:
+        async with in_process_balancer() as lb:
             monkeypatch.setattr(ClientConnection, "_close_after_response", crossed)
-            with socket.create_connection(w.address) as sock:
+            with socket.create_connection(lb.address) as sock:
                 peers.append(sock)
                 sock.setblocking(False)
                 await loop.sock_sendall(sock, b"GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
@@ -53,46 +53,46 @@
     run(test())
 
 
-def test_a_client_that_does_not_close_behind_its_last_answer_is_closed(
+def test_a_client_that_stays_connected_after_its_last_answer_is_disconnected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client does not close its connection behind its last response, and sends on. A half-closed
-    connection would take that for ever, so it is closed after a while.
+    """A client keeps its connection open after its last response, and continues to send. A half-closed
+    connection would accept that for ever, so it is closed after a time-out.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.0)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            client = await lb.client()
             client.writer.write(b"GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
             assert (await client.answer()).status == 200
             await client.ended()
             with pytest.raises(ConnectionError):
-                while True:  # a half-closed one would take this for ever
+                while True:  # a half-closed connection would accept this for ever
                     client.writer.write(b"x" * 65536)
                     await client.writer.drain()
 
     run(test())
 
 
-def test_a_client_that_does_not_read_gets_no_more_answers_piled_up(
+def test_no_answers_pile_up_for_a_client_that_does_not_read(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """A client sends request after request and reads no responses. They would pile up in memory. Its
-    requests are not begun any more, and its connection is ended.
+    """A client sends request after request and reads no responses, which would pile up in memory. Its
+    further requests are not begun, and its connection is closed.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.5)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
+        async with in_process_balancer() as lb:
             body = b"x" * 60_000
-            w.upstreams[0].script = [answer(200, body) for _ in range(1000)]
-            reader, writer = await asyncio.open_connection(*w.address, limit=1)
+            lb.upstreams[0].script = [answer(200, body) for _ in range(1000)]
+            reader, writer = await asyncio.open_connection(*lb.address, limit=1)
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             client = Client(reader, writer)
             for number in range(1000):
                 client.send(f"r{number}")
-            # Answers stop going out, and with them the requests behind them; then the connection ends.
+            # No more answers are written, and no more requests begun; then the connection ends.
             with suppress(ConnectionError):
                 while True:
                     writer.write(b"\r\n")
@@ -100,56 +100,58 @@
                     if writer.transport.is_closing():
                         break
             assert len(recorded.of(RequestArrived)) < 900
-            assert (await w.request("last")).status == 200
+            assert (await lb.request("last")).status == 200
 
     run(test())
 
 
-def test_a_last_answer_is_read_to_its_end_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client reads its last response slowly. The connection ends behind the response, and what is still
-    in the buffers is not thrown away with it, however long the client takes.
+def test_a_last_answer_can_be_read_to_its_end_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client reads its last response slowly. The connection is closed after the response, but the part
+    that is still in the buffers is not discarded, however long the client takes.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.05)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            w.upstreams[0].script = [response_with_length(LONG)]
+        async with in_process_balancer() as lb:
+            lb.upstreams[0].script = [response_with_length(LONG_BODY)]
             loop = asyncio.get_running_loop()
             with socket.socket() as slow:
                 slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 slow.setblocking(False)
-                await loop.sock_connect(slow, w.address)
+                await loop.sock_connect(slow, lb.address)
                 await loop.sock_sendall(slow, b"GET /quote HTTP/1.0\r\nHost: o\r\nX-Request-Id: r1\r\n\r\n")
-                await asyncio.sleep(0.3)  # longer than a last answer is left for
+                await asyncio.sleep(0.3)  # longer than the time-out of the CLOSING phase
                 got = b""
                 while piece := await loop.sock_recv(slow, 65536):
                     got += piece
-                assert got.partition(b"\r\n\r\n")[2] == LONG
+                assert got.partition(b"\r\n\r\n")[2] == LONG_BODY
 
     run(test())
 
 
-def test_a_client_that_never_reads_the_rest_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client reads no more of a long response. Its connection would stay for ever, so it is ended by a
-    reset, which shows that the response is incomplete.
+def test_a_client_that_stops_reading_its_response_is_reset(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client stops reading a long response. Its connection would stay open for ever, so it is reset,
+    which shows that the response is incomplete.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.FLUSHING, 0.1)
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(exchange, "CLIENT_STALL_TIMEOUT_S", 0.1)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            w.upstreams[0].script = [response_with_length(LONG * 4)]
+        async with in_process_balancer() as lb:
+            lb.upstreams[0].script = [response_with_length(LONG_BODY * 4)]
             loop = asyncio.get_running_loop()
-            with socket.socket() as deaf:
-                deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-                deaf.setblocking(False)
-                await loop.sock_connect(deaf, w.address)
-                await loop.sock_sendall(deaf, b"GET /quote HTTP/1.1\r\nHost: o\r\nX-Request-Id: r1\r\n\r\n")
+            with socket.socket() as stalled:
+                stalled.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+                stalled.setblocking(False)
+                await loop.sock_connect(stalled, lb.address)
+                await loop.sock_sendall(
+                    stalled, b"GET /quote HTTP/1.1\r\nHost: o\r\nX-Request-Id: r1\r\n\r\n"
+                )
                 await asyncio.sleep(0.5)
                 with pytest.raises(ConnectionError):
-                    while await loop.sock_recv(deaf, 65536):
+                    while await loop.sock_recv(stalled, 65536):
                         pass
-                    raise AssertionError("it ended as if it were whole")
+                    raise AssertionError("the response ended as if it were complete")
 
     run(test())
--- a/tests/net/test_connection_phases.py
+++ b/tests/net/test_connection_phases.py
@@ -1,4 +1,4 @@
-"""The cap on clients, and how long they may be idle, silent or slow."""
+"""The cap on clients, and the time-outs of idle, silent and slow clients."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 from tests.in_process import EventRecorder, in_process_balancer
 
 
-def test_at_the_cap_idle_clients_make_room_and_busy_ones_are_kept(
+def test_at_the_cap_idle_clients_are_evicted_and_busy_ones_are_kept(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """All places are taken, by idle clients and by some whose requests are open. An idle one is closed for
-    a newcomer; a busy one never is, and a newcomer waits in the backlog instead.
+    """The cap is reached, by idle clients and by clients with open requests. An idle client is evicted for a
+    new one; a client with an open request never is, and the new client waits in the backlog instead.
     """
     monkeypatch.setattr(connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 0.0),))
 
     async def test() -> None:
         async with in_process_balancer(
             sockets=RESERVED_SOCKETS + 2 * 2
-        ) as w:  # two clients, two connections to upstreams
+        ) as lb:  # two clients, two connections to upstreams
             go_on = asyncio.Event()
-            upstream: FakeUpstream = w.upstreams[0]
+            upstream: FakeUpstream = lb.upstreams[0]
 
             async def slow() -> bytes:
                 await go_on.wait()
                 return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow"
 
-            idle = await w.client()
+            idle = await lb.client()
             assert (await idle.request("r0")).status == 200
             upstream.script = [slow, slow]
-            busy = [await w.client(), await w.client()]
+            busy = [await lb.client(), await lb.client()]
             for number, client in enumerate(busy):
                 client.send(f"b{number}")
             await recorded.until(lambda: len(recorded.of(RequestArrived)) == 3)
             await idle.ended()
-            late = await w.client()  # it waits in the backlog, and is answered once there is room
+            late = await lb.client()  # it waits in the backlog, and is answered once there is room
             late.send("r1")
             go_on.set()
             for client in busy:
@@ -51,15 +51,15 @@
     run(test())
 
 
-def test_at_the_cap_silent_clients_make_room_for_one_that_asks() -> None:
-    """Many clients connect and send nothing until all places are taken. They are closed for a client that
-    sends a request, and it is served.
+def test_at_the_cap_silent_clients_are_evicted_for_one_that_sends_a_request() -> None:
+    """Clients that send nothing connect until the cap is reached. They are evicted for a client that sends
+    a request, and it is served.
     """
 
     async def test() -> None:
-        async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as w:
-            silent = [await w.client() for _ in range(20)]
-            asking = await w.client()
+        async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as lb:
+            silent = [await lb.client() for _ in range(20)]
+            asking = await lb.client()
             assert (await asking.request("r1")).status == 200
             for client in silent:
                 client.close()
@@ -67,21 +67,21 @@
     run(test())
 
 
-def test_at_the_cap_an_idle_client_is_left_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All places are taken, and newcomers that send nothing keep coming. An idle client is not closed
-    before its time for them.
+def test_at_the_cap_an_idle_client_keeps_its_minimum_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The cap is reached, and new clients that send nothing keep coming. An idle client is not evicted for
+    them before its time is over.
     """
     monkeypatch.setattr(
         connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 1000.0), (Phase.READING_HEAD, 0.0))
     )
-    # The last newcomer is driven out by nobody.
+    # The last new client is not evicted, but times out.
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_HEAD, 0.1)
 
     async def test() -> None:
-        async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as w:
-            idle = await w.client()
+        async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as lb:
+            idle = await lb.client()
             assert (await idle.request("r0")).status == 200
-            newcomers = [await w.client() for _ in range(9)]
+            newcomers = [await lb.client() for _ in range(9)]
             for client in newcomers:
                 await client.ended()
             assert (await idle.request("r1")).status == 200
@@ -89,17 +89,18 @@
     run(test())
 
 
-def test_with_all_places_taken_an_answer_ends_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """There are more clients than places. Idle connections are left some seconds, so each newcomer would
-    wait for that. Above a part of the cap an answer ends its connection, and all are served soon.
+def test_near_the_cap_a_connection_is_closed_after_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """There are more clients than the cap allows. Idle connections are kept for some seconds, so each new
+    client would wait for that. Above a fraction of the cap a connection is closed after its answer, and all
+    clients are served soon.
     """
-    # Idle connections are left their 2 s: with more clients than places, each newcomer waited for that.
+    # Idle connections are kept for 2 s, which each client above the cap would have to wait.
     (leaving,) = (row for row in connection_phases.EVICTION_ORDER if row[0] is Phase.CLOSING)
     monkeypatch.setattr(connection_phases, "EVICTION_ORDER", (leaving, (Phase.IDLE, 1000.0)))
 
     async def test() -> None:
-        async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as w:
-            clients = [await w.client() for _ in range(20)]
+        async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as lb:
+            clients = [await lb.client() for _ in range(20)]
             for number, client in enumerate(clients):
                 client.send(f"r{number}")
             for client in clients:
@@ -118,18 +119,18 @@
     ],
 )
 @pytest.mark.parametrize("used", [False, True])
-def test_a_request_that_does_not_come_in_time_ends_its_connection(
+def test_an_incomplete_request_times_out(
     monkeypatch: pytest.MonkeyPatch, part: bytes, status: int | None, used: bool
 ) -> None:
-    """A client sends part of a request, or nothing, and then no more. Its connection is ended after a
-    while, with 408 if part of a request had come.
+    """A client sends part of a request, or nothing, and then no more. Its connection is closed after a
+    time-out, with 408 if part of a request had come.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_HEAD, 0.2)
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.3)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            client = await lb.client()
             if used:
                 assert (await client.request("r1")).status == 200
             client.writer.write(part)
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection a request gets."""
+"""The choice of the connection for a request, and the closing of idle connections."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 )
 from tests.fakes import SECOND, TEST_S, FakeUpstream, answer, never, run
 from tests.in_process import SETTINGS, EventRecorder, ScriptedBalancer, in_process_balancer, script_balancer
-from tests.net.support import PATIENT, Gate, R, to_first_then_second
+from tests.net.support import NO_CANCEL, Gate, R, retry_on_second_upstream
 
 
 @pytest.mark.parametrize("state", ["Terminating", "Gone"])
-def test_a_request_that_waits_for_a_connection_to_what_drains_goes_elsewhere(
+def test_a_request_that_waits_for_a_connection_to_a_draining_upstream_goes_elsewhere(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, state: str
 ) -> None:
-    """Discovery says that an upstream drains while a request waits for a connection to it. Its handshake
-    would take the request past the drain's grace, so it goes elsewhere.
+    """Discovery reports that an upstream drains while a request waits for a connection to it. The handshake
+    could outlast the drain's grace period, so the request goes to another upstream.
     """
-    to_first_then_second(monkeypatch, recorded)
+    retry_on_second_upstream(monkeypatch, recorded)
 
     async def test() -> None:
-        async with in_process_balancer(2, settings=PATIENT) as w:
-            first, second = w.upstreams
+        async with in_process_balancer(2, settings=NO_CANCEL) as lb:
+            first, second = lb.upstreams
             gate = Gate(first)
-            client = await w.client()
+            client = await lb.client()
             client.send("r1")
             await gate.reached.wait()
-            await w.tell(first.row(state))
+            await lb.change_endpoints(first.row(state))
             gate.open.set()
             assert (await client.answer()).body == second.name.encode()
             assert not first.seen and recorded.results() == [R.NOT_SENT, R.OK]
@@ -51,17 +51,17 @@
 
 @pytest.mark.usefixtures("settled")
 @pytest.mark.parametrize("comes", ["end", "noise"])
-def test_a_connection_to_which_something_came_in_the_turn_in_which_it_is_taken_is_not_used(
+def test_an_idle_connection_with_an_unread_end_or_data_is_not_used(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, comes: str
 ) -> None:
-    """An idle connection ends, or noise comes on it, in the same turn of the loop in which a request takes
-    it. The loop has not read that yet. A request written there is lost, and may not be sent again. The
-    kernel is asked first, and another connection is used.
+    """An idle connection ends, or noise comes on it, in the same loop iteration in which it is taken for a
+    request. The loop has not read that yet. A request written there would be lost, and might not be
+    repeated. So the kernel is queried first, and another connection is used.
     """
 
     async def test() -> None:
-        async with in_process_balancer(settings=PATIENT) as w:
-            box = w.upstreams[0]
+        async with in_process_balancer(settings=NO_CANCEL) as lb:
+            box = lb.upstreams[0]
 
             def acts(event: Event, to: int) -> list[Action]:
                 if not isinstance(event, RequestArrived):
@@ -72,14 +72,14 @@
                     if comes == "end":
                         transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
                     else:
-                        transport.write(b"x" * 200)  # at once: its buffer is empty
+                        transport.write(b"x" * 200)  # sent immediately, as the write buffer is empty
                 return [StartAttempt(event.request, to)]
 
             monkeypatch.setattr(
                 ScriptedBalancer, "acts", staticmethod(lambda event: acts(event, upstream_number("s-0")))
             )
-            assert (await w.request("r1", "pay", "POST", b"x")).status == 200
-            assert (await w.request("r2", "pay", "POST", b"x")).status == 200
+            assert (await lb.request("r1", "pay", "POST", b"x")).status == 200
+            assert (await lb.request("r2", "pay", "POST", b"x")).status == 200
             assert [m.link for m in box.seen] == [1, 2] and recorded.results() == [R.OK, R.OK]
 
     script_balancer(monkeypatch, recorded, lambda event, to: [])
@@ -89,12 +89,12 @@
 @pytest.mark.parametrize(
     ("slow", "kind", "method", "links"),
     [
-        (True, "quote", "GET", [1, 1, 2]),  # used at once, as another answer can be asked for
+        (True, "quote", "GET", [1, 1, 2]),  # reused immediately, as the request can be repeated
         (False, "quote", "GET", [1, 2]),
         (True, "pay", "POST", [1, 2]),
     ],
 )
-def test_a_second_answer_that_comes_late_answers_no_other_request(
+def test_a_late_second_response_answers_no_other_request(
     monkeypatch: pytest.MonkeyPatch,
     recorded: EventRecorder,
     slow: bool,
@@ -102,12 +102,12 @@
     method: str,
     links: list[int],
 ) -> None:
-    """An upstream sends a second response behind its first, when the next request is under way on the same
-    connection. Only time tells it from that one's response. A connection that has not settled is used for
-    idempotent requests only, and what comes on it too soon is not believed.
+    """An upstream sends a second response after its first, while the next request is in progress on the same
+    connection. Only its time distinguishes it from that request's response. A connection that has not
+    settled is used for idempotent requests only, and bytes that come on it too early are not accepted.
     """
-    assert connection_pool.SETTLE_S >= 0.01  # some milliseconds, with room
-    monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)  # however slow the machine is
+    assert connection_pool.SETTLE_S >= 0.01  # some milliseconds, with a margin
+    monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)  # never over, however slow the machine is
     monkeypatch.setattr(connection_pool, "MIN_RESPONSE_TO_SETTLE_RATIO", 0 if slow else 1)
 
     def acts(event: Event, to: int) -> list[Action]:
@@ -120,16 +120,16 @@
     script_balancer(monkeypatch, recorded, acts)
 
     async def test() -> None:
-        async with in_process_balancer(settings=PATIENT) as w:
-            box = w.upstreams[0]
+        async with in_process_balancer(settings=NO_CANCEL) as lb:
+            box = lb.upstreams[0]
 
             async def behind_the_first_s() -> bytes | None:
                 box.links[0].write(answer(200, b"again"))
                 return await never() if slow and method == "GET" else answer(200, b"second")
 
             box.script = [answer(200, b"first"), behind_the_first_s, answer(200, b"second")]
-            assert (await w.request("r1")).body == b"first"
-            assert (await w.request("r2", kind, method, b"x" if method == "POST" else b"")).body == b"second"
+            assert (await lb.request("r1")).body == b"first"
+            assert (await lb.request("r2", kind, method, b"x" if method == "POST" else b"")).body == b"second"
             assert [m.link for m in box.seen] == links
 
     run(test())
@@ -140,62 +140,62 @@
     """An upstream closes an idle connection. The next request is not written to it, but to a new one."""
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            upstream = w.upstreams[0]
+        async with in_process_balancer() as lb:
+            upstream = lb.upstreams[0]
             for name in ("r1", "r2"):
-                assert (await w.request(name)).status == 200
+                assert (await lb.request(name)).status == 200
             assert [m.link for m in upstream.seen] == [1, 1]
             upstream.close_links()
             await upstream.until(lambda: upstream.ended == 1)
-            assert (await w.request("r3")).status == 200
+            assert (await lb.request("r3")).status == 200
             assert upstream.seen[-1].link == 2
             assert recorded.results() == [AttemptResult.OK] * 3
 
     run(test())
 
 
-def test_idle_connections_go_before_the_upstream_closes_them() -> None:
-    """Upstreams close connections that were idle for a while, and a request that crosses that may have run.
-    So they are closed here before.
+def test_idle_connections_are_closed_before_the_upstream_closes_them() -> None:
+    """Upstreams close connections that were idle for a while, and a request that is sent at that moment may
+    have run. So the balancer closes idle connections earlier.
     """
 
     async def test() -> None:
         limits = replace(SETTINGS.limits, upstream_idle_timeout_ns=SECOND // 5)
-        async with in_process_balancer(settings=replace(SETTINGS, limits=limits)) as w:
-            assert (await w.request("r1")).status == 200
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+        async with in_process_balancer(settings=replace(SETTINGS, limits=limits)) as lb:
+            assert (await lb.request("r1")).status == 200
+            await lb.upstreams[0].until(lambda: lb.upstreams[0].ended == 1)
 
     run(test())
 
 
 @pytest.mark.parametrize("change", ["drain", "restart", "gone"])
-def test_what_drains_restarts_or_goes_loses_its_idle_connections(change: str) -> None:
-    """An upstream drains, restarts or is removed. Its idle connections lead to a process that must get
-    nothing new, so they are closed at once.
+def test_idle_connections_to_a_drained_restarted_or_removed_upstream_are_closed(change: str) -> None:
+    """An upstream drains, restarts or is removed. Its idle connections lead to a process that must not get
+    new requests, so they are closed immediately.
     """
 
     async def test() -> None:
-        async with in_process_balancer(2) as w:
-            upstream, other = w.upstreams
-            while not upstream.seen:  # the module picks at random
-                assert (await w.request(f"r{len(other.seen)}")).status == 200
+        async with in_process_balancer(2) as lb:
+            upstream, other = lb.upstreams
+            while not upstream.seen:  # the balancer picks an upstream at random
+                assert (await lb.request(f"r{len(other.seen)}")).status == 200
             row = {
                 "drain": upstream.row("Terminating"),
                 "gone": upstream.row("Gone"),
                 "restart": upstream.row("Ready", int(time.time() * 1000)),
             }[change]
-            await w.tell(row)
+            await lb.change_endpoints(row)
             await upstream.until(lambda: upstream.ended == len(upstream.links))
             count = len(upstream.seen)
             for number in range(8):
-                assert (await w.request(f"n{number}")).status == 200
+                assert (await lb.request(f"n{number}")).status == 200
             assert change == "restart" or len(upstream.seen) == count
 
     run(test())
 
 
-def test_with_no_connection_to_spare_no_upstream_is_blamed() -> None:
-    """All connections that may be open are in use. A request that finds none is not sent, and no upstream
+def test_no_upstream_is_blamed_when_the_cap_on_connections_is_reached() -> None:
+    """The cap on connections is reached and all are in use. The next request is not sent, and no upstream
     is blamed for it.
     """
 
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -1,4 +1,4 @@
-"""An agent that pushes changes: its silence, its return, and its start."""
+"""Discovery by an agent that pushes changes: its outages and its return, and the balancer's start."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from tests.in_process import SETTINGS, EventRecorder, in_process_balancer
 
 
-def test_agents_that_fail_are_called_often_and_not_in_step() -> None:
-    """The agents of all balancers fail at once. Each balancer calls the agent of its own machine often
-    enough to notice a return within a drain's grace, and they do not all call in step.
+def test_failed_agents_are_called_often_and_not_synchronously() -> None:
+    """The agents of all balancers fail at the same time. Each balancer calls its own machine's agent often
+    enough to notice its return within a drain's grace period, and the calls are not synchronized.
     """
     waits: list[list[float]] = []
 
@@ -46,7 +46,7 @@
                 await watcher._watch()
 
     run(test())
-    assert 2 * discovery.RETRY_INTERVAL_S <= 0.5  # of a drain's grace: one call that is lost, and the next
+    assert 2 * discovery.RETRY_INTERVAL_S <= 0.5  # the grace period allows for a lost call and the next one
     for turn in range(12):
         drawn = sorted(each[turn] for each in waits)
         assert drawn[0] > 0.3 * discovery.RETRY_INTERVAL_S and drawn[-1] <= discovery.RETRY_INTERVAL_S
@@ -54,17 +54,17 @@
     assert discovery.SNAPSHOT_TIMEOUT_S + discovery.RETRY_INTERVAL_S < 6
 
 
-def test_a_call_that_came_while_discovery_was_down_is_not_waited_for_at_its_return(
+def test_the_return_of_an_agent_is_noticed_though_calls_from_its_outage_hang(
     recorded: EventRecorder,
 ) -> None:
-    """An agent is silent in an outage, and never answers the calls that came then. Calls made after its
-    return are answered at once, and one is made soon.
+    """An agent is silent during an outage, and never answers the calls of that time. Calls made after its
+    return are answered immediately, and one is made soon.
     """
 
     async def test() -> None:
-        async with in_process_balancer(2) as w:
-            await w.watching()
-            tell, lost, back = w.discovery.reply, asyncio.Event(), False
+        async with in_process_balancer(2) as lb:
+            await lb.until_watching()
+            tell, lost, back = lb.discovery.reply, asyncio.Event(), False
 
             async def reply(message: Message) -> bytes | None:
                 if back:
@@ -72,10 +72,10 @@
                 lost.set()
                 return await never()
 
-            w.discovery.reply = reply
-            w.discovery.close_links()
+            lb.discovery.reply = reply
+            lb.discovery.close_links()
             await lost.wait()
-            w.discovery.change(w.upstreams[0].row("Terminating"))
+            lb.discovery.change(lb.upstreams[0].row("Terminating"))
             back = True
             back_s = asyncio.get_running_loop().time()
             await recorded.until(
@@ -85,69 +85,69 @@
                     for u in e.endpoints
                 )
             )
-            assert asyncio.get_running_loop().time() - back_s < 0.5  # the least grace of a drain
+            assert asyncio.get_running_loop().time() - back_s < 0.5  # the shortest grace period of a drain
 
     run(test())
 
 
-def test_calls_to_a_silent_agent_are_few_at_once_and_one_that_is_answered_late_counts(
+def test_a_silent_agent_gets_few_parallel_calls_and_a_late_answer_is_used(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """An agent stays silent for long. Calls to it are repeated, but only a few are open at once, and one
-    that is answered late counts.
+    """An agent stays silent for a long time. Calls to it are repeated, but only a few are open at the same
+    time, and a late answer to one of them is used.
     """
     monkeypatch.setattr(discovery, "RETRY_INTERVAL_S", 0.02)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            await w.watching()
+        async with in_process_balancer() as lb:
+            await lb.until_watching()
             late, told = asyncio.Event(), [e.kind for e in recorded.of(EndpointUpdate)]
 
             async def reply(message: Message) -> bytes | None:
                 await late.wait()
-                return answer(200, json.dumps(w.discovery.snapshot()).encode())
+                return answer(200, json.dumps(lb.discovery.snapshot()).encode())
 
-            w.discovery.reply = reply
-            before = len(w.discovery.links)
-            w.discovery.close_links()
-            await w.discovery.until(
-                lambda: len(w.discovery.links) - before >= 3 * discovery.MAX_PARALLEL_CALLS
+            lb.discovery.reply = reply
+            before = len(lb.discovery.links)
+            lb.discovery.close_links()
+            await lb.discovery.until(
+                lambda: len(lb.discovery.links) - before >= 3 * discovery.MAX_PARALLEL_CALLS
             )
-            # Ends of those let go are under way.
-            assert len(w.discovery.connections) <= discovery.MAX_PARALLEL_CALLS + 2
+            # Two connections that were given up may not have ended yet.
+            assert len(lb.discovery.connections) <= discovery.MAX_PARALLEL_CALLS + 2
             late.set()
             await recorded.until(lambda: len(recorded.of(EndpointUpdate)) > len(told))
-            await w.discovery.until(lambda: len(w.discovery.connections) == 1)
+            await lb.discovery.until(lambda: len(lb.discovery.connections) == 1)
 
     run(test())
 
 
-def test_a_start_sends_nothing_by_an_old_list_that_its_agent_knows_better(
+def test_a_start_forwards_no_request_before_its_agent_has_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A balancer starts with a cached list, and its agent knows of a drain. What the agent has counts as
-    notified from the process's first moment on, whatever versions it counts. Nothing is sent before the
-    agent has been asked.
+    """A balancer starts with a cached list, and its agent knows of a drain. The agent's updates count as
+    delivered from the start of the process on, however it numbers versions. No request is sent to an
+    upstream before the agent has answered.
     """
     monkeypatch.setattr(discovery, "START_TIMEOUT_S", TEST_S)
 
     async def test() -> None:
-        async with in_process_balancer(2) as w:
-            drains, stays = w.upstreams
+        async with in_process_balancer(2) as lb:
+            drains, stays = lb.upstreams
             told = asyncio.Event()
-            reply = w.discovery.reply
+            reply = lb.discovery.reply
 
             async def slow(message: Message) -> bytes | None:
                 await told.wait()
                 return await reply(message)
 
-            w.discovery.reply = slow
-            w.discovery.rows = [drains.row("Terminating"), stays.row()]
-            client = await w.client()
+            lb.discovery.reply = slow
+            lb.discovery.rows = [drains.row("Terminating"), stays.row()]
+            client = await lb.client()
             client.send("r1")
-            await w.discovery.until(lambda: w.discovery.seen)
+            await lb.discovery.until(lambda: lb.discovery.seen)
             for _ in range(100):
-                await asyncio.sleep(0)  # turns of the loop in which it could go to either
+                await asyncio.sleep(0)  # loop iterations in which the request could be sent
             assert not drains.seen and not stays.seen
             told.set()
             assert (await client.answer()).body == stays.name.encode()
@@ -156,27 +156,27 @@
     known = {"version": 50, "full": True, "servers": []}
 
     async def counted_otherwise() -> None:
-        async with in_process_balancer(cached_endpoints=known) as w:
-            assert (await w.request("r1")).body == w.upstreams[0].name.encode()
+        async with in_process_balancer(cached_endpoints=known) as lb:
+            assert (await lb.request("r1")).body == lb.upstreams[0].name.encode()
 
     run(test())
     run(counted_otherwise())
 
 
-def test_a_watch_of_an_agent_that_is_reset_is_opened_anew_at_once(
+def test_a_watch_whose_connection_is_reset_is_reopened_immediately(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """The connection of a watch that has worked is reset. What the agent has counts as notified, whether or
-    not a watch is open, so it is opened anew without a pause.
+    """The connection of a watch that has worked is reset. The agent's updates count as delivered whether or
+    not a watch is open, so the watch is reopened without a pause.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            await w.watching()
+        async with in_process_balancer() as lb:
+            await lb.until_watching()
             monkeypatch.setattr(discovery, "RETRY_INTERVAL_S", 1e6)
-            await w.tell(w.upstreams[0].row())  # the watch has been answered once
-            w.discovery.close_links()
-            w.discovery.change(w.upstreams[0].row("Terminating"))
+            await lb.change_endpoints(lb.upstreams[0].row())  # the watch has been answered once
+            lb.discovery.close_links()
+            lb.discovery.change(lb.upstreams[0].row("Terminating"))
             await recorded.until(
                 lambda: any(
                     u.state is EndpointState.DRAINING
@@ -188,11 +188,11 @@
     run(test())
 
 
-def test_a_watch_whose_connection_to_its_agent_does_not_come_up_is_opened_anew(
+def test_a_watch_whose_handshake_hangs_is_reopened(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """An agent ends its connection behind a response, and the next handshake hangs. The call is given up
-    soon, and the watch is opened anew.
+    """An agent closes its connection after a response, and the next handshake hangs. The call is given up
+    soon, and the watch is reopened.
     """
     monkeypatch.setattr(discovery, "SNAPSHOT_TIMEOUT_S", 2 * TEST_S)
 
@@ -207,20 +207,20 @@
             return await connect(factory, host, port)
 
         loop.create_connection = once  # type: ignore[method-assign, assignment]
-        async with in_process_balancer() as w:
-            await w.watching()
-            tell = w.discovery.reply
+        async with in_process_balancer() as lb:
+            await lb.until_watching()
+            tell = lb.discovery.reply
 
             async def last(message: Message) -> bytes | None:
                 told = await tell(message)
-                w.discovery.reply = tell
+                lb.discovery.reply = tell
                 hangs[0] = True
                 return told and told.replace(b"\r\n", b"\r\nConnection: close\r\n", 1)
 
-            w.discovery.reply = last
-            w.discovery.close_links()  # the watch that is out would be answered as before
-            await w.discovery.until(lambda: w.discovery.reply == tell)
-            w.discovery.change(w.upstreams[0].row("Terminating"))
+            lb.discovery.reply = last
+            lb.discovery.close_links()  # the open watch call would still be answered by the old `reply`
+            await lb.discovery.until(lambda: lb.discovery.reply == tell)
+            lb.discovery.change(lb.upstreams[0].row("Terminating"))
             await recorded.until(
                 lambda: any(
                     u.state is EndpointState.DRAINING
--- a/tests/net/test_dispatch.py
+++ b/tests/net/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Events handed to the decisions, and their actions carried out."""
+"""Events that are handed to the balancer, and the execution of its actions."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tests.in_process import EventRecorder, in_process_balancer, script_balancer
 
 
-def test_a_failing_module_fails_the_request_and_is_logged(
+def test_an_exception_in_the_balancer_fails_the_request_and_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The decisions raise an exception while they handle a request. It is answered with 502 and logged with
-    its identifier, and requests behind it are served.
+    """The balancer raises an exception while it handles a request. The request is answered with 502 and
+    logged with its identifier, and later requests are served.
     """
 
     def acts(event: Event, upstream: int) -> list[Action]:
@@ -32,18 +32,18 @@
     script_balancer(monkeypatch, EventRecorder(), acts)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            assert (await w.request("bad")).status == 502
-            assert (await w.request("good")).status == 200
+        async with in_process_balancer() as lb:
+            assert (await lb.request("bad")).status == 502
+            assert (await lb.request("good")).status == 200
         (record,) = [r for r in caplog.records if r.exc_info]
         assert "bad" in record.getMessage()
 
     run(test())
 
 
-def test_churn_leaves_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Upstreams come and go all the time, each under a new identifier. Were anything kept of those that are
-    gone, memory and connections would grow without end: nothing is.
+def test_nothing_is_kept_of_removed_upstreams(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Upstreams come and go all the time, each with a new identifier. If anything were kept of removed
+    upstreams, memory and connections would grow without bound.
     """
     built: list[Dispatcher] = []
 
@@ -54,15 +54,15 @@
     monkeypatch.setattr(daemon, "Dispatcher", build)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            upstream = w.upstreams[0]
-            for number in range(30):  # ever new ids at one address, each with its own connections
-                assert (await w.request(f"r{number}", obj=number)).status == 200
+        async with in_process_balancer() as lb:
+            upstream = lb.upstreams[0]
+            for number in range(30):  # a new identifier at the same address, with its own connections
+                assert (await lb.request(f"r{number}", obj=number)).status == 200
                 before, upstream.name = upstream.row("Gone"), f"new-{number}"
-                await w.tell(before, upstream.row())
+                await lb.change_endpoints(before, upstream.row())
             (balancer,) = built
             await upstream.until(lambda: upstream.ended >= 30)
-            assert (await w.request("last")).status == 200
+            assert (await lb.request("last")).status == 200
             assert len(balancer.upstreams.pool.targets) == len(balancer.balancer.registry.upstreams) == 1
             pool = balancer.upstreams.pool
             assert pool.open_connections <= 2 and not pool.connect_tasks
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""An endpoint list's entries."""
+"""The parsing of endpoint lists."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tests.in_process import EventRecorder, in_process_balancer
 
 
-def test_a_list_entry() -> None:
+def test_list_entries_are_parsed_and_invalid_ones_raise_an_error() -> None:
     now_ms = time.time_ns() // 1_000_000
     row = {"id": "s-5be2a07c", "addr": "127.0.0.9:8000", "state": "Ready", "started_ms": now_ms - 5000}
     first, again = read_endpoint(row), read_endpoint(row)
     assert first == again and (first.host, first.port) == ("127.0.0.9", 8000)
-    # The module's clock is monotonic: five seconds ago by it, too.
+    # The balancer's clock is monotonic: the start is five seconds ago by that clock, too.
     assert abs(time.monotonic_ns() - first.entry.started_ns - 5 * SECOND) < SECOND
     assert read_endpoint({**row, "started_ms": 0}).entry.started_ns == 0
     # Balancers must compute the same number, now and in any later version.
@@ -43,28 +43,28 @@
     assert split_address("[::1]:80") == ("::1", 80)
 
 
-def test_a_list_with_entries_that_cannot_be_read_is_one_line_and_the_rest_is_used(
+def test_invalid_entries_of_a_list_are_logged_in_one_line_and_the_rest_is_used(
     recorded: EventRecorder, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A list has a thousand entries that can't be read. They are skipped and logged in one line, and the
-    rest is used.
+    """A list has a thousand invalid entries. They are skipped and logged in one line, and the rest is
+    used.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            good = w.upstreams[0].row()
-            await w.watching()
+        async with in_process_balancer() as lb:
+            good = lb.upstreams[0].row()
+            await lb.until_watching()
             caplog.clear()
             bad = [{**good, "id": f"b-{number}", "addr": "nowhere"} for number in range(1000)]
             told = {"version": 9, "full": True, "servers": [*bad, good, good, 7, {}]}
-            w.discovery.version = 9
-            w.discovery.reply = _only(answer(200, json.dumps(told, indent=4).encode()), w.discovery.reply)
-            w.discovery.close_links()
-            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) == 3)  # as last known, one, this
+            lb.discovery.version = 9
+            lb.discovery.reply = _only(answer(200, json.dumps(told, indent=4).encode()), lb.discovery.reply)
+            lb.discovery.close_links()
+            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) == 3)  # cached, first, this one
             assert {u.id for u in recorded.of(EndpointUpdate)[2].endpoints} == {upstream_number("s-0")}
             lines = [r.getMessage() for r in caplog.records if "skipped" in r.getMessage()]
             assert lines == ["discovery: entries skipped: 1002; the first: 'nowhere' is not HOST:PORT"]
-            assert (await w.request("r1")).status == 200
+            assert (await lb.request("r1")).status == 200
 
     run(test())
 
@@ -72,7 +72,7 @@
 def _only(
     first: bytes, then: Callable[[Message], Awaitable[bytes | None]]
 ) -> Callable[[Message], Awaitable[bytes | None]]:
-    """Answers once with this, and then as before."""
+    """Returns a reply function that answers once with `first`, and then calls `then`."""
     left = [first]
 
     async def reply(message: Message) -> bytes | None:
--- a/tests/net/test_http_parser.py
+++ b/tests/net/test_http_parser.py
@@ -1,4 +1,4 @@
-"""The parsers by themselves."""
+"""The HTTP parsers, without connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     MAX_HEAD_BYTES,
 )
 from tests.net.support import (
-    LONG,
+    LONG_BODY,
     OK,
     chunked_request,
     chunked_response,
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 1_000_000])
-def test_requests_are_read_alike_in_whatever_pieces_they_come(step: int) -> None:
+def test_requests_are_parsed_alike_in_pieces_of_any_size(step: int) -> None:
     data = (
         HEAD
         + b"X-Odd:  a b\t\r\nContent-Length: 4\r\n\r\nbody"
@@ -91,9 +91,9 @@
         (b"GET /" + b"x" * MAX_HEAD_BYTES, 431),
     ],
 )
-def test_requests_that_are_turned_away(data: bytes, status: int) -> None:
+def test_invalid_requests_are_rejected(data: bytes, status: int) -> None:
     """Requests are malformed, ambiguous, too large or of another protocol. Each is rejected with its
-    status, and nothing behind it is read.
+    status, and nothing after it is parsed.
     """
     for step in (1000, 1_000_000_000):
         reader = RequestParser()
@@ -101,12 +101,12 @@
             reader.feed(data[at : at + step])
         assert reader.error is not None and reader.error.status == status
         reader.feed(HEAD + b"\r\n")
-        assert not reader.messages  # nothing is read behind it
+        assert not reader.messages  # nothing is parsed after the error
 
 
-def test_a_wish_for_another_protocol_is_ignored_in_a_request_and_not_believed_in_an_answer() -> None:
-    """A request asks for another protocol: it is read as if it did not, and is the last on its connection.
-    A response that claims to change it is an error.
+def test_an_upgrade_is_ignored_in_a_request_and_an_error_in_a_response() -> None:
+    """A request that asks for another protocol is parsed as if it did not, and is the last on its
+    connection. A response that claims to change the protocol is an error.
     """
     wish = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader = RequestParser()
@@ -117,7 +117,7 @@
     assert answers.error is not None and not answers.messages
 
 
-def test_a_client_that_waits_to_be_told_to_go_on() -> None:
+def test_expect_100_continue_is_recognized() -> None:
     reader = RequestParser()
     reader.feed(HEAD + b"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
     assert reader.expects_continue and not reader.messages
@@ -136,9 +136,9 @@
         (OK + b"Content-Length: 2\r\n\r\nok" + OK + b"Content-Length: 0\r\n\r\n", b"ok", False),
     ],
 )
-def test_an_answer_and_whether_anything_stands_behind_it(data: bytes, body: bytes, clean: bool) -> None:
-    """Something stands behind a response: noise, or a second response. It must be seen, as the next
-    request's response would be read from there.
+def test_bytes_after_a_response_are_detected(data: bytes, body: bytes, clean: bool) -> None:
+    """Noise or a second response follows a response. It must be detected, as it would be read as the next
+    request's response.
     """
     reader = ResponseParser()
     reader.feed(data)
@@ -146,7 +146,7 @@
     assert clean is not bool(reader.messages or reader.has_partial or reader.error)
 
 
-def test_how_long_an_answer_may_be_is_told_for_each() -> None:
+def test_each_response_has_its_own_length_limit() -> None:
     long = OK + b"Content-Length: 70000\r\n\r\n" + b"x" * 70_000
     reader = ResponseParser()
     reader.expect_response(4 * MAX_BUFFERED_BODY_BYTES)
@@ -162,10 +162,10 @@
     st.lists(st.integers(1, 100_000), max_size=8),
     st.sampled_from([response_with_length, chunked_response]),
 )
-def test_what_is_passed_on_does_not_depend_on_where_it_was_cut(
+def test_a_streamed_body_does_not_depend_on_how_its_bytes_are_split(
     size: int, cuts: list[int], framed: Callable[[bytes], bytes]
 ) -> None:
-    body = LONG[:size]
+    body = LONG_BODY[:size]
     data = framed(body)
     reader = ResponseParser()
     reader.expect_response(MAX_BUFFERED_BODY_BYTES, True)
@@ -182,11 +182,11 @@
     assert (got or whole.body) == body and not (got and whole.body)
 
 
-def test_cut_at_every_byte_a_long_answer_in_chunks_is_never_whole() -> None:
-    """A connection ends in the middle of a response in chunks, at each possible byte. The response is never
-    taken for complete.
+def test_a_chunked_response_truncated_at_any_byte_is_never_complete() -> None:
+    """A connection ends in the middle of a chunked response, at each possible byte. The response never
+    counts as complete.
     """
-    data = chunked_response(LONG[:2000], 700)
+    data = chunked_response(LONG_BODY[:2000], 700)
     for at in range(len(data)):
         reader = ResponseParser()
         reader.expect_response(1000, True)
@@ -207,9 +207,11 @@
         (b"Connection: close\r\nContent-Length: 4\r\n", False),
     ],
 )
-def test_an_end_of_connection_ends_an_answer_only_where_it_says_so(head: bytes, believed: bool) -> None:
-    """A response has no length, and its connection ends. It may be complete or have been cut off. It is
-    taken for complete only if it said that the connection would close.
+def test_the_end_of_a_connection_ends_a_response_only_with_connection_close(
+    head: bytes, believed: bool
+) -> None:
+    """A response has no length, and its connection ends. It may be complete or truncated. It counts as
+    complete only if it announced that the connection would close.
     """
     reader = ResponseParser()
     reader.expect_response(MAX_BUFFERED_BODY_BYTES, True)
@@ -222,14 +224,16 @@
     st.lists(st.tuples(st.integers(0, 3 * MAX_BUFFERED_BODY_BYTES), st.booleans()), max_size=4),
     st.integers(500, 16_384),
 )
-def test_messages_do_not_mix_however_long_and_however_they_are_cut(
+def test_pipelined_messages_do_not_mix_whatever_their_length_and_split(
     wanted: list[tuple[int, bool]], step: int
 ) -> None:
-    """Long and short requests stand close behind each other, and come in pieces of any size. Each gets its
-    own bytes, and only these.
+    """Long and short requests are pipelined, and come in pieces of any size. Each gets its own bytes, and
+    only these.
     """
     data = b"".join(
-        (chunked_request if in_chunks else request_with_length)(f"r{number}", LONG[number : number + size])
+        (chunked_request if in_chunks else request_with_length)(
+            f"r{number}", LONG_BODY[number : number + size]
+        )
         for number, (size, in_chunks) in enumerate(wanted)
     )
     reader = RequestParser()
@@ -251,4 +255,4 @@
             else:
                 break
     assert reader.error is None
-    assert got == [LONG[number : number + size] for number, (size, _) in enumerate(wanted)]
+    assert got == [LONG_BODY[number : number + size] for number, (size, _) in enumerate(wanted)]
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""Who is accepted."""
+"""Which connections are accepted."""
 
 from __future__ import annotations
 
@@ -12,33 +12,35 @@
 )
 from tests.fakes import answer, run
 from tests.in_process import EventRecorder, in_process_balancer
-from tests.net.support import LEAVES, PATIENT
+from tests.net.support import DISCONNECTS, NO_CANCEL
 
 
-@pytest.mark.parametrize("how", LEAVES)
-def test_a_request_whose_client_leaves_the_backlog_is_not_begun(recorded: EventRecorder, how: str) -> None:
-    """All places are taken, and a client waits in the backlog with its request sent. It leaves before it is
-    accepted. Its request is not begun, and the client behind it is served.
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_a_request_whose_client_disconnects_in_the_backlog_is_not_begun(
+    recorded: EventRecorder, how: str
+) -> None:
+    """The cap is reached, and a client that waits in the backlog has sent its request. It disconnects before
+    it is accepted. Its request is not begun, and the next client in the backlog is served.
     """
 
     async def test() -> None:
         async with in_process_balancer(
-            settings=PATIENT, sockets=RESERVED_SOCKETS + 2 * 2
-        ) as w:  # two clients
+            settings=NO_CANCEL, sockets=RESERVED_SOCKETS + 2 * 2
+        ) as lb:  # two clients
             go_on = asyncio.Event()
 
             async def slow() -> bytes:
                 await go_on.wait()
                 return answer(200, b"slow")
 
-            w.upstreams[0].script = [slow, slow]
-            busy = [await w.client() for _ in range(2)]
+            lb.upstreams[0].script = [slow, slow]
+            busy = [await lb.client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(f"b{number}")
             await recorded.until(lambda: len(recorded.of(RequestArrived)) == 2)
-            leaves, stays = await w.client(), await w.client()
+            leaves, stays = await lb.client(), await lb.client()
             leaves.send("gone")
-            LEAVES[how](leaves)
+            DISCONNECTS[how](leaves)
             stays.send("last")
             go_on.set()
             assert (await stays.answer()).status == 200
--- a/tests/net/test_load_reports.py
+++ b/tests/net/test_load_reports.py
@@ -1,4 +1,4 @@
-"""What is read of a load report."""
+"""The parsing of load reports."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
         (b"\xff\xfe=1", None),
     ],
 )
-def test_a_load_report_is_believed_as_far_as_it_can_be(text: bytes | None, report: Any) -> None:
-    """A load report has values that are not numbers, not finite or negative, or of other names. What can be
-    believed of it is used, and the rest is not.
+def test_only_valid_values_of_a_load_report_are_used(text: bytes | None, report: Any) -> None:
+    """A load report has values that are not numbers, not finite or negative, or fields with other names. The
+    valid values are used, and the rest is ignored.
     """
     assert read_load_report(text, ("inflight", "queue")) == report
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -18,8 +18,8 @@
 from tests.in_process import EventRecorder, in_process_balancer
 
 
-def test_peers(recorded: EventRecorder) -> None:
-    """Datagrams come from strangers, too large, and from a peer. Only the peer's is handed on."""
+def test_only_valid_messages_of_peers_are_accepted(recorded: EventRecorder) -> None:
+    """Datagrams come from an unknown address, or are too large. Only a peer's valid message is accepted."""
 
     async def test() -> None:
         with (
@@ -45,7 +45,7 @@
     run(test())
 
 
-def test_a_message_is_told_to_one_peer_or_all(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_message_is_sent_to_one_peer_or_to_all(monkeypatch: pytest.MonkeyPatch) -> None:
     class Teller(Balancer):
         def handle(self, now: int, events: object) -> list[Action]:
             return [SendPeerMessage(b"one", 0), SendPeerMessage(b"all")]
--- a/tests/net/test_request_head.py
+++ b/tests/net/test_request_head.py
@@ -1,4 +1,4 @@
-"""What is read from the head of a client's request."""
+"""The parsing of the head of a client's request."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from tests.in_process import SETTINGS, EventRecorder, in_process_balancer
 
 
-def test_an_id_that_is_open_already() -> None:
-    """A request has the identifier of one that is open. Answers and events could not be told apart, so it
-    is answered with 409.
+def test_a_request_with_the_identifier_of_an_open_one_is_rejected() -> None:
+    """A request has the identifier of an open request. Their answers and events could not be distinguished,
+    so it is answered with 409.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            first = await w.held("r1")
-            assert (await w.request("r1")).status == 409
+        async with in_process_balancer() as lb:
+            first = await lb.client_with_open_request("r1")
+            assert (await lb.request("r1")).status == 409
             first.close()
 
     run(test())
@@ -29,8 +29,10 @@
 
 @pytest.mark.parametrize("coding", ["utf-8", "latin-1"])
 @pytest.mark.parametrize("named", [True, False])
-def test_names_of_any_characters(recorded: EventRecorder, coding: str, named: bool) -> None:
-    """Classes and tenants are called what the settings say: headers carry that as bytes, paths quoted."""
+def test_names_of_classes_and_tenants_may_have_any_characters(
+    recorded: EventRecorder, coding: str, named: bool
+) -> None:
+    """Names of classes and tenants have any characters: headers carry them as bytes, paths quoted."""
     kind, tenant = "prix d'\u00e9t\u00e9/1", "Zo\u00eb & fils"
     settings = replace(
         SETTINGS,
@@ -39,8 +41,8 @@
     )
 
     async def test() -> None:
-        async with in_process_balancer(settings=settings) as w:
-            client = await w.client()
+        async with in_process_balancer(settings=settings) as lb:
+            client = await lb.client()
             path = quote(kind, safe="")
             given = f"X-Class: {kind}\r\n" if named else ""
             got = await client.raw(
@@ -48,21 +50,21 @@
                 f"X-Tenant: {tenant}\r\n\r\n".encode(coding)
             )
             assert got.status == 200
-            assert w.upstreams[0].seen[0].start[1] == f"/{path}?obj=1"
+            assert lb.upstreams[0].seen[0].start[1] == f"/{path}?obj=1"
             (arrived,) = recorded.of(RequestArrived)
             assert (arrived.class_name, arrived.tenant) == (kind, tenant)
 
     run(test())
 
 
-def test_a_method_that_is_not_the_class_s_and_an_endless_id() -> None:
-    """Requests have a method or a body that their class does not have, or an identifier of a kilobyte. They
-    are rejected, and the connection goes on.
+def test_a_wrong_method_and_a_too_long_identifier_are_rejected() -> None:
+    """Requests have a method or a body that their class does not allow, or an identifier of a kilobyte.
+    They are rejected, and the connection stays usable.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            client = await lb.client()
             assert (await client.request("r1", "pay", "GET")).status == 405
             assert (await client.request("r1", "quote", "DELETE")).status == 405
             assert (await client.request("r1", "quote", "GET", b"body")).status == 400
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -1,4 +1,4 @@
-"""Streamed responses that stand still, dribble or never end."""
+"""Streamed responses that stall, make too little progress or never end."""
 
 from __future__ import annotations
 
@@ -25,29 +25,27 @@
 from tests.in_process import SETTINGS, EventRecorder, in_process_balancer, script_balancer
 from tests.net.support import (
     CHUNKED,
-    LONG,
+    LONG_BODY,
+    NO_CANCEL,
     OK,
-    PATIENT,
     R,
-    Steps,
-    body_of,
+    StepwiseResponse,
+    balancer_with_stepwise_response,
     chunked_response,
+    read_response,
     response_with_length,
-    stepwise,
 )
 
 
-def test_an_answer_that_stands_still_is_given_up(
-    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
-) -> None:
-    """An upstream sends part of a response and then nothing more. The attempt is given up after a while,
-    and the client can see that its response is incomplete.
+def test_a_stalled_response_is_given_up(monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder) -> None:
+    """An upstream sends part of a response and then nothing more. The attempt is given up after a time-out,
+    and the client can tell that its response is incomplete.
     """
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.1)
 
     async def test() -> None:
-        async with stepwise() as (_, client, steps):
-            await steps.write(OK + b"Content-Length: 500000\r\n\r\n" + LONG[:100_000])
+        async with balancer_with_stepwise_response() as (_, client, steps):
+            await steps.write(OK + b"Content-Length: 500000\r\n\r\n" + LONG_BODY[:100_000])
             with suppress(ConnectionError):
                 while await client.reader.read(65536):
                     pass
@@ -57,41 +55,43 @@
     run(test())
 
 
-def test_the_deadline_does_not_cut_an_answer_that_has_begun(recorded: EventRecorder) -> None:
-    """A streamed response goes on past its client's deadline. The deadline applies to its beginning, so it
-    is not cut.
+def test_the_deadline_does_not_abort_a_response_that_has_begun(recorded: EventRecorder) -> None:
+    """A streamed response continues past its client's deadline. The deadline applies to its beginning, so
+    it is not aborted.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            steps = Steps(w)
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            steps = StepwiseResponse(lb)
+            client = await lb.client()
             client.send("r1", X_Deadline_Ms=250)
-            await steps.write(OK + b"Content-Length: 200000\r\n\r\n" + LONG[:100_000])
+            await steps.write(OK + b"Content-Length: 200000\r\n\r\n" + LONG_BODY[:100_000])
             await recorded.until(lambda: recorded.of(ResponseStarted))
-            await asyncio.sleep(0.4)  # past the deadline, and what the driver adds to it
-            await steps.write(LONG[100_000:200_000])
-            assert (await body_of(client))[1] == LONG[:200_000]
+            await asyncio.sleep(0.4)  # past the deadline and OVERDUE_S
+            await steps.write(LONG_BODY[100_000:200_000])
+            assert (await read_response(client))[1] == LONG_BODY[:200_000]
             assert recorded.results() == [R.OK]
 
     run(test())
 
 
-def test_more_than_may_be_passed_on_is_cut(monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder) -> None:
-    """A response is longer than what may be streamed. It is an error if it says so beforehand; else it is
-    cut at the limit, and the client can tell.
+def test_a_response_beyond_the_streaming_limit_is_aborted(
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
+) -> None:
+    """A response is longer than the limit of streamed bodies. It is an error if its length is stated; else
+    it is aborted at the limit, and the client can tell.
     """
     monkeypatch.setattr("lanelift.net.message_parser.MAX_STREAMED_BODY_BYTES", 300_000)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            w.upstreams[0].script = [response_with_length(LONG), chunked_response(LONG)]
-            assert (await w.request("r1")).status == 503  # said beforehand
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            lb.upstreams[0].script = [response_with_length(LONG_BODY), chunked_response(LONG_BODY)]
+            assert (await lb.request("r1")).status == 503  # its length is stated
+            client = await lb.client()
             client.send("r2")
             with suppress(ConnectionError, asyncio.IncompleteReadError):
-                await body_of(client)
-                raise AssertionError("it came whole")
+                await read_response(client)
+                raise AssertionError("the response was complete")
             await recorded.until(lambda: len(recorded.of(AttemptFinished)) == 2)
             assert recorded.results() == [R.ERROR, R.ERROR]
 
@@ -106,35 +106,35 @@
     "begins", [CHUNKED + b"3\r\none\r\n", CHUNKED, CLOSES + b"one", CHUNKED + b"7d0\r\n" + b"x" * 2000]
 )
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_an_answer_that_never_ends_is_cut_when_it_is_owed(
+def test_a_response_that_never_ends_is_aborted_after_its_timeout(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, begins: bytes, may_cancel: bool
 ) -> None:
-    """A response does not state its length, begins, and never ends. It is streamed as a long one would be,
-    and its client would wait for ever. It is cut when its time is over and it makes no progress.
+    """A response without a stated length begins and never ends. It is streamed as a long one would be, and
+    its client would wait for ever. It is aborted when it makes no progress after its time-out.
     """
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 2 * TEST_S)
-    assert 2 * exchange.MIN_PROGRESS_INTERVAL_S < 0.5  # in which an answer that is late still counts as one
+    assert 2 * exchange.MIN_PROGRESS_INTERVAL_S < 0.5  # within which a late answer still counts as an answer
 
     async def test() -> None:
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=may_cancel))
-        async with in_process_balancer(settings=settings) as w:
-            w.upstreams[0].script = [begins]
-            client = await w.client()
+        async with in_process_balancer(settings=settings) as lb:
+            lb.upstreams[0].script = [begins]
+            client = await lb.client()
             client.send("r1", X_Deadline_Ms=150)
             with suppress(ConnectionError):
                 while await client.reader.read(65536):
-                    pass  # the end shows that it is not whole
+                    pass  # the end of the connection shows that the response is incomplete
             assert recorded.results() == [R.TIMEOUT]
-            assert (await w.request("r2")).status == 200
+            assert (await lb.request("r2")).status == 200
 
     run(test())
 
 
-def test_an_answer_that_dribbles_is_cut_and_one_that_goes_on_is_not(
+def test_a_response_with_too_little_progress_is_aborted_and_a_steady_one_is_not(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """Two responses without a stated length go on past their time, one with some bytes now and then, one
-    steadily. The first is cut, the second is not.
+    """Two responses without a stated length continue past their time-out, one with a few bytes at a time,
+    one steadily. The first is aborted, the second is not.
     """
     script_balancer(
         monkeypatch,
@@ -143,10 +143,10 @@
     )
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            box = w.upstreams[0]
+        async with in_process_balancer() as lb:
+            box = lb.upstreams[0]
             box.script = [CHUNKED, CHUNKED]
-            slow, steady = await w.client(), await w.client()
+            slow, steady = await lb.client(), await lb.client()
             steady.send("r1", X_Deadline_Ms=400)
             await box.until(lambda: len(box.seen) == 1)
             slow.send("r2", X_Deadline_Ms=400)
@@ -168,32 +168,32 @@
     run(test())
 
 
-def test_an_answer_that_tells_a_great_length_is_not_cut_when_its_time_is_over(
+def test_a_response_with_a_large_stated_length_is_not_aborted_after_its_timeout(
     recorded: EventRecorder,
 ) -> None:
-    """A response states a great length, and stands still for a while when its time is over: an upstream may
-    do that for a quarter of a second and go on. Its first bytes were in time, so it is not cut.
+    """A response with a large stated length stalls for a while after its time-out, as an upstream may do for
+    a quarter of a second. Its first bytes were in time, so it is not aborted.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            w.upstreams[0].script = [b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\none"]
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            lb.upstreams[0].script = [b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\none"]
+            client = await lb.client()
             client.send("r1", X_Deadline_Ms=100)
             await recorded.until(lambda: recorded.of(ResponseStarted))
             began_s = asyncio.get_running_loop().time()
             while asyncio.get_running_loop().time() < began_s + 0.1 + 3 * exchange.MIN_PROGRESS_INTERVAL_S:
                 await asyncio.sleep(0.02)
-            w.upstreams[0].links[0].write(b"x" * 899_997)
+            lb.upstreams[0].links[0].write(b"x" * 899_997)
             assert len((await client.answer()).body) == 900_000
 
     run(test())
 
 
-def test_an_answer_that_was_held_back_beyond_its_time_is_not_cut_for_having_brought_nothing() -> None:
-    """A response's client takes nothing, so reading from the upstream is paused beyond the response's time.
-    It made no progress because of that, and what lies there has yet to be read: it is not cut when reading
-    resumes.
+def test_a_response_that_was_paused_beyond_its_timeout_is_not_aborted_for_lack_of_progress() -> None:
+    """A client does not read its response, so reading from the upstream is paused beyond the response's
+    time-out. The response could make no progress meanwhile, and received bytes are still unread: it is not
+    aborted when reading resumes.
     """
 
     async def test() -> None:
@@ -228,23 +228,23 @@
     run(test())
 
 
-def test_a_client_that_leaves_an_answer_that_never_ends_leaves_nothing_behind(
+def test_a_client_that_disconnects_from_an_endless_response_closes_the_upstreams_connection(
     recorded: EventRecorder,
 ) -> None:
-    """A client disconnects from a response that never ends, where attempts may not be cancelled. The
-    upstream's connection is of use to nobody any more, and is closed.
+    """A client disconnects during a response that never ends, where attempts may not be cancelled. The
+    upstream's connection is of no more use, and is closed.
     """
 
     async def test() -> None:
-        async with in_process_balancer(settings=PATIENT) as w:
-            w.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
-            client = await w.client()
+        async with in_process_balancer(settings=NO_CANCEL) as lb:
+            lb.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
+            client = await lb.client()
             client.send("r1")
             await recorded.until(lambda: recorded.of(ResponseStarted))
             client.close()
             await recorded.until(
                 lambda: recorded.of(ClientDisconnected) and recorded.results() == [R.CANCELLED]
             )
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+            await lb.upstreams[0].until(lambda: lb.upstreams[0].ended == 1)
 
     run(test())
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -1,4 +1,4 @@
-"""What is sent again after an attempt, and what is not."""
+"""Which requests are retried after an attempt."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 LIMITS = replace(SETTINGS.limits, max_attempts=3, may_cancel=False, connect_timeout_ns=SECOND)
 
 
-WHOLE = answer(200, b"late")
+COMPLETE_RESPONSE = answer(200, b"late")
 
 
-NEVER, MAY = True, False  # has it surely never run?
+NEVER_RAN, MAY_HAVE_RUN = True, False  # whether it is certain that the request never ran
 
 
-async def cut(link: Connection, data: bytes) -> None:
-    """Write, and reset behind it."""
+async def write_and_reset(link: Connection, data: bytes) -> None:
+    """Writes data and then resets the connection."""
     link.write(data)
     assert link.transport is not None
     sock = link.transport.get_extra_info("socket")
@@ -54,56 +54,56 @@
     link.abort()
 
 
-def ends(link: Connection) -> None:
+def write_eof(link: Connection) -> None:
     assert link.transport is not None
     link.transport.write_eof()
 
 
-ENDS: dict[str, tuple[bytes | Callable[[Connection], Awaitable[None] | None], bool]] = {
-    "error": (answer(500), MAY),
-    "turned away": (answer(503, b"", "X-Not-Run: 1"), NEVER),
-    "too late": (answer(504, b"", "X-Not-Run: 1"), NEVER),
-    "full, as it says": (answer(503), MAY),
-    "reset before its answer": (lambda link: cut(link, b""), MAY),
-    "end before its answer": (ends, MAY),
-    "reset in its head": (lambda link: cut(link, WHOLE[:20]), MAY),
-    "reset in its body": (lambda link: cut(link, WHOLE[:-1]), MAY),
+ENDINGS: dict[str, tuple[bytes | Callable[[Connection], Awaitable[None] | None], bool]] = {
+    "error": (answer(500), MAY_HAVE_RUN),
+    "turned away": (answer(503, b"", "X-Not-Run: 1"), NEVER_RAN),
+    "too late": (answer(504, b"", "X-Not-Run: 1"), NEVER_RAN),
+    "full, as it says": (answer(503), MAY_HAVE_RUN),
+    "reset before its answer": (lambda link: write_and_reset(link, b""), MAY_HAVE_RUN),
+    "end before its answer": (write_eof, MAY_HAVE_RUN),
+    "reset in its head": (lambda link: write_and_reset(link, COMPLETE_RESPONSE[:20]), MAY_HAVE_RUN),
+    "reset in its body": (lambda link: write_and_reset(link, COMPLETE_RESPONSE[:-1]), MAY_HAVE_RUN),
     "reset in a chunk": (
-        lambda link: cut(link, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nla"),
-        MAY,
+        lambda link: write_and_reset(link, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nla"),
+        MAY_HAVE_RUN,
     ),
     "reset of what ends with it": (
-        lambda link: cut(link, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nlate"),
-        MAY,
+        lambda link: write_and_reset(link, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nlate"),
+        MAY_HAVE_RUN,
     ),
-    "noise": (b"\x00\xff" * 100, MAY),
-    "two lengths": (b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\nlate", MAY),
-    "no length": (b"HTTP/1.1 200 OK\r\n\r\nlate", MAY),
+    "noise": (b"\x00\xff" * 100, MAY_HAVE_RUN),
+    "two lengths": (b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\nlate", MAY_HAVE_RUN),
+    "no length": (b"HTTP/1.1 200 OK\r\n\r\nlate", MAY_HAVE_RUN),
 }
 
 
-class Judge:
-    """Counts attempts over all upstreams, and has the first of each request end as it is told."""
+class AttemptObserver:
+    """Records the attempts at all upstreams, and ends the first one in a given way."""
 
-    def __init__(self, w: InProcessBalancer, how: Any) -> None:
-        self.w = w
+    def __init__(self, lb: InProcessBalancer, how: Any) -> None:
+        self.lb = lb
         self.how = how
-        self.came: list[str] = []
-        self.link: Connection | None = None  # of the attempt before
-        self.two_out = False
-        for box in w.upstreams:
+        self.received: list[str] = []
+        self.link: Connection | None = None  # of the previous attempt
+        self.overlapped = False
+        for box in lb.upstreams:
             box.reply = partial(self.reply, box)
 
     async def reply(self, box: FakeUpstream, message: Message) -> bytes | None:
         if self.link is not None and self.link.transport is not None and not self.link.transport.is_closing():
-            self.two_out |= not peer_state(self.link.transport.get_extra_info("socket"))[0]
-        self.came.append(message.headers["x-request-id"])
-        if len(self.came) > 1:
+            self.overlapped |= not peer_state(self.link.transport.get_extra_info("socket"))[0]
+        self.received.append(message.headers["x-request-id"])
+        if len(self.received) > 1:
             return answer(200, b"served")
         self.link = box.links[message.link - 1]
         if isinstance(self.how, bytes):
             if b"\r\n\r\n" in self.how and not self.how.startswith(b"HTTP/1.1 200"):
-                self.link = None  # a whole answer: that attempt is over
+                self.link = None  # a complete response ends the attempt
             return self.how
         done = self.how(self.link)
         if done is not None:
@@ -112,86 +112,90 @@
 
 
 @pytest.mark.parametrize("effect", Idempotency)
-@pytest.mark.parametrize("how", ENDS)
-def test_what_may_have_run_is_sent_again_only_where_that_is_harmless(how: str, effect: Idempotency) -> None:
-    """An attempt ends in one of many ways. A request is sent again only if it surely never ran, or if
-    running it twice does no harm, and never while the attempt before may still run.
+@pytest.mark.parametrize("how", ENDINGS)
+def test_a_request_that_may_have_run_is_retried_only_if_that_is_harmless(
+    how: str, effect: Idempotency
+) -> None:
+    """An attempt ends in one of many ways. A request is retried only if it certainly never ran, or if
+    running it twice is harmless, and never while the previous attempt may still run.
     """
-    ending, never_ran = ENDS[how]
+    ending, never_ran = ENDINGS[how]
 
     async def test() -> None:
-        async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
-            judge = Judge(w, ending)
+        async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as lb:
+            observer = AttemptObserver(lb, ending)
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
             more = {"Idempotency_Key": "k"} if effect is KEYED else {}
-            got = await w.request("r1", effect.value, method, body, **more)
+            got = await lb.request("r1", effect.value, method, body, **more)
             again = never_ran or effect is not UNSAFE
-            assert judge.came == ["r1"] * (2 if again else 1)
-            assert not judge.two_out
+            assert observer.received == ["r1"] * (2 if again else 1)
+            assert not observer.overlapped
             assert got.body == b"served" if again else got.status not in (200, 429, 503)
 
     run(test())
 
 
 @pytest.mark.parametrize("effect", Idempotency)
-def test_what_timed_out_is_not_sent_again_and_what_is_refused_never_ran(effect: Idempotency) -> None:
-    """An upstream says nothing until its client gives up. An attempt runs as long as its client waits, so a
-    time-out is the end of both. A rejection says that trying again is harmless, so a non-idempotent request
-    that may have run is answered as failed.
+def test_a_request_that_timed_out_is_not_retried_and_rejected_only_if_a_retry_is_harmless(
+    effect: Idempotency,
+) -> None:
+    """An upstream does not answer until its client gives up. An attempt runs as long as its client waits, so
+    a time-out ends both. A rejection promises that a retry is harmless, so a non-idempotent request that may
+    have run is answered as failed.
     """
 
     async def test() -> None:
-        async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
-            judge = Judge(w, lambda link: None)
+        async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as lb:
+            observer = AttemptObserver(lb, lambda link: None)
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
-            got = await w.request("r1", effect.value, method, body, X_Deadline_Ms=100)
-            assert judge.came == ["r1"]
+            got = await lb.request("r1", effect.value, method, body, X_Deadline_Ms=100)
+            assert observer.received == ["r1"]
             assert got.status == (504 if effect is UNSAFE else 503)
 
     run(test())
 
 
 @pytest.mark.parametrize("effect", Idempotency)
-def test_an_attempt_that_found_nobody_is_made_again_elsewhere(
+def test_a_refused_attempt_is_retried_at_another_upstream(
     monkeypatch: pytest.MonkeyPatch, effect: Idempotency
 ) -> None:
-    """Two of three upstreams refuse connections. Nothing of a request was written there, so whatever its
-    class it is sent to the third, and each client is served.
+    """Two of three upstreams refuse connections. Nothing of a request was written to them, so whatever its
+    class it is retried until it reaches the third, and each client is served.
     """
-    # On a busy machine a good one may need more than 30 ms.
+    # On a busy machine the handshake of a good upstream may take more than 30 ms.
     monkeypatch.setattr(handshakes, "MIN_HANDSHAKE_TIMEOUT_S", 1.0)
 
     async def test() -> None:
-        limits = replace(LIMITS, max_attempts=50)  # a pause of the machine may outlast the bars of both
-        async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=limits)) as w:
-            for box in w.upstreams[:2]:
-                box.stop()  # its port refuses from now on
+        limits = replace(LIMITS, max_attempts=50)  # both ejections may end during a pause of the machine
+        async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=limits)) as lb:
+            for box in lb.upstreams[:2]:
+                box.stop()  # its port refuses connections from now on
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
             for number in range(8):
-                got = await w.request(f"r{number}", effect.value, method, body)
+                got = await lb.request(f"r{number}", effect.value, method, body)
                 assert (got.status, got.body) == (200, b"s-2")
-            assert len(w.upstreams[2].seen) == 8
+            assert len(lb.upstreams[2].seen) == 8
 
     run(test())
 
 
-def test_an_answer_that_lies_here_when_its_time_is_over_is_served() -> None:
-    """The loop is late: a response and its attempt's time-out are found in one turn. What was read goes
-    before what is due, and the client gets the response.
+def test_a_response_that_waits_unread_when_its_timeout_is_due_is_served() -> None:
+    """The loop is late, and finds a response and its attempt's time-out in the same iteration. Received data
+    is handled before timers, and the client gets the response.
     """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        async with in_process_balancer(settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as w:
-            box = w.upstreams[0]
+        async with in_process_balancer(settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as lb:
+            box = lb.upstreams[0]
             box.script = [never]
-            client = await w.client()
+            client = await lb.client()
             client.send("r1", "safe", X_Deadline_Ms=200)
             await box.until(lambda: len(box.seen) == 1)
             exchanges = [o for o in gc.get_objects() if isinstance(o, Exchange) and b"r1" in o.request]
             assert len(exchanges) == 1 and exchanges[0].timer is not None
             due = exchanges[0].timer.when()
-            box.links[0].write(answer(200, b"there"))  # the kernel has it, and the loop stands still
+            box.links[0].write(answer(200, b"there"))  # in the kernel's buffer, while the loop is blocked
             while loop.time() < due + 10 * MS / SECOND:
                 pass
             assert (await client.answer()).body == b"there"
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Drain and SIGTERM, in the orders of events in which something could be lost."""
+"""Drain and SIGTERM, with the orders of events in which a request could be lost."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 from lanelift.net.shutdown import LONGEST_DEADLINE_S, GracefulShutdown
 from tests.fakes import SECOND, TEST_S, free_port, never, run
 from tests.in_process import SETTINGS, EventRecorder, InProcessBalancer, in_process_balancer
-from tests.net.support import CHUNKED, R, terminate
+from tests.net.support import CHUNKED, R, send_sigterm
 
 
 @pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 70_000])
-def test_what_would_wait_beyond_the_end_is_told_before_it(
+def test_a_request_with_a_deadline_beyond_the_end_is_answered_before_it(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, begun: bytes
 ) -> None:
-    """SIGTERM comes, and a client's deadline is later than the process may live: SIGKILL takes longer
-    deadlines for 3 s, and so must the end. The client gets a 504 before the end, or, with a response under
-    way, a reset that shows its break.
+    """SIGTERM comes, and a client's deadline is later than the end of the process: SIGKILL counts longer
+    deadlines as 3 s, and so must the process. The client gets a 504 before the end, or, if its response is
+    in progress, a reset that shows that it is incomplete.
     """
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 0.1 - LONGEST_DEADLINE_S)
     quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
 
     async def test() -> None:
-        async with in_process_balancer(settings=replace(SETTINGS, classes={"quote": quote})) as w:
-            client = await w.held("r1", X_Deadline_Ms=90_000)
+        async with in_process_balancer(settings=replace(SETTINGS, classes={"quote": quote})) as lb:
+            client = await lb.client_with_open_request("r1", X_Deadline_Ms=90_000)
             if begun:
-                w.upstreams[0].links[0].write(begun)
+                lb.upstreams[0].links[0].write(begun)
                 await client.reader.readexactly(70_000)
-            terminate()
+            send_sigterm()
             if begun:
                 with pytest.raises(ConnectionError):
                     while await client.reader.read(65536):
@@ -53,11 +53,11 @@
 
 
 @pytest.mark.usefixtures("settled")
-def test_a_connection_whose_answer_ends_after_the_balancer_was_emptied_is_not_kept(
+def test_a_connection_whose_response_ends_after_idle_ones_were_closed_is_not_kept(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """A balancer drains while a response is being streamed. The response's head was written before, and did
-    not say that it is the last. Idle connections are closed meanwhile. The connection is closed behind the
+    not say that it is the last. Idle connections are closed meanwhile. The connection is closed after the
     response, and connections are kept again after a rejoin.
     """
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
@@ -79,18 +79,18 @@
     monkeypatch.setattr(Frontend, "__init__", seen)
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            w.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            lb.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
+            client = await lb.client()
             client.send("r1")
             await client.reader.readuntil(b"one\r\n")
             fronts[0].shutdown.drain()
             await recorded.until(lambda: emptied)
-            w.upstreams[0].links[0].write(b"0\r\n\r\n")
+            lb.upstreams[0].links[0].write(b"0\r\n\r\n")
             assert await client.reader.readuntil(b"0\r\n\r\n") == b"0\r\n\r\n"
             await client.ended()
             assert fronts[0].shutdown.rejoin()
-            kept = await w.client()
+            kept = await lb.client()
             assert (await kept.request("r2")).status == 200
             assert (await kept.request("r3")).status == 200
 
@@ -117,17 +117,17 @@
 """
 
 
-def test_sigterm_as_the_listener_opens_loses_nobody(tmp_path: Path) -> None:
-    """SIGTERM comes in the moment in which the listener opens, with a client connected. Before a handler
-    stood, the signal ended the process by itself, over that client. It is answered, and the exit code is 0.
+def test_sigterm_as_the_listener_opens_loses_no_request(tmp_path: Path) -> None:
+    """SIGTERM comes just when the listener opens, with a client connected. Without a handler the signal
+    would end the process before that client is answered. It is answered, and the exit code is 0.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
+        async with in_process_balancer() as lb:
             path = tmp_path / "config.json"
             code, said = 2, b""
-            while code == 2:  # somebody else took the port meanwhile
-                path.write_text(config_text(f"127.0.0.1:{free_port()}", w))
+            while code == 2:  # another process took the port meanwhile
+                path.write_text(config_text(f"127.0.0.1:{free_port()}", lb))
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-c",
@@ -143,11 +143,11 @@
     run(test())
 
 
-def config_text(listen: str, w: InProcessBalancer) -> str:
+def config_text(listen: str, lb: InProcessBalancer) -> str:
     return json.dumps(
         {
             "listen": listen,
-            "discovery": f"127.0.0.1:{w.discovery.port}",
+            "discovery": f"127.0.0.1:{lb.discovery.port}",
             "seed": "7",
             "settings": {"profiles": [{"name": "quote", "repeat": "read_like"}]},
         }
@@ -156,26 +156,26 @@
 
 @asynccontextmanager
 async def leaving(monkeypatch: pytest.MonkeyPatch, ends_s: float) -> AsyncIterator[InProcessBalancer]:
-    """A world in which SIGTERM closes the listener at once, and ends the process this much over 3 s later."""
+    """Runs a balancer in which SIGTERM closes the listener, and ends the process `ends_s` + 3 s later."""
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", ends_s)
-    async with in_process_balancer() as w:
-        yield w
+    async with in_process_balancer() as lb:
+        yield lb
 
 
 def test_a_request_that_comes_long_after_sigterm_is_answered_before_the_end(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """Half of a request has come when SIGTERM does, and the rest follows later. By its own deadline it
-    would wait for longer than the process lives. It is answered while there is somebody to answer it.
+    """SIGTERM comes when half of a request has come, and the rest follows later. Its own deadline is later
+    than the end of the process. It is answered before the process ends.
     """
 
     async def test() -> None:
-        async with leaving(monkeypatch, -2.0) as w:
-            w.upstreams[0].script = [never]
-            client = await w.client()
+        async with leaving(monkeypatch, -2.0) as lb:
+            lb.upstreams[0].script = [never]
+            client = await lb.client()
             client.writer.write(b"GET /quote HTTP/1.1\r\nHost: origin.svc\r\n")
-            await w.watching()
+            await lb.until_watching()
             os.kill(os.getpid(), signal.SIGTERM)
             await asyncio.sleep(0)
             assert (await client.raw(b"X-Request-Id: r1\r\nX-Deadline-Ms: 3000\r\n\r\n")).status in (503, 504)
@@ -188,16 +188,16 @@
 def test_a_connection_whose_last_answer_began_before_sigterm_is_not_kept(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """SIGTERM comes while a response is being streamed. Its head did not say that it is the last, and its
-    end comes when idle connections have been closed. Its connection is closed as well: kept, it would bring
-    requests up to the process's end.
+    """SIGTERM comes while a response is being streamed. Its head did not say that it is the last, and it
+    ends after idle connections have been closed. Its connection is closed as well: otherwise requests could
+    arrive on it until the process ends.
     """
 
     async def test() -> None:
         monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, connection_phases.Phase.IDLE, 2 * TEST_S)
-        async with leaving(monkeypatch, 2 * TEST_S) as w:
-            w.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
-            client = await w.client()
+        async with leaving(monkeypatch, 2 * TEST_S) as lb:
+            lb.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
+            client = await lb.client()
             client.send("r1")
             await client.reader.readuntil(b"one\r\n")
             closed = asyncio.Event()
@@ -210,7 +210,7 @@
             monkeypatch.setattr(shutdown.GracefulShutdown, "close_idle", watched)
             os.kill(os.getpid(), signal.SIGTERM)
             await closed.wait()
-            w.upstreams[0].links[0].write(b"0\r\n\r\n")
+            lb.upstreams[0].links[0].write(b"0\r\n\r\n")
             assert await client.reader.readuntil(b"0\r\n\r\n") == b"0\r\n\r\n"
             await client.ended()
 
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -1,4 +1,4 @@
-"""Responses that are streamed: framing, breaks, progress and slow clients."""
+"""Streamed responses: framing, broken connections, progress and slow clients."""
 
 from __future__ import annotations
 
@@ -14,7 +14,16 @@
 from lanelift.policy.events import AttemptFinished, ClientDisconnected, ResponseStarted
 from tests.fakes import answer, read_message, run
 from tests.in_process import EventRecorder, in_process_balancer
-from tests.net.support import LONG, OK, R, Steps, body_of, chunked_response, response_with_length, stepwise
+from tests.net.support import (
+    LONG_BODY,
+    OK,
+    R,
+    StepwiseResponse,
+    balancer_with_stepwise_response,
+    chunked_response,
+    read_response,
+    response_with_length,
+)
 
 
 def response_until_close(body: bytes) -> bytes:
@@ -24,28 +33,29 @@
 @pytest.mark.usefixtures("settled")
 @pytest.mark.parametrize("framed", [response_with_length, chunked_response, response_until_close])
 @pytest.mark.parametrize(
-    "body", [LONG, LONG[: MAX_BUFFERED_BODY_BYTES + 1], LONG[:MAX_BUFFERED_BODY_BYTES], b"short", b""]
+    "body",
+    [LONG_BODY, LONG_BODY[: MAX_BUFFERED_BODY_BYTES + 1], LONG_BODY[:MAX_BUFFERED_BODY_BYTES], b"short", b""],
 )
-def test_an_answer_of_any_length_and_framing_arrives_whole(
+def test_a_response_of_any_length_and_framing_is_forwarded_completely(
     recorded: EventRecorder, framed: Callable[[bytes], bytes], body: bytes
 ) -> None:
     async def test() -> None:
-        async with in_process_balancer() as w:
+        async with in_process_balancer() as lb:
             if framed is response_until_close:
 
                 async def reply() -> bytes:
-                    link = w.upstreams[0].links[-1]
+                    link = lb.upstreams[0].links[-1]
                     assert link.transport is not None
                     link.transport.write(response_until_close(body))
                     link.transport.close()
                     return b""
 
-                w.upstreams[0].script = [reply]
+                lb.upstreams[0].script = [reply]
             else:
-                w.upstreams[0].script = [framed(body)]
-            client = await w.client()
+                lb.upstreams[0].script = [framed(body)]
+            client = await lb.client()
             client.send("r1")
-            headers, got = await body_of(client)
+            headers, got = await read_response(client)
             assert got == body and "x-trailer" not in headers
             await recorded.until(lambda: recorded.of(AttemptFinished))
             (outcome,) = recorded.of(AttemptFinished)
@@ -53,9 +63,9 @@
             begun = recorded.of(ResponseStarted)
             assert len(begun) == (len(body) > MAX_BUFFERED_BODY_BYTES)
             assert all(e.duration_ns <= outcome.duration_ns for e in begun)
-            # The connections go on: the client's, and the upstream's unless it ended the answer.
+            # Both connections are reused, unless the end of the upstream's connection ended the response.
             assert (await client.request("r2")).body == b"s-0"
-            assert len(w.upstreams[0].links) == (2 if framed is response_until_close else 1)
+            assert len(lb.upstreams[0].links) == (2 if framed is response_until_close else 1)
 
     run(test())
 
@@ -63,20 +73,20 @@
 @pytest.mark.parametrize("framed", [response_with_length, chunked_response])
 def test_a_client_of_http_1_0_reads_to_the_end_of_its_connection(framed: Callable[[bytes], bytes]) -> None:
     async def test() -> None:
-        async with in_process_balancer() as w:
-            w.upstreams[0].script = [framed(LONG)]
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            lb.upstreams[0].script = [framed(LONG_BODY)]
+            client = await lb.client()
             client.writer.write(b"GET /quote HTTP/1.0\r\nHost: o\r\nX-Request-Id: r1\r\n\r\n")
-            headers, got = await body_of(client)
-            assert got == LONG and "transfer-encoding" not in headers
+            headers, got = await read_response(client)
+            assert got == LONG_BODY and "transfer-encoding" not in headers
             assert headers["connection"] == "close"
 
     run(test())
 
 
-def test_a_slow_answer_without_a_length_goes_on_before_it_is_whole() -> None:
+def test_a_slow_response_without_a_length_is_forwarded_before_it_is_complete() -> None:
     async def test() -> None:
-        async with stepwise() as (_, client, steps):
+        async with balancer_with_stepwise_response() as (_, client, steps):
             await steps.write(OK + b"Transfer-Encoding: chunked\r\n\r\n3\r\none\r\n")
             assert b"chunked" in await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(8) == b"3\r\none\r\n"
@@ -87,29 +97,29 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "ending"),  # noise: in a body that is counted anything is body
+    ("how", "ending"),  # noise can be detected only between chunks
     [(how, ending) for how in ("told", "chunked", "1.0") for ending in ("reset", "end")]
     + [("chunked", "noise")],
 )
-def test_a_break_behind_the_beginning_shows_and_is_no_whole_answer(
+def test_a_broken_connection_during_a_streamed_response_resets_the_client(
     recorded: EventRecorder, how: str, ending: str
 ) -> None:
-    """An upstream breaks off in the middle of a response that is being streamed. The client's connection
-    ends by a reset: a plain end would look like the end of the response to some. Nothing is sent again.
+    """An upstream's connection breaks in the middle of a streamed response. The client's connection is
+    reset, as an ordinary close could look like the end of the response. The request is not retried.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            steps = Steps(w)
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            steps = StepwiseResponse(lb)
+            client = await lb.client()
             version = b"1.0" if how == "1.0" else b"1.1"
             client.writer.write(b"GET /quote HTTP/%b\r\nHost: o\r\nX-Request-Id: r1\r\n\r\n" % version)
             if how == "chunked":
                 await steps.write(
-                    OK + b"Transfer-Encoding: chunked\r\n\r\n11170\r\n" + LONG[:0x11170] + b"\r\n"
+                    OK + b"Transfer-Encoding: chunked\r\n\r\n11170\r\n" + LONG_BODY[:0x11170] + b"\r\n"
                 )
             else:
-                await steps.write(OK + b"Content-Length: 500000\r\n\r\n" + LONG[:100_000])
+                await steps.write(OK + b"Content-Length: 500000\r\n\r\n" + LONG_BODY[:100_000])
             await client.reader.readuntil(b"\r\n\r\n")
             if ending == "reset":
                 steps.link.abort()
@@ -117,34 +127,34 @@
                 await steps.end()
             else:
                 await steps.write(b"zz\r\n")
-            with pytest.raises(
-                ConnectionError
-            ):  # a reset: the end of what is read to the end looks otherwise
+            with pytest.raises(ConnectionError):  # a reset, not the regular end of the connection
                 while await client.reader.read(65536):
                     pass
-                raise AssertionError("it ended as if it were whole")
+                raise AssertionError("the response ended as if it were complete")
             await recorded.until(lambda: recorded.of(AttemptFinished))
             assert recorded.results() == [R.ERROR if ending == "noise" else R.RESET]
-            assert recorded.of(AttemptFinished)[0].request_complete  # nothing is sent again
-            assert (await w.request("r2")).body == b"s-0"
+            assert recorded.of(AttemptFinished)[0].request_complete  # no retry
+            assert (await lb.request("r2")).body == b"s-0"
 
     run(test())
 
 
-def test_a_client_that_does_not_read_holds_its_upstream_and_little_memory(recorded: EventRecorder) -> None:
-    """A client does not read a long response. 32 MB wait at the upstream; of them no more than the buffers
-    on the way have left it. The rest comes once the client reads.
+def test_a_client_that_does_not_read_pauses_its_upstream_and_uses_little_memory(
+    recorded: EventRecorder,
+) -> None:
+    """A client does not read a long response. Of its 32 MB the upstream can send no more than the buffers
+    on the way hold. The rest is sent once the client reads.
     """
     size = 32_000_000
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            steps = Steps(w)
+        async with in_process_balancer() as lb:
+            steps = StepwiseResponse(lb)
             with socket.socket() as slow:
                 slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32_768)
                 slow.setblocking(False)
                 loop = asyncio.get_running_loop()
-                await loop.sock_connect(slow, w.address)
+                await loop.sock_connect(slow, lb.address)
                 await loop.sock_sendall(slow, b"GET /quote HTTP/1.1\r\nHost: o\r\nX-Request-Id: r1\r\n\r\n")
                 await steps.write(OK + b"Content-Length: %d\r\n\r\n" % size)
                 transport = steps.link.transport
@@ -154,70 +164,74 @@
                 def room() -> bool:
                     return transport.get_write_buffer_size() == 0
 
-                piece = LONG[:50_000]
+                piece = LONG_BODY[:50_000]
                 while room():
                     transport.write(piece)
                     sent += len(piece)
-                    for _ in range(50):  # turns of the loop, in which everything that can move does
+                    for _ in range(50):  # loop iterations in which all data that can be forwarded is
                         await asyncio.sleep(0)
                     await asyncio.sleep(0.001)
                 left = sent - transport.get_write_buffer_size()
-                # The upstream's own buffer for sending is not ours to bound, and may grow to 4 MB. Beyond it:
-                # two connections with both their buffers (doubled by the kernel), a read, the write's mark.
+                # The upstream's own send buffer is not limited here, and may grow to 4 MB. In addition there
+                # are both buffers of two connections (doubled by the kernel), one read and the write limit.
                 assert left < 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2 * len(READ_BUFFER)
                 got = b""
-                while got.count(piece) < sent // len(piece):  # what was written comes once it reads
+                while got.count(piece) < sent // len(piece):  # all written data arrives once the client reads
                     got += await loop.sock_recv(slow, 1 << 20)
             await recorded.until(lambda: recorded.of(ClientDisconnected))
             await recorded.until(lambda: recorded.of(AttemptFinished))
             assert recorded.results() == [R.CANCELLED]
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+            await lb.upstreams[0].until(lambda: lb.upstreams[0].ended == 1)
 
     run(test())
 
 
-def test_a_client_that_leaves_while_it_reads_ends_the_attempt(recorded: EventRecorder) -> None:
-    """A client disconnects in the middle of a streamed response. Its attempt is cancelled, and its
+def test_a_client_that_disconnects_during_a_streamed_response_cancels_the_attempt(
+    recorded: EventRecorder,
+) -> None:
+    """A client disconnects in the middle of a streamed response. The attempt is cancelled, and the
     upstream's connection is closed.
     """
 
     async def test() -> None:
-        async with stepwise() as (w, client, steps):
-            await steps.write(OK + b"Content-Length: 500000\r\n\r\n" + LONG[:100_000])
+        async with balancer_with_stepwise_response() as (lb, client, steps):
+            await steps.write(OK + b"Content-Length: 500000\r\n\r\n" + LONG_BODY[:100_000])
             await client.reader.readexactly(1000)
             client.writer.transport.abort()
             await recorded.until(lambda: recorded.of(AttemptFinished))
             assert recorded.results() == [R.CANCELLED]
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
-            assert (await w.request("r2")).status == 200
+            await lb.upstreams[0].until(lambda: lb.upstreams[0].ended == 1)
+            assert (await lb.request("r2")).status == 200
 
     run(test())
 
 
 @pytest.mark.parametrize("status", [500, 404])
-def test_a_long_error_is_an_error_and_is_not_read_on(recorded: EventRecorder, status: int) -> None:
-    """An upstream answers with an error of many megabytes. The status says all that is needed: its body is
-    not read, and its connection is closed.
+def test_the_body_of_a_long_error_is_not_read(recorded: EventRecorder, status: int) -> None:
+    """An upstream answers with an error of many megabytes. The status is sufficient: the body is not read,
+    and the connection is closed.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            w.upstreams[0].script = [b"HTTP/1.1 %d X\r\nContent-Length: 9000000\r\n\r\n" % status + LONG]
-            assert (await w.request("r1")).status == 503  # tried once, which is all that is allowed
+        async with in_process_balancer() as lb:
+            lb.upstreams[0].script = [
+                b"HTTP/1.1 %d X\r\nContent-Length: 9000000\r\n\r\n" % status + LONG_BODY
+            ]
+            assert (await lb.request("r1")).status == 503  # one attempt is all that is allowed
             assert recorded.results() == [R.ERROR]
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
+            await lb.upstreams[0].until(lambda: lb.upstreams[0].ended == 1)
 
     run(test())
 
 
-def test_requests_sent_ahead_wait_for_a_long_answer() -> None:
+def test_pipelined_requests_wait_for_a_long_response() -> None:
     async def test() -> None:
-        async with in_process_balancer() as w:
-            w.upstreams[0].script = [response_with_length(LONG), answer(200, b"second")]
-            client = await w.client()
+        async with in_process_balancer() as lb:
+            lb.upstreams[0].script = [response_with_length(LONG_BODY), answer(200, b"second")]
+            client = await lb.client()
             client.send("r1")
             client.send("r2")
-            assert (await body_of(client))[1] == LONG
+            assert (await read_response(client))[1] == LONG_BODY
             assert (await read_message(client.reader)).body == b"second"
 
     run(test())
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -1,4 +1,4 @@
-"""Request bodies that are streamed, and break off or meet an upstream that does."""
+"""Streamed request bodies whose client or upstream breaks its connection."""
 
 from __future__ import annotations
 
@@ -22,40 +22,49 @@
 from lanelift.policy.settings import Idempotency
 from tests.fakes import answer, read_message, run
 from tests.in_process import CLASSES, SETTINGS, EventRecorder, InProcessBalancer, in_process_balancer
-from tests.net.support import LONG, PATIENT, Gate, R, chunked_request, ids, request_head, request_with_length
+from tests.net.support import (
+    LONG_BODY,
+    NO_CANCEL,
+    Gate,
+    R,
+    chunked_request,
+    request_head,
+    request_ids,
+    request_with_length,
+)
 
 BODY = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
 
 
-def test_a_client_that_leaves_while_it_is_held_back_is_noticed_before_its_request_is_sent(
+def test_a_client_that_disconnects_while_paused_is_noticed_before_its_request_is_sent(
     recorded: EventRecorder,
 ) -> None:
-    """A client with a long body disconnects while its upstream's connection comes up. Reading from it is
-    paused, so its leaving is not read either. The kernel is asked before its request is sent, and it is not
-    sent.
+    """A client with a long body disconnects while the upstream's connection is being established. Reading
+    from the client is paused, so its disconnection is not reported. The kernel is queried before the request
+    would be sent, and it is not sent.
     """
 
     async def test() -> None:
-        async with in_process_balancer(settings=PATIENT) as w:
-            gate = Gate(w.upstreams[0])
-            client = await w.client()
+        async with in_process_balancer(settings=NO_CANCEL) as lb:
+            gate = Gate(lb.upstreams[0])
+            client = await lb.client()
             client.send("r1", "pay", "POST", BODY)
             await gate.reached.wait()
             client.writer.transport.abort()
             gate.open.set()
             await recorded.until(lambda: recorded.of(ClientDisconnected) and recorded.of(AttemptFinished))
             assert recorded.results() == [R.NOT_SENT]
-            assert (await w.request("r2")).status == 200
-            assert ids(w.upstreams[0]) == ["r2"]
+            assert (await lb.request("r2")).status == 200
+            assert request_ids(lb.upstreams[0]) == ["r2"]
 
     run(test())
 
 
-def test_a_request_whose_client_leaves_while_its_upstream_takes_no_more_never_gets_there_whole(
+def test_a_request_whose_client_disconnects_before_its_last_byte_is_written_stays_incomplete(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """A client disconnects while its upstream takes no more of its request. Its last byte has not been
-    written: it never ran, so it is cut off even where attempts may not be cancelled.
+    """A client disconnects while its upstream accepts no more of the request. The last byte has not been
+    written, so the request never ran, and it is given up even if attempts may not be cancelled.
     """
     made = UpstreamConnection.connection_made
 
@@ -70,11 +79,11 @@
             busy.bind(("127.0.0.1", 0))
             busy.listen()
             busy.setblocking(False)
-            async with in_process_balancer(settings=PATIENT) as w:
-                w.upstreams[0].port = busy.getsockname()[1]
-                await w.tell(w.upstreams[0].row())
+            async with in_process_balancer(settings=NO_CANCEL) as lb:
+                lb.upstreams[0].port = busy.getsockname()[1]
+                await lb.change_endpoints(lb.upstreams[0].row())
                 monkeypatch.setattr(UpstreamConnection, "connection_made", narrow)
-                client = await w.client()
+                client = await lb.client()
                 client.send("r1", "pay", "POST", b"x" * MAX_BUFFERED_BODY_BYTES)
                 taken, _ = await loop.sock_accept(busy)
                 with taken:
@@ -103,23 +112,23 @@
 
 
 @pytest.mark.parametrize("what", ["leaves", "noise", "silence"])
-def test_a_body_that_is_never_whole_is_never_run(
+def test_a_request_with_an_incomplete_body_never_runs(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, what: str
 ) -> None:
-    """A client disconnects in the middle of a long body, sends what is none, or nothing more. What was
-    forwarded is cut off, and no upstream takes it for a request.
+    """A client disconnects in the middle of a long body, sends invalid chunks, or sends nothing more. The
+    attempt is cancelled, and no upstream gets a complete request.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_BODY, 0.2)
 
     async def test() -> None:
         async with in_process_balancer(
             settings=replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=False))
-        ) as w:
-            client = await w.client()
+        ) as lb:
+            client = await lb.client()
             client.writer.write(
-                chunked_request("r1", LONG)[: 200_000 if what != "noise" else 3000 + 3 * 30_000]
+                chunked_request("r1", LONG_BODY)[: 200_000 if what != "noise" else 3000 + 3 * 30_000]
             )
-            await w.upstreams[0].until(lambda: w.upstreams[0].links)
+            await lb.upstreams[0].until(lambda: lb.upstreams[0].links)
             if what == "leaves":
                 client.writer.transport.abort()
             else:
@@ -129,16 +138,16 @@
                 assert got.status == (400 if what == "noise" else 408)
             await recorded.until(lambda: recorded.of(AttemptFinished))
             assert recorded.results() == [R.CANCELLED]
-            await w.upstreams[0].until(lambda: w.upstreams[0].ended == 1)
-            assert not w.upstreams[0].seen
-            assert (await w.request("r2")).status == 200
+            await lb.upstreams[0].until(lambda: lb.upstreams[0].ended == 1)
+            assert not lb.upstreams[0].seen
+            assert (await lb.request("r2")).status == 200
 
     run(test())
 
 
 @asynccontextmanager
-async def deaf() -> AsyncIterator[tuple[str, int]]:
-    """A server that takes connections and reads nothing."""
+async def server_that_never_reads() -> AsyncIterator[tuple[str, int]]:
+    """Runs a server that accepts connections and reads nothing."""
     links = []
 
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -154,65 +163,65 @@
             link.transport.abort()
 
 
-async def at(w: InProcessBalancer, address: tuple[str, int]) -> None:
-    row = w.upstreams[0].row() | {"addr": f"{address[0]}:{address[1]}"}
-    await w.tell(row)
+async def at(lb: InProcessBalancer, address: tuple[str, int]) -> None:
+    row = lb.upstreams[0].row() | {"addr": f"{address[0]}:{address[1]}"}
+    await lb.change_endpoints(row)
 
 
-def test_an_upstream_that_takes_nothing_holds_its_client_back_and_is_given_up(
+def test_an_upstream_that_does_not_read_pauses_its_client_and_is_given_up(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """An upstream takes nothing of a long body. Reading from its client is paused, so that memory is
-    bounded, and the attempt is given up after a while.
+    """An upstream reads nothing of a long body. Reading from the client is paused, so that memory is
+    bounded, and the attempt is given up after a time-out.
     """
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.5)
 
     async def test() -> None:
-        async with in_process_balancer() as w, deaf() as address:
-            await at(w, address)
-            client = await w.client()
+        async with in_process_balancer() as lb, server_that_never_reads() as address:
+            await at(lb, address)
+            client = await lb.client()
             size = 30_000_000
             client.writer.write(request_head("r1", "pay", f"Content-Length: {size}"))
             client.writer.transport.set_write_buffer_limits(high=0)
             sent = 0
             while sent < size and not recorded.of(AttemptFinished):
-                client.writer.write(LONG)
-                sent += len(LONG)
+                client.writer.write(LONG_BODY)
+                sent += len(LONG_BODY)
                 drained = asyncio.ensure_future(client.writer.drain())
                 ended = asyncio.ensure_future(recorded.until(lambda: recorded.of(AttemptFinished)))
                 await asyncio.wait((drained, ended), return_when=asyncio.FIRST_COMPLETED)
                 drained.cancel()
                 ended.cancel()
-            # The client's own buffer may grow to 4 MB, the deaf server's too; between them stand ours.
+            # The client's and the server's buffers may grow to 4 MB each; between them are the balancer's.
             assert sent < 2 * 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2_000_000
-            assert recorded.results() == [R.CONNECT_FAILED]  # its last byte was never written: it never ran
+            assert recorded.results() == [R.CONNECT_FAILED]  # the last byte was not written, so it never ran
             assert recorded.of(AttemptFinished)[0].body_consumed
 
     run(test())
 
 
-def test_what_has_not_left_yet_can_go_elsewhere_and_what_has_can_not(recorded: EventRecorder) -> None:
-    """An upstream of a long body can't be reached: nothing has left, and the request goes elsewhere.
-    Another breaks when part of the body has left: it can't be sent again, and as it never ran it is
-    rejected.
+def test_a_body_is_sent_to_another_upstream_only_if_none_of_it_was_written(recorded: EventRecorder) -> None:
+    """An upstream refuses the connection for a long body: nothing was written, and the request goes to
+    another upstream. A connection breaks when part of a body was written: the request can't be sent again,
+    and as it never ran it is rejected.
     """
 
     async def test() -> None:
-        async with in_process_balancer(2, settings=KEYED) as w:
-            w.upstreams[0].stop()  # nobody listens there
+        async with in_process_balancer(2, settings=KEYED) as lb:
+            lb.upstreams[0].stop()  # its port refuses connections
             number = 0
-            while R.CONNECT_FAILED not in recorded.results():  # until it was drawn
+            while R.CONNECT_FAILED not in recorded.results():  # until the stopped upstream was picked
                 number += 1
-                got = await w.request(f"r{number}", "book", "POST", LONG, Idempotency_Key=f"k{number}")
+                got = await lb.request(f"r{number}", "book", "POST", LONG_BODY, Idempotency_Key=f"k{number}")
                 assert (got.status, got.body) == (200, b"s-1")
             assert not any(
                 o.body_consumed for o in recorded.of(AttemptFinished) if o.result is R.CONNECT_FAILED
             )
-            # And one that breaks when some has gone: refused, since it never ran, and not sent again.
-            client = await w.client()
-            client.writer.write(chunked_request("last", LONG, "book")[:200_000])
-            links = w.upstreams[1].links
-            while not any(link.coming is not None for link in links):  # nothing tells of part of a request
+            # The connection breaks after part of the body: rejected, as it never ran, and not retried.
+            client = await lb.client()
+            client.writer.write(chunked_request("last", LONG_BODY, "book")[:200_000])
+            links = lb.upstreams[1].links
+            while not any(link.coming is not None for link in links):  # no event tells of part of a request
                 await asyncio.sleep(0.001)
             before = len(recorded.results())
             next(link for link in links if link.coming is not None).abort()
@@ -226,16 +235,18 @@
     run(test())
 
 
-def test_an_answer_before_the_end_is_given_and_the_rest_is_not_read(recorded: EventRecorder) -> None:
-    """An upstream answers before a long body is complete. Its answer is given at once, as the last on its
-    connection, and the rest of the body is not read.
+def test_an_answer_before_the_end_of_the_body_is_returned_and_the_rest_is_not_read(
+    recorded: EventRecorder,
+) -> None:
+    """An upstream answers before a long body is complete. The client gets the answer immediately, as the
+    last on its connection, and the rest of the body is not read.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            client = await w.client()
-            client.writer.write(request_with_length("r1", LONG)[:200_000])
-            upstream = w.upstreams[0]
+        async with in_process_balancer() as lb:
+            client = await lb.client()
+            client.writer.write(request_with_length("r1", LONG_BODY)[:200_000])
+            upstream = lb.upstreams[0]
             await upstream.until(lambda: upstream.links)
             transport = upstream.links[0].transport
             assert isinstance(transport, asyncio.Transport)
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream: what stands behind a response, and what a break proves."""
+"""A connection to an upstream: bytes after a response, and what a broken connection proves."""
 
 from __future__ import annotations
 
@@ -20,51 +20,53 @@
 
 
 @pytest.mark.parametrize("extra", [answer(200, b"again"), b"\x00noise\r\n", b"H"])
-def test_what_stands_behind_an_answer_answers_no_other_request(recorded: EventRecorder, extra: bytes) -> None:
-    """A second response, or noise, stands behind a response. The connection is closed, and the next request
-    is answered by its own response.
+def test_bytes_after_a_response_answer_no_other_request(recorded: EventRecorder, extra: bytes) -> None:
+    """A second response, or noise, follows a response. The connection is closed, and the next request is
+    answered by its own response.
     """
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            upstream = w.upstreams[0]
+        async with in_process_balancer() as lb:
+            upstream = lb.upstreams[0]
             upstream.script = [answer(200, b"first") + extra, answer(200, b"second")]
-            assert (await w.request("r1")).body == b"first"
-            assert (await w.request("r2")).body == b"second"
-            assert [m.link for m in upstream.seen] == [1, 2]  # nothing more comes on the first connection
+            assert (await lb.request("r1")).body == b"first"
+            assert (await lb.request("r2")).body == b"second"
+            assert [m.link for m in upstream.seen] == [1, 2]  # the first connection is not used again
             assert recorded.results() == [R.OK, R.OK]
 
     run(test())
 
 
-def test_what_comes_late_behind_an_answer_ends_the_connection() -> None:
-    """A second response comes on an idle connection. Nobody asked for it: the connection is closed."""
+def test_bytes_on_an_idle_connection_close_it() -> None:
+    """A second response comes on an idle connection. It belongs to no request: the connection is closed."""
 
     async def test() -> None:
-        async with in_process_balancer() as w:
-            upstream = w.upstreams[0]
-            assert (await w.request("r1")).status == 200
+        async with in_process_balancer() as lb:
+            upstream = lb.upstreams[0]
+            assert (await lb.request("r1")).status == 200
             upstream.links[0].write(answer(200, b"again"))
             await upstream.until(lambda: upstream.ended == 1)
-            assert (await w.request("r2")).body == b"s-0"
+            assert (await lb.request("r2")).body == b"s-0"
 
     run(test())
 
 
-def test_interim_answers_are_let_pass() -> None:
+def test_interim_responses_are_skipped() -> None:
     async def test() -> None:
-        async with in_process_balancer() as w:
+        async with in_process_balancer() as lb:
             hints = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
-            w.upstreams[0].script = [hints + answer(200, b"at last")]
-            assert (await w.request("r1")).body == b"at last"
+            lb.upstreams[0].script = [hints + answer(200, b"at last")]
+            assert (await lb.request("r1")).body == b"at last"
 
     run(test())
 
 
 @pytest.mark.parametrize(("size", "result"), [(10, R.RESET), (50_000_000, R.CONNECT_FAILED)])
-def test_a_break_before_the_last_byte_was_written_is_no_reset(size: int, result: AttemptResult) -> None:
-    """An upstream breaks off. If the last byte of the request had not been written it can't have run, and
-    the outcome says so; else it may have run.
+def test_a_connection_that_breaks_before_the_last_byte_was_written_is_no_reset(
+    size: int, result: AttemptResult
+) -> None:
+    """An upstream's connection breaks. If the last byte of the request was not written the request can't
+    have run, and the outcome says so; else it may have run.
     """
 
     async def test() -> None:
@@ -87,8 +89,8 @@
 
 
 def test_a_request_of_which_no_byte_could_be_written_never_ran() -> None:
-    """A connection is reset after it was looked at, and before the request is written. The write fails at
-    once: the request never ran.
+    """A connection is reset after it was checked, and before the request is written. The write fails
+    immediately: the request never ran.
     """
 
     async def test() -> None:
--- a/tests/operate/test_lifecycle.py
+++ b/tests/operate/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Where a balancer is in its life: every call in every stage, and random walks."""
+"""The stages of a balancer's lifecycle: every call in every stage, and random sequences of calls."""
 
 from __future__ import annotations
 
@@ -33,26 +33,26 @@
 
 
 @given(st.lists(st.sampled_from(CALLS)), st.booleans(), st.booleans())
-def test_there_is_no_way_back_from_leaving_and_ready_is_never_said_of_one_that_cannot_serve(
+def test_a_shutdown_is_final_and_ready_never_succeeds_if_the_balancer_cannot_serve(
     calls: list[str], shared: bool, serves: bool
 ) -> None:
-    """Operators' calls and SIGTERM come in any order. After SIGTERM nothing brings the balancer back, and
-    `/ready` never says yes of one that can't serve.
+    """Operators' calls and SIGTERM come in any order. A shutdown is never undone, and `/ready` never succeeds
+    if the balancer can't serve.
     """
     life = Lifecycle(shared)
     for number, call in enumerate(calls):
         getattr(life, call)()
         assert (life.stage is Stage.SHUTTING_DOWN) == ("shut_down" in calls[: number + 1])
         assert serves or not life.reports_ready(serves)
-        # An answer keeps its connection exactly while the front may go on dealing it out.
+        # A connection is kept after an answer exactly while the front tier may use it further.
         assert life.closes_connections == (life.stage is not Stage.SERVING)
         if not shared:
             assert life.reports_ready(True) != life.closes_connections
 
 
-def test_on_a_shared_address_the_successor_answers_for_the_one_that_leaves() -> None:
-    """Two processes share the clients' address. One that shuts down still says yes on `/ready`, as its
-    successor answers there; one that can't serve accepts nobody.
+def test_on_a_shared_address_ready_succeeds_during_shutdown() -> None:
+    """Two processes share the clients' address. `/ready` still succeeds in one that shuts down, as its
+    successor serves there; one that can't serve accepts no connections.
     """
     for shared in (False, True):
         life = Lifecycle(shared)
