--- a/tests/program/test_end.py
+++ b/tests/program/test_end.py
@@ -1,4 +1,4 @@
-"""The whole program from SIGTERM to its end: every request that its clients sent, and every answer read."""
+"""The whole program from SIGTERM to its end, under load: every request that clients send is answered."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.program.test_program import config, connect, listen_address, program
 
 DEADLINE_S = 0.6
-ACCEPT_WHILE_DRAINING_S = 0.4  # new connections go on coming for so long, and old ones are used up to SIGKILL
+ACCEPT_WHILE_DRAINING_S = 0.4  # how long clients still connect; old connections are used up to SIGKILL
 KILL_S = DEADLINE_S + 0.7
 SETTINGS = {
     "profiles": [
@@ -22,41 +22,41 @@
 }
 
 
-class Town:
-    """Clients that come again at once, and what became of each of their requests."""
+class ClientLoad:
+    """Clients that send one request after another, and counts of the outcomes."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self.ended = Counter[str]()
-        self.asked = 0
+        self.outcomes = Counter[str]()
+        self.sent = 0
         self.term_s = float("inf")
         self.stopped = False
 
     @property
-    def newcomers(self) -> bool:
+    def may_connect(self) -> bool:
         return not self.stopped and asyncio.get_running_loop().time() < self.term_s + ACCEPT_WHILE_DRAINING_S
 
-    async def live(self, kind: str, rests: bool) -> None:
-        """One client: it uses its connection for as long as that is open, or rests on it until it ends."""
-        while self.newcomers:
+    async def run_client(self, kind: str, stays_idle: bool) -> None:
+        """Runs a client, which uses each connection while it is open, or sends one request and stays idle."""
+        while self.may_connect:
             try:
                 client = await Client.to(self.address)
             except OSError:
-                self.ended["turned back"] += self.newcomers
+                self.outcomes["turned back"] += self.may_connect
                 return
             used = 0
             while await self.request(client, kind, used):
                 used += 1
-                if rests:
+                if stays_idle:
                     await client.reader.read()
                     break
             client.close()
 
     async def request(self, client: Client, kind: str, used: int) -> bool:
-        """Ask once; may the connection be used again?"""
-        self.asked += 1
+        """Sends a request; returns whether the connection may be used again."""
+        self.sent += 1
         client.send(
-            f"{kind}-{self.asked}",
+            f"{kind}-{self.sent}",
             kind,
             "GET" if kind == "quote" else "POST",
             b"" if kind == "quote" else b"x",
@@ -66,17 +66,17 @@
             got = await client.answer()
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             begun = isinstance(error, asyncio.IncompleteReadError) and error.partial
-            # Between requests a balancer may close; that crossed this one, if the connection was used before.
-            self.ended["cut" if begun else "crossed" if used else "closed new"] += 1
+            # A balancer may close a connection between requests, just when this one is sent on it.
+            self.outcomes["cut" if begun else "crossed" if used else "closed new"] += 1
             return False
-        self.ended[str(got.status)] += 1
+        self.outcomes[str(got.status)] += 1
         return got.headers.get("connection") != "close"
 
 
 def test_from_sigterm_to_its_end_every_request_is_answered(tmp_path: Path) -> None:
-    """SIGTERM comes while clients ask on and on, on old connections and new ones, and half of the upstreams
-    hang from just then on. Each request has its answer, no request that must not run twice does, and
-    nothing is open when SIGKILL would come.
+    """SIGTERM comes while clients send request after request, on old and new connections, and half of the
+    upstreams hang from that moment on. Each request is answered, no non-idempotent request runs twice, and
+    the process has ended when SIGKILL would come.
     """
 
     async def test() -> None:
@@ -86,32 +86,32 @@
             await box.start()
         discovery = FakeDiscovery(box.row() for box in boxes)
         await discovery.start()
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.snapshot(), settings=SETTINGS)
-        async with program(tmp_path / "config.json", told) as process:
-            first = await connect(listen_address(told))
+        raw = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.snapshot(), settings=SETTINGS)
+        async with program(tmp_path / "config.json", raw) as process:
+            first = await connect(listen_address(raw))
             first.close()
-            town = Town(listen_address(told))
+            load = ClientLoad(listen_address(raw))
             clients = [
-                asyncio.create_task(town.live(kind, rests))
+                asyncio.create_task(load.run_client(kind, stays_idle))
                 for kind in ("quote", "pay")
-                for rests in (False, False, False, True)
+                for stays_idle in (False, False, False, True)
             ]
-            while sum(town.ended.values()) < 200:
+            while sum(load.outcomes.values()) < 200:
                 await asyncio.sleep(0)
-            assert town.ended == {"200": sum(town.ended.values())}
+            assert load.outcomes == {"200": sum(load.outcomes.values())}
 
             async def hang(message: Message) -> bytes | None:
                 return await never()
 
             for box in boxes[:2]:
                 box.reply = hang
-            town.term_s = loop.time()
+            load.term_s = loop.time()
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), KILL_S) == 0
-            town.stopped = True
+            load.stopped = True
             await asyncio.gather(*clients)
-            assert set(+town.ended) <= {"200", "502", "503", "504", "crossed"}, town.ended
-            assert sum(town.ended.values()) == town.asked
+            assert set(+load.outcomes) <= {"200", "502", "503", "504", "crossed"}, load.outcomes
+            assert sum(load.outcomes.values()) == load.sent
             seen = Counter(m.headers["x-request-id"] for box in boxes for m in box.seen)
             assert max(count for name, count in seen.items() if name.startswith("pay")) == 1
         for server in (*boxes, discovery):
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: configuration, SIGTERM, exit codes."""
+"""The program as the platform starts it: configuration, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
         json.dumps(config(known={"version": 1})),
     ],
 )
-def test_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str | None) -> None:
-    """The configuration can't be read or used. The process says so in one line and exits with code 2."""
+def test_an_invalid_configuration_is_one_line_and_exit_code_2(tmp_path: Path, text: str | None) -> None:
+    """The configuration can't be read or is invalid. The process says so in one line, with exit code 2."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -66,8 +66,8 @@
     assert done.stderr.startswith("lanelift: ") and done.stderr.count("\n") == 1
 
 
-def test_no_configuration() -> None:
-    """No configuration is named. The process says so in one line and exits with code 2."""
+def test_a_missing_configuration_is_one_line_and_exit_code_2() -> None:
+    """BALANCER_CONFIG is not set. The process says so in one line and exits with code 2."""
     environ = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
     done = subprocess.run(
         [sys.executable, "-m", "lanelift"],
@@ -81,8 +81,8 @@
 
 
 @asynccontextmanager
-async def program(path: Path, told: dict[str, Any]) -> AsyncIterator[asyncio.subprocess.Process]:
-    path.write_text(json.dumps(told))
+async def program(path: Path, raw_config: dict[str, Any]) -> AsyncIterator[asyncio.subprocess.Process]:
+    path.write_text(json.dumps(raw_config))
     async with started(sys.executable, "-m", "lanelift", BALANCER_CONFIG=str(path)) as process:
         yield process
 
@@ -91,7 +91,7 @@
 async def started(
     *command: str | Path, fds: Sequence[int] = (), **environ: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A process that does not outlive the test. It inherits the descriptors `fds`."""
+    """Runs a process that does not outlive the test and inherits the descriptors `fds`."""
     process = await asyncio.create_subprocess_exec(
         *command, stderr=asyncio.subprocess.PIPE, pass_fds=fds, env={**os.environ, **environ}
     )
@@ -103,13 +103,13 @@
             await process.wait()
 
 
-def listen_address(told: dict[str, Any]) -> tuple[str, int]:
-    return "127.0.0.1", int(told["listen"].rpartition(":")[2])
+def listen_address(raw_config: dict[str, Any]) -> tuple[str, int]:
+    return "127.0.0.1", int(raw_config["listen"].rpartition(":")[2])
 
 
-def test_sigterm_answers_what_is_open_and_what_still_comes(tmp_path: Path) -> None:
+def test_after_sigterm_open_and_new_requests_are_answered(tmp_path: Path) -> None:
     """SIGTERM comes while a request is open, and new connections and requests still come. All are answered,
-    each answer is the last on its connection, and the process then exits with code 0.
+    each connection is closed after its answer, and the process then exits with code 0.
     """
 
     async def test() -> None:
@@ -124,19 +124,19 @@
             return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow"
 
         upstream.script = [slow]
-        told = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.snapshot())
-        async with program(tmp_path / "config.json", told) as process:
-            address = listen_address(told)
-            # It has seen discovery: so it listens, or is about to.
+        raw_config = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.snapshot())
+        async with program(tmp_path / "config.json", raw_config) as process:
+            address = listen_address(raw_config)
+            # It has called discovery, so it listens or is about to.
             await discovery.until(lambda: any("from=" in m.start[1] for m in discovery.seen))
             open_one, kept = await connect(address), await connect(address)
             assert (await kept.request("r", path="/ready")).status == 200
             open_one.send("r1")
             await upstream.until(lambda: len(upstream.seen) == 1)
             process.send_signal(signal.SIGTERM)
-            late = await (await connect(address)).request("r2")  # new connections go on coming
+            late = await (await connect(address)).request("r2")  # new connections are still accepted
             check_closing(late, b"s-0")
-            ready = await kept.request("r", path="/ready")  # and old ones are used
+            ready = await kept.request("r", path="/ready")  # and old connections are still served
             assert (ready.status, ready.headers["connection"]) == (503, "close")
             go_on.set()
             check_closing(await read_message(open_one.reader), b"slow")
@@ -149,9 +149,9 @@
 
 
 @pytest.mark.parametrize("old", ["holds a watch", "holds its first call", "refuses"])
-def test_sighup_moves_to_another_discovery(tmp_path: Path, old: str) -> None:
-    """Discovery moves, and the old one hangs or refuses. After SIGHUP the new one is used at once, though
-    it counts its versions from lower. A file that can't be used changes nothing and costs a line.
+def test_sighup_changes_the_discovery_address(tmp_path: Path, old: str) -> None:
+    """Discovery moves, and the old server hangs or refuses connections. After SIGHUP the new one is used
+    immediately, though its versions are lower. An invalid file changes nothing and is logged.
     """
 
     async def test() -> None:
@@ -159,37 +159,37 @@
         await first.start()
         await second.start()
         before, after = FakeDiscovery([first.row()]), FakeDiscovery([second.row()])
-        before.version = 41  # the new one counts from lower
+        before.version = 41  # the new server's versions are lower
         before.silent = old == "holds its first call"
         if old != "refuses":
             await before.start()
         await after.start()
-        told = config(known=before.snapshot())
+        raw_config = config(known=before.snapshot())
         if old != "refuses":
-            told["discovery"] = f"127.0.0.1:{before.port}"
+            raw_config["discovery"] = f"127.0.0.1:{before.port}"
         path = tmp_path / "config.json"
-        async with program(path, told) as process:
+        async with program(path, raw_config) as process:
             assert process.stderr is not None
-            address = listen_address(told)
+            address = listen_address(raw_config)
             if old == "refuses":
                 assert b"no connection" in await process.stderr.readline()
             else:
                 target = "from=41&" if old == "holds a watch" else "/v1/endpoints"
                 await before.until(lambda: any(target in m.start[1] for m in before.seen))
             assert (await (await connect(address)).request("r1")).body == b"s-0"
-            # A file that can't be used changes nothing, and costs a line.
+            # An invalid file changes nothing, and is logged.
             path.write_text("{not json")
             process.send_signal(signal.SIGHUP)
             while b"not reloaded" not in (line := await process.stderr.readline()):
                 assert line
             assert (await (await connect(address)).request("r2")).body == b"s-0"
-            path.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{after.port}"}))
+            path.write_text(json.dumps({**raw_config, "discovery": f"127.0.0.1:{after.port}"}))
             process.send_signal(signal.SIGHUP)
             await asyncio.wait_for(after.until(lambda: any("from=1&" in m.start[1] for m in after.seen)), 4)
             assert (await (await connect(address)).request("r3")).body == b"s-1"
             process.send_signal(signal.SIGTERM)
             late = await connect(address)
-            process.send_signal(signal.SIGHUP)  # it neither ends the drain nor starts it over
+            process.send_signal(signal.SIGHUP)  # it neither ends nor restarts the drain
             check_closing(await late.request("r4"), b"s-1")
             assert await process.wait() == 0
         for server in (first, second, before, after):
@@ -199,9 +199,11 @@
 
 
 @pytest.mark.parametrize("descriptor", ["seven", "-1", "99", "0", "datagrams"])
-def test_a_descriptor_that_is_no_listening_socket(tmp_path: Path, descriptor: str) -> None:
-    """The descriptor that should be the clients' socket is none. The process says so in one line and exits
-    with code 2.
+def test_a_descriptor_that_is_no_tcp_socket_is_one_line_and_exit_code_2(
+    tmp_path: Path, descriptor: str
+) -> None:
+    """BALANCER_FD is not the descriptor of a TCP socket. The process says so in one line and exits with
+    code 2.
     """
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config()))
@@ -225,10 +227,10 @@
     assert done.stderr.startswith("lanelift: BALANCER_FD") and done.stderr.count("\n") == 1
 
 
-def test_an_upgrade_loses_no_request(tmp_path: Path) -> None:
-    """Two processes share one inherited socket during a hot restart. The second accepts nothing until it
-    can serve; the first gets SIGTERM while clients ask on and on, on connections of both and on new ones.
-    Every request is answered.
+def test_a_hot_restart_loses_no_request(tmp_path: Path) -> None:
+    """Two processes share one inherited socket during a hot restart. The second accepts no connection until
+    it can serve; the first gets SIGTERM while clients send request after request, on connections to both and
+    on new ones. Every request is answered.
     """
 
     async def test() -> None:
@@ -241,15 +243,15 @@
             shared.listen(64)
             fd = shared.fileno()
             address = shared.getsockname()
-            asked = 0
+            sent = 0
 
-            async def ask_on(stop: asyncio.Event) -> None:
-                nonlocal asked
+            async def send_requests(stop: asyncio.Event) -> None:
+                nonlocal sent
                 client: Client | None = None
                 while not stop.is_set():
                     client = client or await Client.to(address)
-                    asked += 1
-                    got = await client.request(f"r{asked}")
+                    sent += 1
+                    got = await client.request(f"r{sent}")
                     assert (got.status, got.body) == (200, b"s-0")
                     if got.headers.get("connection") == "close":
                         client.close()
@@ -257,28 +259,28 @@
                 if client is not None:
                     client.close()
 
-            def told(path: Path, **more: Any) -> dict[str, str]:
+            def write_config(path: Path, **more: Any) -> dict[str, str]:
                 raw = config(discovery=f"127.0.0.1:{discovery.port}", peer_listen=peers, **more)
                 raw["settings"] = {**SETTINGS, "limits": {"peers": True}}
                 raw["operator"] = f"127.0.0.1:{free_port()}"
                 path.write_text(json.dumps(raw))
                 return {"BALANCER_CONFIG": str(path), "BALANCER_FD": str(fd), "TMPDIR": str(tmp_path)}
 
-            peers = f"127.0.0.1:{free_port()}"  # the same for both
+            peers = f"127.0.0.1:{free_port()}"  # the same address for both processes
             command = (sys.executable, "-m", "lanelift")
-            old_told = told(tmp_path / "old.json", known=discovery.snapshot())
-            async with started(*command, fds=[fd], **old_told) as old:
+            old_environ = write_config(tmp_path / "old.json", known=discovery.snapshot())
+            async with started(*command, fds=[fd], **old_environ) as old:
                 stop = asyncio.Event()
-                clients = [asyncio.create_task(ask_on(stop)) for _ in range(8)]
+                clients = [asyncio.create_task(send_requests(stop)) for _ in range(8)]
                 await upstream.until(lambda: len(upstream.seen) > 20)
                 discovery.silent = True  # the new one can't serve yet
-                async with started(*command, fds=[fd], **told(tmp_path / "new.json")) as new:
+                async with started(*command, fds=[fd], **write_config(tmp_path / "new.json")) as new:
                     operators = (
                         "127.0.0.1",
                         int(json.loads((tmp_path / "new.json").read_text())["operator"].rpartition(":")[2]),
                     )
                     assert await ready(operators) == 503
-                    for _ in range(20):  # all of them are the old one's: the new one would refuse
+                    for _ in range(20):  # the old process accepts them all: the new one would answer 503
                         fresh = await Client.to(address)
                         assert (await fresh.request("front", path="/ready")).status == 200
                         fresh.close()
@@ -286,7 +288,7 @@
                     discovery.close_links()
                     while await ready(operators) != 200:
                         await asyncio.sleep(0.02)
-                    assert len(list(tmp_path.glob("lanelift-*.sock"))) == 2  # they have met
+                    assert len(list(tmp_path.glob("lanelift-*.sock"))) == 2  # one socket for each process
                     old.send_signal(signal.SIGTERM)
                     assert await old.wait() == 0
                     count = len(upstream.seen)
--- a/tests/program/test_serve.py
+++ b/tests/program/test_serve.py
@@ -1,4 +1,4 @@
-"""`lanelift`: the command line, and the daemon told what to do by the operator's file."""
+"""The command `lanelift`, and the daemon configured by the operator's file."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.program.test_program import connect, started
 
 LANELIFT = Path(sys.executable).with_name("lanelift")
-PLAIN = "import sys, lanelift.__main__; print(*sorted(m.partition('.')[0] for m in sys.modules))"
+PRINT_PACKAGES = "import sys, lanelift.__main__; print(*sorted(m.partition('.')[0] for m in sys.modules))"
 
 
 def lanelift(*words: str) -> subprocess.CompletedProcess[str]:
@@ -30,15 +30,15 @@
     return path
 
 
-def test_the_daemon_carries_none_of_it() -> None:
-    done = subprocess.run([sys.executable, "-c", PLAIN], capture_output=True, text=True, check=True)
+def test_the_daemon_loads_no_package_of_the_command_line() -> None:
+    done = subprocess.run([sys.executable, "-c", PRINT_PACKAGES], capture_output=True, text=True, check=True)
     loaded = done.stdout.split()
     assert "httptools" in loaded
     assert not {"click", "pydantic", "tomllib", "rich", "psutil", "matplotlib"} & set(loaded)
 
 
-def test_check_says_what_is_wrong_and_serve_does_not_start(tmp_path: Path) -> None:
-    """The operator's file has a mistake. `config check` names it, and `serve` does not start with it."""
+def test_check_names_mistakes_and_serve_does_not_start(tmp_path: Path) -> None:
+    """The operator's file has mistakes. `config check` names them, and `serve` does not start."""
     path = tmp_path / "f.toml"
     path.write_text("[serve]\nlisten = 3\n")
     for words in (("config", "check", str(path)), ("serve", "--config", str(path))):
@@ -51,15 +51,15 @@
         ]
 
 
-def test_help_lists_the_commands_and_an_unknown_one_is_bad_input() -> None:
+def test_help_lists_the_commands_and_an_unknown_one_is_an_error() -> None:
     assert all(word in lanelift("--help").stdout for word in ("serve", "config"))
     assert lanelift("srve").returncode == 2
 
 
 @pytest.mark.parametrize("mistake", [False, True])
 def test_sighup_applies_a_changed_list(tmp_path: Path, mistake: bool) -> None:
-    """The file's list of upstreams changes, and later has a mistake. After SIGHUP an upstream that was
-    removed finishes what it is doing and gets nothing new; a file with a mistake changes nothing.
+    """The file's list of upstreams changes, or the file gets a mistake. After SIGHUP a removed upstream
+    finishes its open requests and gets no new ones; a file with a mistake changes nothing.
     """
 
     async def test() -> None:
@@ -104,9 +104,9 @@
     run(test())
 
 
-def test_another_kind_of_source_waits_for_a_restart(tmp_path: Path) -> None:
-    """The file names discovery where it listed upstreams. That is not applied to a running balancer: it is
-    logged, and the old list stays.
+def test_a_change_of_the_kind_of_source_needs_a_restart(tmp_path: Path) -> None:
+    """The file names a discovery server in place of a list of upstreams. That is not applied to a running
+    balancer: it is logged, and the old list stays in use.
     """
 
     async def test() -> None:
--- a/tests/program/test_tenants.py
+++ b/tests/program/test_tenants.py
@@ -1,4 +1,4 @@
-"""`lanelift serve` with directories, as a process: standing, limits and outages under traffic."""
+"""`lanelift serve` with directories, as a process: standing, limits and outages under load."""
 
 from __future__ import annotations
 
@@ -72,13 +72,13 @@
 
 
 @dataclass
-class Shop:
-    """A balancer with one box behind it, as a process, and a client's connection to it."""
+class ServeProcess:
+    """A balancer process with one upstream, and a client's connection to it."""
 
     process: asyncio.subprocess.Process
     client: Client
     box: FakeUpstream
-    path: Path  # of its operator's file
+    path: Path  # of the operator's file
     port: int
     count: int = 0
 
@@ -89,13 +89,13 @@
         self.count += 1
         return await self.client.request(f"r{self.count}", kind, **{"X-Tenant": tenant})
 
-    async def told(self, tenant: str, kind: str = "quote") -> tuple[int, str]:
+    async def status_and_body(self, tenant: str, kind: str = "quote") -> tuple[int, str]:
         message = await self.request(tenant, kind)
         return message.status, message.body.decode().strip()
 
     async def until_not_served(self, tenant: str) -> tuple[int, str]:
-        """Ask until the news is there; what is told then."""
-        while (found := await self.told(tenant))[0] == 200:
+        """Sends requests until one is not answered with 200; returns that answer."""
+        while (found := await self.status_and_body(tenant))[0] == 200:
             pass
         return found
 
@@ -103,8 +103,10 @@
 @asynccontextmanager
 async def shop(
     folder: Path, *directories: Directory, top: str = "", begun: str = "tenants read from a directory"
-) -> AsyncIterator[Shop]:
-    """A shop once its log has `begun`; without a directory its file names one that is not there."""
+) -> AsyncIterator[ServeProcess]:
+    """Runs a balancer process from when its log has `begun`; without `directories` its file names one
+    that is unreachable.
+    """
     box = FakeUpstream("box")
     await box.start()
     for directory in directories:
@@ -114,19 +116,19 @@
     path = operator_file(folder / "f.toml", port, box, *urls, top=top)
     async with started(LANELIFT, "serve", "--config", path) as process:
         await logged(process, begun)
-        yield Shop(process, await connect(("127.0.0.1", port)), box, path, port)
+        yield ServeProcess(process, await connect(("127.0.0.1", port)), box, path, port)
         children = psutil.Process(process.pid).children()
         process.send_signal(signal.SIGTERM)
         await process.wait()
         _, alive = await asyncio.to_thread(psutil.wait_procs, children, 10)
-        assert not alive  # the reader has left with its balancer
+        assert not alive  # the reader has ended with its balancer
     for directory in directories:
         directory.stop()
     box.stop()
 
 
 async def logged(process: asyncio.subprocess.Process, words: str) -> None:
-    """Until its log has these words."""
+    """Reads the process's log until a line has these words."""
     assert process.stderr is not None
     while words.encode() not in (line := await process.stderr.readline()):
         assert line, f"it ended before it said {words!r}"
@@ -144,11 +146,11 @@
         with certificates(tmp_path, "127.0.0.1") as (context, _):
             directory = Directory(tree, {READER: SECRET}, context, ldaps=True)
             async with shop(tmp_path, directory, top='unknown = "deny"\nstart = "wait"') as s:
-                assert (await s.told("ASH"))[0] == 200  # in any case
-                assert await s.told("oak") == (403, "class not allowed")
-                assert (await s.told("oak", "history"))[0] == 200
-                assert await s.told("nobody") == (403, "unknown tenant")
-                assert (await s.told("yew"))[0] == 200
+                assert (await s.status_and_body("ASH"))[0] == 200  # in any case
+                assert await s.status_and_body("oak") == (403, "class not allowed")
+                assert (await s.status_and_body("oak", "history"))[0] == 200
+                assert await s.status_and_body("nobody") == (403, "unknown tenant")
+                assert (await s.status_and_body("yew"))[0] == 200
                 over = await s.request("yew")
                 assert over.status == 429 and 0 < float(over.headers["retry-after"]) <= 1
                 tree.change(dn("elm"), at(50), agentStanding="suspended")
@@ -158,8 +160,8 @@
 
 
 @pytest.mark.parametrize("trouble", ["refused", "silent", "garbage"])
-def test_an_outage_costs_nobody_a_quote(trouble: str, tmp_path: Path) -> None:
-    """The directory refuses calls, is silent or sends garbage. Tenants are served by what was read before."""
+def test_requests_are_served_during_an_outage_of_the_directory(trouble: str, tmp_path: Path) -> None:
+    """The directory refuses calls, is silent or sends garbage. Tenants are served as read before."""
 
     async def test() -> None:
         directory = Directory(town("ash", "elm"), {READER: SECRET})
@@ -169,41 +171,41 @@
             else:
                 directory.trouble = Trouble(silent=trouble == "silent", garbage=b"\x00garbage")
             for _ in range(50):
-                assert (await s.told("elm"))[0] == 200
+                assert (await s.status_and_body("elm"))[0] == 200
             await s.said(f"directory {address(directory)}")
-            assert (await s.told("ash"))[0] == 200
+            assert (await s.status_and_body("ash"))[0] == 200
 
     run(test())
 
 
-def test_a_start_without_a_directory_serves_by_the_settings(tmp_path: Path) -> None:
-    """A balancer starts while its directory is down. It serves by the tenants of its settings."""
+def test_a_start_without_a_directory_serves_the_tenants_in_the_settings(tmp_path: Path) -> None:
+    """A balancer starts while its directory is down. It serves the tenants in its settings."""
 
     async def test() -> None:
         async with shop(tmp_path, top='unknown = "deny"', begun="connect") as s:
             for name in ("ash", "nobody"):
-                assert (await s.told(name))[0] == 200  # never everyone refused by accident
+                assert (await s.status_and_body(name))[0] == 200  # never everyone refused by accident
 
     run(test())
 
 
-def test_a_start_that_waits_is_not_ready_until_then_or_its_time_is_over(tmp_path: Path) -> None:
-    """A balancer is to wait for its directory, and that is late. `/ready` says no until tenants are read or
-    the time for that is over.
+def test_a_start_that_waits_is_not_ready_until_tenants_are_read_or_the_wait_times_out(tmp_path: Path) -> None:
+    """A balancer is configured to wait for its directory, which is late. `/ready` fails until tenants have
+    been read or the wait has timed out.
     """
 
     async def test() -> None:
         async with shop(tmp_path, top='start = "wait"\nwait_s = 1.0', begun="connect") as s:
             assert (await s.client.request("r", path="/ready")).status == 503
-            assert (await s.told("ash"))[0] == 200  # whoever comes all the same
+            assert (await s.status_and_body("ash"))[0] == 200  # whoever comes all the same
             await s.said("no directory was read within 1 s")
             assert (await s.client.request("r", path="/ready")).status == 200
 
     run(test())
 
 
-def test_a_reader_that_is_killed_comes_back_and_costs_nothing(tmp_path: Path) -> None:
-    """The process that reads directories is killed. It is started anew, and requests are served meanwhile."""
+def test_a_killed_reader_is_restarted_and_requests_are_served(tmp_path: Path) -> None:
+    """The process that reads directories is killed. It is restarted, and requests are served meanwhile."""
 
     async def test() -> None:
         tree = town("ash", "elm")
@@ -212,34 +214,34 @@
             (reader,) = psutil.Process(s.process.pid).children()
             reader.kill()
             await s.said("the reader of directories has ended")
-            assert (await s.told("ash"))[0] == 200
-            assert await s.told("elm") == (403, "suspended")
+            assert (await s.status_and_body("ash"))[0] == 200
+            assert await s.status_and_body("elm") == (403, "suspended")
             await s.said("tenants read from a directory: 2")
-            assert await s.told("elm") == (403, "suspended")
+            assert await s.status_and_body("elm") == (403, "suspended")
 
     run(test())
 
 
-def test_sighup_moves_to_another_directory_and_another_word_for_strangers(tmp_path: Path) -> None:
+def test_sighup_changes_the_directory_and_the_rule_for_unknown_tenants(tmp_path: Path) -> None:
     async def test() -> None:
         old, new = (Directory(town("ash", name), {READER: SECRET}) for name in ("elm", "oak"))
         await new.start()
         async with shop(tmp_path, old) as s:
-            assert (await s.told("nobody"))[0] == 200
+            assert (await s.status_and_body("nobody"))[0] == 200
             top = 'unknown = "deny"\nremoval_part = 1.0'
             operator_file(s.path, s.port, s.box, address(new), top=top)
             s.process.send_signal(signal.SIGHUP)
             assert await s.until_not_served("elm") == (403, "unknown tenant")
             await s.said("1 tenants removed: elm")
-            assert (await s.told("oak"))[0] == 200
+            assert (await s.status_and_body("oak"))[0] == 200
         new.stop()
 
     run(test())
 
 
-def test_what_was_sent_when_the_suspension_came_has_its_own_outcome(tmp_path: Path) -> None:
-    """A tenant is suspended while a request of it is at an upstream. That request has its own outcome; the
-    next is rejected.
+def test_a_request_sent_before_a_suspension_gets_its_own_answer(tmp_path: Path) -> None:
+    """A tenant is suspended while a request of it is at an upstream. That request gets its own answer; the
+    next one is rejected.
     """
 
     async def test() -> None:
@@ -275,7 +277,7 @@
     return process.returncode, out.decode()
 
 
-def test_show_and_check(tmp_path: Path) -> None:
+def test_the_show_and_check_commands(tmp_path: Path) -> None:
     async def test() -> None:
         box = FakeUpstream("box")
         await box.start()
@@ -307,7 +309,7 @@
     run(test())
 
 
-def test_a_file_without_directories(tmp_path: Path) -> None:
+def test_show_rejects_a_file_without_directories(tmp_path: Path) -> None:
     async def test() -> None:
         code, text = await command("show", "--config", Path("deploy/lanelift.toml"))
         assert code == 2 and "names no directory" in text
