--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Tests that fail for a known fault: read from KNOWN-RED.txt, passed over, printed, and tried again.
+"""Handling of tests that fail for a known fault: KNOWN-RED.txt lists them, and they are skipped and retried.
 
-As a part of pytest (see `tests/conftest.py`) the listed tests are left out of a run and printed at its end.
-As a program (`python -m tests.known_red FILE`, run by `./test`) each of those that were left out is run
-three times by the command of its entry: one that passes each time has no place in the file any more.
+As a pytest plugin (see `tests/conftest.py`) this module deselects the listed tests and prints them at the end
+of the run. As a program (`python -m tests.known_red FILE`, run by `./test`) it runs the command of each
+deselected test up to three times: a test that passes each time must be removed from the file.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 
 import pytest
 
-NAME = "KNOWN-RED.txt"
-FORM = "TEST ID | COMMAND, WITH ITS SEED | WHAT WAS SEEN | #ISSUE"
+FILE_NAME = "KNOWN-RED.txt"
+ENTRY_FORM = "TEST ID | COMMAND, WITH ITS SEED | WHAT WAS SEEN | #ISSUE"
 FIELDS = 4
 RUNS = 3
-RUN_S = 600  # one run that is not over by then has not passed
-KEEP_VARIABLE = "LANELIFT_KNOWN_RED"  # set to `run`, pytest passes over nothing
+RUN_S = 600  # a run that takes longer counts as failed
+KEEP_VARIABLE = "LANELIFT_KNOWN_RED"  # if set to `run`, no test is deselected
 TEST_ID = re.compile(r"\S+\.py(::\w+)*::\w+(\[.*\])?")
 ISSUE = re.compile(r"#[1-9][0-9]*")
 PASSED, FAILED = 0, 1  # exit codes of pytest
 
 
 class MalformedEntryError(Exception):
-    """A line of the file has not the form of an entry.
+    """A line of the file is not a valid entry.
 
     Attributes:
         line: The number of the line, from 1.
-        found: What stands there.
-        allowed: What may stand there.
+        found: The invalid text.
+        allowed: What is allowed in its place.
     """
 
     def __init__(self, line: int, found: str, allowed: str) -> None:
-        super().__init__(f"{NAME}, line {line}: found {found!r}; allowed: {allowed}")
+        super().__init__(f"{FILE_NAME}, line {line}: found {found!r}; allowed: {allowed}")
         self.line, self.found, self.allowed = line, found, allowed
 
 
 @dataclass(frozen=True)
 class Entry:
-    """One test that is known to fail."""
+    """A test that is known to fail."""
 
     test: str
     command: str
@@ -56,10 +56,10 @@
 
 
 def read_entries(text: str) -> list[Entry]:
-    """The entries of the file, in its order; empty lines and those that begin with `#` are none.
+    """Returns the entries of the file, in order; empty lines and those that begin with `#` are skipped.
 
     Raises:
-        MalformedEntryError: A line is neither, or its test was listed before.
+        MalformedEntryError: An entry is invalid, or its test is listed twice.
     """
     entries: list[Entry] = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -67,7 +67,7 @@
             continue
         fields = [field.strip() for field in line.split(" | ")]
         if len(fields) != FIELDS or not all(fields):
-            raise MalformedEntryError(number, line, FORM)
+            raise MalformedEntryError(number, line, ENTRY_FORM)
         entry = Entry(*fields)
         if not TEST_ID.fullmatch(entry.test):
             raise MalformedEntryError(number, entry.test, "the id of a test as pytest prints it")
@@ -80,71 +80,77 @@
 
 
 class KnownRed:
-    """The part of pytest that passes over the listed tests, prints them, and finds those that are none.
+    """The pytest plugin that deselects and prints the listed tests, and rejects unknown ones.
 
     Raises:
-        pytest.UsageError: The file is malformed, or lists a test that was asked for and does not exist.
+        pytest.UsageError: The file is malformed, or lists a missing test that this run covers.
     """
 
     def __init__(self, config: pytest.Config) -> None:
-        path = config.rootpath / NAME
+        path = config.rootpath / FILE_NAME
         try:
             self.entries = read_entries(path.read_text(encoding="utf-8")) if path.exists() else []
         except MalformedEntryError as error:
             raise pytest.UsageError(str(error)) from None
-        self.passed_over: list[Entry] = []
+        self.deselected: list[Entry] = []
 
     @pytest.hookimpl(wrapper=True)
     def pytest_collection_modifyitems(
         self, config: pytest.Config, items: list[pytest.Item]
     ) -> Generator[None]:
-        """Outermost: sees all that was collected before, and what `-k` and the like have left of it after."""
+        """Runs as the outermost hook: before `yield` all collected tests are in `items`, and after it only
+        those that options such as `-k` have left.
+        """
         collected = {item.nodeid for item in items}
-        missing = [e.test for e in self.entries if e.test not in collected and asked_for(config, e.test)]
+        missing = [e.test for e in self.entries if e.test not in collected and is_covered(config, e.test)]
         if missing:
-            raise pytest.UsageError(f"{NAME}: no such test: {', '.join(missing)}")
+            raise pytest.UsageError(f"{FILE_NAME}: no such test: {', '.join(missing)}")
         yield
         if os.environ.get(KEEP_VARIABLE) == "run":
             return
         listed = {entry.test: entry for entry in self.entries}
-        out = [item for item in items if item.nodeid in listed]
-        if out:
-            self.passed_over = [listed[item.nodeid] for item in out]
+        deselected = [item for item in items if item.nodeid in listed]
+        if deselected:
+            self.deselected = [listed[item.nodeid] for item in deselected]
             items[:] = [item for item in items if item.nodeid not in listed]
-            config.hook.pytest_deselected(items=out)
+            config.hook.pytest_deselected(items=deselected)
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        if self.passed_over:
-            terminalreporter.section(f"known to fail, and passed over ({NAME})")
-            for entry in self.passed_over:
+        if self.deselected:
+            terminalreporter.section(f"known to fail, and passed over ({FILE_NAME})")
+            for entry in self.deselected:
                 terminalreporter.write_line(str(entry))
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
         path: str | None = session.config.getoption("--known-red-passed")
         if path is not None:
-            Path(path).write_text("".join(f"{entry.test}\n" for entry in self.passed_over), encoding="utf-8")
+            Path(path).write_text("".join(f"{entry.test}\n" for entry in self.deselected), encoding="utf-8")
 
 
-def asked_for(config: pytest.Config, test: str) -> bool:
-    """Would this run have collected that test, did it exist? Only then can be told that it does not."""
+def is_covered(config: pytest.Config, test: str) -> bool:
+    """Returns whether this run would collect the test if it existed; only then can it be called missing."""
     option = config.option
     if option.ignore or option.ignore_glob or option.pyargs:
         return False
     root = config.rootpath
     for argument in config.args:
         path, _, within = argument.partition("::")
-        whole = (config.invocation_params.dir / path).resolve()
+        argument_path = (config.invocation_params.dir / path).resolve()
         file, _, name = test.partition("::")
-        here = (root / file).resolve()
-        if not within and (here == whole or whole in here.parents):
+        test_path = (root / file).resolve()
+        if not within and (test_path == argument_path or argument_path in test_path.parents):
             return True
-        if within and here == whole and (name == within or name.startswith((f"{within}::", f"{within}["))):
+        if (
+            within
+            and test_path == argument_path
+            and (name == within or name.startswith((f"{within}::", f"{within}[")))
+        ):
             return True
     return False
 
 
 def run_command(command: str) -> int:
-    """The exit code of an entry's command; as failed counts what takes longer than `RUN_S`."""
+    """Returns the exit code of an entry's command; a run longer than `RUN_S` counts as failed."""
     environment = {**os.environ, KEEP_VARIABLE: "run"}
     try:
         done = subprocess.run(
@@ -155,29 +161,29 @@
     return done.returncode
 
 
-def try_again(entry: Entry, run: Callable[[str], int] = run_command) -> str:
-    """Why the entry can't stay, or nothing: its test has failed in one of the runs."""
+def retry(entry: Entry, run: Callable[[str], int] = run_command) -> str:
+    """Returns why the entry is invalid, or an empty string if its test has failed in one of the runs."""
     for _ in range(RUNS):
         code = run(entry.command)
         if code == FAILED:
             return ""
         if code != PASSED:
             return f"its command ends with {code}, and must run the test: {entry.command}"
-    return f"it passed in each of {RUNS} runs: take it out of {NAME}"
+    return f"it passed in each of {RUNS} runs: take it out of {FILE_NAME}"
 
 
 def main(path: str) -> int:
-    """Try again what was passed over; `path` names a file with its ids, one a line."""
+    """Retries the deselected tests, whose ids the file at `path` has, one a line; returns the exit code."""
     names = Path(path).read_text(encoding="utf-8").splitlines()
     if not names:
         return 0
-    entries = read_entries(Path(NAME).read_text(encoding="utf-8"))
-    whole = 0
+    entries = read_entries(Path(FILE_NAME).read_text(encoding="utf-8"))
+    exit_code = 0
     for entry in [entry for entry in entries if entry.test in names]:
-        wrong = try_again(entry)
+        wrong = retry(entry)
         print(f"{entry.test}: {wrong or 'still fails'}", file=sys.stderr if wrong else sys.stdout)
-        whole = 1 if wrong else whole
-    return whole
+        exit_code = 1 if wrong else exit_code
+    return exit_code
 
 
 if __name__ == "__main__":
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: just its tests are passed over and printed, and an entry that has no cause fails the run."""
+"""KNOWN-RED.txt: only its tests are deselected and printed, and an entry without cause fails the run."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.known_red import Entry, MalformedEntryError, read_entries, try_again
+from tests.known_red import Entry, MalformedEntryError, read_entries, retry
 
 ROOT = Path(__file__).parents[1]
 CONFTEST = """
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def project(tmp_path: Path) -> Path:
-    """A folder with a good test and one that fails, and the project's own way to pass over it."""
+    """A folder with tests that pass and one that fails, and with the project's own plugin."""
     (tmp_path / "pytest.ini").write_text("[pytest]\n")
     (tmp_path / "conftest.py").write_text(CONFTEST)
     (tmp_path / "test_it.py").write_text(TESTS)
@@ -51,7 +51,7 @@
 def python(project: Path, *words: str) -> subprocess.CompletedProcess[str]:
     environment = {**os.environ, "PYTHONPATH": str(ROOT), "COLUMNS": "200"}
     environment.pop("LANELIFT_KNOWN_RED", None)
-    environment["PYTEST_DISABLE_PLUGIN_AUTOLOAD"] = "1"  # it starts twice as fast
+    environment["PYTEST_DISABLE_PLUGIN_AUTOLOAD"] = "1"  # pytest starts twice as fast
     return subprocess.run(
         [sys.executable, "-m", *words],
         cwd=project,
@@ -63,27 +63,27 @@
     )
 
 
-def whole(project: Path, *words: str) -> tuple[subprocess.CompletedProcess[str], str]:
-    """As `./test` does it: the run, and what it wrote for the runs after it."""
+def run_like_test_script(project: Path, *words: str) -> tuple[subprocess.CompletedProcess[str], str]:
+    """Runs pytest as `./test` does; returns the run, and the ids that it wrote for the retries."""
     done = python(project, "pytest", "-q", "--known-red-passed=passed.txt", *words)
     path = project / "passed.txt"
     return done, path.read_text() if path.exists() else ""
 
 
 @pytest.mark.parametrize("text", [None, "", "# a comment\n\n"])
-def test_without_entries_nothing_is_passed_over_and_nothing_printed(project: Path, text: str | None) -> None:
+def test_without_entries_no_test_is_deselected_or_printed(project: Path, text: str | None) -> None:
     if text is not None:
         (project / "KNOWN-RED.txt").write_text(text)
-    done, passed = whole(project)
+    done, passed = run_like_test_script(project)
     assert (done.returncode, passed) == (1, "")
     assert "1 failed, 3 passed" in done.stdout.splitlines()[-1] and "known to fail" not in done.stdout
     again = python(project, "tests.known_red", "passed.txt")
     assert (again.returncode, again.stdout, again.stderr) == (0, "", "")
 
 
-def test_just_the_listed_test_is_passed_over_printed_and_tried_again(project: Path) -> None:
+def test_only_the_listed_test_is_deselected_printed_and_retried(project: Path) -> None:
     (project / "KNOWN-RED.txt").write_text(entry(RED))
-    done, passed = whole(project)
+    done, passed = run_like_test_script(project)
     assert (done.returncode, passed) == (0, f"{RED}\n")
     assert "3 passed, 1 deselected" in done.stdout.splitlines()[-1]
     assert f"{RED}: 2 is not 1 (#41; " in done.stdout
@@ -91,9 +91,9 @@
     assert (again.returncode, again.stdout) == (0, f"{RED}: still fails\n")
 
 
-def test_an_entry_that_passes_each_time_fails_the_run(project: Path) -> None:
+def test_an_entry_whose_test_passes_each_time_fails_the_run(project: Path) -> None:
     (project / "KNOWN-RED.txt").write_text(entry(GOOD) + entry(RED))
-    done, passed = whole(project)
+    done, passed = run_like_test_script(project)
     assert (done.returncode, passed) == (0, f"{GOOD}\n{RED}\n")
     again = python(project, "tests.known_red", "passed.txt")
     assert (again.returncode, again.stdout) == (1, f"{RED}: still fails\n")
@@ -104,9 +104,9 @@
     ("codes", "stays"),
     [([1], True), ([0, 0, 1], True), ([0, 0, 0], False), ([5], False), ([0, 4], False)],
 )
-def test_it_stays_once_it_has_failed_in_one_of_three_runs(codes: list[int], stays: bool) -> None:
+def test_an_entry_stays_if_its_test_fails_in_one_of_three_runs(codes: list[int], stays: bool) -> None:
     left = list(codes)
-    assert (try_again(Entry(RED, "c", "s", "#1"), lambda command: left.pop(0)) == "") == stays
+    assert (retry(Entry(RED, "c", "s", "#1"), lambda command: left.pop(0)) == "") == stays
     assert not left
 
 
@@ -116,7 +116,7 @@
 )
 def test_an_entry_whose_test_does_not_exist_fails_the_run(project: Path, test: str) -> None:
     (project / "KNOWN-RED.txt").write_text(entry(test))
-    done, _ = whole(project)
+    done, _ = run_like_test_script(project)
     assert done.returncode == 4 and f"KNOWN-RED.txt: no such test: {test}" in done.stderr + done.stdout
 
 
@@ -127,20 +127,22 @@
         (["test_it.py::test_good"], 0),
         (["test_it.py"], 4),
         (["."], 4),
-        (["-k", "good"], 4),  # all was collected: what is not there is seen
+        (["-k", "good"], 4),  # all tests were collected, so a missing one is noticed
         (["test_it.py::test_none"], 4),
         (["test_more.py", "-k", "more"], 0),
     ],
 )
-def test_what_was_not_asked_for_need_not_exist(project: Path, words: list[str], code: int) -> None:
+def test_a_listed_test_that_a_run_does_not_cover_need_not_exist(
+    project: Path, words: list[str], code: int
+) -> None:
     (project / "KNOWN-RED.txt").write_text(entry("test_it.py::test_none"))
-    assert whole(project, *words)[0].returncode == code
+    assert run_like_test_script(project, *words)[0].returncode == code
 
 
-def test_of_a_subset_only_its_own_entries_are_tried_again(project: Path) -> None:
+def test_a_run_of_a_subset_retries_only_its_own_entries(project: Path) -> None:
     (project / "KNOWN-RED.txt").write_text(entry(RED) + entry(GOOD))
-    assert whole(project, "test_more.py")[1] == ""
-    assert whole(project, "-k", "red")[1] == f"{RED}\n"
+    assert run_like_test_script(project, "test_more.py")[1] == ""
+    assert run_like_test_script(project, "-k", "red")[1] == f"{RED}\n"
 
 
 @pytest.mark.parametrize(
@@ -161,7 +163,7 @@
     said = f"KNOWN-RED.txt, line 3: found {found!r}; allowed: {allowed}"
     assert str(caught.value).startswith(said) and caught.value.line == 3
     (project / "KNOWN-RED.txt").write_text(text)
-    done, _ = whole(project)
+    done, _ = run_like_test_script(project)
     assert done.returncode == 4 and said in done.stderr and "Traceback" not in done.stderr
 
 
