--- a/lanelift/daemon_config.py
+++ b/lanelift/daemon_config.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Config:
-    """The configuration of one process at its start or after a reload, whose log line names these fields.
+    """The configuration of one process. The log line of a reload names these fields.
 
     Attributes:
         listen: Where clients connect.
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -22,7 +22,7 @@
 # Idle connections are closed after this fraction of the time after which upstreams would close them.
 IDLE_TIMEOUT_FRACTION = 0.6
 SETTLE_S = 0.01  # a connection counts as settled this long after its last response
-# An unsettled connection may serve idempotent requests if the mean response time is this many times longer.
+# An unsettled connection may serve idempotent requests if responses take this many times SETTLE_S on average.
 MIN_RESPONSE_TO_SETTLE_RATIO = 4
 # A handshake's time-out that fires this late shows that this process is short of CPU time, and says nothing
 # about the upstream.
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -205,8 +205,8 @@
             self.dispatcher.update_endpoints(EndpointUpdateKind.FAILED, [])
 
     def _log_failure(self, error: BaseException) -> None:
-        """Logs one line for an outage. An unexpected error is logged each time with its traceback, as the
-        watch goes on after it.
+        """Logs one line for an outage. An unexpected error is logged each time with its traceback, as it must
+        not silently end the watch.
         """
         expected = isinstance(error, DiscoveryError | SettingsError)
         if expected and self._failure_logged:
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -49,7 +49,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_PEER_MESSAGES = 256  # that wait to be handed over together with an event
+MAX_PENDING_PEER_MESSAGES = 256  # received messages that wait to be handed over with the next event
 NS_PER_S = 1e9
 
 
