--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -34,7 +34,7 @@
 LONGEST_DEADLINE_S = 3.0  # longer deadlines are cut to this at SIGTERM
 # The process ends this long after the longest deadline; SIGKILL comes 0.7 s after it.
 EXIT_AFTER_DEADLINE_S = 0.6
-FINAL_ANSWER_MARGIN_S = 0.03  # requests are answered at the latest this long before the process ends
+FINAL_ANSWER_MARGIN_S = 0.03  # deadlines are cut to end at the latest this long before the process
 CLOSE_IDLE_DELAY_S = 0.02  # between the listener's stop and the closing of idle connections
 
 
