--- a/lanelift/fleet/__init__.py
+++ b/lanelift/fleet/__init__.py
@@ -1,6 +1,7 @@
-"""The fleet of balancers on the operators' side: members, their messages, and who may vote.
+"""The fleet of balancers as its operators configure it: members, their messages, and voter recovery.
 
-Off without `[fleet]` in the operator's file. Modules: `cluster` (members and timings), `messages` and `codec`
-(what they send each other), `transport` (the UDP socket), `recovery` and `state_file` (whether a voter may
-vote, and what it persists), `clocks`, `log`.
+The fleet is disabled unless the operator's file has a `[fleet]` section. Modules: `cluster` (members and
+timings), `messages` and `codec` (the messages between members and their encoding), `transport` (the UDP
+socket), `recovery` and `state_file` (whether a voter may vote, and the state that it persists), `clocks`,
+`log`.
 """
--- a/lanelift/fleet/clocks.py
+++ b/lanelift/fleet/clocks.py
@@ -1,4 +1,4 @@
-"""A member's clock: nanoseconds since the machine was started, including the time while it slept."""
+"""A member's clock: nanoseconds since the machine was booted, including time spent suspended."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 def boottime_ns() -> int:
     """Returns CLOCK_BOOTTIME in nanoseconds.
 
-    Not CLOCK_MONOTONIC: that one stands still while the machine sleeps, and the votes of the other members
-    do not.
+    CLOCK_MONOTONIC does not advance while the machine is suspended, but the other members' votes expire
+    during that time.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """A clock which nobody sets.
+    """A clock that is never set: CLOCK_BOOTTIME with an optional offset and rate.
 
     Attributes:
-        ahead_ns: Offset from CLOCK_BOOTTIME, for rehearsals on one machine: a clock that began elsewhere.
-        rate: Its rate relative to CLOCK_BOOTTIME, for rehearsals: a clock that goes wrong.
+        ahead_ns: Offset from CLOCK_BOOTTIME. Rehearsals on one machine use it to simulate machines that were
+            booted at different times.
+        rate: Rate relative to CLOCK_BOOTTIME. Rehearsals use it to simulate a clock that runs fast or slow.
     """
 
     ahead_ns: int = 0
--- a/lanelift/fleet/cluster.py
+++ b/lanelift/fleet/cluster.py
@@ -1,4 +1,4 @@
-"""The configuration of a fleet: members and timings, which all members must have alike. Pure.
+"""The configuration of a fleet: its members and timings, which must be the same in all members. Pure.
 
 All times are whole nanoseconds. Clocks need not agree: only their rate is trusted, to within `drift`.
 """
@@ -11,7 +11,7 @@
 
 MS = 1_000_000  # nanoseconds in a millisecond
 MAX_DRIFT = 0.1  # a clock that is a tenth too fast is broken; real ones stay under 0.0005 even while slewed
-RENEWALS_PER_VALIDITY = 4  # renewals in the time that a lease is held: three of them may get lost
+RENEWALS_PER_VALIDITY = 4  # renewals within the validity of a lease: three of them may be lost
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,8 +20,8 @@
 
     Attributes:
         id: Its name, unique in the fleet.
-        address: Host and UDP port where the others reach it.
-        zone: Where it stands.
+        address: Host and UDP port at which the other members reach it.
+        zone: The zone that it runs in.
         votes: Whether it is a voter.
     """
 
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """How long things last, in nanoseconds.
+    """The timings of leases, in nanoseconds.
 
     Attributes:
         lease_ns: How long a vote binds its voter, on the voter's clock.
-        response_timeout_ns: How long a response is waited for.
-        stop_margin_ns: What a holder keeps back of its lease to end its task.
-        drift: The largest relative error of the rate of any clock, as a fraction of one.
+        response_timeout_ns: How long a proposer waits for a response.
+        stop_margin_ns: The time at the end of its lease that a holder reserves for ending its task.
+        drift: The largest relative error of any clock's rate, as a fraction of one.
     """
 
     lease_ns: int = 10_000 * MS
@@ -49,58 +49,58 @@
 
     @property
     def validity_ns(self) -> int:
-        """How long a holder holds, on its clock, from when it *sent* what was accepted.
+        """How long a holder holds the lease, on its clock, from when it *sent* the accepted request.
 
-        A voter is bound until `lease_ns` of its clock after it *received* that: in true time at least
-        lease / (1 + drift) after the sending. The holder's own clock may be as slow as 1 - drift: it must
-        stop at lease * (1 - drift) / (1 + drift) of it.
+        A voter is bound until `lease_ns` on its clock after it *received* the request: in true time at least
+        lease / (1 + drift) after the request was sent. The holder's own clock may be as slow as 1 - drift, so
+        the holder must stop after lease * (1 - drift) / (1 + drift) on that clock.
         """
         return int(self.lease_ns * (1 - self.drift) / (1 + self.drift))
 
     @property
     def restart_quiet_ns(self) -> int:
-        """How long a voter that may have forgotten its votes gives none, on its clock.
+        """How long a voter that may have forgotten its votes does not vote, on its clock.
 
-        Whatever it had accepted was sent before it forgot, and is over by then: the same inequality as for
-        `validity_ns`.
+        Any request that it had accepted was sent before it forgot its votes, so the lease that the request
+        gave has ended by then: the same inequality as for `validity_ns`.
         """
         return self.lease_ns
 
     @property
     def renewal_interval_ns(self) -> int:
-        """How often a holder renews."""
+        """The interval at which a holder renews its lease."""
         return (self.validity_ns - self.stop_margin_ns) // RENEWALS_PER_VALIDITY
 
     @property
     def poll_interval_ns(self) -> int:
-        """How often a waiter sends its request again, and keeps its queue position by that."""
+        """The interval at which a waiter sends its request again, which keeps its queue position."""
         return max(self.response_timeout_ns, self.lease_ns // 4)
 
     @property
     def waiter_expiry_ns(self) -> int:
-        """A waiter that sent nothing for so long loses its position: two requests may get lost."""
+        """How long a waiter that sends nothing keeps its queue position: two requests may be lost."""
         return 3 * self.poll_interval_ns
 
     @property
     def queue_head_window_ns(self) -> int:
-        """For so long after a lease became free only the first waiter gets it; then anybody does.
+        """How long after a lease became free only the first waiter may get it; then any proposer may.
 
-        The first one may reach too few voters, and must not keep the others from a majority.
+        The first waiter may reach too few voters, and must not keep the others from a majority.
         """
         return 2 * self.poll_interval_ns
 
     @property
     def failover_bound_ns(self) -> int:
-        """True time from a holder's death until another one holds.
+        """The longest true time from a holder's death until another proposer holds the lease.
 
-        This is where a majority and the waiters reach each other, no message is lost, and none takes longer
-        than a quarter of `response_timeout_ns`: the rest of the votes, a poll that was sent just too early,
-        and two rounds of two messages.
+        The bound applies while a majority and the waiters reach each other, no message is lost, and none
+        takes longer than a quarter of `response_timeout_ns`. It is the sum of the time until the votes
+        expire, one poll interval (the last poll may be sent just too early), and two rounds of two messages.
         """
         return int((self.lease_ns + self.poll_interval_ns + 2 * self.response_timeout_ns) / (1 - self.drift))
 
     def problems(self) -> Iterator[tuple[str, str, str]]:
-        """Yields what does not fit together: the operator's key, what was found, what is allowed."""
+        """Yields each inconsistent timing: the operator's key, the value found, and what is allowed."""
         if not 0 <= self.drift <= MAX_DRIFT:
             yield "drift_ppm", f"{self.drift * 1e6:g}", f"allowed: 0 to {MAX_DRIFT * 1e6:g}"
             return
@@ -129,12 +129,12 @@
 class ClusterConfiguration:
     """The fleet as the operator's file describes it.
 
-    Who votes, and the timings, must be the same in each member: each message carries a digest of them, and a
-    member ignores messages with another one.
+    The voters and the timings must be the same in each member: each message carries a digest of them, and a
+    member ignores messages with a different digest.
 
     Attributes:
         name: The fleet's name.
-        members: All members, voters and others.
+        members: All members, both voters and non-voters.
         timing: The timings.
     """
 
@@ -144,15 +144,15 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The ids of those who vote, in order."""
+        """The ids of the voters, sorted."""
         return tuple(sorted(member.id for member in self.members if member.votes))
 
     @property
     def digest(self) -> bytes:
-        """Eight bytes over name, timings and voters.
+        """An eight-byte hash of the fleet's name, timings and voters.
 
-        Addresses are not covered: members may reach each other by different ways. The text that is hashed
-        must stay as it is, as members of earlier releases compute the same.
+        Addresses are left out: members may reach the same member at different addresses. The hashed text
+        must not change, as members that run earlier releases compute the same digest.
         """
         timing = self.timing
         numbers = (timing.lease_ns, timing.response_timeout_ns, timing.stop_margin_ns, timing.drift)
@@ -165,5 +165,5 @@
 
 
 def majority(voters: int) -> int:
-    """Returns the size of a majority of so many voters: any two majorities share a voter."""
+    """Returns the size of a majority of this number of voters: any two majorities share a voter."""
     return voters // 2 + 1
--- a/lanelift/fleet/codec.py
+++ b/lanelift/fleet/codec.py
@@ -1,9 +1,10 @@
-"""Messages as bytes, one datagram each.
+"""Encodes messages as datagrams and decodes them, one message per datagram.
 
     "LF"  version (1)  digest of the cluster (8)  CRC-32 of what follows (4)  MessagePack
 
-Datagrams and not streams: only who still wants something sends it again, a member that is gone holds no
-connection and no buffer, and a late message is judged by its ballot and not by its order.
+Messages are datagrams rather than streams for three reasons: a request is retransmitted only by a sender
+that still wants a response, a member that has died holds no connection and no buffer, and a late message is
+judged by its ballot rather than by its order.
 """
 
 from __future__ import annotations
@@ -25,24 +26,24 @@
 
 
 class MessageDecodeError(LaneliftError):
-    """Bytes that are no message.
+    """A datagram that is not a valid message.
 
     Attributes:
         reason: One word: "size", "magic", "version", "checksum", "kind" or "encoding". The metric
-            `lanelift_fleet_messages_total` counts it under `what="dropped_REASON"`.
+            `lanelift_fleet_messages_total` counts the datagram under `what="dropped_REASON"`.
     """
 
     def __init__(self, reason: str) -> None:
-        """Creates the error; the reason is its message as well."""
+        """Creates the error, whose message is the reason."""
         super().__init__(reason)
         self.reason = reason
 
 
 class UnknownMessageError(MessageDecodeError):
-    """A message of another version, or of a kind that this release does not know: it is skipped.
+    """A message of another version, or of a kind that this release does not know; receivers skip it.
 
-    Its reason is "kind" as well for a kind that this release knows whose fields have values that are not
-    allowed: a later release may have allowed them.
+    The reason is "kind" also for a known kind with field values that are not allowed: a later release may
+    allow them.
     """
 
 
@@ -51,10 +52,10 @@
 
     Args:
         digest: The sender's `ClusterConfiguration.digest`.
-        message: What is sent.
+        message: The message to be sent.
 
     Raises:
-        ValueError: It does not fit a datagram.
+        ValueError: The message does not fit in a datagram.
     """
     body = _encoder.encode(message)
     if HEADER.size + len(body) > MAX_DATAGRAM_BYTES:
@@ -63,11 +64,11 @@
 
 
 def decode(data: bytes) -> tuple[bytes, Message]:
-    """Returns the sender's digest, and the message.
+    """Returns the sender's digest and the message.
 
     Raises:
-        MessageDecodeError: These bytes are no message.
-        UnknownMessageError: It may be a message of a later release.
+        MessageDecodeError: The bytes are not a valid message.
+        UnknownMessageError: The bytes may be a message of a later release.
     """
     if len(data) < HEADER.size or len(data) > MAX_DATAGRAM_BYTES:
         raise MessageDecodeError("size")
--- a/lanelift/fleet/log.py
+++ b/lanelift/fleet/log.py
@@ -1,4 +1,4 @@
-"""The log of the fleet: one event a line, under names that stay (docs/operating/fleet-log.md lists them)."""
+"""The fleet's log: one event per line, under names that must not change (docs/operating/fleet-log.md)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
     Args:
         output_format: "console" for people, "json" for programs.
-        **bound_fields: Fields of every line.
+        **bound_fields: Fields that every line has.
     """
     renderer: structlog.typing.Processor = (
         structlog.processors.JSONRenderer()
--- a/lanelift/fleet/messages.py
+++ b/lanelift/fleet/messages.py
@@ -1,12 +1,12 @@
-"""Messages between members about voting and leases. Data only: `codec.py` turns them into bytes.
+"""Messages between members about voting and leases. Data only: `codec.py` encodes them.
 
 The lease messages are those of PaxosLease (Trencseni, Gazso, Reinhardt, 2012): a proposer sends `Prepare`,
 then `Accept`; an acceptor (a voting member) answers either with a `Response`. The nonce of a message names
-one run of a proposer, so that two proposers with the same name are told apart.
+one run of a proposer, so that two proposers with the same name are distinguished.
 
-Wire format: each message is an array that begins with its tag. The tags, and the order of the fields, are
-what is on the wire; names of classes and fields are not. A later release may add kinds, and fields at the
-end of a kind; this release skips what it does not know.
+Wire format: each message is an array that begins with its tag. The tags and the order of the fields are part
+of the wire format; the names of classes and fields are not. A later release may add kinds of messages, and
+fields at the end of a kind; this release skips kinds and fields that it does not know.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 MAX_NAME_CHARACTERS = 64  # of a lease, a voter and a proposer
 MAX_LEASES_PER_PAGE = 6  # leases in one `LeaseList`: as many as fit a datagram with names at their longest
-# Voters in one of the `former_voter_sets`. Receivers drop a status with a larger set, so that its voter can't
-# finish a change of configuration (docs/operating/leases.md, known limits).
+# Voters in one of the `former_voter_sets`. Receivers drop a status with a larger set, so the voter that sent
+# it can't finish a change of configuration (docs/operating/leases.md, known limits).
 MAX_VOTERS = 64
 MAX_VOTER_SETS = 16  # `former_voter_sets` in one message
 
@@ -30,9 +30,9 @@
 
 
 class Verdict(StrEnum):
-    """What a voter says in a `Response`. The values are on the wire and stay as they are."""
+    """The outcome of a request, in a `Response`. The values are on the wire and must not change."""
 
-    PROMISED = "promised"  # Paxos' promise: no lower ballot from now on
+    PROMISED = "promised"  # Paxos' promise: the voter accepts no lower ballot from now on
     ACCEPTED = "taken"  # Paxos' accepted: the voter is bound to this proposer
     RELEASED = "released"  # the voter is no longer bound
     HELD = "held"  # rejected: bound to another proposer
@@ -40,20 +40,20 @@
     STALE_BALLOT = "behind"  # rejected: the ballot is not above what was promised
     RECOVERING = "silent"  # rejected: this voter may have forgotten votes, or may not vote yet
     AT_CAPACITY = "full"  # rejected: too many leases, or too many waiters
-    FREE = "free"  # no response to a request: the lease was released, and the first waiter is notified
+    FREE = "free"  # not a response to a request: notifies the first waiter that the lease was released
 
 
 class Prepare(Struct, frozen=True, array_like=True, tag="ask"):
-    """Paxos' prepare (phase 1a): a proposer asks for a promise under this ballot.
+    """Paxos' prepare (phase 1a): a proposer requests a promise of this ballot.
 
     Attributes:
         lease: Name of the lease.
         ballot: Ballot to be promised.
-        nonce: The proposer's run.
+        nonce: Identifies the proposer's run.
         proposer: The proposer's name.
         request_id: Repeated in the response.
         waited_ns: How long the proposer has been waiting for the lease.
-        wants_queue: Whether it wants a position in the queue if it can't have the lease now.
+        wants_queue: Whether the proposer wants a position in the queue if it can't have the lease now.
     """
 
     lease: Name
@@ -66,14 +66,15 @@
 
 
 class Accept(Struct, frozen=True, array_like=True, tag="take"):
-    """Paxos' accept (phase 2a): a proposer that was promised a majority asks to be accepted.
+    """Paxos' accept (phase 2a): a proposer that a majority has promised its ballot asks to be accepted.
 
-    The voter is bound from its receipt on. Renewals of a held lease are the same message.
+    A voter that accepts is bound from when it received the message. A renewal of a held lease is the same
+    message.
 
     Attributes:
         lease: Name of the lease.
         ballot: Ballot that was promised.
-        nonce: The proposer's run.
+        nonce: Identifies the proposer's run.
         proposer: The proposer's name.
         request_id: Repeated in the response.
     """
@@ -86,14 +87,14 @@
 
 
 class Release(Struct, frozen=True, array_like=True, tag="release"):
-    """The holder has stopped: the lease is free, or reserved for `successor` for a while.
+    """The holder has stopped and releases the lease, which may be reserved for a successor for a while.
 
     Attributes:
         lease: Name of the lease.
-        ballot: Ballot under which it was held.
-        nonce: The proposer's run.
+        ballot: Ballot under which the lease was held.
+        nonce: Identifies the proposer's run.
         request_id: Repeated in the response.
-        successor: Who alone may have it next; empty for anybody.
+        successor: Name of the only proposer that may get the lease next; empty for any proposer.
     """
 
     lease: Name
@@ -104,20 +105,20 @@
 
 
 class Response(Struct, frozen=True, array_like=True, tag="answer"):
-    """A voter's response to `Prepare`, `Accept` or `Release`. What does not apply is 0 or empty.
+    """A voter's response to `Prepare`, `Accept` or `Release`. Fields that do not apply are 0 or empty.
 
     Attributes:
         lease: Name of the lease.
-        nonce: Of the request.
-        request_id: Of the request.
-        voter: Who responds.
-        verdict: A `Verdict`. It is typed as a plain string, since a later release may send further words;
-            these are ignored. To a `Release` any verdict is a response: the voter released the lease, or was
-            not bound under that ballot (`LeaseHolder.receive`).
-        ballot: What was promised or accepted; for STALE_BALLOT that which must be passed.
+        nonce: The request's nonce.
+        request_id: The request's id.
+        voter: Id of the voter that responds.
+        verdict: A `Verdict`. The type is a plain string, since a later release may send further words, which
+            are ignored. Any verdict confirms a `Release`: the voter released the lease, or was not bound
+            under that ballot (`LeaseHolder.receive`).
+        ballot: The ballot that was promised or accepted; for STALE_BALLOT the ballot that must be passed.
         holder: Name of the present holder.
         token: The ballot of the voter's vote for that holder: the holder's token, or a ballot above it.
-        remaining_ns: Time until another attempt may succeed; 0 also where that is unknown.
+        remaining_ns: Time until another attempt may succeed; 0 also if the time is unknown.
         queue_position: Position in the queue, from 1.
     """
 
@@ -134,7 +135,7 @@
 
 
 class ListLeases(Struct, frozen=True, array_like=True, tag="look"):
-    """Asks a voter which leases it knows.
+    """Requests the list of leases that a voter knows.
 
     Attributes:
         request_id: Repeated in the `LeaseList`.
@@ -146,14 +147,14 @@
 
 
 class LeaseStatus(Struct, frozen=True, array_like=True, tag="seen"):
-    """One lease as one voter sees it.
+    """The state of one lease at one voter.
 
     Attributes:
         lease: Name of the lease.
-        holder: Whom this voter is bound to; empty for nobody.
-        token: The ballot of its vote, which may be above the holder's token; 0 where it is not bound.
-        remaining_ns: For how long it still is.
-        waiters: How many wait for the lease.
+        holder: Name of the holder that this voter is bound to; empty if it is not bound.
+        token: The ballot of the voter's vote, which may be above the holder's token; 0 if it is not bound.
+        remaining_ns: How much longer the voter is bound.
+        waiters: How many proposers wait for the lease.
     """
 
     lease: Name
@@ -167,11 +168,11 @@
     """One page of the leases that a voter knows, in order of their names.
 
     Attributes:
-        request_id: Of the `ListLeases`.
-        voter: Who responds.
-        quiet_ns: How long this voter will not vote yet; 0 if it votes, 1 also where the time is unknown (it
+        request_id: The id of the `ListLeases`.
+        voter: Id of the voter that responds.
+        quiet_ns: How long until this voter votes; 0 if it votes now, 1 also if the time is unknown (the voter
             may not vote yet).
-        leases: At most `MAX_LEASES_PER_PAGE`.
+        leases: At most `MAX_LEASES_PER_PAGE` leases.
         more: Whether there is another page.
     """
 
@@ -186,14 +187,14 @@
     """A recovering voter's status, or another voter's reply to one (`recovery.py`).
 
     Attributes:
-        voter: Whose status it is.
-        nonce: Of the start of the voter that asked.
-        may_vote: Whether it has finished its recovery. It votes once its quiet period is over, too.
-        lost_state: `PersistentState.lost_state`: it has joined its configuration and has never been able to
-            vote under any, so that it knows of no ballot; also a new voter. False while it has
-            `former_voter_sets`.
-        ballot_ceiling: It has promised no ballot above this.
-        is_reply: A reply is not replied to.
+        voter: Id of the voter whose status this is.
+        nonce: Identifies the start of the voter that sent the first status; a reply repeats it.
+        may_vote: Whether the voter has finished its recovery. It votes once its quiet period has also ended.
+        lost_state: `PersistentState.lost_state`: the voter has joined its configuration and has never been
+            able to vote under any, so it knows of no ballot; also true for a new voter. False while the voter
+            has `former_voter_sets`.
+        ballot_ceiling: The voter has promised no ballot above this.
+        is_reply: Whether this is a reply, to which no reply is sent.
         former_voter_sets: `PersistentState.former_voter_sets`.
     """
 
--- a/lanelift/fleet/recovery.py
+++ b/lanelift/fleet/recovery.py
@@ -1,21 +1,21 @@
-"""May this voter vote? Its recovery after a start, and its way into a changed set of voters. Pure.
+"""Decides when a voter may vote: recovery after a start, and changes of the voter set. Pure.
 
-Three cases could let two majorities accept two holders. Each is waited out here:
+In three cases two majorities could accept two holders. A voter waits in each of them:
 
-- **Restart.** A voter that was started may have forgotten its votes: it stays quiet, and votes for nobody,
+- **Restart.** A voter that was just started may have forgotten its votes: it stays quiet, and does not vote,
   for `LeaseTiming.restart_quiet_ns`.
-- **Lost state.** The number that ballots must pass is persisted, so that tokens do not fall when all voters
-  restart at once. A voter without its state does not know that number. It votes once it has the status of so
-  many voters that may vote that one of them was in each majority there ever was, or the status of all others;
-  and it takes a ballot floor above theirs.
-- **Changed voter set.** Two majorities of two different sets of voters need not share a voter. A voter that
-  voted under another configuration votes under this one when a majority of the *former* voters have joined
-  this one: from then on nobody can be given a lease under the former one. Voters that it counts may have
-  joined by way of further configurations, which their status lists: those must be over as well. It stays
-  quiet from that moment on, for the longest period of all.
-
-Assumed: fewer than a majority of the voters lose their state before the others have let them vote again; the
-state of a removed voter is lost; a voter's state file is its own.
+- **Lost state.** The ballot that new ballots must exceed is persisted, so that tokens do not fall when all
+  voters restart at the same time. A voter that lost its state does not know that ballot. It may vote once it
+  has received the status of all other voters, or of enough voters that may vote that each past majority
+  included at least one of them; it takes a ballot floor above their ceilings.
+- **Changed voter set.** Majorities of two different voter sets need not share a voter. A voter that voted
+  under another configuration may vote under this one once a majority of the *former* voters have joined this
+  one: from then on no lease can be given under the former configuration. The voters that it counts may have
+  joined from further configurations, which their status lists; a majority of each of those must have joined
+  as well. The voter stays quiet from that moment on, for the longest quiet period of all the configurations.
+
+Assumptions: fewer than a majority of the voters lose their state before the others have let them vote again;
+the state of a removed voter is lost; no two voters share a state file.
 """
 
 from __future__ import annotations
@@ -26,37 +26,37 @@
 from lanelift.fleet.messages import VoterStatus
 from lanelift.settings import SettingsError
 
-BALLOT_BLOCK = 1 << 16  # ballots that one write of the state makes room for
-MAX_FORMER_VOTER_SETS = 8  # changes of the voters without voting in between
+BALLOT_BLOCK = 1 << 16  # ballots by which one write of the state raises the ceiling
+MAX_FORMER_VOTER_SETS = 8  # changes of the voter set during which this voter has not voted
 
 
 class VoterStateError(SettingsError):
-    """The persisted state, this configuration and this address do not go together.
+    """The persisted state, the configuration and the address are not consistent, or can't be used.
 
     The message is for the operator.
 
     Attributes:
-        subject: What it concerns: a path, an address, or empty.
+        subject: The path, address or voter that the error concerns; empty for none.
     """
 
     def __init__(self, message: str, subject: object = "") -> None:
-        """Creates the error from its message, and what it concerns."""
+        """Creates the error from its message and its subject."""
         super().__init__(message)
         self.subject = subject
 
 
 @dataclass(frozen=True, slots=True)
 class PersistentState:
-    """What a voter has on disk (`state_file.py` has its JSON).
+    """The state that a voter persists (`state_file.py` defines its JSON).
 
     Attributes:
-        cluster_digest: Digest of the configuration that it joined last, in hexadecimal.
-        voters: Who votes under that.
-        quiet_ns: The longest quiet period of all configurations whose votes may still bind it.
-        ballot_ceiling: It has promised no ballot above this, whatever it forgot since.
-        former_voter_sets: The voters of former configurations, until it may vote again.
-        lost_state: It has joined its configuration and has never been able to vote under any, as far as
-            its disk knows, so that it knows of no ballot; also a new voter.
+        cluster_digest: Digest of the configuration that the voter joined last, in hexadecimal.
+        voters: The voters of that configuration.
+        quiet_ns: The longest quiet period of all configurations whose votes may still bind the voter.
+        ballot_ceiling: The voter has promised no ballot above this, including promises that it has forgotten.
+        former_voter_sets: The voters of former configurations, until this voter may vote again.
+        lost_state: Whether the voter has joined its configuration and, as far as its disk knows, has never
+            been able to vote under any, so it knows of no ballot; also true for a new voter.
     """
 
     cluster_digest: str
@@ -68,14 +68,16 @@
 
 
 class VoterRecovery:
-    """One voter's way from its start until it may vote.
+    """The recovery of one voter, from its start until it may vote.
 
     Attributes:
-        may_vote: Whether the recovery has finished. It then votes from `ready_ns` on.
-        ready_ns: End of its quiet period, from when on it votes, on its clock; None while that is unknown.
-        ballot_floor: Ballots up to this may have been promised by it, or by others if it lost its state.
-        pending_state: To be persisted by the caller, who then calls `state_written`; None for nothing.
-        persisted: What is on disk.
+        may_vote: Whether the recovery has finished. The voter then votes from `ready_ns` on.
+        ready_ns: The end of the quiet period on the voter's clock, when it starts to vote; None while that is
+            unknown.
+        ballot_floor: The voter may have promised ballots up to this, or others may have if it lost its state.
+        pending_state: The state that the caller is to persist before it calls `state_written`; None if there
+            is nothing to persist.
+        persisted: The state that is on disk.
     """
 
     def __init__(
@@ -84,13 +86,13 @@
         """Begins the recovery of a voter that was just started.
 
         Args:
-            cluster: The configuration under which it was started.
-            voter: Its id.
-            nonce: New at each start: a reply to the status of an earlier start counts for nothing.
-            persisted: What it had on disk; None for nothing.
+            cluster: The configuration under which the voter was started.
+            voter: The voter's id.
+            nonce: New at each start: replies to the status of an earlier start are ignored.
+            persisted: The state that was on disk; None if there was none.
 
         Raises:
-            VoterStateError: The set of voters was changed too often without its voting in between.
+            VoterStateError: The voter set was changed too often without this voter voting in between.
         """
         self.cluster, self.voter, self.nonce, self.persisted = cluster, voter, nonce, persisted
         self.other_voters = frozenset(cluster.voters) - {voter}
@@ -98,15 +100,16 @@
         self.may_vote = False
         self.ready_ns: int | None = None
         self.ballot_floor = 0
-        # That it has joined this configuration is on disk before anybody is sent its status. Others rely on
-        # it: without that it could go back, or join yet another one, as if it had never joined.
+        # The state that records the join of this configuration is on disk before the voter sends its status.
+        # Other voters rely on the join: if it were not on disk, the voter could return to the former
+        # configuration, or join yet another one, as if it had never joined this one.
         self.pending_state = self._joining_state(persisted)
         if self.pending_state is None:
             self._try_to_finish()
 
     @property
     def status(self) -> VoterStatus:
-        """What it says of itself; only to be sent while `may_send_status`."""
+        """The voter's status, which may only be sent while `may_send_status` is true."""
         persisted = self.persisted
         if persisted is None:
             return VoterStatus(self.voter, self.nonce, self.may_vote, False, 0, former_voter_sets=[])
@@ -121,11 +124,11 @@
 
     @property
     def may_send_status(self) -> bool:
-        """Whether what its status says is on disk."""
+        """Whether the state that `status` reports is on disk."""
         return self.may_vote or self.pending_state is None
 
     def receive_status(self, status: VoterStatus) -> None:
-        """Takes note of another voter's reply to the status of this start; ignores anything else."""
+        """Records another voter's reply to the status of this start, and ignores any other status."""
         if status.voter not in self.other_voters or not status.is_reply or status.nonce != self.nonce:
             return
         self.replies[status.voter] = status
@@ -133,10 +136,10 @@
             self._try_to_finish()
 
     def state_written(self, state: PersistentState, now: int) -> None:
-        """Notes that a `pending_state` is on disk.
+        """Records that a `pending_state` is on disk.
 
         Args:
-            state: What was written.
+            state: The state that was written.
             now: This voter's time in nanoseconds.
         """
         self.persisted, self.pending_state = state, None
@@ -145,16 +148,16 @@
         elif not self.may_vote:
             self.may_vote = True
             self.ready_ns = now + state.quiet_ns
-            # The longer quiet period of another configuration need not be kept a second time.
+            # The longer quiet period of a former configuration need not be observed a second time.
             self.persisted = replace(state, quiet_ns=self.cluster.timing.restart_quiet_ns)
 
     def extend_ceiling(self, ballot: int) -> None:
-        """Asks for room for another block of ballots above `ballot` to be persisted."""
+        """Sets a `pending_state` whose ceiling is one block of ballots above `ballot`."""
         if self.pending_state is None and self.persisted is not None:
             self.pending_state = replace(self.persisted, ballot_ceiling=ballot + BALLOT_BLOCK)
 
     def _joining_state(self, persisted: PersistentState | None) -> PersistentState | None:
-        """Returns what a start must persist first: nothing for a restart under the same configuration."""
+        """Returns the state to persist first, or None for a restart under the same configuration."""
         digest, quiet_ns = self.cluster.digest.hex(), self.cluster.timing.restart_quiet_ns
         if persisted is None:  # lost state, or a new voter
             return PersistentState(digest, self.cluster.voters, quiet_ns, 0, lost_state=True)
@@ -179,7 +182,7 @@
     def _try_to_finish(self) -> None:
         """Sets the ballot floor and a `pending_state` if the replies suffice; changes nothing otherwise.
 
-        The recovery finishes with `state_written`: it may vote once that state is on disk.
+        The recovery finishes in `state_written`: the voter may vote once that state is on disk.
         """
         persisted = self.persisted
         assert persisted is not None
@@ -187,8 +190,8 @@
             return
         if persisted.lost_state and not self._ballots_are_known():
             return
-        # One of those whom it counts was in each majority of the configurations that are over, so that no
-        # ballot promised there is above these.
+        # Each majority of a former configuration included one of the voters that replied, so no ballot that
+        # was promised there is above the ceilings of these replies.
         floor = max(persisted.ballot_ceiling, *(reply.ballot_ceiling for reply in self.replies.values()), 0)
         self.ballot_floor = floor
         quiet_ns = max(persisted.quiet_ns, self.cluster.timing.restart_quiet_ns)
@@ -197,9 +200,9 @@
         )
 
     def _former_sets_are_over(self, persisted: PersistentState) -> bool:
-        """Changed voter set: has a majority of each former set joined this configuration?"""
+        """Returns whether a majority of each former voter set has joined this configuration."""
         joined = {self.voter, *self.replies}
-        # Whom it counts may have joined by way of other configurations: those must be over as well.
+        # The voters that replied may have joined from other configurations, whose voter sets count as well.
         former_sets = {
             *persisted.former_voter_sets,
             *(tuple(voters) for reply in self.replies.values() for voters in reply.former_voter_sets),
@@ -207,10 +210,10 @@
         return all(len(joined.intersection(voters)) >= majority(len(voters)) for voters in former_sets)
 
     def _ballots_are_known(self) -> bool:
-        """Lost state: do the replies cover each majority that may have promised a ballot?"""
+        """Returns whether the replies cover each majority that may have promised a ballot."""
         replies, voter_count = self.replies.values(), len(self.cluster.voters)
-        # A voter that neither may vote nor lost its state has joined from a configuration under which there
-        # may be a majority still: it does not count.
+        # A voter that may not vote and has not lost its state has joined from a configuration that may still
+        # have a majority: its reply does not count.
         if len(replies) == len(self.other_voters) and all(
             reply.may_vote or reply.lost_state for reply in replies
         ):
--- a/lanelift/fleet/state_file.py
+++ b/lanelift/fleet/state_file.py
@@ -1,6 +1,7 @@
-"""The state file of a voter: small, replaced atomically, and locked while its member runs.
+"""The state file of a voter: small, replaced atomically, and locked while the member runs.
 
-This module alone knows the file's JSON, whose keys stay as they are: a member of an earlier release reads it.
+Only this module knows the file's JSON. Its keys must not change, as a member of an earlier release may read
+them.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
         "lost_state": "blank",
     },
 ):
-    """`PersistentState` under the file's keys; the order of the fields is that of the file."""
+    """`PersistentState` with the file's keys; the fields are in the order of the file."""
 
     cluster_digest: str
     voters: tuple[str, ...]
@@ -37,21 +38,21 @@
 
 
 class StateFile:
-    """The state of one member in a folder of its own, `FOLDER/ID.json`. A context manager.
+    """The state file of one member, `FOLDER/ID.json`. A context manager that unlocks the file at its end.
 
     Attributes:
-        path: The file.
+        path: Path of the file.
     """
 
     def __init__(self, folder: Path, member: str) -> None:
         """Locks the file for this process.
 
         Args:
-            folder: Created if it is not there.
+            folder: Folder of the file, which is created if it does not exist.
             member: The member's id.
 
         Raises:
-            VoterStateError: The folder can't be written, or another process runs as this member.
+            VoterStateError: The folder is not writable, or another process runs as this member.
         """
         self.path = folder / f"{member}.json"
         try:
@@ -70,7 +71,7 @@
             ) from error
 
     def __enter__(self) -> StateFile:
-        """Returns this file, which is locked already."""
+        """Returns this file, which is already locked."""
         return self
 
     def __exit__(
@@ -83,7 +84,7 @@
         self.close()
 
     def read(self) -> PersistentState | None:
-        """Returns what was written last; None where there is nothing yet, or no more.
+        """Returns the state that was written last, or None if the file does not exist.
 
         Raises:
             VoterStateError: The file can't be read, or is damaged.
@@ -103,10 +104,10 @@
         return PersistentState(**msgspec.structs.asdict(stored))
 
     def write(self, state: PersistentState) -> None:
-        """Replaces the file; the state is on disk when this returns, as a whole or not at all.
+        """Replaces the file atomically; the state is on disk when this returns.
 
         Raises:
-            OSError: It could not be written; the former state is still there.
+            OSError: The state could not be written; the file still holds the former state.
         """
         stored = _StoredState(
             state.cluster_digest,
--- a/lanelift/fleet/transport.py
+++ b/lanelift/fleet/transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket of a member or a proposer. Datagrams that can't be decoded are counted and dropped."""
+"""The UDP socket of a member or a proposer. It counts and drops datagrams that can't be decoded."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from lanelift.fleet.messages import Message
 
 Address = tuple[str, int]
-MAX_LOGGED_ADDRESSES = 64  # addresses under another configuration that are remembered as logged
+MAX_LOGGED_ADDRESSES = 64  # addresses of foreign senders that are remembered, so each is logged once
 
 
 class DatagramTransport(asyncio.DatagramProtocol):
     """Sends and receives messages of one cluster.
 
     Attributes:
-        counts: Datagrams by their outcome: sent, received or dropped. The words are those of the metric
-            `lanelift_fleet_messages_total{what}`, which operators read: they stay as they are.
+        counts: Number of datagrams by outcome: sent, received or dropped. The keys are the values of `what`
+            in the metric `lanelift_fleet_messages_total`, which operators read: they must not change.
     """
 
     def __init__(
@@ -32,8 +32,8 @@
 
         Args:
             digest: The `ClusterConfiguration.digest`.
-            receive: Called for each message under this digest, with its source.
-            foreign_cluster: Called once for each address that sends under another digest.
+            receive: Called with each message that has this digest, and its source.
+            foreign_cluster: Called once for each address that sends messages with another digest.
         """
         self.digest, self.receive, self.foreign_cluster = digest, receive, foreign_cluster
         self.counts: Counter[str] = Counter()
@@ -54,23 +54,23 @@
             self.transport.close()
 
     def send(self, message: Message, address: Address) -> None:
-        """Sends a message; it may be lost, as any datagram."""
+        """Sends a message, which may be lost like any datagram."""
         if self.transport is None or self.transport.is_closing():
             return
         try:
             data = encode(self.digest, message)
-        except ValueError:  # names at their longest, after many changes of the voters: the same as a loss
+        except ValueError:  # after many changes of long-named voters: treated like a lost datagram
             self.counts["too_large"] += 1
             return
         self.counts["sent"] += 1
         self.transport.sendto(data, address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open (asyncio)."""
+        """Keeps the transport of the socket, which is now open (called by asyncio)."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """A datagram was received (asyncio)."""
+        """Decodes a datagram and passes its message to `receive` (called by asyncio)."""
         try:
             digest, message = decode(data)
         except MessageDecodeError as error:
@@ -84,11 +84,11 @@
         self.receive(message, source)
 
     def error_received(self, error: Exception) -> None:
-        """Nobody listened where an earlier datagram was sent (asyncio): the same as if it had been lost."""
+        """Counts a datagram whose destination had no open socket; it is lost (called by asyncio)."""
         self.counts["refused"] += 1
 
     def _drop_foreign(self, source: Address) -> None:
-        """Counts a message under another digest, and reports its source the first time."""
+        """Counts a message with another digest, and reports its source the first time."""
         self.counts["dropped_plan"] += 1
         if source not in self.foreign_addresses and len(self.foreign_addresses) < MAX_LOGGED_ADDRESSES:
             self.foreign_addresses.add(source)
