--- a/lanelift/leases/acceptor.py
+++ b/lanelift/leases/acceptor.py
@@ -1,15 +1,16 @@
-"""The acceptor of Paxos, for leases: to whom one voter is bound, and for how long. Pure.
+"""The acceptor of Paxos, for leases: which proposer a voter is bound to, and for how long. Pure.
 
-Times are nanoseconds of the voter's own clock. These are the rules that the proof in docs/design/leases.md
-rests on, each marked where it stands:
+Times are nanoseconds of the voter's own clock. The proof in docs/design/leases.md depends on these rules; the
+comments in the code name the rule that each check enforces:
 
-1. It promises a ballot to one proposer, and only above all that it promised before, also before a restart.
-2. It promises nothing while it is bound to another proposer.
-3. It accepts only under the ballot that it promised last, and only whom it promised that.
-4. It is bound for `lease_ns` from when it accepted, and no release of another ballot ends that.
+1. The acceptor promises a ballot to one proposer only, and only if the ballot is above all that it promised
+   before, including those before a restart.
+2. The acceptor promises nothing while it is bound to another proposer.
+3. The acceptor accepts only the ballot that it promised last, and only from the proposer that it promised.
+4. The acceptor is bound for `lease_ns` from when it accepted; a release of another ballot does not end that.
 
-The queue, the reservations and the promise's own time only say who comes first: nothing rests on them but
-fairness.
+The queue, the reservations and the expiry of a promise only decide the order of the proposers. They serve
+fairness; safety does not depend on them.
 """
 
 from __future__ import annotations
@@ -29,9 +30,9 @@
     Verdict,
 )
 
-MAX_LEASES = 1024  # names that a voter knows at a time; each takes about a kilobyte
+MAX_LEASES = 1024  # leases that a voter records at a time; each record takes about a kilobyte
 MAX_WAITERS = 64  # in the queue of one lease
-Source = Hashable  # where a response goes: whatever the caller makes of it
+Source = Hashable  # the address for responses to a proposer, in the caller's own form
 
 
 @dataclass(slots=True)
@@ -39,10 +40,10 @@
     """A proposer in the queue of a lease.
 
     Attributes:
-        nonce: The proposer's run.
-        source: Where a message to it goes.
-        waiting_since_ns: By how long it said that it had been waiting.
-        last_request_ns: When its last request was received.
+        nonce: Identifies the proposer's run.
+        source: The address for messages to the proposer.
+        waiting_since_ns: When the proposer began to wait, computed from its `Prepare.waited_ns`.
+        last_request_ns: When the proposer's last request was received.
     """
 
     nonce: int
@@ -53,14 +54,14 @@
 
 @dataclass(slots=True)
 class Vote:
-    """What an acceptor has accepted, and is bound by.
+    """The vote that binds an acceptor to a holder.
 
     Attributes:
-        ballot: The ballot; it is the holder's token, or above that.
-        nonce: The holder's run.
+        ballot: The accepted ballot: the holder's token, or a ballot above it.
+        nonce: Identifies the holder's run.
         holder: The holder's name.
         until_ns: When the vote ends.
-        since_ns: Since when it has been bound to this holder.
+        since_ns: When the acceptor became bound to this holder.
     """
 
     ballot: int
@@ -72,18 +73,18 @@
 
 @dataclass(slots=True)
 class LeaseRecord:
-    """What an acceptor knows of one lease.
+    """The state of one lease at an acceptor.
 
     Attributes:
-        free_since_ns: When it became free; for a new record, when the acceptor was created.
+        free_since_ns: When the lease became free; for a new record, when the acceptor was created.
         promised_ballot: The last ballot that was promised.
-        promised_nonce: To whom; 0 for nobody any more.
-        promise_until_ns: Others are not promised anything before this.
-        vote: What binds it; None for nothing.
-        queue: Who waits, the longest first.
-        reserved_for: Who alone may have it; empty for anybody.
-        reserved_until_ns: Until when it is reserved.
-        counted_nonce: The holder that the metrics have counted last.
+        promised_nonce: Nonce of the proposer that holds the promise; 0 if the promise was ended.
+        promise_until_ns: Until when no other proposer is promised a ballot.
+        vote: The vote that binds the acceptor; None if it is not bound.
+        queue: The waiting proposers, the longest waiting first.
+        reserved_for: Name of the only proposer that may get the lease; empty for any proposer.
+        reserved_until_ns: When the reservation ends.
+        counted_nonce: Nonce of the holder that the metrics counted last.
     """
 
     free_since_ns: int
@@ -102,11 +103,11 @@
 
     Attributes:
         ballot_floor: No ballot up to this is promised.
-        ballot_ceiling: No ballot above this is promised, until `raise_ceiling` moves it.
-        highest_promised: The highest ballot promised for any lease: what a proposer must pass after a
+        ballot_ceiling: No ballot above this is promised, until `raise_ceiling` raises it.
+        highest_promised: The highest ballot promised for any lease, which a proposer must pass after a
             restart.
-        requested_ballot: A ballot above the ceiling that was asked for; 0 for none.
-        leases: What it knows, by name.
+        requested_ballot: The highest requested ballot above the ceiling; 0 for none.
+        leases: The state of each known lease, by name.
     """
 
     def __init__(
@@ -115,11 +116,11 @@
         """Creates the acceptor of a voter that may vote.
 
         Args:
-            voter: Its id.
+            voter: The voter's id.
             timing: The cluster's timings.
             ballot_floor: See the class.
-            ballot_ceiling: See the class; it is persisted.
-            now: Its time in nanoseconds.
+            ballot_ceiling: See the class; the caller has persisted it.
+            now: The voter's time in nanoseconds.
         """
         self.voter, self.timing = voter, timing
         self.ballot_floor, self.ballot_ceiling = ballot_floor, ballot_ceiling
@@ -129,15 +130,15 @@
         self.leases: dict[str, LeaseRecord] = {}
 
     def raise_ceiling(self, ballot_ceiling: int) -> None:
-        """Allows ballots up to this, which is persisted."""
+        """Raises the ceiling to this ballot, which the caller has persisted."""
         self.ballot_ceiling, self.requested_ballot = ballot_ceiling, 0
 
     def prepare(self, message: Prepare, source: Source, now: int) -> Response | None:
-        """Promises the ballot, or says why not.
+        """Promises the ballot, or rejects the request with a reason.
 
         Returns:
-            None where the ballot is above the ceiling: it may not promise, and has no reason to reject. The
-            proposer will send its request again.
+            The response, or None if the ballot is above the ceiling: the acceptor may not promise it yet, and
+            has no reason to reject it. The proposer will send its request again.
         """
         record = self._current_record(message.lease, now)
         if record is None:
@@ -154,9 +155,7 @@
         if message.ballot <= to_pass:  # rule 1
             ballot = max(to_pass, self.highest_promised)
             return self._reject(message, Verdict.STALE_BALLOT, ballot, queue_position=position)
-        if (
-            message.ballot > self.ballot_ceiling
-        ):  # rule 1: what is promised above it would not outlive a restart
+        if message.ballot > self.ballot_ceiling:  # rule 1: a restart would forget a promise above the ceiling
             self.requested_ballot = max(self.requested_ballot, message.ballot)
             return None
         record.promised_ballot, record.promised_nonce = message.ballot, message.nonce
@@ -173,7 +172,7 @@
         )
 
     def accept(self, message: Accept, now: int) -> Response:
-        """Accepts a proposer that it promised this ballot: binds itself, or renews that."""
+        """Accepts a proposer that was promised this ballot: creates or renews its vote."""
         record = self._current_record(message.lease, now)
         if record is None:
             return self._reject(message, Verdict.AT_CAPACITY)
@@ -193,7 +192,7 @@
         """Ends the vote for a holder that has stopped.
 
         Returns:
-            Responses, and where each goes; None: to whom released it.
+            The responses, each with its destination; None for the sender of the release.
         """
         record = self._current_record(message.lease, now)
         if record is not None:
@@ -203,7 +202,7 @@
             message.nonce,
         ):  # rule 4
             return [(None, self._reject(message, Verdict.STALE_BALLOT))]
-        # A late message under this ballot binds it no more: rule 3.
+        # Rule 3: late messages under this ballot no longer bind the acceptor.
         record.promised_nonce, record.promise_until_ns = 0, 0
         if record.vote is not None:
             record.vote, record.free_since_ns = None, now
@@ -218,9 +217,9 @@
         return responses
 
     def lease_statuses(self, now: int) -> list[LeaseStatus]:
-        """Returns the leases that it is bound for, or that are waited for, in order of their names.
+        """Returns the leases that have a vote or a queue, in order of their names.
 
-        Votes, reservations and queue positions that have expired by `now` are dropped from its records.
+        Votes, reservations and queue positions that have expired by `now` are dropped from the records.
         """
         statuses = []
         for name in sorted(self.leases):
@@ -233,9 +232,9 @@
         return statuses
 
     def list_leases(self, after: str, request_id: int, now: int) -> LeaseList:
-        """Returns one page of `lease_statuses`: as many after this name as one message holds.
+        """Returns one page of `lease_statuses`: the leases after this name, as many as fit in one message.
 
-        As there, what has expired is dropped.
+        Expired votes, reservations and queue positions are dropped, as in `lease_statuses`.
         """
         statuses = [status for status in self.lease_statuses(now) if status.lease > after]
         return LeaseList(
@@ -243,9 +242,9 @@
         )
 
     def _current_record(self, name: str, now: int) -> LeaseRecord | None:
-        """Returns the record of a lease: creates it, and ends what has expired.
+        """Returns the record of a lease without expired votes, reservations and queue positions.
 
-        Votes, reservations and queue positions end here. None: there is no capacity for another record.
+        The record is created if there is none. Returns None if there is no capacity for another record.
         """
         record = self.leases.get(name)
         if record is None:
@@ -262,12 +261,12 @@
         return record
 
     def _forget_idle(self, now: int) -> bool:
-        """Makes room by forgetting idle leases; no ballot up to theirs is promised again (rule 1).
+        """Drops the records of idle leases; no ballot up to theirs is promised again (rule 1).
 
         A reservation (`Release.successor`) is dropped with its record: another proposer may then be first.
 
         Returns:
-            Whether there is room now.
+            Whether any record was dropped.
         """
         idle = [
             name
@@ -282,7 +281,7 @@
         return bool(idle)
 
     def _queue_position(self, record: LeaseRecord, message: Prepare, source: Source, now: int) -> int:
-        """Returns the proposer's position, from 1, by how long it has waited; 0 for none."""
+        """Returns the proposer's queue position, from 1, ordered by waiting time; 0 if it has none."""
         own = next((waiter for waiter in record.queue if waiter.nonce == message.nonce), None)
         if own is None:
             if not message.wants_queue or len(record.queue) >= MAX_WAITERS:
@@ -296,7 +295,7 @@
     def _wait_for_others_ns(
         self, record: LeaseRecord, message: Prepare, position: int, now: int
     ) -> int | None:
-        """Returns how long others come first; None where it is this proposer's turn."""
+        """Returns how long other proposers have priority; None if it is this proposer's turn."""
         if record.reserved_for and record.reserved_for != message.proposer:
             return record.reserved_until_ns - now
         if record.promised_nonce not in (0, message.nonce) and now < record.promise_until_ns:
--- a/lanelift/leases/client.py
+++ b/lanelift/leases/client.py
@@ -1,6 +1,7 @@
-"""When a proposer sends, retries, waits in the queue, renews and gives up. Pure.
+"""Decides when a proposer sends, retries, waits in the queue, renews and gives up. Pure.
 
-Nothing here can make two hold at once, only nobody: safety is that of `proposer.py` and `acceptor.py` alone.
+A fault in this module could leave a lease without a holder, but never give it two: safety depends only on
+`proposer.py` and `acceptor.py`.
 """
 
 from __future__ import annotations
@@ -12,21 +13,21 @@
 from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
 from lanelift.leases.proposer import Phase, Proposer
 
-JITTER = (0.5, 1.5)  # factor of a pause: two proposers that collided must not collide again
-# A client that does not wait makes so many attempts before it is rejected, unless a majority of the voters is
-# bound to another holder: then it is rejected at once.
+JITTER = (0.5, 1.5)  # factor of a pause, so that two proposers that collided do not collide again
+# The number of attempts that a client with a wait timeout of 0 makes before it is rejected. If so many voters
+# are bound to another holder that no majority is left, it is rejected immediately.
 MIN_ATTEMPTS_WITHOUT_WAIT = 8
-Outgoing = tuple[str | None, Prepare | Accept]  # to which voter; None: to each
+Outgoing = tuple[str | None, Prepare | Accept]  # the recipient, None for all voters, and the message
 REJECTIONS = (Verdict.HELD, Verdict.QUEUED, Verdict.STALE_BALLOT, Verdict.AT_CAPACITY)
 
 
 class ClientState(Enum):
-    """Whether a client is acquiring the lease, holds it, or has ended, and how."""
+    """The state of a client: acquiring the lease, holding it, or one of three ways to have ended."""
 
     ACQUIRING = "seeking"
     HOLDING = "holds"
-    REJECTED = "refused"  # its wait is over, and another holds the lease or it was not accepted by a majority
-    LOST = "lost"  # it held, and could not renew in time
+    REJECTED = "refused"  # the wait ended while another held the lease, or no majority had accepted
+    LOST = "lost"  # the client held the lease and could not renew it in time
     RELEASED = "released"
 
 
@@ -36,15 +37,15 @@
     The caller calls `tick` at `due_ns` and `receive` for each response, and sends what they return.
 
     Attributes:
-        proposer: Its proposer.
-        state: Whether it is acquiring or holding the lease, or how it ended.
-        due_ns: When `tick` is due, on its clock; None for never.
-        started_ns: When it was created: it has been waiting for the lease since.
-        attempts: Ballots tried so far.
+        proposer: The client's proposer.
+        state: Whether the client is acquiring or holding the lease, or how it ended.
+        due_ns: When `tick` is due, on the client's clock; None for never.
+        started_ns: When the client was created and began to wait for the lease.
+        attempts: Number of ballots tried so far.
         rejections: The rejections of the present attempt, by voter.
-        reason: Why it does not hold, in words for the log. While it holds, what it was before: why the last
-            attempt that failed did.
-        next_ballot_after_ns: No higher ballot is prepared while it holds before this time.
+        reason: Why the client does not hold the lease, in words for the log. While it holds, the reason of
+            the last failed attempt.
+        next_ballot_after_ns: While the client holds the lease, no higher ballot is prepared before this time.
     """
 
     def __init__(
@@ -62,13 +63,13 @@
 
         Args:
             lease: Name of the lease.
-            name: As whom it is held.
+            name: The holder's name.
             nonce: New for each client; above 0.
             timing: The cluster's timings.
             voters: How many voters there are.
-            rng: For jitter.
-            now: Its time in nanoseconds.
-            wait_timeout_ns: How long it waits for the lease; 0: not at all; None: for ever.
+            rng: Source of the jitter.
+            now: The client's time in nanoseconds.
+            wait_timeout_ns: How long the client waits for the lease; 0 for no wait, None for no limit.
         """
         self.proposer = Proposer(lease, name, nonce, timing, voters)
         self.timing, self.voters, self.rng = timing, voters, rng
@@ -81,11 +82,11 @@
         self.next_ballot_after_ns = 0
 
     def holds(self, now: int) -> bool:
-        """Returns whether it holds the lease at this time of its clock."""
+        """Returns whether the client holds the lease at this time of its clock."""
         return self.proposer.holds(now)
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Returns what is to be sent now: a renewal, an attempt, or nothing."""
+        """Returns the messages to send now: a renewal, a new attempt, or none."""
         active = self.state in (ClientState.ACQUIRING, ClientState.HOLDING)
         if active and self.proposer.has_expired(now):
             self._end(ClientState.LOST, "it could not be renewed in time")
@@ -104,7 +105,7 @@
         return [(None, self.proposer.prepare(now, max(0, waited_ns), self.wait_timeout_ns != 0))]
 
     def receive(self, response: Response, now: int) -> list[Outgoing]:
-        """Takes a voter's response; returns what is to be sent for it."""
+        """Handles a voter's response; returns the messages to send in return."""
         proposer = self.proposer
         former_phase, former_ballot = proposer.phase, proposer.ballot
         proposer.receive(response, now)
@@ -121,7 +122,7 @@
             self.state = ClientState.HOLDING
             self._schedule_renewal(now)
             return []
-        # Every voter notifies the first waiter, and one attempt for all of them is enough.
+        # Every voter notifies the first waiter; one attempt for all notifications is enough.
         if response.verdict == Verdict.FREE and self._attempt_has_failed:
             self.due_ns = now
             return self.tick(now)
@@ -132,17 +133,17 @@
         return []
 
     def release(self, successor: str = "") -> Release:
-        """Gives the lease back: its holder has stopped.
+        """Returns the release of the lease, to be sent once the holder's task has stopped.
 
         Args:
-            successor: Who alone may have it next, for a while; empty for anybody.
+            successor: Name of the only proposer that may get the lease next, for a while; empty for any.
         """
         self._end(ClientState.RELEASED, "released")
         return self.proposer.release(successor)
 
     @property
     def _attempt_has_failed(self) -> bool:
-        """Whether so many voters have rejected this attempt that no majority remains for it."""
+        """Whether too many voters have rejected this attempt for a majority to be left."""
         return len(self.rejections) > self.voters - majority(self.voters)
 
     def _has_waited_enough(self, waited_ns: int) -> bool:
@@ -154,11 +155,11 @@
         )
 
     def _bind_remaining_voters(self, response: Response, former_ballot: int, now: int) -> list[Outgoing]:
-        """While it holds: returns what makes the other voters accept it as well.
+        """Returns the messages that make the remaining voters accept the holder as well.
 
-        All voters shall accept it, so that any majority of them suffices for a renewal. A voter that has not
-        promised this ballot is sent a prepare; for one that has promised a higher ballot, or was restarted
-        above this one, a higher ballot is prepared.
+        All voters should accept the holder, so that any majority of them suffices for a renewal. A voter that
+        has not promised this ballot is sent a prepare. If a voter has promised a higher ballot, or was
+        restarted with a floor above this one, the client prepares a higher ballot.
         """
         proposer = self.proposer
         if proposer.phase is not Phase.HOLDING:
@@ -181,7 +182,7 @@
         self.due_ns = min(now + self.timing.renewal_interval_ns, self.proposer.until_ns)
 
     def _schedule_retry(self, now: int) -> None:
-        """Sets when the next attempt is due, or ends, after the present attempt has failed."""
+        """Schedules the next attempt after a failed one, or ends the client."""
         responses = list(self.rejections.values())
         held = [response for response in responses if response.verdict == Verdict.HELD]
         queued = [
@@ -195,12 +196,12 @@
         if self.wait_timeout_ns == 0 and len(held) > self.voters - majority(self.voters):
             self._end(ClientState.REJECTED, self.reason)
         elif held or queued:
-            # A holder may renew: a waiter retries at each poll interval, and when the votes would end.
+            # The holder may renew, so a waiter retries at each poll interval and when the votes would end.
             remaining_ns = (response.remaining_ns for response in held + queued if response.remaining_ns)
             soon_ns = min(remaining_ns, default=self.timing.poll_interval_ns)
             pause_ns = min(soon_ns, self.timing.poll_interval_ns) + self.rng.randrange(jitter_range_ns)
             self.due_ns = now + max(pause_ns, self.timing.response_timeout_ns // 4)
-        else:  # its ballot was stale, and nothing else: at once
+        else:  # only the ballot was stale: retry after the jitter alone
             self.due_ns = now + self.rng.randrange(jitter_range_ns)
 
     def _jittered(self, pause_ns: int) -> int:
--- a/lanelift/leases/holder.py
+++ b/lanelift/leases/holder.py
@@ -1,4 +1,4 @@
-"""Holds a lease, and runs commands only while it is held: socket, timers and processes around `client.py`."""
+"""Holds a lease and runs commands while it is held: the socket, timers and processes around `client.py`."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 from lanelift.leases.client import ClientState, LeaseClient
 from lanelift.leases.watchdog import NOT_HELD, SIGNAL_EXIT_CODE
 
-MAX_RELEASE_ROUNDS = 3  # a release that is lost costs others the rest of a lease
-# Under this name the watchdog is found in the files of earlier releases as well: see `warden.py`.
+MAX_RELEASE_ROUNDS = 3  # if the release is lost, others wait for the rest of the lease
+# The name that the watchdog's module has in earlier versions of the software as well: see `warden.py`.
 WATCHDOG_MODULE = "lanelift.leases.warden"
 
 
 class LeaseHolder:
-    """One lease client on a socket, and commands that run only while it holds.
+    """A lease client on a socket, which runs commands only while it holds the lease.
 
-    An asynchronous context manager: at its end it ends the command, and releases the lease.
+    An asynchronous context manager: on exit it ends the command and releases the lease.
 
-    What ends a command in time, in this order: the watchdog, a process of its own; if that is stopped, this
-    process, which kills the watchdog and the command with it; if the watchdog is killed, this process,
-    which kills the command's group.
+    The watchdog, a process of its own, ends a command before the lease ends. If the watchdog is stopped, this
+    process kills it, and the command dies with it. If the watchdog is killed, this process kills the process
+    group of the command.
 
     Attributes:
         client: The lease client.
-        transport: Its socket.
+        transport: The client's socket.
         watchdog: The watchdog of the running command; None while no command runs.
     """
 
@@ -50,18 +50,18 @@
         successor: str = "",
         transport: DatagramTransport | None = None,
     ) -> None:
-        """Creates a holder that does nothing yet.
+        """Creates a holder that has not sent anything yet.
 
         Args:
             cluster: The fleet.
-            clock: This process' clock.
+            clock: This process's clock.
             lease: Name of the lease.
-            name: As whom it is held.
+            name: The holder's name.
             log: A logger.
-            wait_timeout_ns: How long the lease is waited for; 0: not at all; None: for ever.
-            successor: Who alone may have the lease next, for a while; empty for anybody.
-            transport: One that the caller has opened, whose responses it passes to `receive`; None for one
-                of its own.
+            wait_timeout_ns: How long to wait for the lease; 0 for no wait, None for no limit.
+            successor: Name of the only proposer that may get the lease next, for a while; empty for any.
+            transport: A transport that the caller has opened and whose responses it passes to `receive`; None
+                if the holder is to open its own.
         """
         self.cluster, self.clock, self.lease, self.successor = cluster, clock, lease, successor
         self.log = log.bind(lease=lease, who=name)
@@ -72,13 +72,13 @@
         voters = len(cluster.voters)
         self.client = LeaseClient(lease, name, nonce, cluster.timing, voters, rng, clock(), wait_timeout_ns)
         self._timer: asyncio.TimerHandle | None = None  # of `client.due_ns`
-        self._changed = asyncio.Event()  # something that `_until` may wait for
+        self._changed = asyncio.Event()  # set when a condition that `_until` waits for may have changed
         self._released_by: set[str] = set()  # voters that responded to the release
         self._release_request_id = -1
         self.watchdog: asyncio.subprocess.Process | None = None
-        self._until_sent_ns = 0  # end of the lease for which the watchdog has deadlines
+        self._until_sent_ns = 0  # end of the lease from which the watchdog's deadlines were computed
         self._killed_watchdog = False
-        self._command_group: int | None = None  # its process group, once the watchdog has written it
+        self._command_group: int | None = None  # the command's process group, once the watchdog wrote it
         self._watchdog_timer: asyncio.TimerHandle | None = (
             None  # kills a watchdog that does not end the command
         )
@@ -95,7 +95,7 @@
         return self
 
     async def __aexit__(self, *exception: object) -> None:
-        """Ends the command, and releases the lease if it is held."""
+        """Ends the command and, if the lease is held, releases it."""
         try:
             if self.watchdog is not None and self.watchdog.stdin is not None:
                 self.watchdog.stdin.close()  # the watchdog ends the command, in time
@@ -114,7 +114,7 @@
         return self.client.holds(self.clock())
 
     async def acquire(self) -> bool:
-        """Waits for the lease; returns whether it is held. It is not if it was rejected, or a signal came."""
+        """Waits for the lease; returns whether it is held, False after a rejection or a signal."""
         self._tick()
         await self._until(lambda: self.client.state is not ClientState.ACQUIRING or self._signalled)
         if self.client.state is not ClientState.HOLDING:
@@ -125,7 +125,7 @@
         return True
 
     async def wait(self, seconds: float) -> None:
-        """Waits so long, or until the lease is lost."""
+        """Waits for this many seconds, or until the lease is lost."""
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self._until(lambda: self.client.state is not ClientState.HOLDING)
@@ -134,7 +134,7 @@
         """Runs a command while the lease is held.
 
         Returns:
-            Its exit code; 75 where the lease ended first.
+            The command's exit code; 75 if the lease ended before the command.
         """
         if not self.holds:
             return NOT_HELD
@@ -142,7 +142,7 @@
         watchdog = await self._start_watchdog(command, token)
         assert watchdog.stdout is not None
         self._arm_watchdog_timer(watchdog)
-        if self._signalled:  # a signal came before there was a command to pass it to
+        if self._signalled:  # a signal was received before the command was started
             watchdog.send_signal(signal.SIGTERM)
         group_line = await watchdog.stdout.readline()
         self._command_group = int(group_line) if group_line.strip() else None
@@ -162,12 +162,12 @@
         self._changed.set()
 
     def receive(self, message: Message, source: Address) -> None:
-        """Takes a message of the transport; ignores what is not for this client, or not from a voter."""
+        """Handles a received message; ignores messages for other clients and from addresses of no voter."""
         if not isinstance(message, Response) or self.voter_addresses.get(message.voter) != source:
             return
         own = message.nonce == self.client.proposer.nonce
         if own and message.request_id == self._release_request_id:
-            # Whatever the verdict: it released the lease, or it was not bound under that ballot.
+            # Any verdict confirms it: the voter released the lease, or was not bound under that ballot.
             self._released_by.add(message.voter)
         self._send(self.client.receive(message, self.clock()))
         self._after_event()
@@ -175,7 +175,7 @@
     # The command and its watchdog.
 
     async def _start_watchdog(self, command: Sequence[str], token: int) -> asyncio.subprocess.Process:
-        """Starts the watchdog, which starts the command with the deadlines that are known now."""
+        """Starts the watchdog with the present deadlines; the watchdog starts the command."""
         remaining_ms = max(0, self._deadlines_ns()[0] - self.clock()) // 1_000_000
         self._until_sent_ns, self._killed_watchdog = self.client.proposer.until_ns, False
         deadlines = [str(self.clock.to_boottime_ns(at)) for at in self._deadlines_ns()]
@@ -198,9 +198,9 @@
         return watchdog
 
     async def _wait_for_watchdog(self, watchdog: asyncio.subprocess.Process) -> int:
-        """Waits for its end; returns its exit code, as a shell gives it."""
+        """Waits until the watchdog exits; returns its exit code in the form that shells use."""
         code = await watchdog.wait()
-        if code < 0:  # somebody killed it: what it started must not stay
+        if code < 0:  # the watchdog was killed: the processes that it started must not outlive it
             if self._command_group is not None:
                 with suppress(ProcessLookupError):
                     os.killpg(self._command_group, signal.SIGKILL)
@@ -211,12 +211,12 @@
         return code
 
     def _deadlines_ns(self) -> tuple[int, int]:
-        """Returns when the command is sent SIGTERM and SIGKILL, on this clock; both before the lease ends."""
+        """Returns when the command is sent SIGTERM and SIGKILL, on `clock`; both before the lease ends."""
         until_ns, margin_ns = self.client.proposer.until_ns, self.cluster.timing.stop_margin_ns
         return until_ns - margin_ns, until_ns - margin_ns // 2
 
     def _send_deadlines(self) -> None:
-        """Writes later deadlines to the watchdog after a renewal, as times of the machine's clock."""
+        """After a renewal, writes the later deadlines to the watchdog, as times of the machine's clock."""
         watchdog = self.watchdog
         if watchdog is None or watchdog.stdin is None or watchdog.stdin.is_closing():
             return
@@ -227,9 +227,10 @@
         self._arm_watchdog_timer(watchdog)
 
     def _arm_watchdog_timer(self, watchdog: asyncio.subprocess.Process) -> None:
-        """Guards against a watchdog that is stopped itself.
+        """Sets a timer that kills the watchdog, in case the watchdog itself is stopped.
 
-        It is killed, and its command with it, in what is left of the margin after the second deadline.
+        The timer is due in the part of the margin that is left after the second deadline. The command dies
+        with the watchdog.
         """
         if self._watchdog_timer is not None:
             self._watchdog_timer.cancel()
@@ -246,7 +247,7 @@
     # The lease client's timer and messages.
 
     async def _release(self) -> None:
-        """Releases the lease, and waits for the voters' responses; some more times if they are missing."""
+        """Sends the release and waits for the voters' responses; repeats it while responses are missing."""
         message = self.client.release(self.successor)
         self._release_request_id = message.request_id
         for _ in range(MAX_RELEASE_ROUNDS):
@@ -269,7 +270,7 @@
         self._after_event()
 
     def _after_event(self) -> None:
-        """Brings the watchdog, the waiting tasks and the timer up to date."""
+        """Updates the watchdog's deadlines, wakes the waiting tasks and sets the timer."""
         self._send_deadlines()
         self._changed.set()
         if self._timer is not None:
--- a/lanelift/leases/listing.py
+++ b/lanelift/leases/listing.py
@@ -1,4 +1,4 @@
-"""Asks each voter for the leases that it knows."""
+"""Requests the lists of leases that the voters know."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from lanelift.fleet.messages import LeaseList, ListLeases, Message
 from lanelift.fleet.transport import Address, DatagramTransport
 
-LISTING_TIMEOUT_FACTOR = 4  # `response_timeout_ns` for all pages together
+LISTING_TIMEOUT_FACTOR = 4  # times `response_timeout_ns`, for all pages together
 
 
 async def list_leases(cluster: ClusterConfiguration, after: str = "") -> dict[str, list[LeaseList]]:
-    """Returns the pages of each voter, by voter; one that does not respond in time is missing.
+    """Returns each voter's pages, by the voter's id; voters that do not respond in time are left out.
 
     Args:
         cluster: The fleet.
@@ -30,7 +30,7 @@
         if not isinstance(message, LeaseList) or voter_ids.get(source) != message.voter:
             return
         pages = found.setdefault(message.voter, [])
-        if message.request_id == len(pages):  # the next page, and not one that is received twice
+        if message.request_id == len(pages):  # the next page, not a duplicate of an earlier one
             pages.append(message)
             if message.more:
                 transport.send(ListLeases(len(pages), message.leases[-1].lease), source)
--- a/lanelift/leases/member.py
+++ b/lanelift/leases/member.py
@@ -1,7 +1,7 @@
-"""All that a voting member does about leases: its recovery, its votes, and its responses. Pure.
+"""A voting member without I/O: its recovery, its votes, and its responses. Pure.
 
-The caller hands it messages and the time, sends what it returns, persists `pending_state` and then calls
-`state_written`.
+The caller passes in messages and the time, sends the returned messages, persists `pending_state` and then
+calls `state_written`.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 from lanelift.fleet.recovery import PersistentState, VoterRecovery
 from lanelift.leases.acceptor import Acceptor, Source
 
-STATUS_INTERVAL_IN_TIMEOUTS = 2  # `response_timeout_ns` between two statuses of a voter that may not vote
+STATUS_INTERVAL_IN_TIMEOUTS = 2  # times `response_timeout_ns`, between statuses of a recovering voter
 
 
 class VotingMember:
     """One voter.
 
     Attributes:
-        recovery: Whether it may vote.
-        acceptor: Its votes; None until it may vote.
-        due_ns: When `tick` is due on its clock; None for never.
+        recovery: The voter's recovery, which decides whether it may vote.
+        acceptor: The voter's votes; None until it may vote.
+        due_ns: When `tick` is due on the voter's clock; None for never.
     """
 
     acceptor_class: ClassVar[type[Acceptor]] = Acceptor
@@ -51,13 +51,13 @@
 
         Args:
             cluster: The configuration under which it votes.
-            voter: Its id.
+            voter: The voter's id.
             nonce: New at each start.
-            persisted: What it had on disk; None for nothing.
-            now: Its time in nanoseconds.
+            persisted: The state that was on disk; None if there was none.
+            now: The voter's time in nanoseconds.
 
         Raises:
-            VoterStateError: What is on disk does not go with the configuration.
+            VoterStateError: The state on disk is not consistent with the configuration.
         """
         self.cluster, self.voter = cluster, voter
         self.recovery = VoterRecovery(cluster, voter, nonce, persisted)
@@ -66,11 +66,11 @@
 
     @property
     def pending_state(self) -> PersistentState | None:
-        """What is to be persisted; None for nothing."""
+        """The state that the caller is to persist; None if there is none."""
         return self.recovery.pending_state
 
     def state_written(self, state: PersistentState, now: int) -> None:
-        """Notes that a `pending_state` is on disk."""
+        """Records that a `pending_state` is on disk."""
         self.recovery.state_written(state, now)
         if self.acceptor is not None:
             self.acceptor.raise_ceiling(state.ballot_ceiling)
@@ -79,11 +79,11 @@
             self.acceptor = self.acceptor_class(self.voter, self.cluster.timing, floor, ceiling, now)
 
     def remaining_quiet_ns(self, now: int) -> int | None:
-        """Returns for how many nanoseconds it will not vote yet; None: its recovery has not finished."""
+        """Returns the nanoseconds until the voter votes; None if its recovery has not finished."""
         return None if self.recovery.ready_ns is None else max(0, self.recovery.ready_ns - now)
 
     def tick(self, now: int) -> list[tuple[str, VoterStatus]]:
-        """Returns statuses for the other voters, while it may not vote."""
+        """Returns the statuses to send to the other voters; none once this voter may vote."""
         if self.recovery.may_vote:
             self.due_ns = None
         if self.due_ns is None or now < self.due_ns:
@@ -94,7 +94,7 @@
         return [(voter, self.recovery.status) for voter in sorted(self.recovery.other_voters)]
 
     def receive(self, message: Message, source: Source, now: int) -> list[tuple[Source, Message]]:
-        """Returns the responses to a message, and where each goes."""
+        """Returns the responses to a message, each with its destination."""
         if isinstance(message, VoterStatus):
             return self._receive_status(message, source)
         quiet_ns = self.remaining_quiet_ns(now)
@@ -103,7 +103,7 @@
                 return [(source, LeaseList(message.request_id, self.voter, quiet_ns or 1, []))]
             return [(source, self.acceptor.list_leases(message.after, message.request_id, now))]
         if not isinstance(message, Prepare | Accept | Release):
-            return []  # responses, which concern proposers
+            return []  # responses are meant for proposers
         if self.acceptor is None or quiet_ns is None or quiet_ns > 0:
             rejected = Response(
                 message.lease,
--- a/lanelift/leases/metrics.py
+++ b/lanelift/leases/metrics.py
@@ -1,6 +1,6 @@
-"""The leases of one voting member as metrics, in Prometheus' text exposition format.
+"""Renders the metrics of one member's leases in Prometheus' text exposition format.
 
-Names of metrics and labels are read by operators (docs/operating/leases.md): they stay as they are.
+Operators read the names of metrics and labels (docs/operating/leases.md): they must not change.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from lanelift.leases.acceptor import LeaseRecord
 from lanelift.leases.member import VotingMember
 
-MAX_LEASES_IN_METRICS = 64  # leases with metrics of their own: a scrape must stay small; `lease list` has all
+MAX_LEASES_IN_METRICS = 64  # keeps a scrape small; `lease list` shows all leases
 
 
 def render(
@@ -20,12 +20,12 @@
     datagrams: Mapping[str, int],
     now: int,
 ) -> str:
-    """Returns the metrics.
+    """Returns the text of the metrics.
 
     Args:
         member: The voting member; None for a member that does not vote.
-        changes: How often this voter saw the holder of a lease change.
-        rejections: Requests that it rejected.
+        changes: Number of changes of a lease's holder that this voter saw.
+        rejections: Number of requests that this voter rejected.
         datagrams: `DatagramTransport.counts`.
         now: This member's time in nanoseconds.
     """
@@ -60,5 +60,5 @@
 
 
 def _escaped(text: str) -> str:
-    """Returns a label's value as the text format has it."""
+    """Returns a label's value with the escapes of the text format."""
     return text.replace("\\", "\\\\").replace('"', '\\"')
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -1,21 +1,22 @@
-"""A small model of leases, to be explored in full: the same voters and proposers, with every order of events.
+"""A small model of leases to be explored in full: the real voters and proposers, in every order of events.
 
-Three voters and two proposers. In each state any message that was ever sent may be received, by each voter by
-itself, at any time, and again; or never. A proposer may prepare, accept, renew and release whenever its phase
-allows it. A voter may be restarted: its state file is kept. Time goes on by ticks; each clock counts 4, 5
-or 6 to a tick, the ends of a drift of a fifth, so that a lease of 12 is held for 8.
+The model has three voters and two proposers. In each state, each voter may receive any message that was ever
+sent to it, independently of the others, once, repeatedly or never. A proposer may prepare, accept, renew and
+release whenever its phase allows it. A voter may be restarted, and keeps its state file. Time advances in
+ticks; each clock advances by 4, 5 or 6 per tick, the extremes of a drift of a fifth, so a lease of 12 is held
+for 8.
 
-Left out, as they change nothing that could be wrong:
+Some events are left out because they can't cause a violation that the others don't:
 
-- responses that a proposer does nothing for;
-- promises that are received late: a proposer that has them may still wait with what they allow it to do;
-- where `Bounds.reached` says so, the first proposer's messages to the third voter and the second one's to
-  the first. Two majorities share one voter at the least, and the others promise all the sooner if they
-  never received anything of the other proposer: if two can hold by any voters, they can by a and b, and by
-  b and c.
+- responses that a proposer ignores;
+- late promises: a proposer that has received a promise early may still delay the step that it allows;
+- if `Bounds.reached` says so, messages from the first proposer to the third voter and from the second
+  proposer to the first voter. Two majorities share at least one voter, and the other voters promise more
+  readily if they never received a message of the other proposer: if two proposers can hold the lease with any
+  voters, they can with a and b, and with b and c.
 
-A state is a tuple of small numbers: nodes and messages are stored once, and what a node does with an event is
-worked out once.
+A state is a tuple of small numbers: each node and message is stored once, and the result of each event at a
+node is computed once.
 """
 
 from __future__ import annotations
@@ -31,20 +32,20 @@
 
 PROPOSERS = range(2)
 NO_HOLDER = -1
-TOKEN_FELL = -2  # instead of a holder whose token is not above the highest
+TOKEN_FELL = -2  # in place of a holder whose token is not above the highest one
 
 
 class State(NamedTuple):
-    """One state of the model. Voters and proposers are the numbers of their nodes.
+    """One state of the model. Each voter and proposer is represented by the number of its node.
 
     Attributes:
-        tick: True time.
-        voters: Each voter.
-        proposers: Each proposer.
-        sent: The messages that were ever sent, a bit each.
+        tick: True time, in ticks.
+        voters: The node number of each voter.
+        proposers: The node number of each proposer.
+        sent: The messages that were ever sent, one bit each.
         restarts: How many restarts are left.
         highest_token: The highest token of any holder so far.
-        holder: Whose that is; or `NO_HOLDER`, or `TOKEN_FELL`.
+        holder: The proposer that held that token; or `NO_HOLDER`, or `TOKEN_FELL`.
     """
 
     tick: int
@@ -65,17 +66,17 @@
     proposer_class: ClassVar[type[Proposer]] = Proposer
 
     def __post_init__(self) -> None:
-        """Begins with an empty table of nodes."""
+        """Creates an empty table of nodes."""
         self.nodes = NodeTable(self.bounds, self.member_class, self.proposer_class)
 
     def initial_states(self) -> list[State]:
-        """Returns the first state: three voters that may vote, two idle proposers."""
+        """Returns the only initial state: three voters that may vote, and two idle proposers."""
         voters = tuple(self.nodes.first_voter(i) for i in range(len(VOTERS)))
         proposers = tuple(self.nodes.first_proposer(i) for i in PROPOSERS)
         return [State(0, voters, proposers, 0, self.bounds.restarts, 0, NO_HOLDER)]
 
     def successors(self, state: State) -> Iterator[tuple[str, State]]:
-        """Yields each step from a state: its name, and the state that it leads to."""
+        """Yields each step from a state: its name and the state that it leads to."""
         if state.tick < self.bounds.ticks:
             yield "a tick", self._checked(state._replace(tick=state.tick + 1))
         yield from self._sending_steps(state)
@@ -89,7 +90,7 @@
                 )
 
     def violation_in(self, state: State) -> str:
-        """Returns which rule is broken in a state; empty for none."""
+        """Returns the rule that a state violates; empty for none."""
         holding = [i for i in PROPOSERS if self.nodes.holds(i, state.proposers[i], state.tick)]
         if len(holding) > 1:
             return "two hold at once"
@@ -97,10 +98,10 @@
             return f"a token that is not above {state.highest_token}"
         return ""
 
-    # The steps of one kind.
+    # Steps by kind.
 
     def _sending_steps(self, state: State) -> Iterator[tuple[str, State]]:
-        """Each proposer sends what its phase allows."""
+        """Yields the steps in which a proposer sends a message that its phase allows."""
         for i in PROPOSERS:
             number = state.proposers[i]
             for act in ("prepare", "accept", "release", "next ballot"):
@@ -114,7 +115,7 @@
                 yield f"p{i} {what}", self._checked(after)
 
     def _receiving_steps(self, state: State) -> Iterator[tuple[str, State]]:
-        """Each message that was ever sent is received."""
+        """Yields the steps in which a message that was ever sent is received."""
         tick, voters, proposers, sent, *_ = state
         messages = self.nodes.messages
         remaining = sent
@@ -133,7 +134,7 @@
                     yield self._proposer_step(state, bit, number)
 
     def _voter_step(self, state: State, bit: int, number: int, responses: int) -> tuple[str, State]:
-        """A voter receives a message; it is `number` after that, and sends `responses`."""
+        """Returns the step in which a voter receives a message, becomes `number` and sends `responses`."""
         sender, voter, message = self.nodes.message(bit)
         proposers = state.proposers
         promise = self.nodes.promise(responses)
@@ -148,7 +149,7 @@
         return f"{VOTERS[voter]} receives p{sender}'s {_described(message)}", self._checked(after)
 
     def _proposer_step(self, state: State, bit: int, number: int) -> tuple[str, State]:
-        """A proposer receives a response; it is `number` after that."""
+        """Returns the step in which a proposer receives a response and becomes `number`."""
         _, recipient, message = self.nodes.message(bit)
         assert isinstance(message, Response)
         i = -recipient - 1
@@ -156,7 +157,7 @@
         return f"p{i} receives from {message.voter}: {message.verdict}", self._checked(after)
 
     def _checked(self, state: State) -> State:
-        """Returns the state with the highest token of any holder."""
+        """Returns the state with its highest token and holder updated."""
         highest_token, holder = state.highest_token, state.holder
         for i in PROPOSERS:
             if self.nodes.holds(i, state.proposers[i], state.tick):
--- a/lanelift/leases/model_nodes.py
+++ b/lanelift/leases/model_nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of the small model (`model.py`): each state of a node, and what it does with an event, once."""
+"""The nodes of the small model (`model.py`): stores each state of a node and each result of an event once."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from lanelift.leases.proposer import Phase, Proposer
 
 LEASE_NS, DRIFT = 12, 0.2
-# The response timeout is 0: a promise to one proposer keeps no other one out.
+# The response timeout is 0, so that a promise to one proposer never delays the other.
 TIMING = LeaseTiming(lease_ns=LEASE_NS, response_timeout_ns=0, stop_margin_ns=1, drift=DRIFT)
-SLOW, EVEN, FAST = 4, 5, 6  # a clock's count to a tick
+SLOW, EVEN, FAST = 4, 5, 6  # how far a clock advances per tick
 LEASE = "x"
 VOTERS = ("a", "b", "c")
 EFFECTIVE = (Verdict.PROMISED, Verdict.ACCEPTED, Verdict.STALE_BALLOT)  # responses that a proposer acts on
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How far the model is explored.
+    """The bounds of the exploration.
 
     Attributes:
-        ticks: Until which tick.
-        prepares: How often each proposer starts phase 1.
-        accepts: How often each starts phase 2, or renews.
-        releases: How often each releases.
-        next_ballots: How often the first one prepares a higher ballot while it holds.
-        restarts: How many restarts of voters there are in all.
-        voter_rates: Each voter's clock, as its count to a tick.
-        proposer_rates: Each proposer's clock.
+        ticks: The last tick.
+        prepares: How often each proposer may start phase 1.
+        accepts: How often each proposer may start phase 2 or renew.
+        releases: How often each proposer may release the lease.
+        next_ballots: How often the first proposer may prepare a higher ballot while it holds the lease.
+        restarts: How many times voters may be restarted, all voters together.
+        voter_rates: How far each voter's clock advances per tick.
+        proposer_rates: How far each proposer's clock advances per tick.
         reached: The voters that each proposer's messages reach.
     """
 
@@ -50,7 +50,7 @@
 
 @dataclass
 class ProposerNode:
-    """A proposer, and how often it did what so far."""
+    """A proposer, and how often it has taken each kind of step so far."""
 
     proposer: Proposer
     prepares: int = 0
@@ -60,10 +60,10 @@
 
 
 class NodeTable:
-    """Nodes and messages by number, and the results of events by their input.
+    """A table of nodes and messages by number, and of the results of events by their input.
 
-    A node's number names one state of it; a message's bit names the message. Both only grow, within the
-    bounds of the exploration.
+    A node's number identifies one state of the node; a bit identifies a message. Entries are never removed:
+    the bounds of the exploration limit the table.
     """
 
     def __init__(
@@ -72,27 +72,28 @@
         """Creates an empty table.
 
         Args:
-            bounds: How far the model is explored.
-            member_class: Of the voters.
-            proposer_class: Of the proposers.
+            bounds: The bounds of the exploration.
+            member_class: The class of the voters.
+            proposer_class: The class of the proposers.
         """
         self.bounds, self.member_class, self.proposer_class = bounds, member_class, proposer_class
         members = tuple(Member(name, ("", 0)) for name in VOTERS)
         self.cluster = ClusterConfiguration("small", members, TIMING)
         self.nodes: list[bytes] = []
         self.node_numbers: dict[bytes, int] = {}
-        # From a proposer (0, 1) to a voter (0, 1, 2), or from a voter to proposer -1 or -2.
+        # Sender, recipient and message: from proposer 0 or 1 to voter 0, 1 or 2, or from a voter to
+        # recipient -1 or -2, which is proposer 0 or 1.
         self.messages: list[tuple[int, int, Message]] = []
         self.message_bits: dict[tuple[int, int, Message], int] = {}
         self.results: dict[tuple[Any, ...], tuple[int, int]] = {}
 
     def first_voter(self, i: int) -> int:
-        """Returns voter `i`, which may vote from the beginning."""
+        """Returns the number of voter `i`, which may vote from the beginning."""
         persisted = PersistentState(self.cluster.digest.hex(), self.cluster.voters, LEASE_NS, 0)
         return self._node(self._started_member(i, persisted, 0, quiet=False))
 
     def first_proposer(self, i: int) -> int:
-        """Returns proposer `i`, idle."""
+        """Returns the number of proposer `i`, idle."""
         return self._node(ProposerNode(self.proposer_class(LEASE, f"p{i}", i + 1, TIMING, len(VOTERS))))
 
     def _node(self, node: Any) -> int:
@@ -115,7 +116,7 @@
         return self.message_bits[key]
 
     def message(self, bit: int) -> tuple[int, int, Message]:
-        """Returns sender, recipient and message of a bit."""
+        """Returns the sender, the recipient and the message that a bit identifies."""
         return self.messages[bit.bit_length() - 1]
 
     def _started_member(
@@ -129,7 +130,7 @@
         return member
 
     def holds(self, i: int, number: int, tick: int) -> bool:
-        """Returns whether the proposer holds at this tick."""
+        """Returns whether the proposer holds the lease at this tick."""
         key = ("holds", i, number, tick)
         if key not in self.results:
             holds = self._load(number).proposer.holds(tick * self.bounds.proposer_rates[i])
@@ -144,18 +145,18 @@
         return self.results[key][0]
 
     def is_holding(self, number: int) -> bool:
-        """Returns whether the proposer is in that phase."""
+        """Returns whether the proposer is in the holding phase."""
         return bool(self._load(number).proposer.phase is Phase.HOLDING)
 
     def prepares_left(self, i: int, number: int) -> int:
-        """Returns how often the proposer may still start phase 1."""
+        """Returns how many more times the proposer may start phase 1."""
         key = ("left", i, number)
         if key not in self.results:
             self.results[key] = (self.bounds.prepares[i] - self._load(number).prepares, 0)
         return self.results[key][0]
 
     def send(self, i: int, number: int, act: str, tick: int) -> tuple[int, int] | None:
-        """Returns the proposer after an act, and the bits of what it sent; None where it may not."""
+        """Returns the proposer after an act and the bits of the messages sent; None if it may not act."""
         key = ("act", i, number, act, tick)
         if key not in self.results:
             self.results[key] = self._sent(i, number, act, tick * self.bounds.proposer_rates[i])
@@ -173,7 +174,7 @@
         return self._node(node), bits
 
     def _outgoing(self, node: ProposerNode, i: int, act: str, now: int) -> Message | None:
-        """Carries out an act; returns its message, or None where it may not."""
+        """Performs an act; returns its message, or None if the proposer may not act."""
         proposer, phase, bounds = node.proposer, node.proposer.phase, self.bounds
         if act == "prepare":
             if phase in (Phase.OVER, Phase.HOLDING) or node.prepares >= bounds.prepares[i]:
@@ -197,7 +198,7 @@
         return proposer.prepare_next_ballot(now)
 
     def voter_receives(self, i: int, number: int, bit: int, tick: int) -> tuple[int, int]:
-        """Returns the voter after a message, and the bits of its responses."""
+        """Returns the voter after it received a message, and the bits of its responses."""
         key = ("voter", i, number, bit, tick)
         if key not in self.results:
             sender, _, message = self.message(bit)
@@ -213,7 +214,7 @@
         return self.results[key]
 
     def proposer_receives(self, i: int, number: int, bit: int, tick: int) -> int:
-        """Returns the proposer after a response."""
+        """Returns the proposer after it received a response."""
         key = ("proposer", i, number, bit, tick)
         if key not in self.results:
             node: ProposerNode = self._load(number)
@@ -234,11 +235,11 @@
         return self.results[key][0]
 
     def promise(self, bit: int) -> int:
-        """Returns the bit, if it is that of a promise, and 0 otherwise."""
+        """Returns the bit if it identifies a promise, and 0 otherwise."""
         return bit if self._has_verdict(bit, Verdict.PROMISED) else 0
 
     def stale_ballot(self, bit: int) -> int:
-        """Returns the bit, if it is that of a stale ballot, and 0 otherwise."""
+        """Returns the bit if it identifies a rejection for a stale ballot, and 0 otherwise."""
         return bit if self._has_verdict(bit, Verdict.STALE_BALLOT) else 0
 
     def _has_verdict(self, bit: int, verdict: Verdict) -> bool:
@@ -247,7 +248,7 @@
 
 
 def _without_order(member: VotingMember) -> VotingMember:
-    """Clears the times that only say who comes first."""
+    """Clears the times that only decide the order of proposers."""
     member.due_ns = None
     if member.acceptor is not None:
         for record in member.acceptor.leases.values():
--- a/lanelift/leases/node.py
+++ b/lanelift/leases/node.py
@@ -1,4 +1,4 @@
-"""A member as a part of `lanelift serve`: socket, state file and timers around `member.py`."""
+"""A member as part of `lanelift serve`: the socket, state file and timers around `member.py`."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 from lanelift.leases.metrics import render
 from lanelift.leases.supervisor import FleetTask, TaskSupervisor
 
-WRITE_RETRY_S = 1.0  # until a write that failed is tried again: it takes people to empty a full disk
+WRITE_RETRY_S = 1.0  # until a failed write is retried: a full disk has to be cleared by an operator
 MIN_TIMER_S = 0.001
-# Verdicts that are no rejection of a request.
+# Verdicts that do not reject a request.
 NOT_REJECTED = (Verdict.ACCEPTED, Verdict.PROMISED, Verdict.RELEASED, Verdict.FREE)
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSource:
-    """What a member is made of; it stands in a configuration, and `attach` makes the member.
+    """The parameters of a member, as part of the configuration; `attach` creates the member.
 
     Attributes:
         cluster: The fleet.
-        member_id: Which of its members this is.
-        state_folder: Where a voter has its state file; None for a member that does not vote.
+        member_id: The id of this member in the fleet.
+        state_folder: Folder of a voter's state file; None for a member that does not vote.
         clock: This member's clock.
         log_format: "console" or "json".
-        tasks: Tasks of the fleet.
+        tasks: The fleet's tasks.
     """
 
     cluster: ClusterConfiguration
@@ -48,33 +48,33 @@
     tasks: tuple[FleetTask, ...] = ()
 
     def attach(self, driver: Any) -> FleetNode:
-        """Returns the member, which is to be started.
+        """Returns the member, which is not started yet.
 
         Raises:
-            VoterStateError: Its state can't be used, or another process runs as this member.
+            VoterStateError: The member's state can't be used, or another process runs as this member.
         """
         return FleetNode(self)
 
 
 class FleetNode:
-    """One member: responds to the fleet, if it votes, and runs the tasks of the fleet.
+    """One member of the fleet: votes, if it is a voter, and runs the fleet's tasks.
 
-    What fails here costs the other members its vote, and the balancer's requests nothing.
+    A failure here costs the fleet this member's vote, and does not affect the requests of the balancer.
 
     Attributes:
-        transport: Its socket.
-        state_file: Its state file; None for a member that does not vote.
-        member: The voting member; None for one that does not vote.
-        supervisor: Its tasks of the fleet.
-        holder_changes: How often this voter saw the holder of a lease change.
-        rejections: Requests that it rejected.
+        transport: The member's socket.
+        state_file: The member's state file; None for a member that does not vote.
+        member: The voting member; None for a member that does not vote.
+        supervisor: Runs the fleet's tasks on this member.
+        holder_changes: Number of changes of a lease's holder that this voter saw.
+        rejections: Number of requests that this voter rejected.
     """
 
     def __init__(self, source: FleetSource) -> None:
         """Creates a member that is not started yet, and reads its state.
 
         Raises:
-            VoterStateError: Its state can't be used, or another process runs as this member.
+            VoterStateError: The state can't be used, or another process runs as this member.
         """
         self.cluster, self.member_id, self.clock = source.cluster, source.member_id, source.clock
         self.log = logger(source.log_format, fleet=source.cluster.name, member=source.member_id)
@@ -99,7 +99,7 @@
             self.member = VotingMember(self.cluster, self.member_id, nonce, persisted, self.clock())
 
     async def start(self) -> None:
-        """Opens the socket, and starts the tasks and the voter's recovery.
+        """Opens the socket, and starts the tasks and a voter's recovery.
 
         Raises:
             VoterStateError: The socket can't be bound to the member's address.
@@ -120,7 +120,7 @@
         self._tick()
 
     async def close(self) -> None:
-        """Ends the tasks, and closes socket and state file."""
+        """Ends the tasks, and closes the socket and the state file."""
         await self.supervisor.close()
         if self._writer is not None:
             self._writer.cancel()
@@ -132,7 +132,7 @@
             self.state_file.close()
 
     def view(self) -> bytes:
-        """Returns what this member knows, as the JSON of `GET /api/leases`; its keys stay as they are."""
+        """Returns this member's leases as the JSON of `GET /api/leases`, whose keys must not change."""
         if self.member is None:
             return msgspec.json.encode({"member": self.member_id, "votes": False})
         now, acceptor = self.clock(), self.member.acceptor
@@ -171,12 +171,15 @@
         self._write_state()
 
     def _is_from_its_voter(self, status: VoterStatus, source: Address) -> bool:
-        """Guards against a second process under a voter's id, and against a wrong address."""
+        """Returns whether a status came from its voter's configured address.
+
+        A second process with the voter's id, or a wrong address in a configuration, is detected this way.
+        """
         voter = self.cluster.member(status.voter)
         return voter is not None and voter.address == source
 
     def _count(self, response: Response) -> None:
-        """Counts a response in the metrics, and logs a new holder."""
+        """Counts a response for the metrics, and logs a new holder."""
         accepted = response.verdict == Verdict.ACCEPTED
         if accepted and self.member is not None and self.member.acceptor is not None:
             record = self.member.acceptor.leases[response.lease]
@@ -205,15 +208,15 @@
             self._timer = loop.call_later(max(wait_s, MIN_TIMER_S), self._tick)
 
     def _write_state(self) -> None:
-        """Begins to write a pending state, unless a write is under way."""
+        """Starts to write a pending state, unless a write is in progress."""
         if self.member is not None and self.member.pending_state is not None and not self._writing:
             self._writing = True
             self._writer = asyncio.get_running_loop().create_task(self._write_pending())
 
     async def _write_pending(self) -> None:
-        """Writes until nothing is pending.
+        """Writes the pending state until none is left.
 
-        In a thread: a disk may take its time, and the balancer's requests must not wait for it.
+        Each write runs in a thread: a disk may be slow, and the balancer's requests must not wait for it.
         """
         assert self.member is not None and self.state_file is not None
         while (state := self.member.pending_state) is not None:
@@ -234,7 +237,7 @@
 
 
 def _row(status: LeaseStatus) -> dict[str, object]:
-    """Returns one lease of `GET /api/leases`."""
+    """Returns the JSON object of one lease in `GET /api/leases`."""
     return {
         "lease": status.lease,
         "holder": status.holder,
--- a/lanelift/leases/proposer.py
+++ b/lanelift/leases/proposer.py
@@ -1,7 +1,7 @@
-"""The proposer of Paxos, for one lease: what it was promised, who accepted it, until when it holds. Pure.
+"""The proposer of Paxos, for one lease: its promises, its acceptances, and the end of its lease. Pure.
 
-Times are nanoseconds of its own clock. It does not decide when to send (`client.py` does): no two proposers
-hold at once, whatever is sent and whenever.
+Times are nanoseconds of the proposer's own clock. `client.py` decides when to send; no two proposers hold the
+lease at the same time, whichever messages are sent, and whenever.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
     IDLE = "idle"
     PREPARING = "asking"  # phase 1: waits for promises
-    ACCEPTING = "taking"  # phase 2: was promised a majority, waits to be accepted
+    ACCEPTING = "taking"  # phase 2: a majority has promised; waits to be accepted
     HOLDING = "held"
     OVER = "over"  # released or expired, for good: only a new proposer can acquire the lease again
 
@@ -28,18 +28,18 @@
     """One run of a proposer.
 
     Attributes:
-        nonce: Names this run in all its messages.
-        majority: So many voters must promise, and accept.
+        nonce: Identifies this run in all its messages.
+        majority: How many voters must promise, and accept.
         phase: The phase of this run.
-        token: The ballot under which it came to hold: it rises from holder to holder, and stays while one
-            holds.
-        ballot: The ballot of its requests.
-        highest_ballot_seen: It proposes only above this.
-        request_id: Of the last request.
+        token: The ballot under which this proposer became the holder. Tokens rise from holder to holder; a
+            holder keeps its token.
+        ballot: The ballot of the proposer's requests.
+        highest_ballot_seen: The proposer only proposes ballots above this.
+        request_id: The id of the last request.
         sent_ns: When each of the last requests was sent, by its id; at most `MAX_OPEN_REQUESTS`.
         promised_by: The voters that promised `ballot`.
-        accepted_ns: By voter, when that request was *sent* which it accepted last.
-        next_ballot: A higher ballot that it prepares while it holds under `ballot`.
+        accepted_ns: By voter, when the latest request that the voter accepted was *sent*.
+        next_ballot: A higher ballot that the proposer prepares while it holds the lease under `ballot`.
         next_promised_by: The voters that promised `next_ballot`.
     """
 
@@ -48,7 +48,7 @@
 
         Args:
             lease: Name of the lease.
-            name: As whom it is held.
+            name: The proposer's name, under which the lease is held.
             nonce: New for each run; above 0.
             timing: The cluster's timings.
             voters: How many voters there are.
@@ -68,9 +68,9 @@
 
     @property
     def until_ns(self) -> int:
-        """When it stops holding, by the latest request that a majority has accepted; 0 for none.
+        """When the lease ends, by the latest request that a majority has accepted; 0 if there is none.
 
-        It counts from when that was sent: see `LeaseTiming.validity_ns`.
+        The lease counts from when that request was sent: see `LeaseTiming.validity_ns`.
         """
         if len(self.accepted_ns) < self.majority:
             return 0
@@ -78,11 +78,11 @@
         return latest_first[self.majority - 1] + self.timing.validity_ns
 
     def holds(self, now: int) -> bool:
-        """Returns whether it holds the lease at this time of its clock."""
+        """Returns whether the proposer holds the lease at this time of its clock."""
         return self.phase is Phase.HOLDING and now < self.until_ns
 
     def prepare(self, now: int, waited_ns: int = 0, wants_queue: bool = False) -> Prepare:
-        """Starts phase 1 under a new ballot; gives up what was promised or accepted under the former one."""
+        """Starts phase 1 under a new ballot; forgets promises and acceptances of the former ballot."""
         assert self.phase in (Phase.IDLE, Phase.PREPARING, Phase.ACCEPTING)
         self.phase = Phase.PREPARING
         self.ballot = self.highest_ballot_seen = self.highest_ballot_seen + 1
@@ -92,19 +92,22 @@
         return Prepare(self.lease, self.ballot, self.nonce, self.name, request_id, waited_ns, wants_queue)
 
     def accept(self, now: int) -> Accept:
-        """Starts phase 2 once a majority has promised, or renews the lease."""
+        """Returns a request that starts phase 2 after a majority has promised, or renews the lease."""
         assert self.phase in (Phase.ACCEPTING, Phase.HOLDING)
         return Accept(self.lease, self.ballot, self.nonce, self.name, self._next_request(now))
 
     def prepare_present_ballot(self, now: int) -> Prepare:
-        """Asks a voter that has not promised the present ballot to do so, so that it can accept as well."""
+        """Returns a prepare of the present ballot, for a voter that has not promised it yet.
+
+        Once the voter has promised the ballot it can accept the holder as well.
+        """
         return Prepare(self.lease, self.ballot, self.nonce, self.name, self._next_request(now))
 
     def prepare_next_ballot(self, now: int) -> Prepare:
-        """While it holds: starts phase 1 under a ballot above those of voters that were restarted.
+        """Starts phase 1 under a ballot above those of restarted voters, while the lease is held.
 
-        It holds on under the former ballot meanwhile, and under the new one once a majority has promised
-        that.
+        The lease is held under the former ballot until a majority has promised the new one, and then under
+        the new one.
         """
         assert self.phase is Phase.HOLDING
         self.next_ballot = self.highest_ballot_seen = self.highest_ballot_seen + 1
@@ -112,9 +115,9 @@
         return Prepare(self.lease, self.next_ballot, self.nonce, self.name, self._next_request(now))
 
     def receive(self, response: Response, now: int) -> None:
-        """Takes a voter's response, however late and however often it is received."""
+        """Handles a voter's response, which may be received late or repeatedly."""
         if response.nonce != self.nonce or response.lease != self.lease or self.has_expired(now):
-            return  # a late response does not renew an expired lease: its task was ended
+            return  # a late response does not renew an expired lease, as its task has been ended
         if response.verdict == Verdict.STALE_BALLOT:
             self.highest_ballot_seen = max(self.highest_ballot_seen, response.ballot)
         if response.request_id not in self.sent_ns:
@@ -128,16 +131,16 @@
                 self.phase, self.token = Phase.HOLDING, self.ballot
 
     def has_expired(self, now: int) -> bool:
-        """Returns whether it is over; it is, for good, once it held and no longer does.
+        """Returns whether this run is over; it ends for good when a held lease expires.
 
-        What it did under its token must not go on.
+        The task that ran under the run's token must not continue.
         """
         if self.phase is Phase.HOLDING and now >= self.until_ns:
             self.phase = Phase.OVER
         return self.phase is Phase.OVER
 
     def release(self, successor: str = "") -> Release:
-        """Releases the lease; its holder has stopped before this is sent."""
+        """Ends this run and returns the release, to be sent once the holder's task has stopped."""
         self.phase = Phase.OVER
         self.request_id += 1
         return Release(self.lease, self.ballot, self.nonce, self.request_id, successor)
@@ -150,7 +153,7 @@
         elif response.ballot == self.next_ballot and self.phase is Phase.HOLDING:
             self.next_promised_by |= {response.voter}
             if len(self.next_promised_by) >= self.majority:
-                # Voters that accepted stay bound, under whichever ballot: they promise nobody else anything.
+                # Voters that accepted either ballot stay bound and promise nothing to other proposers.
                 self.ballot, self.promised_by = self.next_ballot, self.next_promised_by
 
     def _next_request(self, now: int) -> int:
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -1,12 +1,13 @@
-"""Leases in simulated time, and the checks of what truly happened there.
+"""Leases in simulated time, and the checks of the rules that must hold there.
 
-The checks see true time and all nodes. Whatever the schedule does within the assumptions of the design note:
+The checks see true time and all nodes. These rules must hold for each schedule within the assumptions of the
+design note:
 
-- at no instant do two proposers hold the same lease;
+- two proposers never hold the same lease at the same time;
 - each new holder has a token above all earlier ones.
 
-What a holder does between looking at its lease and acting is counted apart: who stands still there acts
-late, and only the token shows it. That is counted, and is no breach.
+A holder that is stopped between checking its lease and acting acts late, and only the token shows that. Late
+acts are counted separately and are not breaches.
 """
 
 from __future__ import annotations
@@ -25,22 +26,22 @@
 from lanelift.leases.member import VotingMember
 from lanelift.standins.fenced import Fenced, Refused
 
-WRITE_NS = (200_000, 8 * MS)  # a write of a voter's state takes so long
-TASK_LEASES = (0.3, 4.0)  # how long a task lasts, in leases
-MAX_REST_LEASES = 0.3  # until a proposer begins anew
-MAX_LATENCY_LEASES = 0.02  # between a look at the lease and the act
+WRITE_NS = (200_000, 8 * MS)  # the duration of a write of a voter's state
+TASK_LEASES = (0.3, 4.0)  # the duration of a task, in leases
+MAX_REST_LEASES = 0.3  # until a proposer acquires the lease again, in leases
+MAX_LATENCY_LEASES = 0.02  # between a check of the lease and the act, in leases
 
 
 @dataclass
 class Findings:
-    """What was found in one run.
+    """The results of one run.
 
     Attributes:
-        breaches: Broken rules in words, with their true time.
-        holdings: Each new holding: since when (ns of true time), lease, holder, token.
-        acts: How often holders acted.
-        late_acts: Acts after the lease had ended, or passed to another.
-        fenced: Of these, rejected for their token.
+        breaches: Descriptions of the broken rules, with their true time.
+        holdings: Each new holding: its start (ns of true time), lease, holder and token.
+        acts: Number of acts of holders.
+        late_acts: Number of acts after the lease had ended or passed to another holder.
+        fenced: Number of acts that were rejected because of their token.
     """
 
     breaches: list[str] = field(default_factory=list)
@@ -51,11 +52,11 @@
 
 
 class VoterNode:
-    """A voter's process. Its state file is the simulation's.
+    """A voter's process. The simulation keeps its state file.
 
     Attributes:
         member: The voting member.
-        writing: The state that is being written.
+        writing: The state that is being written, or None.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         return self.member.due_ns
 
     def receive(self, message: Any, source: str, now: int) -> Outgoing:
-        """Takes a message with its digest; returns the responses."""
+        """Handles a message with its digest; returns the responses."""
         digest, message = message
         if digest != self.cluster.digest:
             return []
@@ -84,11 +85,11 @@
         return [(to, (digest, response)) for to, response in responses]
 
     def tick(self, now: int) -> Outgoing:
-        """Returns what its timer sends."""
+        """Returns the statuses that are due."""
         return [(to, (self.cluster.digest, status)) for to, status in self.member.tick(now)]
 
     def write(self) -> None:
-        """Begins to write a pending state."""
+        """Starts to write a pending state."""
         if self.member.pending_state is not None and self.member.pending_state is not self.writing:
             self.writing = self.member.pending_state
             self.simulation.write(self)
@@ -109,13 +110,14 @@
 
 
 class HolderNode:
-    """A process that acquires the lease, does its task, releases it, rests, and begins anew.
+    """A process that acquires the lease, runs its task, releases the lease, rests, and starts again.
 
     Attributes:
-        client: Its present client.
-        ends_ns: When its task ends, or its rest; None for neither.
-        seen_token: It found that it holds, under this token, and acts next; None for nothing.
-        act_ns: When it looks at the lease, or acts, next.
+        client: The present client.
+        ends_ns: When the task or the rest ends; None for neither.
+        seen_token: The token under which the last check found the lease held, until the process acts; None if
+            no act is pending.
+        act_ns: When the process next checks the lease or acts.
     """
 
     def __init__(self, simulation: LeaseSimulation, name: str, now: int) -> None:
@@ -137,14 +139,14 @@
         return min(due, default=None)
 
     def receive(self, message: Any, source: str, now: int) -> Outgoing:
-        """Takes a message with its digest; returns what is sent for it."""
+        """Handles a message with its digest; returns the messages to send in return."""
         digest, message = message
         if digest != self.cluster.digest or not isinstance(message, Response):
             return []
         return self._addressed(self.client.receive(message, now))
 
     def tick(self, now: int) -> Outgoing:
-        """Acts if that is due, and returns what its timers send."""
+        """Acts if an act is due; returns the messages that are due."""
         if self.seen_token is not None and now >= self.act_ns:
             self.simulation.acted(self.name, self.seen_token)
             self.seen_token = None
@@ -161,18 +163,18 @@
         return outgoing
 
     def begin_anew(self, now: int) -> None:
-        """Wants the lease again, with a new client."""
+        """Starts to acquire the lease again, with a new client."""
         self.ends_ns, self.client = None, self._new_client(now)
 
     def release(self, now: int) -> Outgoing:
-        """Ends its task, if it holds, and returns the release."""
+        """Ends the task and returns the release, if the lease is held."""
         if self.client.state is not ClientState.HOLDING:
             return []
         self._rest(now)
         return self._addressed([(None, self.client.release())])
 
     def _work(self, now: int) -> Outgoing:
-        """While it holds: looks at the lease and decides to act, or ends its task."""
+        """Checks the held lease and schedules an act, or ends the task."""
         timing = self.simulation.timing
         if self.ends_ns is None:
             self.ends_ns = now + int(timing.lease_ns * self.rng.uniform(*self.simulation.task))
@@ -211,30 +213,30 @@
 
 
 class LeaseSimulation(Simulation):
-    """One lease, its voters and its would-be holders, under a schedule.
+    """One lease, its voters and its contenders, under a schedule.
 
     Attributes:
         clusters: The configurations of the schedule.
-        state_files: What each voter has on disk.
+        state_files: The state that each voter has on disk.
         found: What was found so far.
-        held_tokens: Who holds now, and under which token.
+        held_tokens: The tokens of the present holders, by name.
         highest_token: The highest token of any holder so far.
-        store: The resource that tasks act on; it rejects tokens below the highest it has seen.
+        store: The resource that tasks act on; it rejects tokens below the highest that it has seen.
     """
 
     lease = "nightly"
     member_class: type[VotingMember] = VotingMember
     client_class: type[LeaseClient] = LeaseClient
     task: tuple[float, float] = TASK_LEASES
-    wait_timeouts: tuple[float | None, ...] = (None, None, 0, 1)  # in leases; None: for ever
+    wait_timeouts: tuple[float | None, ...] = (None, None, 0, 1)  # in leases; None for no limit
 
     def __init__(self, schedule: Schedule, timing: LeaseTiming, keep_trace: bool = False) -> None:
         """Prepares a run; `play` runs it.
 
         Args:
-            schedule: Nodes, faults, and the seed.
+            schedule: The nodes, the faults and the seed.
             timing: The timings of all configurations.
-            keep_trace: Whether each event is noted in `trace`.
+            keep_trace: Whether each event is recorded in `trace`.
         """
         self.timing = timing
         self.clusters = [
@@ -257,19 +259,19 @@
         return NonVoterNode()
 
     def write(self, node: VoterNode) -> None:
-        """Begins a write of a voter's state. A kill in between leaves the old state, or the new one."""
+        """Starts a write of a voter's state. A kill during the write leaves the old or the new state."""
         state = node.writing
-        assert state is not None  # its caller has just set it
+        assert state is not None  # `VoterNode.write` has just set it
         incarnation = self.slots[node.name].incarnation
         self.call_at(self.now + self.rng.randint(*WRITE_NS), self._written, node, state, incarnation)
 
     def node_killed(self, name: str, slot: NodeSlot, disk_lost: bool) -> None:
-        """Loses a killed voter's state file, where its disk is lost as well."""
+        """Deletes a killed voter's state file if its disk is lost as well."""
         if disk_lost:
             self.state_files.pop(name, None)
 
     def node_step(self, step: Step) -> None:
-        """Carries out a step that concerns a holder: it releases the lease, or wants it again at once."""
+        """Applies a step to a holder, which releases the lease or starts to acquire it immediately."""
         slot = self.slots[step.who]
         if isinstance(slot.node, HolderNode) and not slot.stopped:
             if step.what == StepKind.RELEASE:
@@ -279,7 +281,7 @@
                 self._schedule_tick(step.who)
 
     def acted(self, name: str, token: int) -> None:
-        """Notes that a task has acted on the store, under a token."""
+        """Records that a task has acted on the store, under a token."""
         self.findings.acts += 1
         if self.held_tokens.get(name) != token:
             self.findings.late_acts += 1
@@ -306,7 +308,7 @@
         self.held_tokens = held
 
     def _written(self, node: VoterNode, state: PersistentState, incarnation: int) -> None:
-        """A write has ended, or was under way when its voter was killed."""
+        """Ends a write. If its voter was killed during the write, the new state is kept at random."""
         slot = self.slots[node.name]
         alive = slot.incarnation == incarnation and slot.node is node
         if alive or (slot.node is None and slot.incarnation == incarnation and self.rng.random() < 0.5):
@@ -332,7 +334,7 @@
 def simulate(
     schedule: Schedule, timing: LeaseTiming, simulation_class: type[LeaseSimulation] = LeaseSimulation
 ) -> Findings:
-    """Runs a schedule, and returns what was found."""
+    """Runs a schedule and returns the findings."""
     simulation = simulation_class(schedule, timing)
     simulation.play()
     return simulation.findings
--- a/lanelift/leases/supervisor.py
+++ b/lanelift/leases/supervisor.py
@@ -1,8 +1,8 @@
-"""Tasks of the fleet in `lanelift serve`: each is run by one member at a time, whoever holds its lease.
+"""The fleet's tasks in `lanelift serve`: each is run by one member at a time, the holder of its lease.
 
-A member that holds the lease keeps it from run to run, so that the pause between two runs is one over the
-whole fleet. When it dies or is cut off, the next waiter begins, with a run at once, since nobody knows
-whether the last one was completed. A task must tolerate that.
+The holder keeps the lease from run to run, so that the pause between two runs applies to the whole fleet.
+When the holder dies or is cut off, the next waiter gets the lease and runs the task immediately, since no
+member knows whether the last run was completed. A task must tolerate that.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from lanelift.leases.client import ClientState
 from lanelift.leases.holder import LeaseHolder
 
-MIN_BACKOFF_S = 1.0  # until a task that could not hold is tried again
-MAX_BACKOFF_S = 60.0  # doubled each time up to this: a fleet without a majority is asked by all its tasks
+MIN_BACKOFF_S = 1.0  # before a task that failed, or did not get or keep its lease, is tried again
+MAX_BACKOFF_S = 60.0  # limit of the doubling: without a majority, all tasks keep sending requests
 
 
 @dataclass(frozen=True, slots=True)
 class FleetTask:
-    """A command that one member at a time runs, again and again.
+    """A command that one member at a time runs repeatedly.
 
     Attributes:
-        name: Of the task, and of its lease.
+        name: Name of the task and of its lease.
         command: Program and arguments.
-        every_s: Seconds from its last end to its next start.
+        every_s: Seconds from the end of a run to the start of the next one.
     """
 
     name: str
@@ -54,10 +54,10 @@
 
         Args:
             cluster: The fleet.
-            member: This member's id, as whom the leases are held.
+            member: This member's id, under which the leases are held.
             clock: This member's clock.
-            transport: The member's socket, whose responses are passed to `receive`.
-            tasks: What is to be run.
+            transport: The member's socket, whose responses the caller passes to `receive`.
+            tasks: The tasks to run.
             log: A logger.
         """
         self.cluster, self.member, self.clock = cluster, member, clock
@@ -71,19 +71,19 @@
         self._running = [loop.create_task(self._supervise(task)) for task in self.tasks]
 
     async def close(self) -> None:
-        """Ends what runs, and releases the leases."""
+        """Ends the running commands, and releases the leases."""
         for running in self._running:
             running.cancel()
         await asyncio.gather(*self._running, return_exceptions=True)
 
     def receive(self, message: Response, source: Address) -> None:
-        """Passes a voter's response to the holder that it is for."""
+        """Passes a voter's response to the holder with its nonce."""
         holder = self._holder_by_nonce.get(message.nonce)
         if holder is not None:
             holder.receive(message, source)
 
     async def _supervise(self, task: FleetTask) -> None:
-        """Acquires a task's lease and runs it, again and again, with backoff."""
+        """Repeatedly acquires a task's lease and runs the task, with backoff in between."""
         backoff_s = MIN_BACKOFF_S
         while True:
             holder = LeaseHolder(
@@ -96,7 +96,7 @@
                     if await holder.acquire():
                         backoff_s = MIN_BACKOFF_S
                         await self._run_while_held(task, holder)
-            except Exception as error:  # whatever it is: it is logged, and the task tried again
+            except Exception as error:  # any error is logged, and the task is tried again
                 self.log.error("fleet_task_failed", task=task.name, error=repr(error))
             finally:
                 del self._holder_by_nonce[nonce]
--- a/lanelift/leases/warden.py
+++ b/lanelift/leases/warden.py
@@ -1,8 +1,9 @@
-"""The former name of `watchdog.py`, kept as a module to be started: `python -m lanelift.leases.warden`.
+"""The former name of `watchdog.py`, kept as an entry point: `python -m lanelift.leases.warden`.
 
-A holder of an earlier release starts its watchdog under this name, also after the files were replaced by this
-release's; and a holder of this release does, also after they were replaced by an earlier one's. Without it
-the command would not be run, or not under its deadlines.
+A holder starts its watchdog under this name, because the files may have been replaced by those of another
+software version while the holder runs. Holders of earlier versions find this module in the files of this
+version, and holders of this version find it in the files of earlier ones. Without it the command would not be
+run, or would run without its deadlines.
 """
 
 from __future__ import annotations
--- a/lanelift/leases/watchdog.py
+++ b/lanelift/leases/watchdog.py
@@ -2,24 +2,24 @@
 
     python -m lanelift.leases.warden TERM_NS KILL_NS COMMAND...
 
-It is started under the name of `warden.py`, which runs this module: files of earlier releases have that name,
-too, so that a holder finds its watchdog also after the files were replaced by another release's.
+The holder starts it through `warden.py`, which runs this module. Earlier software versions have a module of
+that name too, so a holder finds its watchdog even after its files were replaced by those of another version.
 
-TERM_NS and KILL_NS are times of the machine's CLOCK_BOOTTIME in nanoseconds. At the first the command's
-process group is sent SIGTERM, at the second SIGKILL, whether the lease holder runs, is stopped or is gone.
-The holder writes later deadlines to standard input, one line `TERM_NS KILL_NS` for each renewal. Both are
-there from the start since a holder may be stopped before it can write any. The end of standard input is
-SIGTERM at once. The command's process id is written to standard output.
+TERM_NS and KILL_NS are times of the machine's CLOCK_BOOTTIME in nanoseconds. At TERM_NS the command's process
+group is sent SIGTERM, and at KILL_NS SIGKILL, whether the lease holder is running, stopped or gone. For each
+renewal the holder writes later deadlines to standard input, as one line `TERM_NS KILL_NS`. The first
+deadlines are arguments since a holder may be stopped before it can write any. The end of standard input makes
+the watchdog send SIGTERM immediately. The watchdog writes the command's process id to standard output.
 
-If the watchdog is killed, the kernel kills its direct child, the command (PR_SET_PDEATHSIG); the rest of the
-command's process group is killed by the holder (`LeaseHolder`), if that is there and runs.
+If the watchdog is killed, the kernel kills its direct child, the command (PR_SET_PDEATHSIG); the holder
+(`LeaseHolder`), if it is running, kills the rest of the command's process group.
 
-What it can't do: a process that the command moved to another session is not ended with the group; and while
-the watchdog and the holder are both stopped (SIGSTOP, or Ctrl-Z on the job of both), nothing ends the
-command, which runs in a session of its own. Such tasks need the token.
+Limits: a process that the command moved to another session is not ended with the group. While the watchdog
+and the holder are both stopped (SIGSTOP, or Ctrl-Z on the job of both), nothing ends the command, which runs
+in a session of its own. Tasks for which this matters need the fencing token.
 
-Exit code: the command's own, 128 and the signal's number for a command that a signal ended, and 75
-(EX_TEMPFAIL) where the watchdog ended it.
+Exit code: the command's own; 128 plus the signal's number if a signal ended the command; 75 (EX_TEMPFAIL) if
+the watchdog ended it.
 """
 
 from __future__ import annotations
@@ -34,30 +34,30 @@
 from contextlib import suppress
 
 NOT_HELD = 75  # EX_TEMPFAIL of sysexits.h: try again
-NO_COMMAND = 127  # as shells say it
-SIGNAL_EXIT_CODE = 128  # and the signal's number, as shells say it
+NO_COMMAND = 127  # the command could not be started, as in shells
+SIGNAL_EXIT_CODE = 128  # plus the signal's number, as in shells
 PR_SET_PDEATHSIG = 1  # prctl(2)
-POLL_S = 0.05  # at the command, where no event wakes us: a waiting child can't be selected on
+POLL_S = 0.05  # interval at which the command is polled: `select` can't wait for the end of a child
 MAX_READ_BYTES = 4096  # of standard input at a time
 STDIN = 0
 
 
 def main(term_ns: int, kill_ns: int, command: list[str]) -> int:
-    """Runs a command under deadlines; returns the exit code of this process.
+    """Runs a command under deadlines; returns the exit code for this process.
 
     Args:
-        term_ns: When SIGTERM is sent, as CLOCK_BOOTTIME.
-        kill_ns: When SIGKILL is sent.
+        term_ns: When SIGTERM is sent, on CLOCK_BOOTTIME.
+        kill_ns: When SIGKILL is sent, on CLOCK_BOOTTIME.
         command: Program and arguments.
     """
     if time.clock_gettime_ns(time.CLOCK_BOOTTIME) >= term_ns:
         return NOT_HELD
-    libc = ctypes.CDLL(None, use_errno=True)  # before the fork: nothing may be loaded after it
+    libc = ctypes.CDLL(None, use_errno=True)  # loaded before the fork, since loading is unsafe after it
     watchdog_pid = os.getpid()
 
     def die_with_watchdog() -> None:
         libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
-        if os.getppid() != watchdog_pid:  # it died between the fork and the call
+        if os.getppid() != watchdog_pid:  # the watchdog died between the fork and the call
             os._exit(NOT_HELD)
 
     try:
@@ -82,13 +82,13 @@
     """Enforces the deadlines of one running command.
 
     Attributes:
-        term_ns: When SIGTERM is sent, as CLOCK_BOOTTIME; None once it was.
-        kill_ns: When SIGKILL is sent; None once it was.
+        term_ns: When SIGTERM is sent, on CLOCK_BOOTTIME; None after it was sent.
+        kill_ns: When SIGKILL is sent, on CLOCK_BOOTTIME; None after it was sent.
         ended_command: Whether this watchdog has begun to end the command.
     """
 
     def __init__(self, child: subprocess.Popen[bytes], term_ns: int, kill_ns: int) -> None:
-        """Takes over the signals of this process.
+        """Installs the signal handlers of this process.
 
         Args:
             child: The command, leader of its process group.
@@ -109,11 +109,11 @@
         signal.signal(signal.SIGCHLD, lambda number, frame: None)
 
     def run(self) -> int:
-        """Waits for the command's end, and enforces the deadlines; returns the exit code."""
+        """Waits for the command to end and enforces its deadlines; returns the exit code."""
         while True:
             code = self.child.poll()
             if code is not None:
-                self._signal_group(signal.SIGKILL)  # what is left of its group must not outlive the lease
+                self._signal_group(signal.SIGKILL)  # the rest of the group must not outlive the lease
                 return self._exit_code(code)
             self._enforce(time.clock_gettime_ns(time.CLOCK_BOOTTIME))
             files = [self._wakeup] + ([STDIN] if self._stdin_open else [])
@@ -136,7 +136,7 @@
         return min(POLL_S, max(0.0, (min(due) - time.clock_gettime_ns(time.CLOCK_BOOTTIME)) / 1e9))
 
     def _receive(self, data: bytes) -> None:
-        """Takes what the holder wrote: later deadlines, or the end of the input."""
+        """Handles input from the holder: later deadlines, or the end of the input."""
         if not data:
             self._stdin_open = False
             if not self.ended_command:
@@ -144,11 +144,11 @@
             return
         *lines, self._partial_input = (self._partial_input + data).split(b"\n")
         for line in lines:
-            if not self.ended_command:  # a command that was told to end is not given more time
+            if not self.ended_command:  # a command that is being ended gets no later deadline
                 self.term_ns, self.kill_ns = map(int, line.split())
 
     def _enforce(self, now: int) -> None:
-        """Sends what is due."""
+        """Sends the signals that are due."""
         if self.term_ns is not None and now >= self.term_ns:
             self._end_command()
         if self.kill_ns is not None and now >= self.kill_ns:
