--- a/tests/pinned/__init__.py
+++ b/tests/pinned/__init__.py
@@ -1,8 +1,8 @@
-"""What outsiders read, pinned: bytes, keys, flags and answers.
+"""Pins the outer interfaces: bytes, keys, flags and answers.
 
-Outsiders are the platform and its clients, operators and their files and scripts, processes of another
-release, a state file on a disk, and the recorded traces of seeded schedules. The tests here hold literal
-bytes and words, and name nothing of `lanelift`: only `names.py` and `settings_names.py` do.
-Whoever renames something in `lanelift` changes these two and nothing else in this package; a test that then
-fails has found a change of what the software does.
+These are read by the platform and its clients, by operators with their files and scripts, by processes of
+another release and by state files on a disk, and they determine the recorded traces of seeded schedules. The
+tests contain literal bytes and words, and no names of `lanelift`: only `names.py` and `settings_names.py` do.
+After a rename in `lanelift`, change these two modules and nothing else in this package. If a test then fails,
+the behaviour of the software has changed.
 """
--- a/tests/pinned/beat.py
+++ b/tests/pinned/beat.py
@@ -1,7 +1,7 @@
-"""A task that tells when it acts: `python beat.py FILE [stubborn]`. It imports nothing of lanelift.
+"""A task that records when it acts: `python beat.py FILE [stubborn]`. It imports nothing of lanelift.
 
 Each act is one line, `TOKEN TIME PID`, in one write; times are of CLOCK_BOOTTIME, which all processes of the
-machine share. It acts until SIGTERM; the stubborn one heeds none.
+machine share. The task acts until SIGTERM; with `stubborn` it ignores SIGTERM.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def main(path: str, stubborn: bool) -> None:
-    """Acts and says so, until it is ended."""
+    """Acts periodically and records each act, until the process is ended."""
     file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
     token, ended = os.environ["LANELIFT_LEASE_TOKEN"], []
     signal.signal(signal.SIGTERM, lambda number, frame: None if stubborn else ended.append(number))
--- a/tests/pinned/ends.py
+++ b/tests/pinned/ends.py
@@ -1,4 +1,4 @@
-"""Both ends of a balancer's sockets, by raw bytes: an upstream that answers as it is told, and a client."""
+"""Both ends of a balancer's sockets, in raw bytes: an upstream with prepared answers, and a client."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 WAIT_S = 30
 MOST = 1 << 20  # bytes of a message
-SILENT = b""  # in the place of an answer: none ever
+SILENT = b""  # in place of an answer: the upstream never answers
 READY = b"GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n"
-RESET = b"reset"  # none, and the connection is closed
+RESET = b"reset"  # in place of an answer: the connection is closed
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
@@ -30,7 +30,7 @@
 
 
 async def read_whole(reader: asyncio.StreamReader) -> bytes:
-    """One message: its head, and its body by length, by chunks, or up to the connection's end."""
+    """Reads one message: its head, and its body by length, by chunks, or up to the connection's end."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = re.search(rb"\r\ncontent-length: *(\d+)\r\n", head, re.IGNORECASE)
     if head.startswith(b"HTTP/1.1 100"):
@@ -43,7 +43,7 @@
 
 
 class Upstream:
-    """Answers each request by its X-Request-Id, or else with 200, and keeps what it is sent."""
+    """Answers each request by its X-Request-Id, or else with 200, and keeps the requests received."""
 
     def __init__(self, answers: dict[str, bytes]) -> None:
         self.answers = answers
@@ -77,7 +77,7 @@
 
 
 async def ask(address: tuple[str, int], *requests: bytes) -> list[str]:
-    """The answers to these on one connection, and at last whether the other end then closed it."""
+    """Returns the answers to these requests on one connection, and whether the balancer then closed it."""
     async with asyncio.timeout(WAIT_S):
         reader, writer = await asyncio.open_connection(*address, limit=MOST)
         found = []
@@ -101,7 +101,7 @@
 async def balancer(
     folder: Path, config: dict[str, Any], *command: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """`python -m lanelift` with this configuration, once its operators' address says that it can serve."""
+    """Runs `python -m lanelift` with this configuration; yields when its operators' address is ready."""
     path = folder / f"{free_port()}.json"
     path.write_text(json.dumps(config))
     words = command or (sys.executable, "-m", "lanelift")
--- a/tests/pinned/forking.py
+++ b/tests/pinned/forking.py
@@ -1,9 +1,8 @@
-"""Runs one program many times: it is imported once, and each run is a process forked from that.
+"""Runs one program many times: it is imported once, and each run is a process that is forked afterwards.
 
-A program of its own, started by `processes.py`. Standard input: a JSON object with `module` (run as
-`python -m` would) or `script` (a console script of pyproject.toml), `warm` (arguments of runs whose results
-are thrown away, and whose imports stay) and `runs`. Standard output: for each run its exit code and what it
-wrote.
+`processes.py` starts this program. Its standard input is a JSON object with `module` (run as by `python -m`)
+or `script` (a console script of pyproject.toml), `warm` (arguments of runs whose results are discarded, and
+whose imports stay) and `runs`. Its standard output has the exit code and the output of each run.
 """
 
 from __future__ import annotations
--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -1,7 +1,7 @@
-"""The only file of this package that names classes, modules, functions and fields of lanelift.
+"""The only module of this package that uses classes, modules, functions and fields of lanelift.
 
-Every function takes and gives plain data: words, numbers, bytes, tuples and dicts. Follow a rename here;
-never change what goes in or comes out.
+All arguments and results are plain data: words, numbers, bytes, tuples and dicts. Apply renames of lanelift
+here, and never change arguments or results.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from lanelift.membership.simulation import MembershipSimulation, membership_schedule
 from lanelift.membership.timing import ProbeTiming
 
-# Modules that are started by their path while another release runs: this path must stay.
+# A module that other releases start by its path: the path must not change.
 WARDEN_MODULE = "lanelift.leases.warden"
 
 # Fleet messages.
@@ -37,11 +37,11 @@
     "release": messages.Release,
     "answer": messages.Response,
     "look": messages.ListLeases,
-    "seen": messages.LeaseStatus,  # a row of a view, and no message of its own
+    "seen": messages.LeaseStatus,  # a row of a view, not a message
     "view": messages.LeaseList,
     "hello": messages.VoterStatus,
 }
-# What each position on the wire means, by the name of its field. A rename changes a word here, and no order.
+# The field at each position on the wire. A rename changes a word here, but not the order.
 FLEET_FIELDS: dict[str, tuple[str, ...]] = {
     "ask": ("lease", "ballot", "nonce", "proposer", "request_id", "waited_ns", "wants_queue"),
     "take": ("lease", "ballot", "nonce", "proposer", "request_id"),
@@ -62,7 +62,7 @@
 
 
 def plain(value: Any) -> Any:
-    """Structs, lists and named tuples become tuples, and enums their values."""
+    """Converts structs, lists and named tuples to tuples, and enums to their values."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, msgspec.Struct):
@@ -73,22 +73,22 @@
 
 
 def kind_of(message: msgspec.Struct) -> str:
-    """The word of its kind."""
+    """Returns the word for a message's kind."""
     return next(word for word, struct in FLEET_KINDS.items() if type(message) is struct)
 
 
 def message_kinds() -> set[str]:
-    """The words of all kinds that may come as a message."""
+    """Returns the words for all kinds of messages."""
     return set(FLEET_KINDS) - {"seen"}
 
 
 def verdict_words() -> tuple[str, ...]:
-    """Every verdict that this release sends, as its word on the wire."""
+    """Returns every verdict that this release sends, as its word on the wire."""
     return tuple(plain(verdict) for verdict in VERDICTS)
 
 
 def made_message(kind: str, *values: Any) -> Any:
-    """A message from its values in the order of the wire; those left out at the end are its defaults."""
+    """Returns a message with these values, in the order of the wire; missing ones at the end are defaults."""
     about = dict(zip(FLEET_FIELDS[kind], values, strict=False))
     if kind == "view":
         about["leases"] = [made_message("seen", *row) for row in about["leases"]]
@@ -96,18 +96,18 @@
 
 
 def encode_fleet(digest: bytes, kind: str, *values: Any) -> bytes:
-    """A fleet message as a datagram."""
+    """Encodes a fleet message as a datagram."""
     return codec.encode(digest, made_message(kind, *values))
 
 
 def decode_fleet(data: bytes) -> tuple[bytes, str, tuple[Any, ...]]:
-    """The digest of the plan, the kind, and the values of all fields, defaults among them."""
+    """Decodes a datagram: the digest of the plan, the kind, and the values of all fields with defaults."""
     digest, message = codec.decode(data)
     return digest, kind_of(message), plain(message)
 
 
 def fleet_refusal(data: bytes) -> tuple[str, str]:
-    """Why a datagram is dropped: "garbage" (or "unknown": a later release's, maybe), and the reason word."""
+    """Returns why a datagram is dropped: "garbage", or "unknown" (of a later release), and the reason."""
     try:
         codec.decode(data)
     except codec.MessageDecodeError as error:
@@ -124,7 +124,7 @@
     drift: float = 0.001,
     others: Iterable[str] = (),
 ) -> ClusterConfiguration:
-    """`others` are members that do not vote."""
+    """Returns a plan; `others` are members that do not vote."""
     rows = [Member(id, ("127.0.0.1", 7000)) for id in voters]
     rows += [Member(id, ("127.0.0.1", 7000), "west", votes=False) for id in others]
     timing = LeaseTiming(
@@ -138,7 +138,7 @@
 
 
 def default_plan_digest(name: str, voters: Iterable[str]) -> bytes:
-    """With the timings that hold where the operator's file gives none."""
+    """Returns the digest of a plan with the default timings of the operator's file."""
     return ClusterConfiguration(name, tuple(Member(id, ("127.0.0.1", 7000)) for id in voters)).digest
 
 
@@ -148,7 +148,7 @@
 def encode_gossip(
     kind: int, sender: int, incarnation: int, number: int, about: int, updates: Iterable[Sequence[int]] = ()
 ) -> bytes:
-    """`updates`: whom, which state, under which incarnation, seen by whom."""
+    """Encodes a membership message; an update is a member, its state, its incarnation, and the observer."""
     message = gossip.GossipMessage(
         kind=gossip.MessageKind(kind),
         sender=sender,
@@ -168,7 +168,7 @@
 
 
 def decode_gossip(data: bytes) -> tuple[Any, ...] | None:
-    """Kind, sender, incarnation, number, about whom, updates; None for what can't be read."""
+    """Decodes a message: kind, sender, incarnation, number, subject, updates; None if it is invalid."""
     said = gossip.decode(data)
     if said is None:
         return None
@@ -177,12 +177,12 @@
 
 
 def gossip_words() -> tuple[set[int], set[int]]:
-    """The numbers of all kinds and of all states."""
+    """Returns the numbers of all kinds and of all states."""
     return {kind.value for kind in gossip.MessageKind}, {state.value for state in gossip.MemberState}
 
 
 def update_replaces(update: Sequence[int], known: Sequence[int]) -> bool:
-    """Does an update take the place of what is known of the same member?"""
+    """Returns whether an update replaces the known state of the same member."""
     return gossip.supersedes(_update(update), _update(known))
 
 
@@ -212,7 +212,7 @@
 
 
 def write_state(folder: Path, member: str, values: Mapping[str, Any]) -> None:
-    """Writes a voter's state, under the keys of the file."""
+    """Writes a voter's state, given by the keys of the file."""
     state_file = StateFile(folder, member)
     try:
         state_file.write(_kept(values))
@@ -221,7 +221,7 @@
 
 
 def read_state(folder: Path, member: str) -> dict[str, Any] | None:
-    """What a voter's state file says, by its keys; None where there is none."""
+    """Returns the content of a voter's state file, by its keys; None if there is no file."""
     state_file = StateFile(folder, member)
     try:
         kept = state_file.read()
@@ -231,7 +231,7 @@
 
 
 def state_refusal(folder: Path, member: str) -> str:
-    """The text under which a state file, or its folder, is refused."""
+    """Returns the error text with which a state file, or its folder, is refused."""
     try:
         state_file = StateFile(folder, member)
     except VoterStateError as error:
@@ -246,7 +246,7 @@
 
 
 def locked_state(folder: Path, member: str) -> str:
-    """The text under which a second process with the same id is refused."""
+    """Returns the error text with which a second process with the same id is refused."""
     state_file = StateFile(folder, member)
     try:
         return state_refusal(folder, member)
@@ -262,12 +262,12 @@
     heard: Iterable[Mapping[str, Any]] = (),
     wanted: int = 0,
 ) -> tuple[bool, int | None, int]:
-    """Starts a voter on its state file and lets it hear others; what it wants on state_file is written there.
+    """Starts a voter on its state file and passes answers of other voters to it; its writes go to the file.
 
-    `heard`: others' answers as dicts with the keys voter, voting, blank, floor and left; `wanted`: a ballot
-    for which it makes room on state_file afterwards, where that is not 0. Gives whether it may
-    vote, until when it is silent (ns after its start), and the ballot above which it votes. Raises ValueError
-    with the text of a refusal.
+    `heard`: the answers as dicts with the keys voter, voting, blank, floor and left. `wanted`: a ballot for
+    which the voter reserves a block in the file afterwards; 0: none. Returns whether the voter may vote,
+    until when it is silent (ns after its start), and the ballot above which it votes. Raises ValueError with
+    the text of a refusal.
     """
     plan = made_plan(voters, "trust", lease_ms * MS, 10 * MS, 100 * MS)
     state_file = StateFile(folder, member)
@@ -301,11 +301,11 @@
     raise AssertionError(f"the state is written without end: {recovery.pending_state}")
 
 
-# Traces of schedules. A line is: true time in ns, what, and about whom; messages as their bytes.
+# Traces of schedules. A line has the true time in ns, the event and its subject; messages are bytes.
 
 
 class TracedLeases(LeaseSimulation):
-    """Leases in simulated time, noting what an observer outside of all processes would see."""
+    """Simulates leases and records the events that an observer outside of all processes would see."""
 
     def __init__(self, schedule: Schedule, timing: LeaseTiming) -> None:
         self.lines: list[str] = []
@@ -352,9 +352,9 @@
 
 
 def play_lease_schedule(seed: int) -> list[str]:
-    """The whole trace: the schedule as its file has it, all events, and what the judge counted.
+    """Returns the whole trace: the schedule as in its file, all events, and the counts of the judge.
 
-    Voters are 3 or 5, contenders 2 to 4; every fourth schedule changes the list of voters on the way.
+    There are 3 or 5 voters and 2 to 4 contenders; every fourth schedule changes the list of voters.
     """
     timing = LeaseTiming(lease_ns=1000 * MS, response_timeout_ns=60 * MS, stop_margin_ns=200 * MS, drift=0.01)
     schedule = random_schedule(
@@ -368,7 +368,7 @@
 
 
 class TracedMembers(MembershipSimulation):
-    """Membership in simulated time, noting messages, starts, deaths and each change of a view."""
+    """Simulates membership and records messages, starts, deaths and each change of a view."""
 
     def __init__(self, schedule: Schedule, zones: Sequence[str], timing: ProbeTiming) -> None:
         self.lines: list[str] = []
@@ -395,7 +395,7 @@
         super()._apply_step(step)
 
     def _leave(self, name: str) -> None:
-        """An event of this world alone: a member says that it leaves, and is gone."""
+        """Lets a member announce that it leaves, and end; only this simulation has this event."""
         detector = self.detector(int(name))
         if detector is not None:
             self.line("leave", name)
@@ -412,7 +412,7 @@
 
 
 def play_membership(seed: int) -> list[str]:
-    """8 to 12 members in three zones for 60 s: deaths, returns, cuts, slow members, one that leaves."""
+    """Returns a trace of 8 to 12 members in three zones for 60 s: deaths, returns, cuts, delays, a leave."""
     rng = random.Random(seed)
     count = 8 + seed % 5
     schedule = membership_schedule(
--- a/tests/pinned/processes.py
+++ b/tests/pinned/processes.py
@@ -1,7 +1,7 @@
-"""Starts the programs as their users do, and compares what they say with the files in `golden/` and `help/`.
+"""Starts the programs as users do, and compares their output with the files in `golden/` and `help/`.
 
-Whatever differs from such a file is a change of what outsiders read: it is mended in the code. A file is
-changed by hand, and only together with the page for operators that says so.
+A difference from such a file is a change of an outer interface, and is corrected in the code. A file is
+changed only by hand, together with the page for operators that describes it.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Done:
-    """How it ended."""
+    """The exit code and the output of a run."""
 
     code: int
     out: str
@@ -41,7 +41,7 @@
 
 
 def clean_environ(**more: str) -> dict[str, str]:
-    """This process's variables, but none that tells the programs something; the tree's code comes first."""
+    """Returns the environment without variables that the programs read; the tree's code is imported first."""
     kept = {k: v for k, v in os.environ.items() if not k.startswith(("BALANCER_", "LANELIFT_", "_LANELIFT"))}
     path = os.pathsep.join(filter(None, (str(ROOT), os.environ.get("PYTHONPATH", ""))))
     return {**kept, "PYTHONPATH": path, "COLUMNS": "80", "PYTHONHASHSEED": "0", **more}
@@ -64,7 +64,7 @@
 def run_many(
     runs: Iterable[Run], cwd: Path, *, module: str = "", script: str = "", warm: Iterable[str] = ()
 ) -> list[Done]:
-    """As `run` for each, in much less time: see `forking.py`."""
+    """Does the same as `run` for each run, in much less time: see `forking.py`."""
     told: dict[str, Any] = {
         **({"module": module} if module else {"script": script}),
         "warm": [words.split() for words in warm],
@@ -78,19 +78,19 @@
 
 
 def same_as_kept(name: str, found: str) -> None:
-    """What is found must be, to the last character, what the file of this name holds."""
+    """Asserts that a text is equal to the content of the file of this name."""
     kept = (KEPT / name).read_text(encoding="utf-8")
     lines = difflib.unified_diff(kept.splitlines(), found.splitlines(), name, "found", lineterm="", n=1)
     assert found == kept, "\n".join(lines)
 
 
 def as_lines(rows: object) -> str:
-    """Whatever JSON can hold, for a file that people can read the differences of."""
+    """Returns a value as JSON, in lines whose differences are easy to read."""
     return json.dumps(rows, indent=1, ensure_ascii=False) + "\n"
 
 
 def as_toml(table: dict[str, Any]) -> str:
-    """A TOML file of these keys, each on a line of its own."""
+    """Returns a TOML file with these keys, each on a line of its own."""
     return "".join(f"{key} = {_value(value)}\n" for key, value in table.items())
 
 
@@ -103,7 +103,7 @@
 
 
 def changed(value: Any, leaf: Any) -> Any:
-    """The same tables with `leaf` in the place of each key's own value."""
+    """Returns the same tables with `leaf` in place of the value of each key."""
     if isinstance(value, dict):
         return {key: changed(each, leaf) for key, each in value.items()}
     if isinstance(value, list) and value and isinstance(value[0], dict):
@@ -112,7 +112,7 @@
 
 
 def with_keys(value: Any, more: dict[str, Any] | None) -> Any:
-    """The same tables with `more` keys in each; None: each key misspelt beside itself."""
+    """Returns the same tables with `more` keys in each; None: with a misspelt copy of each key."""
     if isinstance(value, list):
         return [with_keys(each, more) for each in value]
     if not isinstance(value, dict):
--- a/tests/pinned/releases.py
+++ b/tests/pinned/releases.py
@@ -1,8 +1,8 @@
 """A fleet whose members and holders are processes of different releases, on loopback.
 
 A release is a folder with a package `lanelift`, first on the PYTHONPATH of its processes. Nothing of lanelift
-is imported here: members are started, asked and judged by what operators have, the commands, the file, the
-answers to `GET /api/leases`, and what the tasks wrote of when they acted.
+is imported here. Members are started and checked only by means that operators have: the commands, the file,
+the answers to `GET /api/leases`, and the times that the tasks record for their acts.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 ROOT = Path(__file__).parents[2]
 BEAT = Path(__file__).with_name("beat.py")
-BEFORE = "e44f7ed"  # the commit whose behaviour is pinned
+BEFORE = "e44f7ed"  # the commit of the previous release, whose behaviour is pinned
 LOOPBACK = "127.0.0.1"
-WITHIN_S = 20.0  # an event that has not come by then is missed
+WITHIN_S = 20.0  # the longest wait for an event
 LOOK_S = 0.01
 
 
 def export_before(folder: Path) -> Path:
-    """The release before, from the repository's history. Fails the test where the clone does not have it."""
+    """Exports the previous release from the repository's history. Fails the test if the clone lacks it."""
     command = ["git", "-C", str(ROOT), "archive", "--format=tar", BEFORE, "lanelift"]
     done = subprocess.run(command, capture_output=True, check=False)
     if done.returncode != 0:
@@ -49,7 +49,7 @@
 
 
 def copy_present(folder: Path) -> Path:
-    """The present code's package, in a folder of its own."""
+    """Copies the package of the present code to a folder of its own."""
     shutil.copytree(ROOT / "lanelift", folder / "lanelift", ignore=shutil.ignore_patterns("__pycache__"))
     return folder
 
@@ -66,7 +66,7 @@
 
 
 def free_ports(kind: socket.SocketKind, count: int) -> list[int]:
-    """Ports that nobody uses now."""
+    """Returns ports that are not in use."""
     sockets = [socket.socket(socket.AF_INET, kind) for _ in range(count)]
     for each in sockets:
         each.bind((LOOPBACK, 0))
@@ -77,9 +77,9 @@
 
 
 class Fleet:
-    """Members a, b and c and any number of holders of one lease. Use in a `with`: it ends what it started.
+    """Members a, b and c and any number of holders of one lease. A context manager that ends its processes.
 
-    `lease_ms` and the other timings are those of `TIMES`; a voter that was started is silent for a lease.
+    `lease_ms` and the other timings are those of `TIMES`; after its start, a voter is silent for a lease.
     """
 
     TIMES = "lease_ms = 1000\nanswer_ms = 60\nmargin_ms = 300\ndrift_ppm = 1000\n"
@@ -88,7 +88,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.releases: dict[str, Path] = {}  # of the last start
+        self.releases: dict[str, Path] = {}  # the release of the last start
         self.starts: dict[str, int] = {}
         self.ports = dict(zip(self.VOTERS, free_ports(socket.SOCK_DGRAM, 3), strict=True))
         listens = free_ports(socket.SOCK_STREAM, 6)
@@ -113,7 +113,7 @@
             if process.poll() is None:
                 process.kill()
             process.wait()
-        for stay in self.stays():  # a guard that failed leaves its task: none may outlive the test
+        for stay in self.stays():  # a watchdog that failed leaves its task, which must not outlive the test
             if alive(stay):
                 os.kill(stay.pid, signal.SIGKILL)
 
@@ -123,7 +123,7 @@
         command = [sys.executable, "-c", "from lanelift.cli.main import main; main()", *words]
         environment = {**os.environ, "PYTHONPATH": str(release)}
         with (self.folder / f"{name}-{number}.log").open("wb") as log:
-            # The folder of the fleet is the working folder: no other package `lanelift` is found there.
+            # The working folder is that of the fleet, which has no other package `lanelift` to be imported.
             self.processes[name] = subprocess.Popen(
                 command,
                 cwd=self.folder,
@@ -138,7 +138,7 @@
         self._start(name, release, "serve", "--config", str(self.folder / f"{name}.toml"))
 
     def holder(self, name: str, release: Path, *words: str) -> None:
-        """Starts one that waits for the lease and then runs its task (`beat.py` with these words)."""
+        """Starts a holder that waits for the lease and then runs its task (`beat.py` with these words)."""
         number = self.starts.get(name, 0) + 1
         beats = str(self.folder / f"{name}-{number}.beats")
         task = [sys.executable, str(BEAT), beats, *words]
@@ -148,11 +148,11 @@
         )
 
     def signal(self, name: str, number: int) -> None:
-        """To one process alone."""
+        """Sends a signal to a single process, not to its children."""
         self.processes[name].send_signal(number)
 
     def ended(self, name: str) -> int:
-        """Waits for a process's end; its exit code."""
+        """Waits for the end of a process, and returns its exit code."""
         try:
             return self.processes[name].wait(WITHIN_S)
         except subprocess.TimeoutExpired:
@@ -167,22 +167,22 @@
             time.sleep(LOOK_S)
 
     def until_voting(self, *voters: str) -> None:
-        """Until these members vote."""
+        """Waits until these members vote."""
         for voter in voters:
             self.until(f"{voter} votes", lambda voter=voter: self.votes(voter))  # type: ignore[misc]
 
     def until_acts(self, *names: str) -> str:
-        """Until the task of the last start of one of these has acted; which."""
+        """Waits until the last started task of one of these holders has acted, and returns the holder."""
         self.until(f"one of {names} acts", lambda: any(map(self.acts, names)))
         return next(filter(self.acts, names))
 
     def until_bound(self, name: str) -> None:
-        """Until each member says that it is bound to this holder: releases understand each other."""
+        """Waits until each member reports that it is bound to this holder, over releases."""
         for voter in self.VOTERS:
             self.until(f"{voter} is bound to {name}", lambda voter=voter: name in self.bound(voter))  # type: ignore[misc]
 
     def view(self, voter: str) -> dict[str, Any] | None:
-        """A member's answer to `GET /api/leases`; None while it gives none."""
+        """Returns a member's answer to `GET /api/leases`; None if there is no answer."""
         url = f"http://{LOOPBACK}:{self.operators[voter]}/api/leases"
         try:
             with urllib.request.urlopen(url, timeout=5) as answer:
@@ -192,12 +192,12 @@
         return found
 
     def votes(self, voter: str) -> bool:
-        """Does a member say that it is seated, and no longer silent?"""
+        """Returns whether a member reports that it is seated and no longer silent."""
         view = self.view(voter)
         return view is not None and view["seated"] and view["silent_ms"] == 0
 
     def bound(self, voter: str) -> list[str]:
-        """The holders to whom a member says that it is bound."""
+        """Returns the holders to which a member reports that it is bound."""
         view = self.view(voter)
         return [row["holder"] for row in view["leases"]] if view is not None else []
 
@@ -209,7 +209,7 @@
         return "\n".join(f"--- {path.name}\n{path.read_text()}" for path in sorted(self.folder.glob("*.log")))
 
     def stays(self) -> list[Stay]:
-        """All stays, by their first act. A last line that was cut off by a kill is no act."""
+        """Returns all stays, in the order of their first acts, without a last line that a kill cut off."""
         found = []
         for path in sorted(self.folder.glob("*.beats")):
             lines = [line for line in path.read_text().splitlines(keepends=True) if line.endswith("\n")]
@@ -220,7 +220,7 @@
         return sorted(found, key=lambda stay: stay.first_ns)
 
     def judged(self) -> list[Stay]:
-        """All stays; fails where two acted at once, or a token did not rise."""
+        """Returns all stays; fails if two acted at the same time, or a token did not increase."""
         stays = self.stays()
         for earlier, later in pairwise(stays):
             assert earlier.last_ns < later.first_ns, f"both act: {earlier}, {later}"
@@ -229,7 +229,7 @@
 
 
 def alive(stay: Stay) -> bool:
-    """Does its task run still? A process that has ended and was not waited for has no command line."""
+    """Returns whether a task still runs. One that has ended and was not waited for has no command line."""
     try:
         words = Path(f"/proc/{stay.pid}/cmdline").read_bytes().split(b"\0")
     except FileNotFoundError:
--- a/tests/pinned/settings_names.py
+++ b/tests/pinned/settings_names.py
@@ -1,6 +1,6 @@
-"""The one place in this folder that names modules of ours: what a key of a file reaches, and its default.
+"""The values that the keys of files set, and their defaults, under the names of lanelift's settings.
 
-A rename changes the right-hand sides here, and nothing else under `tests/pinned/`.
+A rename in lanelift changes the right-hand sides here, and nothing else under `tests/pinned/`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def of_platform(raw: Values) -> Values:
-    """Of the object `settings` in `BALANCER_CONFIG`: each key, and the value that the balancer has for it."""
+    """Returns each key of the object `settings` in `BALANCER_CONFIG`, with the balancer's value for it."""
     return _values(read_settings(raw))
 
 
@@ -91,7 +91,7 @@
 
 
 def of_operator(path: Path) -> Values:
-    """Of the operator's file: what its keys and defaults come to, by the platform's keys."""
+    """Returns the settings that the operator's file gives with its defaults, by the platform's keys."""
     told = read_operator_file(path).config()
     values = _values(told.settings)
     upstreams = [
@@ -117,17 +117,17 @@
 
 
 def of_operator_as_read(path: Path) -> Values:
-    """Of the operator's file: each key with what is read for it, or its default."""
+    """Returns each key of the operator's file with the value read for it, or its default."""
     return read_operator_file(path).model_dump(mode="json", by_alias=True)
 
 
 def of_scenario_as_read(path: Path) -> Values:
-    """The same of a scenario."""
+    """Returns each key of a scenario with the value read for it, or its default."""
     return read_scenario(str(path)).model_dump(mode="json", by_alias=True)
 
 
 def schedule_again(text: bytes) -> bytes:
-    """A schedule of faults, read and written; where it is refused, why."""
+    """Reads and writes a schedule of faults; returns the error if it is refused."""
     try:
         return to_json(from_json(text))
     except ScheduleError as error:
@@ -135,7 +135,7 @@
 
 
 def schedule_values(text: bytes) -> Values:
-    """What the keys of a schedule reach."""
+    """Returns the values that the keys of a schedule set."""
     read = from_json(text)
     return _table(
         {
@@ -160,7 +160,7 @@
 
 
 def _plain(value: Any) -> Any:
-    """As JSON has it; of an enum its value."""
+    """Returns a value as in JSON; of an enum its value."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, dict):
@@ -172,5 +172,5 @@
 
 
 def directory(tree: Any, users: Mapping[str, str]) -> Any:
-    """An LDAP directory that stands in for a real one, without TLS."""
+    """Returns an emulated LDAP directory, without TLS."""
     return Directory(tree, dict(users))
--- a/tests/pinned/state_files.py
+++ b/tests/pinned/state_files.py
@@ -1,9 +1,10 @@
-"""Lives of voters, and the state files that they left on disk, in `state/`.
+"""Starts of voters, and the state files that they left on disk, in `state/`.
 
     python -m tests.pinned.state_files --write     record the files that the present code writes
 
 The files were written by the code of commit e44f7ed. A later release must start from them, and write the same
-bytes: a member may be put back to the release before. Writing them anew says that the file has changed.
+bytes, because a member may be put back to the previous release. If the files have to be written again, their
+format has changed.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 
 FOLDER = Path(__file__).with_name("state")
 MEMBER = "a"
-BLOCK = 65_536  # ballots that one write makes room for
+BLOCK = 65_536  # number of ballots that one write reserves
 
 
 def heard(
     voter: str, voting: bool, blank: bool, floor: int = 0, left: tuple[tuple[str, ...], ...] = ()
 ) -> dict[str, Any]:
-    """What another voter answers of itself."""
+    """Returns the answer of another voter."""
     return {"voter": voter, "voting": voting, "blank": blank, "floor": floor, "left": left}
 
 
@@ -33,8 +34,8 @@
 class Start:
     """One start of voter `a`. `before` and `after` are files of the folder; no `before`: an empty disk.
 
-    `votes`, `silent_ns` and `base`: whether it may vote afterwards, how long it is silent after its start,
-    and the ballot above which it votes.
+    `votes`, `silent_ns` and `base`: whether the voter may vote afterwards, how long it is silent after its
+    start, and the ballot above which it votes.
     """
 
     before: str
@@ -45,17 +46,17 @@
     votes: bool
     silent_ns: int | None
     base: int
-    wanted: int = 0  # it makes room for this ballot at the end
+    wanted: int = 0  # the ballot for which the voter reserves a block at the end
 
 
 S = 1_000_000_000
 STARTS = [
-    # An empty disk, and nobody answers: it has come to its plan, and knows of no ballot.
+    # The disk is empty and no voter answers: the voter has its plan, and knows no ballot.
     Start("", "blank", "abc", 1000, (), False, None, 0),
-    # All answer, and all are new as well.
+    # All voters answer, and all are new as well.
     Start("", "fresh", "abc", 1000, (heard("b", False, True), heard("c", False, True)), True, S, 0),
     Start("blank", "fresh", "abc", 1000, (heard("b", False, True), heard("c", False, True)), True, S, 0),
-    # Its disk was lost, and two voters know how far ballots have come.
+    # The disk was lost, and two voters know the highest ballot.
     Start(
         "blank",
         "recovered",
@@ -66,13 +67,13 @@
         S,
         7 * BLOCK,
     ),
-    # Started anew under the same plan: it begins above all that it may have promised.
+    # A restart under the same plan: the voter begins above all ballots that it may have promised.
     Start("fresh", "restarted", "abc", 1000, (), True, S, BLOCK),
-    # Another list of voters: it waits for a majority of the former ones.
+    # Another list of voters: the voter waits for a majority of the former voters.
     Start("fresh", "moved", "abcde", 1000, (), False, None, 0),
     Start("moved", "moved", "abcde", 1000, (heard("d", False, True),), False, None, 0),
     Start("moved", "arrived", "abcde", 1000, (heard("b", True, False, 3 * BLOCK),), True, S, 3 * BLOCK),
-    # One it counts on came by way of a list of b and f, which may still have a majority.
+    # A voter that is counted came from a list of b and f, which may still have a majority.
     Start(
         "moved",
         "moved",
@@ -83,12 +84,12 @@
         None,
         0,
     ),
-    # And on to a third list before that, and back.
+    # Change to a third list before that, and back.
     Start("moved", "moved-twice", "abd", 1000, (), False, None, 0),
     Start("moved-twice", "moved-back", "abc", 1000, (), False, None, 0),
-    # Blank, and moved: it knows of no ballot under either.
+    # A blank voter changes its list: it knows no ballot under either list.
     Start("blank", "blank-moved", "abd", 1000, (), False, None, 0),
-    # Leases of 5 s before: it is silent for as long, also where it is started anew in between.
+    # Leases were 5 s before: the voter is silent for as long, even if it restarts in between.
     Start("", "long", "abc", 5000, (heard("b", False, True), heard("c", False, True)), True, 5 * S, 0),
     Start(
         "long",
@@ -101,12 +102,12 @@
         BLOCK,
     ),
     Start("shortened", "shortened-restarted", "abc", 1000, (), True, 5 * S, 2 * BLOCK),
-    # Ballots run out: room for another block; and the longer silence is over once it was kept.
+    # The ballots of a block are used up: another block is reserved. A longer silence, once kept, is dropped.
     Start("fresh", "next-block", "abc", 1000, (), True, S, BLOCK, wanted=200_000),
     Start("shortened", "shortened-next-block", "abc", 1000, (), True, 5 * S, 2 * BLOCK, wanted=200_000),
 ]
 
-# Files that no short life writes: the largest values, and names that JSON must escape.
+# Files that no short run writes: the largest values, and names that JSON must escape.
 LONGEST = "x" * 64
 VALUES: dict[str, dict[str, Any]] = {
     "largest": {
@@ -141,7 +142,7 @@
 
 
 def play(start: Start, folder: Path) -> tuple[bytes, tuple[bool, int | None, int]]:
-    """Starts the voter in an empty folder, on its file; what is on disk then, and how it stands."""
+    """Starts the voter on its file in an empty folder; returns the file written and the voter's state."""
     if start.before:
         shutil.copy(file(start.before), folder / f"{MEMBER}.json")
     stands = names.voter_start(folder, MEMBER, start.voters, start.lease_ms, start.heard, start.wanted)
@@ -149,7 +150,7 @@
 
 
 def write() -> None:
-    """Plays all starts in their order, and keeps what each has written."""
+    """Performs all starts in their order, and stores the file that each has written."""
     for start in STARTS:
         with tempfile.TemporaryDirectory() as folder:
             data, stands = play(start, Path(folder))
--- a/tests/pinned/test_balancer_config.py
+++ b/tests/pinned/test_balancer_config.py
@@ -1,4 +1,4 @@
-"""The platform's file, named by BALANCER_CONFIG: its keys, what they reach, each mistake's one line."""
+"""The platform's file, named by BALANCER_CONFIG: its keys, the values that they set, and the errors."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.pinned.settings_names import of_platform
 
 Json = dict[str, Any]
-# Every key that there is, each with a value that is not its default.
+# All keys, each with a value that is not its default.
 SETTINGS: Json = {
     "me": 1,
     "replicas_of_me": 3,
@@ -97,11 +97,11 @@
     "limits": {"sockets": 512},
     "settings": SETTINGS,
 }
-WRONG: list[Any] = ["?", True, {}]  # for each kind of value one at least is wrong
+WRONG: list[Any] = ["?", True, {}]  # at least one of these is wrong for each type of value
 
 
 def leaves(value: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
-    """The paths of all values, tables among them."""
+    """Yields the paths of all values, including tables."""
     rows = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, each in rows:
         yield (*path, key)
@@ -118,7 +118,7 @@
 
 
 def test_what_is_said_of_each_key_with_a_wrong_value(tmp_path: Path) -> None:
-    """A good one gets as far as its address, where somebody else listens."""
+    """With a valid value the daemon fails only at its address, which is in use."""
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -154,9 +154,9 @@
 
 @pytest.mark.parametrize("path", list(leaves(SETTINGS)), ids=lambda path: ".".join(map(str, path)))
 def test_a_key_under_another_name_is_skipped(path: tuple[str | int, ...]) -> None:
-    """Unknown keys are skipped: it then has its default, and all others what they had."""
+    """Unknown keys are ignored: the renamed key has its default, and all others keep their values."""
     if isinstance(path[-1], int) or path[-1] == "name":
-        return  # no key, or one that must be there
+        return  # not a key, or a required one
     misspelt = copy.deepcopy(SETTINGS)
     at: Any = misspelt
     for key in path[:-1]:
@@ -214,7 +214,7 @@
     if by == "variables":
         config = {key: value for key, value in CONFIG.items() if key not in addresses}
         variables = {f"BALANCER_{key.upper()}": value for key, value in addresses.items()}
-    else:  # the file's own keys come first
+    else:  # keys of the file take precedence
         variables = {f"BALANCER_{key.upper()}": "nowhere" for key in addresses}
     path = tmp_path / "c.json"
     path.write_text(json.dumps(config))
--- a/tests/pinned/test_fleet_bytes.py
+++ b/tests/pinned/test_fleet_bytes.py
@@ -1,7 +1,7 @@
-"""The bytes of each message between members of a fleet and those who ask for leases.
+"""The bytes of each message between the members of a fleet and the clients of leases.
 
-Another release runs beside this one while a fleet is upgraded: each must read what the other sends. A
-datagram is "LF", a version, the digest of the plan, a CRC-32 and a MessagePack array.
+While a fleet is upgraded, two releases run together, and each must be able to read the messages of the other.
+A datagram is "LF", a version, the digest of the plan, a CRC-32 and a MessagePack array.
 """
 
 from __future__ import annotations
@@ -133,7 +133,7 @@
     ),
 ]
 
-# What an earlier release may leave out at the end, and what stands for it.
+# The fields that an earlier release may omit at the end, and their defaults.
 DEFAULTS: list[tuple[list[Any], tuple[Any, ...]]] = [
     (["ask", "n", 1, 2, "p", 3], ("n", 1, 2, "p", 3, 0, False)),
     (["ask", "n", 1, 2, "p", 3, 4], ("n", 1, 2, "p", 3, 4, False)),
@@ -151,7 +151,7 @@
 
 
 def framed(row: object, version: int = 1, magic: bytes = b"LF") -> bytes:
-    """Any MessagePack in a frame of the given version."""
+    """Returns MessagePack in a frame of the given version."""
     body = msgspec.msgpack.encode(row)
     return magic + bytes([version]) + DIGEST + zlib.crc32(body).to_bytes(4, "big") + body
 
@@ -184,7 +184,7 @@
 @pytest.mark.parametrize(("row", "values"), DEFAULTS, ids=lambda row: f"{row[0]}-{len(row)}")
 def test_fields_that_are_left_out_at_the_end_have_defaults(row: list[Any], values: tuple[Any, ...]) -> None:
     assert names.decode_fleet(framed(row)) == (DIGEST, row[0], values)
-    # Written, they are not left out.
+    # This release does not omit them.
     assert names.encode_fleet(DIGEST, *row) == framed([row[0], *values])
 
 
@@ -196,7 +196,7 @@
 
 
 def test_a_verdict_of_a_later_release_is_read_as_its_word() -> None:
-    """It is an answer all the same: whoever asked decides that the word says nothing."""
+    """The answer is still valid: its receiver decides that it does not know the word."""
     row = ["answer", "nightly", 8, 9, "a", "postponed", 1, "p", 2, 3, 4]
     assert names.decode_fleet(framed(row)) == (DIGEST, "answer", tuple(row[1:]))
 
@@ -206,7 +206,7 @@
 
 
 def unchecked(body: bytes) -> bytes:
-    """A frame with the right checksum round any bytes."""
+    """Returns a frame around any bytes, with the right checksum."""
     return b"LF\x01" + DIGEST + zlib.crc32(body).to_bytes(4, "big") + body
 
 
@@ -280,7 +280,7 @@
     ],
 )
 def test_the_digest_of_a_plan(voters: Any, about: dict[str, Any], digest: str) -> None:
-    """Members with another digest do not hear each other: a change of it cuts a mixed fleet in two."""
+    """Members ignore messages with another digest: a change of the digest would split a mixed fleet."""
     assert names.plan_digest(voters, **about).hex() == digest
 
 
--- a/tests/pinned/test_gossip_bytes.py
+++ b/tests/pinned/test_gossip_bytes.py
@@ -1,7 +1,7 @@
 """The bytes of membership messages, which members of other releases read and write as well.
 
-Version, kind, sender, its incarnation, number, about whom; then updates of seven bytes: whom, state,
-incarnation, seen by whom.
+A message has a version, a kind, the sender, its incarnation, a number and a subject, then updates of seven
+bytes: a member, its state, its incarnation and the observer.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 # 35 updates: member n in state n % 4, under incarnation n + 100, seen by n + 200
 FULL = tuple((n, n % 4, n + 100, n + 200) for n in range(35))
 
-# kind, sender, incarnation, number, about whom, updates; and the bytes
+# kind, sender, incarnation, number, subject, updates; and the bytes
 MESSAGES: list[tuple[tuple[Any, ...], str]] = [
     ((PING, 0, 0, 0, 0, ()), "01010000000000000000"),
     ((PING, 3, 4, 5, 6, ()), "01010003000400050006"),
@@ -90,12 +90,12 @@
     head, known = "01040003000400050006", "00010100020003"
     read = (TELL, 3, 4, 5, 6, ((1, SUSPECT, 2, 3),))
     assert names.decode_gossip(bytes.fromhex(head + known + tail)) == read
-    if len(tail) == 14:  # of a whole update only that one is skipped
+    if len(tail) == 14:  # if the update is complete, only this one is ignored
         assert names.decode_gossip(bytes.fromhex(head + tail + known)) == read
 
 
 def test_a_message_of_the_largest_size_is_read() -> None:
-    """256 bytes: 35 updates, and one byte that is none."""
+    """The message has 256 bytes: 35 updates, and one byte that belongs to no update."""
     data = bytes.fromhex(FULL_HEAD + FULL_UPDATES + "00")
     assert len(data) == 256
     assert names.decode_gossip(data) == (PING, 1, 2, 3, 4, FULL)
@@ -110,7 +110,7 @@
         ((1, SILENT, 5, 1), (1, SUSPECT, 5, 1), True),
         ((1, LEFT, 5, 1), (1, SILENT, 5, 1), True),
         ((1, ALIVE, 5, 1), (1, ALIVE, 5, 2), False),
-        ((1, ALIVE, 0, 1), (1, LEFT, MOST, 1), True),  # incarnations go round
+        ((1, ALIVE, 0, 1), (1, LEFT, MOST, 1), True),  # incarnations wrap around
         ((1, ALIVE, 32_767, 1), (1, ALIVE, 0, 1), True),
         ((1, ALIVE, 32_768, 1), (1, ALIVE, 0, 1), False),
     ],
--- a/tests/pinned/test_mixed_versions.py
+++ b/tests/pinned/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""Members and holders of commit e44f7ed run beside those of the present code, and keep one lease together."""
+"""Members and holders of commit e44f7ed run together with those of the present code, and share one lease."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 def test_the_two_releases_are_what_their_processes_import(
     before: Path, present: Path, tmp_path: Path
 ) -> None:
-    """Else the tests below would show nothing."""
+    """Without this, the tests below would not test two releases."""
     for release in (before, present):
         done = subprocess.run(
             [sys.executable, "-c", "import lanelift; print(lanelift.__file__)"],
@@ -55,17 +55,17 @@
 def test_a_lease_passes_between_releases_and_back(before: Path, present: Path, tmp_path: Path) -> None:
     """A rolling upgrade that is half undone, while holders of both releases come and go.
 
-    Two members are of the release before and one of the present code. A holder of either release is killed,
-    stands still, and gives back; members of either are killed and started from the other release, on the
-    state files that the first one wrote, and are bound to the holder again; in the end all are killed at
-    once and change releases again. At no time do two tasks act, and the token rises from holder to holder.
+    Two members are of the previous release and one is of the present code. Holders of both releases are
+    killed, are stopped, and release the lease. Members of both are killed and started from the other release,
+    on the same state files, and are bound to the holder again. Finally all are killed together and change
+    releases again. At no time do two tasks act, and the token increases from holder to holder.
     """
     with Fleet(tmp_path) as fleet:
         for voter, release in (("a", before), ("b", present), ("c", before)):
             fleet.member(voter, release)
         fleet.until_voting(*"abc")
 
-        # A holder of the release before is killed: the present code's holds next, and the other way round.
+        # A holder of the previous release is killed: one of the present code holds next, and vice versa.
         fleet.holder("p1", before, "stubborn")
         fleet.until_acts("p1")
         fleet.until_bound("p1")
@@ -77,7 +77,7 @@
         fleet.signal("p2", signal.SIGKILL)
         fleet.until_acts("p3")
 
-        # Members change releases one by one, on their state files; the holder keeps its lease.
+        # Members change releases one by one, with their state files; the holder keeps its lease.
         for voter, release in (("a", present), ("b", before)):
             fleet.signal(voter, signal.SIGKILL)
             fleet.ended(voter)
@@ -86,7 +86,7 @@
             fleet.until_bound("p3")
         assert fleet.processes["p3"].poll() is None and len(fleet.judged()) == 3
 
-        # One stands still: its own watchdog ends its task, and the next one holds.
+        # A holder is stopped: its watchdog ends its task, and the next holder gets the lease.
         fleet.holder("p4", present, "stubborn")
         fleet.signal("p3", signal.SIGSTOP)
         fleet.until_acts("p4")
@@ -98,28 +98,28 @@
         fleet.signal("p4", signal.SIGCONT)
         assert fleet.ended("p4") == NOT_HELD
 
-        # One gives back.
+        # A holder releases the lease.
         fleet.holder("p6", present)
         fleet.signal("p5", signal.SIGTERM)
         assert fleet.ended("p5") == 0
         fleet.until_acts("p6")
         fleet.until_bound("p6")
 
-        # All members are killed at once, and each starts from the other release.
+        # All members are killed together, and each starts from the other release.
         for voter in "abc":
             fleet.signal(voter, signal.SIGKILL)
         assert fleet.ended("p6") == NOT_HELD
         for voter in "bc":
             fleet.ended(voter)
             fleet.member(voter, present)
-        fleet.until_voting(*"bc")  # on their own: nobody else knows how far ballots have come
+        fleet.until_voting(*"bc")  # without the others: no other member knows the highest ballot
         fleet.holder("p7", before)
         fleet.until_acts("p7")
         fleet.member("a", before)
         fleet.until_voting("a")
         fleet.until_bound("p7")
         highest = fleet.stays()[-2].token
-        assert fleet.stays()[-1].token > highest + 10_000  # above all that was promised before
+        assert fleet.stays()[-1].token > highest + 10_000  # above all ballots promised before
 
     stays = fleet.judged()
     assert [stay.file for stay in stays] == [f"p{n}-1" for n in range(1, 8)]
@@ -129,10 +129,10 @@
 def test_a_holder_whose_files_were_replaced_has_its_task_ended_by_its_watchdog(
     before: Path, present: Path, tmp_path: Path
 ) -> None:
-    """An upgrade in place: the holder runs the release before, and starts its watchdog from the new files.
+    """An upgrade in place: the holder runs the previous release, and starts its watchdog from the new files.
 
-    The holder waits for a lease while the files under it are replaced. Then it gets the lease, starts its
-    task by the present code's watchdog, and stands still: its task must have ended before the next one acts.
+    The files are replaced while the holder waits for a lease. Then the holder gets the lease, starts its task
+    with the present code's watchdog, and is stopped: the task must have ended before the next one acts.
     """
     installed = tmp_path / "installed"
     shutil.copytree(before / "lanelift", installed / "lanelift")
@@ -141,7 +141,7 @@
             first_member.bind((LOOPBACK, fleet.ports["a"]))
             first_member.settimeout(releases.WITHIN_S)
             fleet.holder("p1", installed, "stubborn")
-            first_member.recv(2048)  # it asks: all that it needs to wait for a lease is loaded
+            first_member.recv(2048)  # a request: the modules that wait for the lease are loaded
         shutil.rmtree(installed / "lanelift")
         copy_present(installed)
         for voter in "abc":
@@ -160,6 +160,6 @@
 
 
 def lasted_ns(fleet: Fleet) -> int:
-    """From the first act of the last stay to its last one."""
+    """Returns the time from the first to the last act of the last stay."""
     last = fleet.stays()[-1]
     return last.last_ns - last.first_ns
--- a/tests/pinned/test_operator_file.py
+++ b/tests/pinned/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: its keys, what is said of each that is misspelt or wrong, and their defaults."""
+"""The operator's file: its keys, their defaults, and the problems of misspelt keys and wrong values."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.pinned.settings_names import of_operator, of_operator_as_read
 
 Table = dict[str, Any]
-# Every key that there is, each with a value that is not its default.
+# All keys, each with a value that is not its default.
 EVERY: Table = {
     "serve": {
         "listen": "127.0.0.1:8000",
@@ -65,7 +65,7 @@
         }
     ],
 }
-# The sections that a balancer of its own is not told by the platform's keys.
+# The sections that have no counterpart among the platform's keys.
 TENANTS: Table = {
     "base": "ou=agents",
     "filter": "(objectClass=agent)",
--- a/tests/pinned/test_operators_calls.py
+++ b/tests/pinned/test_operators_calls.py
@@ -1,4 +1,4 @@
-"""The address for operators (docs/operating/on-call.md): each call's answer, and the names of all figures."""
+"""The address for operators (docs/operating/on-call.md): the answer to each call, and all metric names."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def figures_only(text: str) -> str:
-    """Without the values, which time and ports change."""
+    """Returns the metrics without their values, which depend on time and ports."""
     text = re.sub(r"^(lanelift_\S+|balancer_\S+) [-0-9.e+]+$", r"\1 N", text, flags=re.MULTILINE)
     text = re.sub(r"Content-Length: \d+", "Content-Length: N", text)
     text = re.sub(r'"plan":"[0-9a-f]+"', '"plan":"HEX"', text)
--- a/tests/pinned/test_outside_names.py
+++ b/tests/pinned/test_outside_names.py
@@ -1,4 +1,4 @@
-"""Every name that something outside the code reads still stands in the code, letter for letter.
+"""Every name that something outside the code reads is still in the code, letter for letter.
 
 `outside_names.txt` lists them, one a line: fields and values of messages, stored fields, keys of files and
 settings, flags, variables, metrics, events of the log, and modules that another process starts by their path.
@@ -29,7 +29,7 @@
 
 
 def written_names(tree: ast.AST) -> Iterator[str]:
-    """Yields the names of class fields and keyword arguments, which may be written out as they are."""
+    """Yields the names of class fields and keyword arguments, which may be written out under these names."""
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef):
             for statement in node.body:
--- a/tests/pinned/test_scenario_files.py
+++ b/tests/pinned/test_scenario_files.py
@@ -1,4 +1,4 @@
-"""Scenario files of rehearsals and schedules of faults: their keys, defaults, and each mistake's words."""
+"""Scenario files of rehearsals and schedules of faults: their keys, defaults and error messages."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     {"kind": "suspend", "at_s": 1, "len_s": 5, "count": 2, "tenant": "ash", "for_s": [1, 2]},
     {"kind": "directory", "at_s": 1, "len_s": 5, "how": "slow", "servers": "first", "delay_s": 1},
 ]
-# Every key that there is, each with a value that is not its default.
+# All keys, each with a value that is not its default.
 EVERY: Table = {
     "name": "whole",
     "about": "all of it",
--- a/tests/pinned/test_simulator_wire.py
+++ b/tests/pinned/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire, `python -m lanelift.wirehost`: each kind of event and of action, to the byte."""
+"""The simulator's protocol, `python -m lanelift.wirehost`: each kind of event and of action, byte by byte."""
 
 from __future__ import annotations
 
@@ -114,7 +114,7 @@
 
 
 class Conversation:
-    """What a simulator says, made from what it hears: one batch after the other, the same each time."""
+    """The lines that a simulator sends: one batch of events after another, the same in each run."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -128,7 +128,7 @@
 
 
 def conversation(sent: dict[tuple[int, str, int], int]) -> list[str]:
-    """All kinds of events. `sent`: which upstream each attempt went to, as far as it is known."""
+    """Returns a conversation with all kinds of events. `sent`: the upstream of each attempt, if known."""
     talk = Conversation()
     rows = [
         row(11),
@@ -203,7 +203,7 @@
 
 @functools.cache
 def played() -> tuple[list[str], list[str]]:
-    """The conversation, once it no longer depends on answers that are not known yet."""
+    """Returns the conversation, repeated until it no longer depends on unknown answers."""
     sent: dict[tuple[int, str, int], int] = {}
     for _ in range(5):
         lines = conversation(sent)
@@ -231,7 +231,7 @@
 
 
 def test_the_conversation_has_every_kind() -> None:
-    """But `fetch`, `write_log` and `fault`, which the balancers give no cause for."""
+    """Except `fetch`, `write_log` and `fault`, which the balancers do not cause here."""
     folder = Path(__file__).parent / "golden"
     said = [json.loads(line) for line in (folder / "wire-said.jsonl").read_text().splitlines()]
     heard = [json.loads(line) for line in (folder / "wire-heard.jsonl").read_text().splitlines()]
@@ -264,7 +264,7 @@
 
 
 def test_a_fault_is_told_as_an_action() -> None:
-    """The end of an attempt that was never made: where the code fell over is not pinned, the rest is."""
+    """An attempt ends that was never made. The place of the exception is not pinned, the rest is."""
     talk = Conversation()
     talk.say({"t": "directory", "buffer": 0, "rows_in": [row(11)]}, *begin(1))
     talk.say(submit("a", talk.now, balancer=1))
@@ -277,7 +277,7 @@
     )
 
 
-WRONG: tuple[Any, ...] = ("?", True, {})  # for each kind of value one at least is wrong
+WRONG: tuple[Any, ...] = ("?", True, {})  # at least one of these is wrong for each type of value
 WHOLE: dict[str, Json] = {
     "submit": {**submit("x", BEGIN), "balancer": 1},
     "returned": {**returned("x", 11, "delivered", complete=True, metrics={"inflight": 1}), "balancer": 1},
@@ -301,7 +301,7 @@
 
 
 def test_what_is_said_of_each_key_that_is_wrong_or_missing(tmp_path: Path) -> None:
-    """Exit status 2 and one line, or, where the key may be so, 0 and nothing."""
+    """The exit code is 2 with one line of output, or, if the value is allowed, 0 without output."""
     start: list[Json] = [{"t": "directory", "buffer": 0, "rows_in": [row(11)]}, *begin(1)]
     cases: dict[str, Any] = {}
     for kind, event in WHOLE.items():
@@ -346,7 +346,7 @@
 
 
 def test_the_message_that_balancers_send_each_other() -> None:
-    """Eleven bytes: the kind, the upstream's number and the work in units of 0.1 ms, big end first."""
+    """It has eleven bytes: the kind, the upstream's number and the work in units of 0.1 ms, big-endian."""
     _, replies = played()
     told = [c for line in replies for c in json.loads(line)["cmds"] if c["t"] == "announce"]
     assert told and {c["balancer"] for c in told} == {2} and {c["dst"] for c in told} <= {0, 2}
@@ -369,7 +369,7 @@
     ],
 )
 def test_a_message_steers_requests_away_from_the_upstream_that_it_names(data: bytes, heard: bool) -> None:
-    """Told of 6.5 s of work there, a balancer sends nothing there; what it can't read changes nothing."""
+    """A balancer avoids an upstream with 6.5 s of work in a message; an invalid message has no effect."""
     rows = [row(n) for n in (11, 12, 13, 15)]
     blob = base64.b64encode(data).decode()
     begun = [{"t": "directory", "buffer": 0, "rows_in": rows}, *begin(2)]
--- a/tests/pinned/test_state_files.py
+++ b/tests/pinned/test_state_files.py
@@ -1,4 +1,4 @@
-"""A voter's state file: as the release before wrote it, read and written to the byte; and what is refused."""
+"""A voter's state file: read and written byte by byte as by the previous release; and refused files."""
 
 from __future__ import annotations
 
@@ -54,10 +54,10 @@
         (
             b'{"digest":"0011","voters":["a"],"silence_ns":1,"ceiling":2}',
             {"left": (), "blank": False},
-        ),  # as written before there were these two
+        ),  # written by a release without these two keys
         (WHOLE, {"left": (("b",),), "blank": True}),
-        (WHOLE[:-1] + b',"later":[1]}', {"left": (("b",),), "blank": True}),  # a later release's key
-        (WHOLE.replace(b",", b",\n ") + b"\n", {"left": (("b",),), "blank": True}),  # by hand
+        (WHOLE[:-1] + b',"later":[1]}', {"left": (("b",),), "blank": True}),  # a key of a later release
+        (WHOLE.replace(b",", b",\n ") + b"\n", {"left": (("b",),), "blank": True}),  # edited by hand
     ],
 )
 def test_other_files_that_are_read(data: bytes, values: dict[str, Any], tmp_path: Path) -> None:
@@ -93,7 +93,7 @@
     assert names.state_refusal(tmp_path, "a") == f"{tmp_path}/a.json: {wrong}{ALLOWED}"
     with pytest.raises(ValueError, match="allowed: what this program wrote there"):
         names.voter_start(tmp_path, "a", "abc", 1000)
-    assert (tmp_path / "a.json").read_bytes() == data  # and left as it is
+    assert (tmp_path / "a.json").read_bytes() == data  # the file is unchanged
 
 
 def test_a_folder_in_place_of_the_file_is_refused(tmp_path: Path) -> None:
--- a/tests/pinned/test_traces.py
+++ b/tests/pinned/test_traces.py
@@ -6,7 +6,7 @@
 
 from tests.pinned import traces
 
-IN_SHORT = {"leases": 40, "membership": 15}  # seeds of the default run; all of them under --long
+IN_SHORT = {"leases": 40, "membership": 15}  # number of seeds in the default run; --long uses all
 
 
 @pytest.mark.parametrize("world", ["leases", "membership"])
@@ -19,7 +19,7 @@
 
 
 def test_a_trace_has_what_an_observer_sees() -> None:
-    """Guards against a hook that a rename has cut off: a digest of nothing would stay the same."""
+    """Guards against a hook that a rename has disconnected: the digest of an empty trace would not change."""
     leases, membership = traces.PLAYS["leases"](0), traces.PLAYS["membership"](1)
     for lines, whats in (
         (leases, {"send", "come", "start", "step", "write", "written", "act", "token"}),
--- a/tests/pinned/test_warden_contract.py
+++ b/tests/pinned/test_warden_contract.py
@@ -1,9 +1,9 @@
-"""The watchdog of a holder's task, started by its path by holders of other releases as well.
+"""The watchdog of a holder's task, which holders of other releases start by its module path as well.
 
     python -m lanelift.leases.warden TERM_NS KILL_NS COMMAND...
 
-Both are times of CLOCK_BOOTTIME. Pinned are its arguments, its lines on standard input and output, the
-signals that the command gets and when, and the exit codes. Each test starts real processes.
+Both are times of CLOCK_BOOTTIME. The tests pin the arguments, the lines on standard input and output, the
+signals to the command and their times, and the exit codes. Each test starts real processes.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).parents[2]
 NOT_HELD = 75
 NEVER_S = 600.0
-SOON_S = 2.0  # to a deadline that is an argument: its process must have started by then, on a busy machine
+SOON_S = 2.0  # until a deadline in the arguments; on a busy machine the process must have started before it
 STUBBORN = "trap '' TERM; "
 
 
@@ -32,7 +32,7 @@
 
 
 class Warden:
-    """A watchdog and its command, a shell script, which writes to a file once it is ready."""
+    """A watchdog and its command, a shell script that writes a file when it is ready."""
 
     def __init__(self, folder: Path) -> None:
         self.ready = folder / "ready"
@@ -53,18 +53,18 @@
         return self.process
 
     def script(self, term_s: float, kill_s: float, first: str, last: str = "") -> subprocess.Popen[bytes]:
-        """A script that is ready after `first`, then does `last`, or waits for ever."""
+        """Returns a script that is ready after `first`, and then runs `last` or waits for ever."""
         last = last or "while :; do sleep 0.01; done"
         process = self.start(term_s, kill_s, "sh", "-c", f'{first}echo $$ > "$READY.new"; {MOVE}; {last}')
         until(self.ready.exists)
         return process
 
     def pid(self) -> int:
-        """The command's, by its own word."""
+        """Returns the process id of the command, which the command has written."""
         return int(self.ready.read_text())
 
     def tell(self, term_s: float, kill_s: float, end: str = "\n") -> None:
-        """A line with later deadlines, in seconds from now."""
+        """Sends a line with later deadlines, in seconds from now."""
         assert self.process is not None and self.process.stdin is not None
         now = boottime_ns()
         self.process.stdin.write(f"{now + int(term_s * 1e9)} {now + int(kill_s * 1e9)}{end}".encode())
@@ -74,7 +74,7 @@
         return (boottime_ns() - self.began_ns) / 1e9
 
 
-MOVE = 'mv "$READY.new" "$READY"'  # ready at once and as a whole
+MOVE = 'mv "$READY.new" "$READY"'  # atomic, so that the file is never read half written
 
 
 def until(done: Callable[[], bool]) -> None:
@@ -85,7 +85,7 @@
 
 
 def state(pid: int) -> str:
-    """As in /proc: T stands still, Z has ended; X is none at all."""
+    """Returns the state as in /proc: T stopped, Z ended; X if there is no process."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
     except FileNotFoundError:
@@ -93,7 +93,7 @@
 
 
 def gone(pid: int) -> bool:
-    """It has ended: there is no such process, or nobody has waited for it yet."""
+    """Returns whether a process has ended: it does not exist, or no process has waited for it yet."""
     return state(pid) in "XZ"
 
 
@@ -103,7 +103,7 @@
     yield made
     if made.process is not None:
         if made.process.poll() is None:
-            made.process.kill()  # its command goes with it
+            made.process.kill()  # its command ends with it
         made.process.wait(20)
         for pipe in (made.process.stdin, made.process.stdout, made.process.stderr):
             assert pipe is not None
@@ -181,7 +181,7 @@
 
 
 def test_the_end_of_its_input_ends_the_command_at_once(warden: Warden) -> None:
-    """The holder is gone: nobody can prolong the lease."""
+    """The holder has ended, so the lease can't be renewed any more."""
     process = warden.script(NEVER_S, NEVER_S, "trap 'exit 0' TERM; ")
     assert process.stdin is not None
     process.stdin.close()
@@ -196,7 +196,7 @@
 
 
 def test_later_times_are_told_on_its_input(warden: Warden) -> None:
-    """A line that comes in two pieces counts once it is whole; of two lines the last one holds."""
+    """A line that arrives in two parts is read when it is complete; of two lines the last one applies."""
     process = warden.script(SOON_S, SOON_S, "trap 'exit 0' TERM; ")
     warden.tell(NEVER_S, NEVER_S)
     warden.tell(2 * SOON_S, NEVER_S, end="")
--- a/tests/pinned/traces.py
+++ b/tests/pinned/traces.py
@@ -3,9 +3,9 @@
     python -m tests.pinned.traces --write              record the digests of the present code
     python -m tests.pinned.traces --show leases 7      print one whole trace, to compare with another one
 
-A digest stands for every line of a trace: true times, senders, receivers, the bytes of each message and of
-each state file, starts, kills, and holdings with their tokens. Writing anew says that behaviour has changed:
-a commit that does so must say why.
+A digest covers every line of a trace: true times, senders, receivers, the bytes of each message and of each
+state file, starts, kills, and holdings with their tokens. The digests are written again only if the behaviour
+has changed: the commit that does so must say why.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 
 
 def digest(world: str, seed: int) -> str:
-    """16 bytes in hexadecimal, over all lines of one seed's trace."""
+    """Returns the digest of all lines of a seed's trace: 16 bytes in hexadecimal."""
     lines = "\n".join(PLAYS[world](seed))
     return hashlib.blake2b(lines.encode(), digest_size=16).hexdigest()
 
 
 def recorded() -> dict[str, list[str]]:
-    """The digests on file: by world, in the order of seeds from 0."""
+    """Returns the stored digests: by simulation, in the order of seeds from 0."""
     found: dict[str, list[str]] = json.loads(FILE.read_text())
     return found
 
 
 def write() -> None:
-    """Plays every seed and replaces the file."""
+    """Runs every seed and replaces the file."""
     found = {world: [digest(world, seed) for seed in range(count)] for world, count in SEEDS.items()}
     FILE.write_text(json.dumps(found, indent=1) + "\n")
     for world, digests in found.items():
