--- a/lanelift/cli/rehearse.py
+++ b/lanelift/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""`lanelift rehearse`: plays a day on loopback sockets and judges it."""
+"""The command `lanelift rehearse`, which runs rehearsals on loopback sockets and compares their reports."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 from lanelift.cli.main import FELL_SHORT, FILE, refuse
 from lanelift.config.checked import FileValidationError
-from lanelift.rehearsal.conductor import Failed, Options
-from lanelift.rehearsal.conductor import rehearse as play
+from lanelift.rehearsal.orchestrator import Options, RehearsalError
+from lanelift.rehearsal.orchestrator import rehearse as run_rehearsal
 from lanelift.rehearsal.report import (
-    Unreadable,
+    ReportFormatError,
     compare,
     differences,
     make_report,
@@ -27,7 +27,7 @@
 )
 from lanelift.rehearsal.scenario import Scenario, read_scenario, shipped
 
-PLAIN_S = 5.0  # between two lines of progress where nobody watches
+PLAIN_INTERVAL_S = 5.0  # between two lines of progress if the output is not a terminal
 
 
 @click.group()
@@ -144,8 +144,8 @@
     )
     try:
         with _progress(read.length_s) as show:
-            day = play(read, options, show)
-    except Failed as error:
+            day = run_rehearsal(read, options, show)
+    except RehearsalError as error:
         click.echo(f"the rehearsal could not be played: {error}", err=True)
         sys.exit(FELL_SHORT)
     except KeyboardInterrupt:
@@ -156,16 +156,17 @@
     for line in summary(report):
         click.echo(line)
     if html:
-        from lanelift.rehearsal.page import write_page
+        from lanelift.rehearsal.html_report import write_html_report
 
-        write_page(report, folder / "report.html")
+        write_html_report(report, folder / "report.html")
     click.echo(f"Report: {folder / ('report.html' if html else 'report.json')}")
     sys.exit(FELL_SHORT if report["verdict"]["void"] or not report["verdict"]["rules"]["kept"] else 0)
 
 
 @contextmanager
 def _progress(length_s: float) -> Any:
-    """A live line in a terminal, a plain one now and then in a pipe."""
+    """Yields a function that shows the progress: a live line in a terminal, or else plain lines at
+    intervals."""
     if not sys.stderr.isatty():
         yield _plain_progress(length_s)
         return
@@ -182,23 +183,23 @@
     task = bar.add_task("starting", total=length_s)
     with bar:
         yield lambda at_s, counts: bar.update(
-            task, completed=max(0.0, min(length_s, at_s)), description=_counted(counts)
+            task, completed=max(0.0, min(length_s, at_s)), description=_format_counts(counts)
         )
 
 
 def _plain_progress(length_s: float) -> Callable[[float, Counter[str]], None]:
-    last = -PLAIN_S
+    last = -PLAIN_INTERVAL_S
 
     def show(at_s: float, counts: Counter[str]) -> None:
         nonlocal last
-        if at_s >= last + PLAIN_S:
+        if at_s >= last + PLAIN_INTERVAL_S:
             last = at_s
-            click.echo(f"{max(0.0, at_s):5.1f} of {length_s:g} s  {_counted(counts)}", err=True)
+            click.echo(f"{max(0.0, at_s):5.1f} of {length_s:g} s  {_format_counts(counts)}", err=True)
 
     return show
 
 
-def _counted(counts: Counter[str]) -> str:
+def _format_counts(counts: Counter[str]) -> str:
     return (
         f"{counts['asked']} asked, {counts['served']} in time, {counts['late']} late, "
         f"{counts['unserved']} unserved"
@@ -219,7 +220,7 @@
     try:
         left = [read_report(path) for path in (a, *more)]
         right = [read_report(path) for path in (b, *vs)]
-    except Unreadable as error:
+    except ReportFormatError as error:
         refuse(error)
     for report, path in zip([*left, *right], [a, *more, b, *vs], strict=True):
         if report["verdict"]["void"]:
--- a/lanelift/rehearsal/__init__.py
+++ b/lanelift/rehearsal/__init__.py
@@ -1,1 +1,2 @@
-"""The rehearsal kit: plays a day of requests against balancers on loopback sockets and judges it."""
+"""The rehearsal kit: runs a schedule of requests and faults against balancers on loopback and checks the
+rules."""
--- a/lanelift/rehearsal/keeper.py
+++ b/lanelift/rehearsal/balancer_supervisor.py
@@ -1,8 +1,8 @@
-"""The process that keeps the balancers: it starts each as in service, signals them as planned, and measures
-them.
+"""The process that supervises the balancers: it starts each as in service, signals them as planned, and
+samples their resource usage.
 
-Balancers never outlive it: on Linux the kernel ends them when it goes, however it went (`PR_SET_PDEATHSIG`,
-a wish of the child for itself that asks for no privilege).
+Balancers never outlive this process: on Linux the kernel kills them when it exits, for whatever reason
+(`PR_SET_PDEATHSIG`, which the child sets for itself and which needs no privilege).
 """
 
 from __future__ import annotations
@@ -21,56 +21,59 @@
 
 import psutil
 
-from lanelift.rehearsal.plan import Plan, settings
-from lanelift.rehearsal.records import Life, Used, write_rows
-from lanelift.rehearsal.serving import operator_file
-from lanelift.rehearsal.worker import Json, read_plan, rows_path, say
+from lanelift.rehearsal.operator_config import operator_file
+from lanelift.rehearsal.plan import Plan, balancer_settings
+from lanelift.rehearsal.records import ProcessRun, ResourceSample, write_rows
+from lanelift.rehearsal.worker import Json, read_plan, rows_path, send_message
 from lanelift.standins.seeded_random import keyed_digest
 
-READY_S = 30.0  # clients come when all balancers are ready, or after this (DEPLOY, 'Limits')
-LOOK_S = 0.02  # between two looks at /ready: nothing tells of it by itself
+READY_S = 30.0  # the load starts when all balancers are ready, or after this (DEPLOY, 'Limits')
+READY_POLL_S = 0.02  # interval of polling /ready, since a balancer does not announce its readiness
 SAMPLE_S = 0.5
-LEAVE_S = 0.7  # SIGKILL comes this much after the longest deadline that follows SIGTERM (PROTOCOL, 'Figures')
-SERVE = "from lanelift.cli.main import main; main()"  # `lanelift`, by the interpreter that runs the kit
+# SIGKILL follows SIGTERM after the longest deadline and this time (PROTOCOL, 'Figures').
+TERMINATION_GRACE_S = 0.7
+SERVE = "from lanelift.cli.main import main; main()"  # runs `lanelift` with the interpreter of the kit
 PR_SET_PDEATHSIG = 1
-LIBC = ctypes.CDLL(None)  # before any fork: nothing may be loaded between fork and exec
+LIBC = ctypes.CDLL(None)  # loaded before any fork, since nothing may be loaded between fork and exec
 
 
-def _die_with_parent() -> None:
+def _kill_with_parent() -> None:
     if sys.platform == "linux":
         LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 @dataclass(slots=True, eq=False)
-class Run:
-    """One life of a balancer's process."""
+class RunningProcess:
+    """A running process of a balancer."""
 
     process: asyncio.subprocess.Process
-    up_ns: int
-    planned: str = ""  # why it will end: kill, term, finish
-    watched: psutil.Process | None = None
+    started_ns: int
+    expected_end: str = ""  # how the kit ends it: kill, term, finish
+    psutil_process: psutil.Process | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Balancer:
+    """A balancer and its present process."""
+
     number: int
     address: str
     config: Json
     starts: int = 0
-    run: Run | None = None
+    run: RunningProcess | None = None
     watcher: asyncio.Task[None] | None = None
 
 
 @dataclass(slots=True)
-class Keeper:
-    """All balancers of a rehearsal."""
+class BalancerSupervisor:
+    """The role that runs all balancers of a rehearsal."""
 
     job: Json
     plan: Plan = field(init=False)
     balancers: list[Balancer] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
-    used: list[Used] = field(default_factory=list)
-    group: asyncio.TaskGroup | None = None  # of what is done to balancers during the day
+    process_runs: list[ProcessRun] = field(default_factory=list)
+    resource_samples: list[ResourceSample] = field(default_factory=list)
+    group: asyncio.TaskGroup | None = None  # of the commands that are executed during the day
 
     def __post_init__(self) -> None:
         self.plan = read_plan(self.job)
@@ -89,7 +92,7 @@
                             "sockets": self.plan.scenario.limits.sockets,
                         },
                         "known": self.job["known"],
-                        "settings": settings(self.plan, number),
+                        "settings": balancer_settings(self.plan, number),
                     },
                 )
             )
@@ -97,16 +100,20 @@
     async def prepare(self) -> Json:
         for balancer in self.balancers:
             await self._start(balancer)
-        ready = await asyncio.gather(*(self._ready(b, READY_S) for b in self.balancers))
+        ready = await asyncio.gather(*(self._wait_ready(b, READY_S) for b in self.balancers))
         return {"ready": ready}
 
     async def start(self, start_ns: int) -> None:
         loop = asyncio.get_running_loop()
-        for order in self.plan.orders:
-            if order.balancer >= 0 and order.what in ("kill", "restart", "hup"):
-                delay = max(0.0, (start_ns + order.at_ns - time.monotonic_ns()) / 1e9)
+        for command in self.plan.commands:
+            if command.balancer >= 0 and command.action in ("kill", "restart", "hup"):
+                delay = max(0.0, (start_ns + command.at_ns - time.monotonic_ns()) / 1e9)
                 loop.call_later(
-                    delay, self._order, self.balancers[order.balancer], order.what, order.back_ns / 1e9
+                    delay,
+                    self._execute,
+                    self.balancers[command.balancer],
+                    command.action,
+                    command.back_ns / 1e9,
                 )
         async with asyncio.TaskGroup() as self.group:
             while True:
@@ -114,7 +121,7 @@
                 await asyncio.sleep(SAMPLE_S)
 
     async def command(self, message: Json) -> None:
-        """Nothing is asked of it."""
+        """Does nothing: this role has no further commands."""
 
     def progress(self) -> Json:
         return {}
@@ -122,14 +129,14 @@
     async def finish(self) -> Json:
         self._sample()
         await asyncio.gather(*(self._stop(b, "finish") for b in self.balancers))
-        write_rows(rows_path(self.job, "lives"), self.lives)
-        write_rows(rows_path(self.job, "used"), self.used)
+        write_rows(rows_path(self.job, "lives"), self.process_runs)
+        write_rows(rows_path(self.job, "used"), self.resource_samples)
         return {}
 
     async def close(self) -> None:
         for balancer in self.balancers:
             if balancer.run is not None and balancer.run.process.returncode is None:
-                balancer.run.planned = "finish"
+                balancer.run.expected_end = "finish"
                 with suppress(ProcessLookupError):
                     balancer.run.process.kill()
         for balancer in self.balancers:
@@ -141,17 +148,17 @@
     async def _start(self, balancer: Balancer) -> None:
         folder = Path(self.job["folder"])
         seed = keyed_digest(self.plan.scenario.seed, "balancer", balancer.number, balancer.starts)
-        words = shlex.split(self.job["command"])
+        arguments = shlex.split(self.job["command"])
         if self.plan.scenario.directory is None:
             path = folder / f"balancer-{balancer.number}.json"
             balancer.config["seed"] = seed
             path.write_text(json.dumps(balancer.config))
-            words = words or [sys.executable, "-m", "lanelift"]
+            arguments = arguments or [sys.executable, "-m", "lanelift"]
         else:
             path = folder / f"balancer-{balancer.number}.toml"
             where = balancer.address, balancer.config["discovery"], self.job["directories"]
             path.write_text(operator_file(self.plan, balancer.number, seed, *where))
-            words = words or [sys.executable, "-c", SERVE, "serve", "--config", str(path)]
+            arguments = arguments or [sys.executable, "-c", SERVE, "serve", "--config", str(path)]
         balancer.starts += 1
         environment = {
             **os.environ,
@@ -162,28 +169,33 @@
         }
         with (folder / f"balancer-{balancer.number}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
-                *words,
+                *arguments,
                 env=environment,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
-                preexec_fn=_die_with_parent,
+                preexec_fn=_kill_with_parent,
             )
-        run = Run(process, time.monotonic_ns())
+        run = RunningProcess(process, time.monotonic_ns())
         with suppress(psutil.Error):
-            run.watched = psutil.Process(process.pid)
+            run.psutil_process = psutil.Process(process.pid)
         balancer.run = run
         balancer.watcher = asyncio.create_task(self._watch(balancer, run))
 
-    async def _watch(self, balancer: Balancer, run: Run) -> None:
-        code = await run.process.wait()
-        self.lives.append(Life(balancer.number, run.up_ns, time.monotonic_ns(), run.planned or "crash", code))
-        if run.planned != "finish":
-            say({"event": "down", "balancer": balancer.number, "why": run.planned or "crash"})
+    async def _watch(self, balancer: Balancer, run: RunningProcess) -> None:
+        exit_code = await run.process.wait()
+        self.process_runs.append(
+            ProcessRun(
+                balancer.number, run.started_ns, time.monotonic_ns(), run.expected_end or "crash", exit_code
+            )
+        )
+        if run.expected_end != "finish":
+            send_message({"event": "down", "balancer": balancer.number, "why": run.expected_end or "crash"})
 
-    async def _ready(self, balancer: Balancer, within_s: float) -> bool:
-        """Until `GET /ready` has answered 200; False: it did not in time, or has ended."""
+    async def _wait_ready(self, balancer: Balancer, within_s: float) -> bool:
+        """Waits until `GET /ready` answers 200. Returns False if it does not in time or the process has
+        ended."""
         host, _, port = balancer.address.rpartition(":")
         until = time.monotonic() + within_s
         while (
@@ -200,39 +212,41 @@
                             return True
                     finally:
                         writer.close()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(READY_POLL_S)
         return False
 
-    def _order(self, balancer: Balancer, what: str, back_s: float) -> None:
+    def _execute(self, balancer: Balancer, action: str, restart_after_s: float) -> None:
         if balancer.run is None or balancer.run.process.returncode is not None:
             return
-        if what == "hup":
+        if action == "hup":
             balancer.run.process.send_signal(signal.SIGHUP)
             return
         assert self.group is not None
-        self.group.create_task(self._again(balancer, "kill" if what == "kill" else "term", back_s))
+        self.group.create_task(
+            self._restart(balancer, "kill" if action == "kill" else "term", restart_after_s)
+        )
 
-    async def _again(self, balancer: Balancer, how: str, back_s: float) -> None:
-        if how == "term":
-            say({"event": "leaving", "balancer": balancer.number})
-        await self._stop(balancer, how)
-        await asyncio.sleep(back_s)
+    async def _restart(self, balancer: Balancer, end_reason: str, restart_after_s: float) -> None:
+        if end_reason == "term":
+            send_message({"event": "leaving", "balancer": balancer.number})
+        await self._stop(balancer, end_reason)
+        await asyncio.sleep(restart_after_s)
         await self._start(balancer)
-        if await self._ready(balancer, READY_S):
-            say({"event": "up", "balancer": balancer.number})
+        if await self._wait_ready(balancer, READY_S):
+            send_message({"event": "up", "balancer": balancer.number})
 
-    async def _stop(self, balancer: Balancer, how: str) -> None:
+    async def _stop(self, balancer: Balancer, end_reason: str) -> None:
         run = balancer.run
         if run is None or run.process.returncode is not None:
             return
-        run.planned = how
-        if how == "kill":
+        run.expected_end = end_reason
+        if end_reason == "kill":
             run.process.kill()
         else:
             run.process.terminate()
         longest_s = max(c.deadline_ms for c in self.plan.scenario.classes) / 1000
         try:
-            async with asyncio.timeout(max(longest_s, 3.0) + LEAVE_S):
+            async with asyncio.timeout(max(longest_s, 3.0) + TERMINATION_GRACE_S):
                 await run.process.wait()
         except TimeoutError:
             run.process.kill()
@@ -244,16 +258,16 @@
         now = time.monotonic_ns()
         for balancer in self.balancers:
             run = balancer.run
-            if run is None or run.watched is None or run.process.returncode is not None:
+            if run is None or run.psutil_process is None or run.process.returncode is not None:
                 continue
-            with suppress(psutil.Error), run.watched.oneshot():
-                times = run.watched.cpu_times()
-                self.used.append(
-                    Used(
+            with suppress(psutil.Error), run.psutil_process.oneshot():
+                times = run.psutil_process.cpu_times()
+                self.resource_samples.append(
+                    ResourceSample(
                         now,
                         balancer.number,
                         times.user + times.system,
-                        round(run.watched.memory_info().rss / 2**20, 2),
-                        run.watched.num_fds(),
+                        round(run.psutil_process.memory_info().rss / 2**20, 2),
+                        run.psutil_process.num_fds(),
                     )
                 )
--- a/lanelift/rehearsal/directories.py
+++ b/lanelift/rehearsal/directory_worker.py
@@ -1,33 +1,36 @@
-"""The process that hosts the stand-in directories, and does to them what the plan says."""
+"""The process that runs the emulated directories and applies the suspensions and outages of the plan to
+them."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 
-from lanelift.rehearsal.boxes import at
-from lanelift.rehearsal.plan import NEVER, Outage, Standing
-from lanelift.rehearsal.records import Ruling, write_rows
-from lanelift.rehearsal.serving import BASE
+from lanelift.rehearsal.operator_config import BASE
+from lanelift.rehearsal.plan import NEVER, Outage, SuspensionPeriod
+from lanelift.rehearsal.records import StandingChange, write_rows
+from lanelift.rehearsal.upstream_workers import call_at
 from lanelift.rehearsal.worker import Json, read_plan, rows_path
 from lanelift.standins.directory import Directory, NetworkFaults
 from lanelift.standins.ldap import Code, ServerFaults, Tree
 
 GARBAGE = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n"
 TRICKLE_S = 1.0  # between two bytes
-CUT_AFTER = 200  # bytes of answers: within the first entry or two
+CUT_AFTER = 200  # bytes of answers, within the first or second entry
 
 
-def agent(name: str) -> str:
+def agent_dn(name: str) -> str:
+    """Returns the distinguished name of a tenant."""
     return f"cn={name},{BASE}"
 
 
-def stamp_now() -> str:
+def timestamp_now() -> str:
+    """Returns the present time as GeneralizedTime."""
     return time.strftime("%Y%m%d%H%M%SZ", time.gmtime())
 
 
-class Directories:
-    """Replicas of one tree: what is changed in it, all of them show at once."""
+class DirectoryWorker:
+    """Runs directories that serve one shared tree, so that all of them show a change immediately."""
 
     def __init__(self, job: Json) -> None:
         self.job = job
@@ -36,13 +39,13 @@
         assert table is not None
         self.tree = Tree(BASE)
         self.servers = [Directory(self.tree) for _ in range(table.servers)]
-        self.rulings: list[Ruling] = []
+        self.standing_changes: list[StandingChange] = []
 
     async def prepare(self) -> Json:
         table = self.plan.scenario.directory
         assert table is not None
         shares = {t.name: t.share for t in self.plan.scenario.tenants}
-        now = stamp_now()
+        now = timestamp_now()
         for number in range(table.more):
             shares[f"further-{number:05d}"] = 1.0
         for name, share in shares.items():
@@ -52,29 +55,29 @@
                 "agentStanding": "active",
                 "agentShare": f"{share:.6f}",
             }
-            self.tree.put(agent(name), rows, now)
+            self.tree.put(agent_dn(name), rows, now)
         return {"addresses": [f"127.0.0.1:{await server.start()}" for server in self.servers]}
 
     async def start(self, start_ns: int) -> None:
         async with asyncio.TaskGroup() as group:
-            for standing in self.plan.standings:
-                at(start_ns + standing.at_ns, self._rule, standing, "suspended")
-                if standing.until_ns < NEVER:
-                    at(start_ns + standing.until_ns, self._rule, standing, "active")
+            for period in self.plan.suspension_periods:
+                call_at(start_ns + period.at_ns, self._set_standing, period, "suspended")
+                if period.until_ns < NEVER:
+                    call_at(start_ns + period.until_ns, self._set_standing, period, "active")
             for outage in self.plan.outages:
-                at(start_ns + outage.at_ns, self._fail, outage)
-                at(start_ns + outage.until_ns, self._mend, group, outage)
+                call_at(start_ns + outage.at_ns, self._inject, outage)
+                call_at(start_ns + outage.until_ns, self._clear, group, outage)
             await asyncio.Event().wait()
 
-    def _rule(self, standing: Standing, what: str) -> None:
-        self.tree.change(agent(standing.tenant), stamp_now(), agentStanding=what)
-        self.rulings.append(Ruling(time.monotonic_ns(), standing.tenant, what))
+    def _set_standing(self, period: SuspensionPeriod, standing: str) -> None:
+        self.tree.change(agent_dn(period.tenant), timestamp_now(), agentStanding=standing)
+        self.standing_changes.append(StandingChange(time.monotonic_ns(), period.tenant, standing))
 
-    def _hit(self, outage: Outage) -> list[Directory]:
+    def _affected(self, outage: Outage) -> list[Directory]:
         return self.servers[:1] if outage.servers == "first" else self.servers
 
-    def _fail(self, outage: Outage) -> None:
-        for server in self._hit(outage):
+    def _inject(self, outage: Outage) -> None:
+        for server in self._affected(outage):
             match outage.how:
                 case "refused":
                     server.stop()
@@ -93,20 +96,20 @@
                 case "empty":
                     server.server_faults = ServerFaults(empty=True)
 
-    def _mend(self, group: asyncio.TaskGroup, outage: Outage) -> None:
-        for server in self._hit(outage):
+    def _clear(self, group: asyncio.TaskGroup, outage: Outage) -> None:
+        for server in self._affected(outage):
             server.network_faults, server.server_faults = NetworkFaults(), ServerFaults()
             if server.server is None:
                 group.create_task(server.start())
 
     async def command(self, message: Json) -> None:
-        """Nothing is asked of it."""
+        """Does nothing: this role has no further commands."""
 
     def progress(self) -> Json:
         return {}
 
     async def finish(self) -> Json:
-        write_rows(rows_path(self.job, "rulings"), self.rulings)
+        write_rows(rows_path(self.job, "rulings"), self.standing_changes)
         return {"searches": sum(s.searches for s in self.servers)}
 
     async def close(self) -> None:
--- a/lanelift/rehearsal/generator.py
+++ b/lanelift/rehearsal/generator.py
@@ -1,4 +1,4 @@
-"""The load process: a part of the plan's requests, sent when they are due."""
+"""The load process, which sends its part of the plan's requests when they are due."""
 
 from __future__ import annotations
 
@@ -10,40 +10,46 @@
 from lanelift.rehearsal.worker import Json, read_plan, rows_path
 
 
-class Generator:
+class LoadGenerator:
+    """The role of a load process: sends every n-th request of the plan."""
+
     def __init__(self, job: Json) -> None:
         self.job = job
         plan = read_plan(job)
-        asks = [ask for ask in plan.asks if ask.number % job["count"] == job["index"]]
+        requests = [request for request in plan.requests if request.number % job["count"] == job["index"]]
         self.front = Front(plan, [(host, port) for host, port in job["balancers"]])
-        self.clients = Clients(plan, asks, self.front)
+        self.clients = Clients(plan, requests, self.front)
 
     async def prepare(self) -> Json:
-        return {"asks": len(self.clients.asks)}
+        return {"asks": len(self.clients.requests)}
 
     async def start(self, start_ns: int) -> None:
-        await self.clients.play(start_ns)
+        await self.clients.run(start_ns)
 
     async def command(self, message: Json) -> None:
-        """What the front is to believe of a balancer, from some time on."""
+        """Updates, after a delay, whether the front believes that a balancer is alive."""
         if message["do"] == "front":
             loop = asyncio.get_running_loop()
-            loop.call_later(message["in_s"], self._believe, message["balancer"], message["alive"])
+            loop.call_later(message["in_s"], self._set_alive, message["balancer"], message["alive"])
 
-    def _believe(self, balancer: int, alive: bool) -> None:
+    def _set_alive(self, balancer: int, alive: bool) -> None:
         self.front.alive[balancer] = alive
 
     def progress(self) -> Json:
         return dict(self.clients.counts)
 
     async def finish(self) -> Json:
-        write_rows(rows_path(self.job, "tries"), self.clients.rows)
-        late = sorted(self.clients.late_ns) or [0]
+        write_rows(rows_path(self.job, "tries"), self.clients.tries)
+        late = sorted(self.clients.start_delays_ns) or [0]
         return {
-            "short": self.clients.short,
+            "short": self.clients.connect_shortages,
             "offered": f"{self.clients.offered:032x}",
             "descriptors": resource.getrlimit(resource.RLIMIT_NOFILE)[0],
-            "due_late_ms": {"p50": _at(late, 0.5), "p99": _at(late, 0.99), "max": _at(late, 1.0)},
+            "due_late_ms": {
+                "p50": _percentile_ms(late, 0.5),
+                "p99": _percentile_ms(late, 0.99),
+                "max": _percentile_ms(late, 1.0),
+            },
         }
 
     async def close(self) -> None:
@@ -52,5 +58,5 @@
                 connection.abort()
 
 
-def _at(ordered: list[int], part: float) -> float:
+def _percentile_ms(ordered: list[int], part: float) -> float:
     return round(ordered[int(part * (len(ordered) - 1))] / 1e6, 3)
--- a/lanelift/rehearsal/page.py
+++ b/lanelift/rehearsal/html_report.py
@@ -1,7 +1,7 @@
-"""The report as one page that needs nothing beside it: the verdict in words, and charts drawn into it.
+"""The report as a self-contained HTML page: the verdict as text, and embedded charts.
 
-Drawn by matplotlib, as SVG set into the page: no script, nothing is fetched. Colours are those of Okabe and
-Ito, which people with any colour vision tell apart.
+The charts are drawn by matplotlib and embedded as SVG: the page has no script and fetches nothing. The
+colours are those of Okabe and Ito, which people with any colour vision can distinguish.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from lanelift.rehearsal.report import SPAN_S, Json, summary
+from lanelift.rehearsal.report import CHART_WINDOW_S, Json, summary
 
 matplotlib.use("svg")
 matplotlib.rcParams.update(
@@ -52,11 +52,13 @@
 """
 
 
-def write_page(report: Json, path: Path) -> None:
-    path.write_text(make_page(report), encoding="utf-8")
+def write_html_report(report: Json, path: Path) -> None:
+    """Writes a report as an HTML page."""
+    path.write_text(render_html(report), encoding="utf-8")
 
 
-def make_page(report: Json) -> str:
+def render_html(report: Json) -> str:
+    """Renders a report as an HTML page."""
     scenario, v = report["scenario"], report["verdict"]
     title = f"{scenario['name']}, seed {scenario['seed']}"
     about = f"{scenario['about']}. " if scenario["about"] else ""
@@ -125,9 +127,9 @@
     return figure, figure.subplots()
 
 
-def _mark(axes: Axes, report: Json, alpha: float = 0.13) -> None:
-    """The faults: a band for as long as one lasts, its name above."""
-    rows: list[float] = []  # where the name in each row of names ends
+def _mark_faults(axes: Axes, report: Json, alpha: float = 0.13) -> None:
+    """Marks the faults: a band for the duration of each, with its name above."""
+    rows: list[float] = []  # where the last label of each row of labels ends
     span = report["scenario"]["length_s"]
     for mark in report["marks"]:
         axes.axvspan(
@@ -152,13 +154,13 @@
     at = [row["at_s"] for row in report["windows"]]
     below = [0.0] * len(at)
     for kind, (name, colour) in KINDS.items():
-        rate = [row["kinds"].get(kind, 0) / SPAN_S for row in report["windows"]]
+        rate = [row["kinds"].get(kind, 0) / CHART_WINDOW_S for row in report["windows"]]
         if any(rate):
-            axes.bar(at, rate, SPAN_S, below, align="edge", color=colour, label=name)
+            axes.bar(at, rate, CHART_WINDOW_S, below, align="edge", color=colour, label=name)
             below = [x + y for x, y in zip(below, rate, strict=True)]
     axes.set_ylabel("requests a second")
     axes.legend(loc="center left", bbox_to_anchor=(1, 0.5), frameon=False)
-    _mark(axes, report)
+    _mark_faults(axes, report)
     return figure
 
 
@@ -182,16 +184,16 @@
     axes.set_ylabel("ms")
     axes.set_ylim(bottom=0)
     axes.legend(loc="center left", bbox_to_anchor=(1, 0.5), frameon=False)
-    _mark(axes, report)
+    _mark_faults(axes, report)
     return figure
 
 
 def _boxes(report: Json) -> Figure:
-    held, able = report["boxes"]["held"], report["boxes"]["capacity"]
+    held, capacity = report["boxes"]["held"], report["boxes"]["capacity"]
     places = sorted(held, key=int)
     figure, axes = _chart(0.9 + 0.085 * max(12, len(places)))
     grid: list[list[Any]] = [
-        [h / c if h is not None and c else math.nan for h, c in zip(held[p], able[p], strict=True)]
+        [h / c if h is not None and c else math.nan for h, c in zip(held[p], capacity[p], strict=True)]
         for p in places
     ]
     image = axes.imshow(
@@ -205,7 +207,7 @@
     )
     axes.set_ylabel("box")
     figure.colorbar(image, ax=axes, pad=0.01, extend="max", label="held / capacity")
-    _mark(axes, report, alpha=0)
+    _mark_faults(axes, report, alpha=0)
     return figure
 
 
--- a/lanelift/rehearsal/serving.py
+++ b/lanelift/rehearsal/operator_config.py
@@ -1,6 +1,6 @@
-"""What a balancer is told where directories tell of tenants: the operator's file of this day, as text.
+"""Generates the operator's file of a balancer, for days on which directories list the tenants.
 
-Where there are none, it is started as on the platform (`plan.settings`). Pure.
+On other days a balancer is started as on the platform (`plan.balancer_settings`). Performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,40 +17,40 @@
 def operator_file(
     plan: Plan, balancer: int, seed: str, listen: str, discovery: str, directories: Sequence[str]
 ) -> str:
-    """TOML, as `lanelift serve` reads it."""
-    day, table = plan.scenario, plan.scenario.directory
+    """Returns the operator's file as TOML, as `lanelift serve` reads it."""
+    scenario, table = plan.scenario, plan.scenario.directory
     assert table is not None
     parts = [
         _table(
             "serve",
             listen=listen,
             seed=seed,
-            sockets=day.limits.sockets,
-            zone=day.fleet.rooms[balancer % len(day.fleet.rooms)],
-            balancers=day.fleet.balancers,
+            sockets=scenario.limits.sockets,
+            zone=scenario.fleet.rooms[balancer % len(scenario.fleet.rooms)],
+            balancers=scenario.fleet.balancers,
             number=balancer,
         ),
-        _table("discovery", address=discovery, push=day.discovery.mode == "push"),
+        _table("discovery", address=discovery, push=scenario.discovery.mode == "push"),
         _table(
             "limits",
-            max_attempts=day.limits.max_attempts,
+            max_attempts=scenario.limits.max_attempts,
             cancel=True,
             probes=True,
-            retry_after=day.limits.retry_after,
-            max_retry_after_ms=day.limits.max_retry_after_ms,
-            connect_timeout_ms=day.limits.connect_timeout_ms,
-            idle_ms=day.box.idle_s * 1000,
+            retry_after=scenario.limits.retry_after,
+            max_retry_after_ms=scenario.limits.max_retry_after_ms,
+            connect_timeout_ms=scenario.limits.connect_timeout_ms,
+            idle_ms=scenario.box.idle_s * 1000,
         ),
         _table(
             "rules",
-            drain_grace_ms=day.rules.drain_grace_ms,
-            cold_from=day.box.cold_from,
-            cold_ms=day.box.cold_s * 1000,
-            fall_multiple=day.rules.fall_multiple,
-            fall_ms=day.rules.fall_ms,
+            drain_grace_ms=scenario.rules.drain_grace_ms,
+            cold_from=scenario.box.cold_from,
+            cold_ms=scenario.box.cold_s * 1000,
+            fall_multiple=scenario.rules.fall_multiple,
+            fall_ms=scenario.rules.fall_ms,
         ),
     ]
-    for c in day.classes:
+    for c in scenario.classes:
         parts.append(
             _table(
                 "[class]",
@@ -61,7 +61,7 @@
                 worth=c.worth,
             )
         )
-    parts += [_table("[tenant]", name=t.name, share=t.share) for t in day.tenants]
+    parts += [_table("[tenant]", name=t.name, share=t.share) for t in scenario.tenants]
     parts.append(
         _table(
             "tenants",
@@ -81,5 +81,5 @@
 
 
 def _table(title: str, /, **rows: Any) -> str:
-    # Text and truth values of JSON are TOML's, too, and so are its numbers here.
+    # Strings, booleans and these numbers have the same form in JSON and TOML.
     return f"[{title}]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -1,9 +1,8 @@
-"""A rehearsal drawn ahead: scenario and seed in; every request, fault and piece of news out, with its time.
-Pure.
+"""The plan of a rehearsal: generates all requests, faults and discovery notifications with their times from a
+scenario and its seed. Performs no I/O.
 
-Nothing that happens during a run changes what is asked or breaks: two runs of one seed offer the same
-requests at the same due times, and what a request costs hangs on its id alone. Times are ns after the start
-of the day.
+Nothing that happens during a run changes the plan: two runs with one seed offer the same requests at the same
+due times, and the work of a request depends only on its id. Times are ns after the start of the day.
 """
 
 from __future__ import annotations
@@ -20,14 +19,14 @@
 
 MS = 1_000_000
 NEVER = 1 << 62
-BURST_S = 1.0  # a tenant may ask so many seconds of its quota at once before it counts as over its share
-SUCCESSOR_S = 0.5  # between the end of a box in a deploy and the start of the one that takes its place
-BURST_TURN_S = 2.0  # a bursty day has a new rate after so long
+SHARE_BURST_S = 1.0  # seconds of its quota that a tenant may use in a burst before it is over its share
+REPLACEMENT_DELAY_S = 0.5  # from the end of a box in a deploy to the start of its replacement
+BURST_INTERVAL_S = 2.0  # a bursty load changes its rate at this interval
 HINT_CV = {"none": 0.0, "good": 0.15, "rough": 0.6}
 
 
-class Ask(NamedTuple):
-    """One request as its client has it in mind: the first try and how the client goes on."""
+class ScheduledRequest(NamedTuple):
+    """A request as its client will send it: the first try and the retry behaviour."""
 
     number: int
     due_ns: int
@@ -36,66 +35,70 @@
     tenant: str
     room: int
     work_ns: int
-    hint_us: int  # 0: none given
-    over: bool  # beyond its tenant's share
-    key: str
-    try_ns: int  # a try is given up after this
-    tries: int
-    backoff_ns: int  # between the end of a try and the next
-    heeds: bool  # a Retry-After that is longer than its own wait
-    walk_off_ns: int  # its client leaves so long after the due time; 0: it stays
+    hint_us: int  # 0: no hint
+    over_share: bool  # exceeds its tenant's share
+    object_key: str
+    try_timeout_ns: int  # the client abandons a try after this
+    max_tries: int
+    backoff_ns: int  # from the end of a try to the next try
+    honours_retry_after: bool  # waits for a Retry-After that is longer than its backoff
+    abandon_after_ns: int  # the client leaves this long after the due time; 0: never
 
     def try_id(self, number: int) -> str:
-        """The X-Request-Id of each try: new with a client's retry, and still telling whose it is."""
+        """Returns the X-Request-Id of a try: unique for each retry, and prefixed with the id of the
+        request."""
         return self.id if number == 0 else f"{self.id}-{number}"
 
 
-def ask_of(try_id: str) -> str:
+def request_id_of(try_id: str) -> str:
+    """Returns the id of the request that a try belongs to."""
     return try_id.partition("-")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """An address at which one box after the other lives."""
+    """An address at which successive instances of a box run."""
 
     number: int
     room: int
     spec: BoxSpec
 
-    def life(self, number: int) -> str:
+    def instance_id(self, number: int) -> str:
+        """Returns the id of the instance with this number."""
         return f"box-{self.number:03d}-{number}"
 
 
 class Step(NamedTuple):
-    """Something done to a place: die, start (cold, its next life), drain, stop, freeze, share, vanish."""
+    """An action on a place: die, start (a new cold instance), drain, stop, freeze, share or vanish."""
 
     at_ns: int
-    what: str
+    action: str
     place: int
-    figure: float = 0.0  # freeze: ns; share: the part taken
+    value: float = 0.0  # freeze: ns; share: the share of the machine that another program takes
 
 
-class News(NamedTuple):
-    """What discovery has learned and tells one balancer at that time."""
+class Notification(NamedTuple):
+    """A change of a box's state, which discovery sends to one balancer at that time."""
 
     at_ns: int
     balancer: int
     place: int
-    life: int
+    instance: int
     state: str  # Ready, Terminating, Gone
 
 
-class Order(NamedTuple):
-    """To a balancer or to discovery: kill, restart, hup; silent, heard."""
+class Command(NamedTuple):
+    """A command to a balancer (kill, restart, hup) or to discovery (silent, heard: an outage begins or
+    ends)."""
 
     at_ns: int
-    what: str
+    action: str
     balancer: int = -1
     back_ns: int = 0
 
 
-class Standing(NamedTuple):
-    """A tenant is suspended in the directories, until it is in good standing again."""
+class SuspensionPeriod(NamedTuple):
+    """A period during which a tenant is suspended in the directories."""
 
     at_ns: int
     until_ns: int
@@ -103,7 +106,7 @@
 
 
 class Outage(NamedTuple):
-    """Directories fail."""
+    """A period during which directories fail."""
 
     at_ns: int
     until_ns: int
@@ -112,8 +115,8 @@
     delay_s: float
 
 
-class Mark(NamedTuple):
-    """A fault as a chart names it."""
+class FaultMark(NamedTuple):
+    """The period and the label of a fault in a chart."""
 
     at_ns: int
     until_ns: int
@@ -122,42 +125,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """All that happens in a rehearsal."""
+
     scenario: s.Scenario
-    asks: Sequence[Ask]
+    requests: Sequence[ScheduledRequest]
     places: Sequence[Place]
     steps: Sequence[Step]
-    news: Sequence[News]
-    orders: Sequence[Order]
-    marks: Sequence[Mark]
-    capacity: float  # seconds of work a second of the whole fleet, warm
-    standings: Sequence[Standing] = ()
+    notifications: Sequence[Notification]
+    commands: Sequence[Command]
+    marks: Sequence[FaultMark]
+    capacity: float  # of the whole fleet when warm, in seconds of work per second
+    suspension_periods: Sequence[SuspensionPeriod] = ()
     outages: Sequence[Outage] = ()
 
     @property
     def length_ns(self) -> int:
+        """The length of the day."""
         return _ns(self.scenario.length_s)
 
-    def works(self) -> dict[str, int]:
-        return {ask.id: ask.work_ns for ask in self.asks}
+    def work_by_id(self) -> dict[str, int]:
+        """Returns the work of each request in ns, by request id."""
+        return {request.id: request.work_ns for request in self.requests}
 
 
 def make_plan(scenario: s.Scenario) -> Plan:
+    """Generates the plan of a scenario. The same scenario and seed always give the same plan."""
     places = _places(scenario)
     capacity = sum(p.spec.cores * p.spec.speed for p in places)
-    story = _Story(scenario, places)
+    timeline = _FaultTimeline(scenario, places)
     for index, fault in sorted(enumerate(scenario.faults), key=lambda item: item[1].at_s):
-        story.tell(index, fault)
+        timeline.add(index, fault)
     return Plan(
         scenario,
-        list(_asks(scenario, capacity)),
+        list(_requests(scenario, capacity)),
         places,
-        sorted(story.steps),
-        sorted(story.news),
-        sorted(story.orders),
-        sorted(story.marks),
+        sorted(timeline.steps),
+        sorted(timeline.notifications),
+        sorted(timeline.commands),
+        sorted(timeline.marks),
         capacity,
-        sorted(story.standings),
-        sorted(story.outages),
+        sorted(timeline.suspension_periods),
+        sorted(timeline.outages),
     )
 
 
@@ -200,13 +208,13 @@
         "steady": 0.0,
         "ramp": load.swing * (2 * now_s / length_s - 1),
         "wave": load.swing * math.sin(4 * math.pi * now_s / length_s),
-        "bursty": load.swing * (2 * unit(scenario.seed, "burst", int(now_s / BURST_TURN_S)) - 1),
+        "bursty": load.swing * (2 * unit(scenario.seed, "burst", int(now_s / BURST_INTERVAL_S)) - 1),
     }
     return load.rate * (1 + swing[load.shape])
 
 
 def _due_times(scenario: s.Scenario) -> Iterator[int]:
-    """A Poisson stream at the top rate, thinned to the rate of the moment."""
+    """Yields the arrivals of a Poisson process at the highest rate, thinned to the rate at each time."""
     rng = random.Random(f"{scenario.seed} arrivals")
     top = scenario.load.rate * (1 + (0 if scenario.load.shape == "steady" else scenario.load.swing))
     now_s = rng.expovariate(top)
@@ -225,17 +233,17 @@
     return len(weights) - 1
 
 
-class _Quota:
-    """A tenant's share as a bucket of work."""
+class _ShareBucket:
+    """The share of a tenant as a token bucket of work."""
 
     def __init__(self, work_per_s: float) -> None:
         self.per_s = work_per_s
-        self.left = work_per_s * BURST_S
+        self.left = work_per_s * SHARE_BURST_S
         self.at_ns = 0
 
-    def spend(self, work_ns: int, now: int) -> bool:
-        """Is this one within the share?"""
-        self.left = min(self.per_s * BURST_S, self.left + self.per_s * (now - self.at_ns) / SECOND)
+    def charge(self, work_ns: int, now: int) -> bool:
+        """Charges the work of a request. Returns whether the request is within the share."""
+        self.left = min(self.per_s * SHARE_BURST_S, self.left + self.per_s * (now - self.at_ns) / SECOND)
         self.at_ns = now
         if self.left <= 0:
             return False
@@ -243,92 +251,93 @@
         return True
 
 
-def _asks(scenario: s.Scenario, capacity: float) -> Iterator[Ask]:
+def _requests(scenario: s.Scenario, capacity: float) -> Iterator[ScheduledRequest]:
     seed, load, clients = scenario.seed, scenario.load, scenario.clients
     classes, tenants = scenario.classes, scenario.tenants
     shares = sum(t.share for t in tenants)
-    quotas = [_Quota(load.quota_part * capacity * t.share / shares) for t in tenants]
+    quotas = [_ShareBucket(load.quota_part * capacity * t.share / shares) for t in tenants]
     heavy = [(_ns(f.at_s), _ns(f.at_s + f.len_s), f) for f in scenario.faults if isinstance(f, s.Heavy)]
     rooms = len(scenario.fleet.rooms)
     room_weights = [1 + load.room_skew * (1 - 2 * i / max(1, rooms - 1)) for i in range(rooms)]
     for number, due_ns in enumerate(_due_times(scenario)):
         name = keyed_digest(seed, "ask", number)
         cls = classes[_pick([c.share for c in classes], unit(seed, name, "class"))]
-        who = _pick([t.share * t.usage for t in tenants], unit(seed, name, "tenant"))
+        tenant = _pick([t.share * t.usage for t in tenants], unit(seed, name, "tenant"))
         work = lognormal(cls.work_ms * MS, cls.cv, seed, name, "work")
         for since, until, fault in heavy:
             if since <= due_ns < until and cls.name == fault.name and unit(seed, name, "heavy") < fault.part:
                 work *= fault.times
         hint = 0.0 if load.hints == "none" else lognormal(work, HINT_CV[load.hints], seed, name, "hint")
-        leaves = unit(seed, name, "walk") < clients.walk_off
-        yield Ask(
+        abandons = unit(seed, name, "walk") < clients.walk_off
+        yield ScheduledRequest(
             number,
             due_ns,
             name,
             cls.name,
-            tenants[who].name,
+            tenants[tenant].name,
             _pick(room_weights, unit(seed, name, "room")),
             max(1, round(work)),
             round(hint / 1000),
-            not quotas[who].spend(round(work), due_ns),
+            not quotas[tenant].charge(round(work), due_ns),
             f"o{unit(seed, name, 'key'):.12f}"[3:],
             round(cls.deadline_ms * MS * uniform(*clients.try_part, seed, name, "try")),
             1 + clients.retries,
             round(uniform(*clients.backoff_ms, seed, name, "backoff") * MS),
             unit(seed, name, "heeds") < clients.honour,
-            round(uniform(0.05, 0.5, seed, name, "leaves") * cls.deadline_ms * MS) if leaves else 0,
+            round(uniform(0.05, 0.5, seed, name, "leaves") * cls.deadline_ms * MS) if abandons else 0,
         )
 
 
-# ---- what goes wrong -------------------------------------------------------------------------------------
+# ---- the faults ------------------------------------------------------------------------------------------
 
 
-class _Story:
-    """Unfolds faults into steps, and the news of them into what each balancer hears when."""
+class _FaultTimeline:
+    """Expands faults into steps and commands, and into the notifications that each balancer receives."""
 
     def __init__(self, scenario: s.Scenario, places: Sequence[Place]) -> None:
         self.scenario = scenario
         self.places = places
-        self.lives = [0] * len(places)  # the number of the life that a place is in
-        self.free_ns = [0] * len(places)  # no box lives there, or one that is as good as gone, until then
+        self.instances = [0] * len(places)  # the number of the present instance of each place
+        # Until then a place has no box, or one that another fault has ended or will end.
+        self.available_ns = [0] * len(places)
         self.steps: list[Step] = []
-        self.news: list[News] = []
-        self.orders: list[Order] = []
-        self.marks: list[Mark] = []
-        self.standings: list[Standing] = []
+        self.notifications: list[Notification] = []
+        self.commands: list[Command] = []
+        self.marks: list[FaultMark] = []
+        self.suspension_periods: list[SuspensionPeriod] = []
         self.outages: list[Outage] = []
 
-    def tell(self, index: int, fault: s.Fault) -> None:
+    def add(self, index: int, fault: s.Fault) -> None:
         at = _ns(fault.at_s)
         name = ("fault", index)
         text, until = str(fault.kind), at + _ns(getattr(fault, "len_s", 0.0))
         match fault:
             case s.Die():
-                for place in self._some(fault.part, at, name):
+                for place in self._choose_places(fault.part, at, name):
                     self.steps.append(Step(at, "die", place))
-                    self._news(at, place, "Gone")
-                    self.free_ns[place] = NEVER
+                    self._notify(at, place, "Gone")
+                    self.available_ns[place] = NEVER
                     if fault.back_after_s is not None:
-                        back = at + self._between(fault.back_after_s, *name, place)
+                        back = at + self._duration_ns(fault.back_after_s, *name, place)
                         self._start(back, place)
                         until = max(until, back)
             case s.Deploy():
                 until = self._deploy(fault, at, name)
             case s.Freeze():
-                for place in self._some(fault.part, at, name, whole=True):
-                    self._again(
+                for place in self._choose_places(fault.part, at, name, include_unavailable=True):
+                    self._repeat(
                         at,
                         until,
                         fault.every_s,
                         (*name, place),
                         lambda t, n, p=place, f=fault: self.steps.append(
-                            Step(t, "freeze", p, self._ms(f.pause_ms, *name, p, n))
+                            Step(t, "freeze", p, self._millis_ns(f.pause_ms, *name, p, n))
                         ),
                     )
             case s.Slow():
-                for place in self._some(fault.part, at, name, whole=True):
+                for place in self._choose_places(fault.part, at, name, include_unavailable=True):
                     taken = uniform(*fault.taken, self.scenario.seed, *name, place, "taken")
-                    self._again(
+                    self._repeat(
                         at,
                         until,
                         fault.turn_s,
@@ -339,19 +348,19 @@
                     )
                     self.steps.append(Step(until, "share", place, 0.0))
             case s.Vanish():
-                for place in self._some(fault.part, at, name):
+                for place in self._choose_places(fault.part, at, name):
                     self.steps.append(Step(at, "vanish", place))
-                    self.free_ns[place] = NEVER
-                    self._news(at, place, "Gone", self.scenario.discovery.silent_notice_s)
+                    self.available_ns[place] = NEVER
+                    self._notify(at, place, "Gone", self.scenario.discovery.silent_notice_s)
             case s.Drain():
-                for place in self._some(fault.part, at, name):
+                for place in self._choose_places(fault.part, at, name):
                     until = max(until, self._drain(at, place, fault.drain_s, name))
             case s.Silent():
-                self.orders += [Order(at, "silent"), Order(until, "heard")]
+                self.commands += [Command(at, "silent"), Command(until, "heard")]
             case s.Signal():
                 count = min(fault.balancers, self.scenario.fleet.balancers)
                 for number in self._rng(name).sample(range(self.scenario.fleet.balancers), count):
-                    self.orders.append(Order(at, fault.kind, number, _ns(fault.back_after_s)))
+                    self.commands.append(Command(at, fault.kind, number, _ns(fault.back_after_s)))
             case s.Heavy():
                 text = f"heavy {fault.name}"
             case s.Suspend():
@@ -359,65 +368,70 @@
             case s.DirectoryFails():
                 text = f"directory {fault.how}"
                 self.outages.append(Outage(at, until, fault.how, fault.servers, fault.delay_s))
-        self.marks.append(Mark(at, max(until, at), text))
+        self.marks.append(FaultMark(at, max(until, at), text))
 
     def _suspend(self, fault: s.Suspend, at: int, name: tuple[object, ...]) -> None:
         names = [t.name for t in self.scenario.tenants]
         count = min(fault.count, len(names))
         for tenant in [fault.tenant] if fault.tenant else self._rng(name).sample(names, count):
-            begins = at + self._between((0.0, fault.len_s), *name, tenant)
-            lasts = NEVER if fault.for_s is None else self._between(fault.for_s, *name, tenant, "for")
-            self.standings.append(Standing(begins, min(NEVER, begins + lasts), tenant))
+            begins = at + self._duration_ns((0.0, fault.len_s), *name, tenant)
+            lasts = NEVER if fault.for_s is None else self._duration_ns(fault.for_s, *name, tenant, "for")
+            self.suspension_periods.append(SuspensionPeriod(begins, min(NEVER, begins + lasts), tenant))
 
     def _rng(self, name: tuple[object, ...]) -> random.Random:
         return random.Random(f"{self.scenario.seed} {name}")
 
-    def _between(self, pair: tuple[float, float], *name: object) -> int:
+    def _duration_ns(self, pair: tuple[float, float], *name: object) -> int:
         return _ns(uniform(*pair, self.scenario.seed, *name))
 
-    def _ms(self, pair: tuple[float, float], *name: object) -> int:
+    def _millis_ns(self, pair: tuple[float, float], *name: object) -> int:
         return round(uniform(*pair, self.scenario.seed, *name, "ms") * MS)
 
-    def _some(self, part: float, at: int, name: tuple[object, ...], whole: bool = False) -> list[int]:
-        """So large a part of the places, drawn; `whole`: also those that another fault has in hand."""
-        free = [p.number for p in self.places if whole or self.free_ns[p.number] <= at]
+    def _choose_places(
+        self, part: float, at: int, name: tuple[object, ...], include_unavailable: bool = False
+    ) -> list[int]:
+        """Draws a share of all places. Skips those that another fault occupies, unless `include_unavailable`
+        is set."""
+        free = [p.number for p in self.places if include_unavailable or self.available_ns[p.number] <= at]
         return sorted(self._rng(name).sample(free, min(len(free), round(part * len(self.places)))))
 
-    def _again(
-        self, at: int, until: int, every_s: tuple[float, float], name: tuple[object, ...], do: Any
+    def _repeat(
+        self, at: int, until: int, every_s: tuple[float, float], name: tuple[object, ...], action_at: Any
     ) -> None:
         turn = 0
-        at += self._between((0.0, every_s[1]), *name, "first")
+        at += self._duration_ns((0.0, every_s[1]), *name, "first")
         while at < until:
-            do(at, turn)
+            action_at(at, turn)
             turn += 1
-            at += max(MS, self._between(every_s, *name, "turn", turn))
+            at += max(MS, self._duration_ns(every_s, *name, "turn", turn))
 
-    def _news(self, at: int, place: int, state: str, late_s: tuple[float, float] | None = None) -> None:
-        life = self.lives[place]
+    def _notify(self, at: int, place: int, state: str, late_s: tuple[float, float] | None = None) -> None:
+        instance = self.instances[place]
         late_s = late_s or self.scenario.discovery.notice_s
-        # What discovery itself notices late; then the way to each balancer adds to it.
-        noticed = at + self._between(late_s, "notice", place, life, state) // 2
+        # Half of the delay is discovery's own; the delivery to each balancer adds the other half.
+        noticed_ns = at + self._duration_ns(late_s, "notice", place, instance, state) // 2
         for balancer in range(self.scenario.fleet.balancers):
-            way = self._between(late_s, "way", balancer, place, life, state) // 2
-            self.news.append(News(noticed + way, balancer, place, life, state))
+            delivery_ns = self._duration_ns(late_s, "way", balancer, place, instance, state) // 2
+            self.notifications.append(
+                Notification(noticed_ns + delivery_ns, balancer, place, instance, state)
+            )
 
     def _start(self, at: int, place: int) -> None:
-        self.lives[place] += 1
+        self.instances[place] += 1
         self.steps.append(Step(at, "start", place))
-        self._news(at, place, "Ready")
-        self.free_ns[place] = at
+        self._notify(at, place, "Ready")
+        self.available_ns[place] = at
 
     def _drain(self, at: int, place: int, drain_s: tuple[float, float], name: tuple[object, ...]) -> int:
-        end = at + self._between(drain_s, *name, place, "drain")
+        end = at + self._duration_ns(drain_s, *name, place, "drain")
         self.steps += [Step(at, "drain", place), Step(end, "stop", place)]
-        self._news(at, place, "Terminating")
-        self._news(end, place, "Gone")
-        self.free_ns[place] = NEVER
+        self._notify(at, place, "Terminating")
+        self._notify(end, place, "Gone")
+        self.available_ns[place] = NEVER
         return end
 
     def _deploy(self, fault: s.Deploy, at: int, name: tuple[object, ...]) -> int:
-        places = self._some(fault.part, at, name)
+        places = self._choose_places(fault.part, at, name)
         self._rng((*name, "order")).shuffle(places)
         size = max(1, round(fault.batch * len(self.places)))
         batches = [places[i : i + size] for i in range(0, len(places), size)]
@@ -426,16 +440,16 @@
         for i, batch in enumerate(batches):
             for place in batch:
                 end = self._drain(at + i * gap, place, fault.drain_s, name)
-                self._start(end + _ns(SUCCESSOR_S), place)
+                self._start(end + _ns(REPLACEMENT_DELAY_S), place)
                 until = max(until, end)
         return until
 
 
-# ---- what a balancer is told -----------------------------------------------------------------------------
+# ---- the settings of a balancer --------------------------------------------------------------------------
 
 
-def settings(plan: Plan, balancer: int) -> dict[str, Any]:
-    """The settings object of this day for one balancer, in the form of DEPLOY and WIRE, section 5."""
+def balancer_settings(plan: Plan, balancer: int) -> dict[str, Any]:
+    """Returns the settings object of one balancer, in the form of DEPLOY and WIRE, section 5."""
     scenario, repeat = (
         plan.scenario,
         {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"},
--- a/lanelift/rehearsal/records.py
+++ b/lanelift/rehearsal/records.py
@@ -1,5 +1,5 @@
-"""What the kit's processes write down of a day, one JSON array a line: the rows that the verdict is made
-from.
+"""The records that the processes of the kit write during a day, one JSON array per line. The verdict is
+computed from them.
 
 Times are ns of the monotonic clock, which all processes of a machine share.
 """
@@ -11,50 +11,51 @@
 from pathlib import Path
 from typing import Any, NamedTuple, TypeVar
 
-GRACE_NS = 50_000_000  # a limit of time is so much longer on sockets (PROTOCOL, 'The rules on sockets')
+GRACE_NS = 50_000_000  # added to each time limit on sockets (PROTOCOL, 'The rules on sockets')
 Row = TypeVar("Row", bound=tuple[Any, ...])
 
 
 class Try(NamedTuple):
-    """One try as its client saw it. `how`:
+    """One try as its client saw it. `result` is one of:
 
-    answer       a whole answer came, with `status`; `box`: the life that made it, by its stamp, "" where
-    none did late         a whole answer came after the client's time, within the grace that the rule allows
-    silent       nothing whole came by then
+    answer       a complete answer with `status` came; `box` is the id of the instance that made it, proved by
+                 its digest, or "" if no box made it
+    late         a complete answer came after the client's deadline, within the grace time of the rule
+    silent       no complete answer came by then
     walked off   the client left by itself
-    broken       the connection ended after the request was written, with no whole answer
-    garbage      what came is no answer
-    extra        an answer, and more bytes behind it that nobody asked for
-    crossed      a kept connection closed as the request came; it was sent once more, on a new one
-    unconnected  no connection came up
+    broken       the connection ended after the request was written, without a complete answer
+    garbage      the received bytes are not an HTTP response
+    extra        unexpected bytes followed a complete answer
+    crossed      a reused connection was closed while the request was sent; it was sent again on a new one
+    unconnected  no connection could be established
     """
 
-    ask: int
+    request_number: int
     number: int
     id: str
     balancer: int
     began_ns: int
-    sent_ns: int  # the last byte was written; 0: never
+    sent_ns: int  # when the last byte was written; 0: never
     ended_ns: int
-    until_ns: int  # the client's time
-    how: str
+    deadline_ns: int  # of the client
+    result: str
     status: int = 0
     box: str = ""
 
 
-class Life(NamedTuple):
-    """One run of a balancer's process. `end`: kill and term are the kit's doing, finish is the end of the
-    day, crash is its own."""
+class ProcessRun(NamedTuple):
+    """One run of a balancer's process. `end_reason`: kill and term are done by the kit, finish is the end of
+    the day, and crash is any other end."""
 
     balancer: int
-    up_ns: int
-    down_ns: int
-    end: str
+    started_ns: int
+    ended_ns: int
+    end_reason: str
     exit_code: int
 
 
-class Used(NamedTuple):
-    """A balancer's resources: CPU seconds since its start, resident MB, descriptors."""
+class ResourceSample(NamedTuple):
+    """The resource usage of a balancer: CPU seconds since its start, resident MB, open descriptors."""
 
     at_ns: int
     balancer: int
@@ -63,17 +64,17 @@
     descriptors: int
 
 
-class Ruling(NamedTuple):
-    """The directories have it now that a tenant is `what`: suspended or active."""
+class StandingChange(NamedTuple):
+    """A change of a tenant's standing in the directories, to `standing`: suspended or active."""
 
     at_ns: int
     tenant: str
-    what: str
+    standing: str
 
 
-class Load(NamedTuple):
-    """A box at a moment: what it holds, what it can do (seconds of work a second; 0 while it stands
-    still)."""
+class BoxSample(NamedTuple):
+    """The state of a box: requests held, and capacity (seconds of work per second; 0 while it makes no
+    progress)."""
 
     at_ns: int
     place: int
@@ -82,13 +83,14 @@
 
 
 def write_rows(path: Path, rows: Iterable[tuple[Any, ...]]) -> None:
+    """Writes records to a file."""
     with path.open("w", encoding="utf-8") as file:
         for row in rows:
             file.write(json.dumps(row, separators=(",", ":")) + "\n")
 
 
 def read_rows(folder: Path, name: str, row: type[Row]) -> Iterator[Row]:
-    """All rows of one kind, whichever process wrote them: `name-0.jsonl`, `name-1.jsonl`, ..."""
+    """Yields all records of one kind, from the files of all processes: `name-0.jsonl`, `name-1.jsonl`, ..."""
     make: Any = row
     for path in sorted(folder.glob(f"{name}-*.jsonl")):
         with path.open(encoding="utf-8") as file:
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -1,4 +1,4 @@
-"""A day's report as JSON, and two of them side by side."""
+"""The report of a day as JSON, and comparisons of reports."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 from lanelift.rehearsal.verdict import SECOND, Day, outcomes, verdict, windows
 
-SCHEMA = 1  # of the JSON; it counts up when a key changes its meaning or goes
-SPAN_S = 0.5  # of a chart's windows
-LETTERS = {
+SCHEMA = 1  # version of the JSON, incremented when a key changes its meaning or is removed
+CHART_WINDOW_S = 0.5  # of the windows in charts
+OUTCOME_LETTERS = {
     "served": "s",
     "late": "a",
     "refused": "r",
@@ -28,15 +28,15 @@
 Json = dict[str, Any]
 
 
-class Unreadable(Exception):
-    """A file that is no report."""
+class ReportFormatError(Exception):
+    """The file is not a report."""
 
 
 def make_report(day: Day) -> Json:
-    """Keys: schema, program, at (when it ended, UTC), machine, scenario (as checked, with its defaults),
-    verdict, marks (faults: from_s, until_s, text), windows (outcomes and latency of each half second),
-    boxes (of each place, every second: requests held and seconds of work it can do a second), outcomes (a
-    letter for each request, in the plan's order; see LETTERS)."""
+    """Returns the report. Its keys are schema, program, at (when the run ended, UTC), machine, scenario (as
+    checked, with its defaults), verdict, marks (faults: from_s, until_s, text), windows (outcomes and latency
+    of each half second), boxes (requests held and capacity in seconds of work per second, by place and
+    second), and outcomes (a letter for each request in the order of the plan; see OUTCOME_LETTERS)."""
     return {
         "schema": SCHEMA,
         "program": f"lanelift {version('lanelift')}",
@@ -52,45 +52,48 @@
             {"from_s": m.at_ns / SECOND, "until_s": m.until_ns / SECOND, "text": m.text}
             for m in day.plan.marks
         ],
-        "windows": windows(day, outcomes(day), SPAN_S),
+        "windows": windows(day, outcomes(day), CHART_WINDOW_S),
         "boxes": _boxes(day),
-        "outcomes": "".join(LETTERS[one.kind] for one in outcomes(day)),
+        "outcomes": "".join(OUTCOME_LETTERS[outcome.kind] for outcome in outcomes(day)),
     }
 
 
 def _boxes(day: Day) -> Json:
     seconds = int(day.plan.scenario.length_s) + 1
     held: dict[int, list[list[int]]] = defaultdict(lambda: [[] for _ in range(seconds)])
-    able: dict[int, list[list[float]]] = defaultdict(lambda: [[] for _ in range(seconds)])
-    for row in day.samples:
+    capacity: dict[int, list[list[float]]] = defaultdict(lambda: [[] for _ in range(seconds)])
+    for row in day.box_samples:
         second = (row.at_ns - day.start_ns) // SECOND
         if 0 <= second < seconds:
             held[row.place][second].append(row.held)
-            able[row.place][second].append(row.capacity)
+            capacity[row.place][second].append(row.capacity)
     return {
         "held": {str(p): [round(mean(c), 2) if c else None for c in held[p]] for p in sorted(held)},
-        "capacity": {str(p): [round(mean(c), 3) if c else None for c in able[p]] for p in sorted(able)},
+        "capacity": {
+            str(p): [round(mean(c), 3) if c else None for c in capacity[p]] for p in sorted(capacity)
+        },
     }
 
 
 def write_report(report: Json, path: Path) -> None:
+    """Writes a report as JSON."""
     path.write_text(json.dumps(report, indent=1) + "\n", encoding="utf-8")
 
 
 def read_report(path: Path) -> Json:
-    """Raises Unreadable, with where and why."""
+    """Reads a report. Raises ReportFormatError, which names the file and the reason."""
     try:
         report = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        raise Unreadable(f"{path}: {error}") from None
+        raise ReportFormatError(f"{path}: {error}") from None
     if not isinstance(report, dict) or report.get("schema") != SCHEMA:
         found = report.get("schema") if isinstance(report, dict) else None
-        raise Unreadable(f"{path}: no rehearsal report: found schema {found!r}; allowed: {SCHEMA}")
+        raise ReportFormatError(f"{path}: no rehearsal report: found schema {found!r}; allowed: {SCHEMA}")
     return report
 
 
 def summary(report: Json) -> Iterable[str]:
-    """The verdict as a person reads it in a terminal."""
+    """Yields the lines of the verdict for a terminal."""
     v, scenario = report["verdict"], report["scenario"]
     if v["void"]:
         yield "VOID: this run is no measurement."
@@ -116,11 +119,11 @@
         )
     if v["rules"]["kept"]:
         yield "Rules: all four kept."
-    for breach in v["rules"]["breaches"].values():
-        yield f"RULE BROKEN {breach['count']} times: {breach['rule']}"
-        for one in breach["first"][:3]:
-            request = f"request {one['request']}, " if one["request"] else ""
-            yield f"  at {one['at_s']:.3f} s: {request}balancer {one['balancer']}: {one['what']}"
+    for group in v["rules"]["breaches"].values():
+        yield f"RULE BROKEN {group['count']} times: {group['rule']}"
+        for breach in group["first"][:3]:
+            request = f"request {breach['request']}, " if breach["request"] else ""
+            yield f"  at {breach['at_s']:.3f} s: {request}balancer {breach['balancer']}: {breach['what']}"
     if v["balancers"]:
         b = v["balancers"]
         yield (
@@ -129,9 +132,9 @@
         )
 
 
-# ---- side by side ----------------------------------------------------------------------------------------
+# ---- comparison ------------------------------------------------------------------------------------------
 
-PICK = {
+COMPARED = {
     "figure": ("worth", "figure"),
     "whole": ("worth", "whole"),
     "worst 10 s": ("worth", "worst_window"),
@@ -147,16 +150,19 @@
 }
 
 
-def figures(report: Json) -> dict[str, float]:
-    return {name: report["verdict"][part][key] for name, (part, key) in PICK.items()}
+def compared_figures(report: Json) -> dict[str, float]:
+    """Returns the values of a report that are compared."""
+    return {name: report["verdict"][part][key] for name, (part, key) in COMPARED.items()}
 
 
 def compare(a: list[Json], b: list[Json]) -> list[Json]:
-    """Rows: name, a, b, change, and `noise`: the change that chance alone makes (two standard errors of the
-    difference, from the spread of runs on each side); None where a side has one run only."""
+    """Compares two sets of reports. Each returned row has the keys name, a, b, change and noise.
+
+    `noise` is the change that chance alone explains: two standard errors of the difference, from the spread
+    of the runs on each side. It is None if a side has only one run."""
     rows = []
-    for name in PICK:
-        left, right = ([figures(report)[name] for report in side] for side in (a, b))
+    for name in COMPARED:
+        left, right = ([compared_figures(report)[name] for report in side] for side in (a, b))
         noise = None
         if len(left) > 1 and len(right) > 1:
             noise = 2 * (stdev(left) ** 2 / len(left) + stdev(right) ** 2 / len(right)) ** 0.5
@@ -173,10 +179,11 @@
 
 
 def differences(a: Mapping[str, Any], b: Mapping[str, Any], path: str = "") -> Iterable[str]:
-    """Where two scenarios differ: runs of different days are not to be set side by side unseen."""
+    """Yields the differences of two scenarios, so that runs of different scenarios are not compared
+    unnoticed."""
     for key in sorted({*a, *b}):
-        left, right, here = a.get(key), b.get(key), f"{path}{key}"
+        left, right, key_path = a.get(key), b.get(key), f"{path}{key}"
         if isinstance(left, dict) and isinstance(right, dict):
-            yield from differences(left, right, f"{here}.")
+            yield from differences(left, right, f"{key_path}.")
         elif left != right:
-            yield f"{here}: {json.dumps(left)[:60]} and {json.dumps(right)[:60]}"
+            yield f"{key_path}: {json.dumps(left)[:60]} and {json.dumps(right)[:60]}"
--- a/lanelift/rehearsal/scenario.py
+++ b/lanelift/rehearsal/scenario.py
@@ -1,8 +1,8 @@
-"""What a rehearsal is: the schema of scenario files. Times in the file are seconds or milliseconds, and
-named so.
+"""The schema of scenario files. Times in a file are seconds or milliseconds, as the suffix of their name
+says.
 
-A figure that a file gives as a range `[low, high]` is drawn from the seed, for each box, request or fault
-anew.
+A value that a file gives as a range `[low, high]` is drawn from the seed for each box, request or fault
+separately.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
     tables,
 )
 
-MAX_BOXES, MAX_BALANCERS = 500, 64  # each box is a listener, each balancer a process, of one machine
+MAX_BOXES, MAX_BALANCERS = 500, 64  # on one machine, each box is a listener and each balancer a process
 MAX_LENGTH_S, MAX_RATE = 3600.0, 20_000.0
-MAX_REQUESTS = 1_000_000  # drawn ahead and kept until the verdict: some hundred bytes each
+MAX_REQUESTS = 1_000_000  # generated in advance and kept until the verdict, some hundred bytes each
 
 
 def _range(values: tuple[float, float]) -> tuple[float, float]:
@@ -37,7 +37,7 @@
     return values
 
 
-# A list of two in the file: strict checking would want a tuple, which TOML has not.
+# A list of two in the file. Strict checking would require a tuple, which TOML does not have.
 Pair = Annotated[
     tuple[Annotated[float, Field(ge=0, le=1e6)], Annotated[float, Field(ge=0, le=1e6)]],
     Field(strict=False),
@@ -50,7 +50,7 @@
 
 
 class Fleet(Table):
-    """How many of everything. Boxes and balancers are dealt to the rooms in turn."""
+    """The numbers of boxes and balancers, which are assigned to the rooms round-robin."""
 
     boxes: Annotated[int, Field(ge=1, le=MAX_BOXES)] = 9
     balancers: Annotated[int, Field(ge=1, le=MAX_BALANCERS)] = 2
@@ -58,7 +58,7 @@
 
 
 class BoxTable(Table):
-    """One box, and how its sockets behave (PROTOCOL, 'Balancers to upstreams')."""
+    """The parameters of a box and of its sockets (PROTOCOL, 'Balancers to upstreams')."""
 
     cores: Annotated[int, Field(ge=1, le=256)] = 1
     slots: Annotated[int, Field(ge=1, le=10_000)] = 1
@@ -80,7 +80,7 @@
 
 
 class Load(Table):
-    """Requests a second over the day, open loop."""
+    """The request rate over the day, open loop."""
 
     rate: Annotated[float, Field(gt=0, le=MAX_RATE)]
     shape: Literal["steady", "ramp", "wave", "bursty"] = "steady"
@@ -93,6 +93,8 @@
 
 
 class ClassTable(Table):
+    """A class of requests."""
+
     name: Name
     share: Annotated[float, Field(gt=0, le=1e6)] = 1.0
     work_ms: Annotated[float, Field(gt=0, le=1e6)]
@@ -105,12 +107,15 @@
 
 
 class TenantTable(Table):
+    """A tenant, its share, and its usage relative to the share."""
+
     name: Name
     share: Annotated[float, Field(gt=0, le=1e6)] = 1.0
     usage: Annotated[float, Field(ge=0, le=1000)] = 1.0
 
 
-# What rate-quotes-pos serves, and whom (the brief, 'Work' and 'Who shares it'): of a file that names none.
+# The classes and tenants of rate-quotes-pos (the brief, 'Work' and 'Who shares it'), for files that name
+# none.
 CLASSES = [
     ClassTable(name="rate-lookup", share=36, work_ms=75, cv=0.62, worth=3),
     ClassTable(name="fee-quote", share=27, work_ms=78, cv=0.68, worth=5),
@@ -134,7 +139,7 @@
 
 
 class Clients(Table):
-    """How they behave: a try is given up after a part of the class's deadline; then they try again."""
+    """The behaviour of clients: they abandon a try after a part of the class's deadline and then retry."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 3
     try_part: PartPair = (0.33, 0.55)
@@ -145,6 +150,8 @@
 
 
 class DiscoveryTable(Table):
+    """The mode and the delays of discovery, and of the front that clients connect through."""
+
     mode: Literal["push", "ask"] = "push"
     notice_s: Pair = (0.7, 3.0)
     silent_notice_s: Pair = (5.4, 10.0)
@@ -153,6 +160,8 @@
 
 
 class Limits(Table):
+    """The limits that are given to the balancers."""
+
     max_attempts: Annotated[int, Field(ge=1, le=100)] = 5
     retry_after: bool = True
     max_retry_after_ms: Annotated[float, Field(ge=0, le=1e6)] = 2000.0
@@ -161,13 +170,16 @@
 
 
 class Rules(Table):
+    """The parameters of the rules."""
+
     drain_grace_ms: Annotated[float, Field(ge=0, le=60_000)] = 500.0
     fall_multiple: Annotated[float, Field(gt=0, le=1000)] = 2.5
     fall_ms: Annotated[float, Field(gt=0, le=60_000)] = 1500.0
 
 
 class DirectoryTable(Table):
-    """LDAP directories that tell the balancers of the tenants. `more`: further ones, who ask for nothing."""
+    """The LDAP directories that list the tenants. `more` is a number of further tenants that send no
+    requests."""
 
     servers: Annotated[int, Field(ge=1, le=4)] = 2
     unknown: Literal["share", "deny"] = "deny"
@@ -182,8 +194,7 @@
 
 
 class Die(_Fault):
-    """Processes die with what they hold. `back_after_s`: they return cold, at the same address, as new
-    ones."""
+    """Boxes die and lose their requests. After `back_after_s` new cold instances start at their addresses."""
 
     kind: Literal["die"]
     part: Part = 0.25
@@ -191,7 +202,7 @@
 
 
 class Deploy(_Fault):
-    """Rolling: batch after batch is drained, ends, and is replaced by cold successors."""
+    """A rolling deploy: batch after batch is drained, stopped and replaced by cold instances."""
 
     kind: Literal["deploy"]
     len_s: Annotated[float, Field(gt=0, le=MAX_LENGTH_S)]
@@ -201,7 +212,7 @@
 
 
 class Freeze(_Fault):
-    """Boxes stand still again and again, each by itself."""
+    """Boxes freeze repeatedly, each independently of the others."""
 
     kind: Literal["freeze"]
     len_s: Annotated[float, Field(gt=0, le=MAX_LENGTH_S)]
@@ -211,7 +222,7 @@
 
 
 class Slow(_Fault):
-    """Another program takes a part of the machine, on and off."""
+    """Another program uses a part of the machine intermittently."""
 
     kind: Literal["slow"]
     len_s: Annotated[float, Field(gt=0, le=MAX_LENGTH_S)]
@@ -221,7 +232,7 @@
 
 
 class Heavy(_Fault):
-    """A few requests of one class cost many times the usual."""
+    """A share of the requests of one class costs a multiple of the usual work."""
 
     kind: Literal["heavy"]
     len_s: Annotated[float, Field(gt=0, le=MAX_LENGTH_S)]
@@ -231,14 +242,14 @@
 
 
 class Vanish(_Fault):
-    """Machines go silent without a word: open connections stay open, nothing is answered."""
+    """Machines vanish: open connections stay open, and nothing is answered."""
 
     kind: Literal["vanish"]
     part: Part = 0.1
 
 
 class Drain(_Fault):
-    """Boxes finish what they have, and go."""
+    """Boxes finish their present requests and stop."""
 
     kind: Literal["drain"]
     part: Part = 0.1
@@ -246,14 +257,14 @@
 
 
 class Silent(_Fault):
-    """Discovery says nothing: calls hang, watches too."""
+    """Discovery is silent: calls and watches hang."""
 
     kind: Literal["silent"]
     len_s: Annotated[float, Field(gt=0, le=MAX_LENGTH_S)]
 
 
 class Signal(_Fault):
-    """To balancers: SIGKILL and a new start, SIGTERM and a new start, or SIGHUP."""
+    """Balancers receive SIGKILL and are restarted, receive SIGTERM and are restarted, or receive SIGHUP."""
 
     kind: Literal["kill", "restart", "hup"]
     balancers: Annotated[int, Field(ge=1, le=MAX_BALANCERS)] = 1
@@ -261,8 +272,8 @@
 
 
 class Suspend(_Fault):
-    """So many tenants, drawn, are suspended one by one in the given stretch, or the one that is named; after
-    `for_s` each is in good standing again."""
+    """`count` random tenants, or the named one, are suspended at random times within `len_s`. After `for_s`
+    each is in good standing again."""
 
     kind: Literal["suspend"]
     len_s: Seconds = 0.0
@@ -272,7 +283,7 @@
 
 
 class DirectoryFails(_Fault):
-    """Directories fail, the preferred one or all."""
+    """The preferred directory or all directories fail."""
 
     kind: Literal["directory"]
     len_s: Annotated[float, Field(gt=0, le=MAX_LENGTH_S)]
@@ -288,7 +299,7 @@
 
 
 class Scenario(Table):
-    """The whole file."""
+    """A complete scenario file."""
 
     name: Name
     about: str = ""
@@ -340,7 +351,7 @@
 
 
 def shipped() -> dict[str, str]:
-    """The scenarios that come with the kit, by name, as text."""
+    """Returns the text of each scenario that comes with the kit, by name."""
     folder = resources.files("lanelift.rehearsal") / "scenarios"
     return {
         file.name.removesuffix(".toml"): file.read_text(encoding="utf-8")
@@ -350,8 +361,8 @@
 
 
 def read_scenario(name: str, changes: Mapping[str, Any] | None = None) -> Scenario:
-    """By the name of a shipped one, or by a file's path; `changes` are put in place of what the file says, by
-    the key's path (`load.rate`), and checked with it. Raises FileValidationError."""
+    """Reads a scenario by the name of a shipped one or by the path of a file. `changes` override values of
+    the file by the path of their key (`load.rate`) and are checked with it. Raises FileValidationError."""
     known = shipped()
     if name in known:
         return read_text(known[name], Scenario, f"{name} (shipped)", changes)
--- a/lanelift/rehearsal/boxes.py
+++ b/lanelift/rehearsal/upstream_workers.py
@@ -1,4 +1,4 @@
-"""The processes that host the stand-in boxes and discovery, and do to them what the plan says."""
+"""The processes that run the emulated boxes and discovery and apply the faults of the plan to them."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from collections.abc import Callable
 from typing import Any
 
-from lanelift.rehearsal.plan import Place, Plan, ask_of
-from lanelift.rehearsal.records import Load, write_rows
+from lanelift.rehearsal.plan import Place, Plan, request_id_of
+from lanelift.rehearsal.records import BoxSample, write_rows
 from lanelift.rehearsal.worker import Json, read_plan, rows_path
 from lanelift.standins.discovery import Agent, DrainNotice, Entry, start_agents
 from lanelift.standins.upstream_emulator import SocketOptions, UpstreamEmulator
 
-SAMPLE_S = 0.25  # how often each box's load is written down
+SAMPLE_S = 0.25  # how often the load of each box is sampled
 
 
-def at(when_ns: int, call: Callable[..., object], *args: Any) -> None:
-    """At that time of the monotonic clock."""
+def call_at(when_ns: int, call: Callable[..., object], *args: Any) -> None:
+    """Schedules a call for this time of the monotonic clock."""
     delay = max(0.0, (when_ns - time.monotonic_ns()) / 1e9)
     asyncio.get_running_loop().call_later(delay, call, *args)
 
 
-class Boxes:
-    """Some of the plan's places: those whose number leaves this process's index when divided by their
-    count."""
+class UpstreamWorker:
+    """Runs a part of the plan's places: those whose number, modulo the number of these processes, is the
+    index of this process."""
 
     def __init__(self, job: Json) -> None:
         self.job = job
         self.plan = read_plan(job)
-        works = self.plan.works()
+        work_by_id = self.plan.work_by_id()
         box, seed = self.plan.scenario.box, self.plan.scenario.seed
         sockets = SocketOptions(
             box.connections,
@@ -41,12 +41,12 @@
         )
         self.boxes = {
             place.number: UpstreamEmulator(
-                place.spec, sockets, seed, place.life, lambda name: works.get(ask_of(name))
+                place.spec, sockets, seed, place.instance_id, lambda name: work_by_id.get(request_id_of(name))
             )
             for place in self.plan.places
             if place.number % job["count"] == job["index"]
         }
-        self.samples: list[Load] = []
+        self.samples: list[BoxSample] = []
 
     async def prepare(self) -> Json:
         base = self.job.get("base_port")
@@ -58,17 +58,24 @@
         async with asyncio.TaskGroup() as group:
             for step in self.plan.steps:
                 if step.place in self.boxes:
-                    at(start_ns + step.at_ns, self._do, group, step.what, self.boxes[step.place], step.figure)
+                    call_at(
+                        start_ns + step.at_ns,
+                        self._apply,
+                        group,
+                        step.action,
+                        self.boxes[step.place],
+                        step.value,
+                    )
             while True:
                 await asyncio.sleep(SAMPLE_S)
                 now = time.monotonic_ns()
                 for number, box in self.boxes.items():
-                    stands = box.box.frozen or box.listener is None or box.vanished
-                    able = 0.0 if stands else box.box.capacity
-                    self.samples.append(Load(now, number, box.box.held, able))
+                    is_down = box.box.frozen or box.listener is None or box.vanished
+                    capacity = 0.0 if is_down else box.box.capacity
+                    self.samples.append(BoxSample(now, number, box.box.held, capacity))
 
-    def _do(self, group: asyncio.TaskGroup, what: str, box: UpstreamEmulator, figure: float) -> None:
-        match what:
+    def _apply(self, group: asyncio.TaskGroup, action: str, box: UpstreamEmulator, value: float) -> None:
+        match action:
             case "die" | "stop":
                 box.die()
             case "start":
@@ -78,12 +85,12 @@
             case "vanish":
                 box.vanish()
             case "freeze":
-                box.freeze(int(figure))
+                box.freeze(int(value))
             case "share":
-                box.set_stolen_share(figure)
+                box.set_stolen_share(value)
 
     async def command(self, message: Json) -> None:
-        """Nothing is asked of it."""
+        """Does nothing: this role has no further commands."""
 
     def progress(self) -> Json:
         return {}
@@ -104,14 +111,19 @@
             box.close()
 
 
-def entry_of(plan: Plan, place: Place, life: int, address: str, state: str, started_ms: int) -> Entry:
+def entry_of(plan: Plan, place: Place, instance: int, address: str, state: str, started_ms: int) -> Entry:
+    """Returns the discovery entry of an instance."""
     return Entry(
-        place.life(life), address, plan.scenario.fleet.rooms[place.room], state, started_ms=started_ms
+        place.instance_id(instance),
+        address,
+        plan.scenario.fleet.rooms[place.room],
+        state,
+        started_ms=started_ms,
     )
 
 
-class News:
-    """Discovery: an agent for each balancer, told what the plan says."""
+class DiscoveryWorker:
+    """Runs discovery: an agent for each balancer, which sends the notifications of the plan."""
 
     def __init__(self, job: Json) -> None:
         self.job = job
@@ -139,30 +151,30 @@
 
     async def start(self, start_ns: int) -> None:
         unix_ns = time.time_ns() - time.monotonic_ns()
-        lives = [0] * len(self.plan.places)
+        instances = [0] * len(self.plan.places)
         started: dict[tuple[int, int], int] = {}
         for step in self.plan.steps:
-            if step.what == "start":
-                lives[step.place] += 1
-                started[step.place, lives[step.place]] = (unix_ns + start_ns + step.at_ns) // 1_000_000
-        for news in self.plan.news:
+            if step.action == "start":
+                instances[step.place] += 1
+                started[step.place, instances[step.place]] = (unix_ns + start_ns + step.at_ns) // 1_000_000
+        for notification in self.plan.notifications:
             entry = entry_of(
                 self.plan,
-                self.plan.places[news.place],
-                news.life,
-                self._address(news.place),
-                news.state,
-                started.get((news.place, news.life), 0),
+                self.plan.places[notification.place],
+                notification.instance,
+                self._address(notification.place),
+                notification.state,
+                started.get((notification.place, notification.instance), 0),
             )
-            at(start_ns + news.at_ns, self.agents[news.balancer].update, entry)
-        for order in self.plan.orders:
-            if order.what in ("silent", "heard"):
+            call_at(start_ns + notification.at_ns, self.agents[notification.balancer].update, entry)
+        for command in self.plan.commands:
+            if command.action in ("silent", "heard"):
                 for agent in self.agents:
-                    at(start_ns + order.at_ns, agent.set_silent, order.what == "silent")
+                    call_at(start_ns + command.at_ns, agent.set_silent, command.action == "silent")
         await asyncio.Event().wait()
 
     async def command(self, message: Json) -> None:
-        """Nothing is asked of it."""
+        """Does nothing: this role has no further commands."""
 
     def progress(self) -> Json:
         return {}
--- a/lanelift/rehearsal/worker.py
+++ b/lanelift/rehearsal/worker.py
@@ -1,8 +1,10 @@
-"""One process of the kit: `python -m lanelift.rehearsal.worker`, told what it is by the first line it reads.
+"""A process of the kit: `python -m lanelift.rehearsal.worker`. The first line that it reads determines its
+role.
 
-Lines of JSON both ways: the job and then commands on standard input, what there is to tell on standard
-output. When standard input ends, the conductor has gone, whatever the reason, and the process ends what it
-started and leaves: a kit that crashed or was killed leaves nothing behind.
+The process reads JSON lines from standard input, first its job and then commands, and writes messages as JSON
+lines to standard output. When standard input ends, the orchestrator has exited for whatever reason: the
+process then ends all that it has started and exits, so that a kit that crashed or was killed leaves nothing
+behind.
 """
 
 from __future__ import annotations
@@ -22,75 +24,82 @@
 from lanelift.rehearsal.scenario import Scenario
 
 Json = dict[str, Any]
-PULSE_S = 0.02  # how often a process looks whether its loop is late
-TELL_S = 0.5  # how often it tells of its progress
+CHECK_INTERVAL_S = 0.02  # how often a process checks whether its loop is late
+PROGRESS_INTERVAL_S = 0.5  # how often a process reports its progress
 
 
 class Role(Protocol):
-    """What a process is for."""
+    """The role of a process."""
 
     async def prepare(self) -> Json:
-        """Ready to start; what the conductor should know."""
+        """Prepares the start. Returns what the orchestrator has to know."""
 
     async def start(self, start_ns: int) -> None:
-        """The day begins at that time; returns when this part of it is over."""
+        """Runs the day, which begins at `start_ns`. Returns when this role's part is over."""
 
-    async def command(self, message: Json) -> None: ...
+    async def command(self, message: Json) -> None:
+        """Handles a command of the orchestrator."""
+        ...
 
-    def progress(self) -> Json: ...
+    def progress(self) -> Json:
+        """Returns the progress to report."""
+        ...
 
     async def finish(self) -> Json:
-        """The day is over: write down the rows."""
+        """Writes the records at the end of the day. Returns a summary."""
 
     async def close(self) -> None:
-        """End whatever it started, at once."""
+        """Ends immediately all that the role has started."""
 
 
-class Pulse:
-    """How late this process's loop is: a day on which the kit itself was late is no measurement."""
+class LoopMonitor:
+    """Measures how late the event loop runs: a day on which the kit itself was late is no measurement."""
 
     def __init__(self) -> None:
         self.late_ms: list[float] = []
 
-    async def beat(self) -> None:
+    async def run(self) -> None:
+        """Measures until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + PULSE_S
-            await asyncio.sleep(PULSE_S)
+            due = loop.time() + CHECK_INTERVAL_S
+            await asyncio.sleep(CHECK_INTERVAL_S)
             self.late_ms.append(1000 * max(0.0, loop.time() - due))
 
-    def figures(self) -> Json:
+    def summary(self) -> Json:
+        """Returns the 99th percentile and the maximum of the delays in ms."""
         late = sorted(self.late_ms) or [0.0]
         return {"p99_ms": round(late[int(0.99 * (len(late) - 1))], 3), "max_ms": round(late[-1], 3)}
 
 
 def read_plan(job: Json) -> Plan:
+    """Generates the plan from the scenario of a job."""
     return make_plan(Scenario.model_validate(job["scenario"]))
 
 
-def _role(job: Json) -> Role:
+def _create_role(job: Json) -> Role:
     if job["role"] == "boxes":
-        from lanelift.rehearsal.boxes import Boxes
+        from lanelift.rehearsal.upstream_workers import UpstreamWorker
 
-        return Boxes(job)
+        return UpstreamWorker(job)
     if job["role"] == "discovery":
-        from lanelift.rehearsal.boxes import News
+        from lanelift.rehearsal.upstream_workers import DiscoveryWorker
 
-        return News(job)
+        return DiscoveryWorker(job)
     if job["role"] == "directories":
-        from lanelift.rehearsal.directories import Directories
+        from lanelift.rehearsal.directory_worker import DirectoryWorker
 
-        return Directories(job)
+        return DirectoryWorker(job)
     if job["role"] == "load":
-        from lanelift.rehearsal.generator import Generator
+        from lanelift.rehearsal.generator import LoadGenerator
 
-        return Generator(job)
-    from lanelift.rehearsal.keeper import Keeper
+        return LoadGenerator(job)
+    from lanelift.rehearsal.balancer_supervisor import BalancerSupervisor
 
-    return Keeper(job)
+    return BalancerSupervisor(job)
 
 
-async def _lines() -> Callable[[], Awaitable[bytes]]:
+async def _open_stdin() -> Callable[[], Awaitable[bytes]]:
     reader = asyncio.StreamReader(limit=1 << 26)
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
@@ -98,47 +107,48 @@
     return reader.readline
 
 
-def say(message: Json) -> None:
+def send_message(message: Json) -> None:
+    """Sends a message to the orchestrator."""
     sys.stdout.write(json.dumps(message, separators=(",", ":")) + "\n")
     sys.stdout.flush()
 
 
-async def _work() -> None:
-    readline = await _lines()
+async def _main() -> None:
+    readline = await _open_stdin()
     first = await readline()
     if not first:
         return
     job = json.loads(first)
-    role = _role(job)
-    pulse = Pulse()
+    role = _create_role(job)
+    monitor = LoopMonitor()
 
-    async def day(start_ns: int) -> None:
+    async def run_day(start_ns: int) -> None:
         await role.start(start_ns)
-        say({"over": job["name"]})
+        send_message({"over": job["name"]})
 
-    async def tell() -> None:
+    async def report_progress() -> None:
         while True:
-            await asyncio.sleep(TELL_S)
-            say({"progress": role.progress()})
+            await asyncio.sleep(PROGRESS_INTERVAL_S)
+            send_message({"progress": role.progress()})
 
-    async def listen(group: asyncio.TaskGroup) -> None:
+    async def receive_commands(group: asyncio.TaskGroup) -> None:
         while line := await readline():
             message = json.loads(line)
             if message["do"] == "start":
-                for part in (day(message["at_ns"]), pulse.beat(), tell()):
+                for part in (run_day(message["at_ns"]), monitor.run(), report_progress()):
                     running.append(group.create_task(part))
             elif message["do"] == "finish":
-                for task in running:  # the day is over: nothing more is begun while its rows are written
+                for task in running:  # the day is over: nothing more is started while the records are written
                     task.cancel()
                 await asyncio.wait(running)
-                late = pulse.figures()
+                late = monitor.summary()
                 cpu = time.process_time()
                 own = {
                     "lateness": late,
                     "cpu_s": round(cpu, 3),
                     "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
                 }
-                say({"finished": await role.finish() | own})
+                send_message({"finished": await role.finish() | own})
                 return
             else:
                 await role.command(message)
@@ -146,25 +156,26 @@
     running: list[asyncio.Task[None]] = []
     try:
         try:
-            say({"ready": await role.prepare()})
-        except OSError as error:  # a port that is taken, a command that is not there: told, with what it was
-            say({"failed": str(error)})
+            send_message({"ready": await role.prepare()})
+        except OSError as error:  # a port in use, or a command that does not exist: reported with the reason
+            send_message({"failed": str(error)})
             return
         gc.collect()
-        gc.freeze()  # the plan stays; a collection must not walk through it in the midst of the day
-        # An error in any part of the day ends this process, and its log has it: the conductor sees that.
+        gc.freeze()  # the plan is permanent: a collection during the day must not traverse it
+        # An error in any task ends this process and is written to its log; the orchestrator notices the exit.
         async with asyncio.TaskGroup() as group:
-            await listen(group)
-            for task in running:  # those that go on, where the conductor has gone
+            await receive_commands(group)
+            for task in running:  # still running if the orchestrator has exited
                 task.cancel()
     finally:
         await role.close()
 
 
 def rows_path(job: Json, name: str) -> Path:
+    """Returns the path of this process's file of records of one kind."""
     return Path(job["folder"]) / f"{name}-{job.get('index', 0)}.jsonl"
 
 
 if __name__ == "__main__":
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is the conductor's to handle
-    asyncio.run(_work())
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is handled by the orchestrator
+    asyncio.run(_main())
--- a/tests/rehearsal/relay.py
+++ b/tests/rehearsal/relay.py
@@ -1,7 +1,8 @@
-"""A deliberately bad balancer, of the tests' own: it deals requests to the boxes in turn, come what may.
+"""A deliberately bad balancer for the tests, which sends requests to the boxes round-robin.
 
-It keeps to PROTOCOL's wire, and to nothing else: no limit on what a box is sent, no second attempt, no
-refusals. With a sin in the environment variable SIN it commits, now and then, a breach for the kit to find.
+It implements PROTOCOL's wire format and nothing else: it does not limit what a box is sent, never makes a
+second attempt and refuses nothing. The environment variable SIN names a violation that it commits now and
+then, for the kit to find.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from contextlib import suppress
 from typing import Any
 
-EVERY = 10  # each so-many-th request is sinned against
-PICK = "push"  # sin: all that comes goes to whatever started last
+VIOLATE_EVERY = 10  # one of so many requests is handled with the violation
+OVERLOAD_NEWEST = "push"  # violation: all requests go to the box that started last
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, dict[bytes, bytes], bytes]:
@@ -30,11 +31,11 @@
 
 
 class Relay:
-    def __init__(self, config: dict[str, Any], sin: str) -> None:
-        self.config, self.sin = config, sin
+    def __init__(self, config: dict[str, Any], violation: str) -> None:
+        self.config, self.violation = config, violation
         self.boxes = {row["id"]: row for row in config["known"]["servers"]}
         self.turn = self.count = 0
-        self.kept: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
+        self.idle: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
 
     async def watch(self) -> None:
         host, _, port = self.config["discovery"].rpartition(":")
@@ -45,33 +46,33 @@
                 while True:
                     writer.write(f"GET {path} HTTP/1.1\r\nHost: d\r\n\r\n".encode())
                     _, _, body = await read_message(reader)
-                    told = json.loads(body)
-                    rows = {row["id"]: row for row in told["servers"]}
-                    self.boxes = rows if told["full"] else self.boxes | rows
-                    path = f"/v1/endpoints?from={told['version']}&hold_ms=4000"
+                    update = json.loads(body)
+                    rows = {row["id"]: row for row in update["servers"]}
+                    self.boxes = rows if update["full"] else self.boxes | rows
+                    path = f"/v1/endpoints?from={update['version']}&hold_ms=4000"
             except (OSError, asyncio.IncompleteReadError):
                 await asyncio.sleep(0.05)
 
     def pick(self) -> str:
-        rows = [row for row in self.boxes.values() if self.sin == "deaf" or row["state"] == "Ready"]
+        rows = [row for row in self.boxes.values() if self.violation == "deaf" or row["state"] == "Ready"]
         self.turn += 1
-        if self.sin == PICK:
+        if self.violation == OVERLOAD_NEWEST:
             return str(max(rows, key=lambda row: row["started_ms"])["addr"])
         return str(rows[self.turn % len(rows)]["addr"])
 
     async def exchange(self, address: str, request: bytes) -> bytes:
-        kept = self.kept.setdefault(address, [])
-        while kept and kept[-1][0].at_eof():
-            kept.pop()[1].close()
+        idle = self.idle.setdefault(address, [])
+        while idle and idle[-1][0].at_eof():
+            idle.pop()[1].close()
         host, _, port = address.rpartition(":")
-        reader, writer = kept.pop() if kept else await asyncio.open_connection(host, int(port))
+        reader, writer = idle.pop() if idle else await asyncio.open_connection(host, int(port))
         try:
             writer.write(request)
             start, headers, body = await read_message(reader)
         except BaseException:
             writer.close()
             raise
-        kept.append((reader, writer))
+        idle.append((reader, writer))
         return write_message(start, headers, body)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -82,35 +83,39 @@
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                     continue
                 self.count += 1
-                now = self.count % EVERY == 0
+                violate = self.count % VIOLATE_EVERY == 0
                 answer = b"HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n"
                 with suppress(TimeoutError):
-                    patience = None if now and self.sin == "silent" else int(headers[b"x-deadline-ms"]) / 1000
-                    async with asyncio.timeout(patience and 0.9 * patience):
-                        answer = await self.answer(write_message(start, headers, body), now)
+                    timeout_s = (
+                        None
+                        if violate and self.violation == "silent"
+                        else int(headers[b"x-deadline-ms"]) / 1000
+                    )
+                    async with asyncio.timeout(timeout_s and 0.9 * timeout_s):
+                        answer = await self.answer(write_message(start, headers, body), violate)
                 writer.write(answer)
         except (OSError, asyncio.IncompleteReadError):
             pass
         finally:
             writer.close()
 
-    async def answer(self, request: bytes, now: bool) -> bytes:
-        if now and self.sin == "silent":
+    async def answer(self, request: bytes, violate: bool) -> bytes:
+        if violate and self.violation == "silent":
             await asyncio.Event().wait()
-        if now and self.sin == "garbage":
+        if violate and self.violation == "garbage":
             return b"\x00\x01 what is this\r\n\r\n"
-        if now and self.sin == "forge":
+        if violate and self.violation == "forge":
             return b"HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nbox-000-0 1 abc"
-        if self.sin == "crash" and self.count == 5 * EVERY:
+        if self.violation == "crash" and self.count == 5 * VIOLATE_EVERY:
             os._exit(3)
         try:
-            if now and self.sin == "twice":
+            if violate and self.violation == "twice":
                 both = [asyncio.ensure_future(self.exchange(self.pick(), request)) for _ in range(2)]
                 return (await asyncio.gather(*both))[0]
             answer = await self.exchange(self.pick(), request)
         except (OSError, asyncio.IncompleteReadError):
             return b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
-        return answer + b"and more" if now and self.sin == "extra" else answer
+        return answer + b"and more" if violate and self.violation == "extra" else answer
 
 
 async def main() -> None:
--- a/tests/rehearsal/test_plan.py
+++ b/tests/rehearsal/test_plan.py
@@ -1,4 +1,4 @@
-"""The plan: the same seed gives the same day, and what goes wrong changes nothing of what is asked."""
+"""The plan: the same seed gives the same day, and faults do not change the requests."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as tries
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from lanelift.rehearsal.plan import MS, Plan, ask_of, make_plan, settings
+from lanelift.rehearsal.plan import MS, Plan, balancer_settings, make_plan, request_id_of
 from lanelift.rehearsal.scenario import Scenario, read_scenario
 from lanelift.settings import read_settings
 from lanelift.standins.box import SECOND
@@ -25,15 +25,17 @@
 DEPLOY = {"kind": "deploy", "at_s": 2.0, "len_s": 20.0, "part": 0.98, "batch": 0.12}
 
 
-def test_one_seed_one_day_another_seed_another() -> None:
-    assert plan() == plan() and plan(seed=2).asks != plan().asks
+def test_one_seed_gives_one_plan_and_another_seed_another() -> None:
+    assert plan() == plan() and plan(seed=2).requests != plan().requests
 
 
-def test_faults_change_nothing_of_what_is_asked() -> None:
-    assert plan(fault=[DIE, DEPLOY]).asks == plan().asks
+def test_faults_do_not_change_the_requests() -> None:
+    assert plan(fault=[DIE, DEPLOY]).requests == plan().requests
     heavy = {"kind": "heavy", "at_s": 5.0, "len_s": 10.0, "name": "rate-history", "part": 0.5, "times": 10.0}
     changed = [
-        (a, b) for a, b in zip(plan(fault=[heavy]).asks, plan().asks, strict=True) if a.work_ns != b.work_ns
+        (a, b)
+        for a, b in zip(plan(fault=[heavy]).requests, plan().requests, strict=True)
+        if a.work_ns != b.work_ns
     ]
     assert len(changed) > 100
     for a, b in changed:
@@ -41,80 +43,80 @@
         assert a.work_ns == pytest.approx(10 * b.work_ns) and a[:6] == b[:6]
 
 
-def test_the_load_is_as_stated() -> None:
-    asks = plan().asks
-    assert len(asks) == pytest.approx(6000, rel=0.05)
-    assert [a.due_ns for a in asks] == sorted(a.due_ns for a in asks) and asks[-1].due_ns < 30 * SECOND
-    assert len({a.id for a in asks}) == len(asks) and all(ask_of(a.try_id(2)) == a.id for a in asks)
-    classes = Counter(a.class_name for a in asks)
-    assert classes["rate-lookup"] / len(asks) == pytest.approx(0.36, abs=0.03)
-    works = [a.work_ns / MS for a in asks if a.class_name == "fee-quote"]
+def test_the_load_is_as_the_scenario_says() -> None:
+    load = plan().requests
+    assert len(load) == pytest.approx(6000, rel=0.05)
+    assert [a.due_ns for a in load] == sorted(a.due_ns for a in load) and load[-1].due_ns < 30 * SECOND
+    assert len({a.id for a in load}) == len(load) and all(request_id_of(a.try_id(2)) == a.id for a in load)
+    classes = Counter(a.class_name for a in load)
+    assert classes["rate-lookup"] / len(load) == pytest.approx(0.36, abs=0.03)
+    works = [a.work_ns / MS for a in load if a.class_name == "fee-quote"]
     assert sum(works) / len(works) == pytest.approx(78, rel=0.05)
-    tenants = Counter(a.tenant for a in asks)
-    assert tenants["brooklyn-desk"] / len(asks) == pytest.approx(0.2, abs=0.02)
-    assert all(0.33 * 661 <= a.try_ns / MS <= 0.55 * 661 and a.tries == 4 for a in asks)
+    tenants = Counter(a.tenant for a in load)
+    assert tenants["brooklyn-desk"] / len(load) == pytest.approx(0.2, abs=0.02)
+    assert all(0.33 * 661 <= a.try_timeout_ns / MS <= 0.55 * 661 and a.max_tries == 4 for a in load)
 
 
 @pytest.mark.parametrize(("shape", "first", "last"), [("steady", 1, 1), ("ramp", 0.7, 1.3)])
-def test_shapes(shape: str, first: float, last: float) -> None:
-    asks = plan(load={"rate": 400.0, "shape": shape, "swing": 0.4}).asks
-    parts = Counter(a.due_ns // (10 * SECOND) for a in asks)
+def test_the_load_follows_its_shape(shape: str, first: float, last: float) -> None:
+    requests = plan(load={"rate": 400.0, "shape": shape, "swing": 0.4}).requests
+    parts = Counter(a.due_ns // (10 * SECOND) for a in requests)
     assert parts[0] / 4000 == pytest.approx(first, rel=0.1) and parts[2] / 4000 == pytest.approx(
         last, rel=0.1
     )
 
 
-def test_a_tenant_beyond_its_share_is_told_apart() -> None:
+def test_requests_over_the_share_of_their_tenant_are_marked() -> None:
     table = [{"name": "big", "share": 1.0, "usage": 5.0}, {"name": "small", "share": 1.0, "usage": 0.5}]
-    asks = plan(tenant=table, load={"rate": 450.0, "quota_part": 0.8}).asks
-    over = Counter(a.tenant for a in asks if a.over)
+    requests = plan(tenant=table, load={"rate": 450.0, "quota_part": 0.8}).requests
+    over = Counter(a.tenant for a in requests if a.over_share)
     assert over["small"] == 0
-    asked = sum(a.work_ns for a in asks if a.tenant == "big") / SECOND
-    within = sum(a.work_ns for a in asks if a.tenant == "big" and not a.over) / SECOND
-    assert within == pytest.approx(0.5 * 0.8 * 40 * 30, rel=0.1) and asked > 1.3 * within
+    requested = sum(a.work_ns for a in requests if a.tenant == "big") / SECOND
+    within = sum(a.work_ns for a in requests if a.tenant == "big" and not a.over_share) / SECOND
+    assert within == pytest.approx(0.5 * 0.8 * 40 * 30, rel=0.1) and requested > 1.3 * within
 
 
-def check_story(day: Plan) -> None:
-    """Each place goes through its lives in order, and what is told of a life comes after it happened."""
+def check_timeline(day: Plan) -> None:
+    """Checks that each place runs its instances in order, and that notifications follow the events."""
     happened: dict[tuple[int, int, str], int] = {}
-    lives: dict[int, int] = defaultdict(int)
+    instances: dict[int, int] = defaultdict(int)
     alive = {p.number: True for p in day.places}
     for step in day.steps:
-        life = lives[step.place]
-        if step.what == "start":
+        instance = instances[step.place]
+        if step.action == "start":
             assert not alive[step.place], f"{step} where a box lives"
-            lives[step.place] += 1
+            instances[step.place] += 1
             alive[step.place] = True
-            happened[step.place, life + 1, "Ready"] = step.at_ns
-        elif step.what in ("die", "stop", "vanish"):
+            happened[step.place, instance + 1, "Ready"] = step.at_ns
+        elif step.action in ("die", "stop", "vanish"):
             assert alive[step.place], f"{step} where no box lives"
             alive[step.place] = False
-            happened[step.place, life, "Gone"] = step.at_ns
-        elif step.what == "drain":
+            happened[step.place, instance, "Gone"] = step.at_ns
+        elif step.action == "drain":
             assert alive[step.place]
-            happened[step.place, life, "Terminating"] = step.at_ns
-    told = Counter((n.place, n.life, n.state) for n in day.news)
-    assert set(told) == set(happened)
-    assert set(told.values()) <= {day.scenario.fleet.balancers}
-    assert all(n.at_ns >= happened[n.place, n.life, n.state] for n in day.news)
+            happened[step.place, instance, "Terminating"] = step.at_ns
+    notified = Counter((n.place, n.instance, n.state) for n in day.notifications)
+    assert set(notified) == set(happened)
+    assert set(notified.values()) <= {day.scenario.fleet.balancers}
+    assert all(n.at_ns >= happened[n.place, n.instance, n.state] for n in day.notifications)
 
 
-def test_a_rolling_deploy_replaces_nearly_all() -> None:
+def test_a_rolling_deploy_replaces_nearly_all_boxes() -> None:
     day = plan(fault=[DEPLOY])
-    check_story(day)
-    started = [s.place for s in day.steps if s.what == "start"]
+    check_timeline(day)
+    started = [s.place for s in day.steps if s.action == "start"]
     assert len(started) == len(set(started)) == 39
-    batches = Counter(s.at_ns for s in day.steps if s.what == "drain")
+    batches = Counter(s.at_ns for s in day.steps if s.action == "drain")
     assert max(batches.values()) == 5 and max(batches) < 22 * SECOND
 
 
-def test_the_dead_return_as_others_at_the_same_address() -> None:
+def test_boxes_that_died_are_replaced_at_the_same_address() -> None:
     day = plan(fault=[DIE])
-    check_story(day)
-    died = [s for s in day.steps if s.what == "die"]
-    assert len(died) == 10 and {s.at_ns for s in died} == {5 * SECOND}
-    assert {s.place for s in day.steps if s.what == "start"} == {s.place for s in died}
-    assert day.places[died[0].place].life(1) != day.places[died[0].place].life(0)
+    check_timeline(day)
+    deaths = [s for s in day.steps if s.action == "die"]
+    assert len(deaths) == 10 and {s.at_ns for s in deaths} == {5 * SECOND}
+    assert {s.place for s in day.steps if s.action == "start"} == {s.place for s in deaths}
+    assert day.places[deaths[0].place].instance_id(1) != day.places[deaths[0].place].instance_id(0)
 
 
 FAULTS = st.lists(
@@ -141,15 +143,15 @@
 )
 
 
-@tries(max_examples=60, deadline=None)
+@hypothesis_settings(max_examples=60, deadline=None)
 @given(FAULTS)
-def test_any_story_is_sound(faults: list[dict[str, Any]]) -> None:
-    check_story(plan(load={"rate": 1.0}, fault=faults))
+def test_any_faults_give_a_consistent_timeline(faults: list[dict[str, Any]]) -> None:
+    check_timeline(plan(load={"rate": 1.0}, fault=faults))
 
 
-def test_the_daemon_reads_what_it_is_told() -> None:
+def test_the_daemon_reads_the_settings_of_the_plan() -> None:
     day = make_plan(read_scenario("month-end"))
-    read = read_settings(settings(day, 3))
+    read = read_settings(balancer_settings(day, 3))
     assert (read.replica, read.replica_count, read.zone) == (3, 8, "st-james")
     assert read.limits.max_attempts == 5 and read.limits.load_probes and len(read.classes) == 4
     assert read.rules.drain_grace_ns == 500 * MS and read.rules.slow_start_ns == 6 * SECOND
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -1,4 +1,4 @@
-"""Whole rehearsals, short ones: the daemon, and a bad balancer whose sins the kit must name."""
+"""Short complete rehearsals of the daemon, and of a bad balancer whose violations the kit must report."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 import psutil
 import pytest
 
-from lanelift.rehearsal.page import make_page
+from lanelift.rehearsal.html_report import render_html
 
 LANELIFT = Path(sys.executable).with_name("lanelift")
 RELAY = f"{sys.executable} -m tests.rehearsal.relay"
-AT_ONCE = 3  # rehearsals side by side: each keeps a part of a core busy
+CONCURRENT_RUNS = 3  # concurrent rehearsals: each keeps a part of a core busy
 TIMEOUT_S = 120
 
 SMALL = """
@@ -122,18 +122,18 @@
 
 @dataclass
 class Run:
-    """One rehearsal that was played: exit code, what it said, its report."""
+    """A finished rehearsal: its exit code, output and report."""
 
     code: int
-    said: str
+    output: str
     report: dict[str, Any]
 
-    def broken(self) -> dict[str, Any]:
+    def breaches(self) -> dict[str, Any]:
         found: dict[str, Any] = self.report["verdict"]["rules"]["breaches"]
         return found
 
 
-# Name: what is added to the small scenario, the sin, further words of the command line.
+# By name: what is added to the small scenario, the violation, further arguments of the command.
 RUNS: dict[str, tuple[str, str, list[str]]] = {
     "calm": ("", "", []),
     "faults": (FAULTS.replace("balancers = 1", ""), "", ["--balancers", "3"]),
@@ -150,7 +150,7 @@
 
 
 async def play(folder: Path, name: str) -> Run:
-    more, sin, words = RUNS[name]
+    more, violation, words = RUNS[name]
     path = folder / f"{name}.toml"
     path.write_text(SMALL + more)
     out = folder / name
@@ -163,26 +163,26 @@
         str(out),
         "--no-html",
         *words,
-        env={**os.environ, "SIN": sin},
+        env={**os.environ, "SIN": violation},
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.STDOUT,
     )
-    said, _ = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
+    output, _ = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
     assert process.returncode is not None
     report = out / "report.json"
-    return Run(process.returncode, said.decode(), json.loads(report.read_text()) if report.exists() else {})
+    return Run(process.returncode, output.decode(), json.loads(report.read_text()) if report.exists() else {})
 
 
 @pytest.fixture(scope="module")
 def runs(tmp_path_factory: pytest.TempPathFactory) -> dict[str, Run]:
-    """All of them, a few at a time."""
+    """Runs all rehearsals, a few at a time."""
     folder = tmp_path_factory.mktemp("rehearsals")
 
     async def all_of_them() -> dict[str, Run]:
-        gate = asyncio.Semaphore(AT_ONCE)
+        limit = asyncio.Semaphore(CONCURRENT_RUNS)
 
         async def one(name: str) -> tuple[str, Run]:
-            async with gate:
+            async with limit:
                 return name, await play(folder, name)
 
         return dict(await asyncio.gather(*(one(name) for name in RUNS)))
@@ -190,41 +190,41 @@
     return asyncio.run(all_of_them())
 
 
-def test_a_calm_day_with_the_daemon(runs: dict[str, Run]) -> None:
+def test_a_calm_day_with_the_daemon_breaks_no_rule(runs: dict[str, Run]) -> None:
     run = runs["calm"]
     verdict = run.report["verdict"]
-    assert run.broken() == {}, run.said
-    assert run.code == (1 if verdict["void"] else 0)  # a busy machine voids it, and then it must say so
+    assert run.breaches() == {}, run.output
+    # On a busy machine the run is void, and must be reported as void.
+    assert run.code == (1 if verdict["void"] else 0)
     assert verdict["requests"]["asked"] > 100 and verdict["complaints"] == []
     assert verdict["requests"]["served"] > 0.8 * verdict["requests"]["asked"]
     assert verdict["balancers"]["memory_mb_max"] > 10 and verdict["kit"]["cpu_s"] > 0
-    page = make_page(run.report)
+    page = render_html(run.report)
     assert page.count("<svg") == 3
-    assert not re.search(
-        r'<script|<link|src=|href="(?!#|data:)|url\((?!#)', page
-    )  # it needs nothing beside it
+    # The page is self-contained.
+    assert not re.search(r'<script|<link|src=|href="(?!#|data:)|url\((?!#)', page)
 
 
 def test_a_day_with_all_kinds_of_faults_breaks_no_rule(runs: dict[str, Run]) -> None:
-    """The kill and the boxes that die are the kit's doing: nothing is charged for them."""
+    """The kit itself kills the balancer and the boxes: their effects are not breaches."""
     run = runs["faults"]
-    assert run.broken() == {}, run.said
+    assert run.breaches() == {}, run.output
     requests = run.report["verdict"]["requests"]
     assert requests["tries"] > requests["asked"] and requests["served"] > 0.5 * requests["asked"]
 
 
-def test_suspensions_take_effect_and_directories_that_fail_break_no_rule(runs: dict[str, Run]) -> None:
+def test_suspensions_take_effect_and_failing_directories_break_no_rule(runs: dict[str, Run]) -> None:
     run = runs["standing"]
-    assert run.broken() == {}, run.said
+    assert run.breaches() == {}, run.output
     verdict, letters = run.report["verdict"], run.report["outcomes"]
     assert verdict["suspensions"]["count"] == 4 and verdict["suspensions"]["max_s"] < 5
     assert letters.count("d") == verdict["requests"]["denied"] > 5
     assert len(letters) == verdict["requests"]["asked"] and letters.count("s") > 0.5 * len(letters)
-    assert "4 suspensions" in run.said or verdict["void"]
+    assert "4 suspensions" in run.output or verdict["void"]
 
 
 @pytest.mark.parametrize(
-    ("sin", "rule", "said"),
+    ("violation", "rule", "message"),
     [
         ("silent", "1", "no whole answer before its client's time was over"),
         ("garbage", "1", "what came is no answer"),
@@ -236,19 +236,21 @@
         ("crash", "0", "ended by itself, exit code 3"),
     ],
 )
-def test_each_sin_is_found_and_named(runs: dict[str, Run], sin: str, rule: str, said: str) -> None:
-    run = runs[sin]
+def test_each_violation_is_found_and_reported(
+    runs: dict[str, Run], violation: str, rule: str, message: str
+) -> None:
+    run = runs[violation]
     assert run.code == 1
-    # A crash also loses what it held; no other rule is charged for a sin against one.
-    assert set(run.broken()) <= {rule, "1"} if rule == "0" else set(run.broken()) == {rule}, run.said
-    breach = run.broken()[rule]["first"][0]
-    assert said in breach["what"] and (breach["request"] or rule == "0")
+    # A crash also loses the requests in flight; any other violation breaks only its own rule.
+    assert set(run.breaches()) <= {rule, "1"} if rule == "0" else set(run.breaches()) == {rule}, run.output
+    breach = run.breaches()[rule]["first"][0]
+    assert message in breach["what"] and (breach["request"] or rule == "0")
 
 
-# ---- nothing is left behind ------------------------------------------------------------------------------
+# ---- cleanup and errors ----------------------------------------------------------------------------------
 
 
-def family(pid: int) -> list[psutil.Process]:
+def child_processes(pid: int) -> list[psutil.Process]:
     return psutil.Process(pid).children(recursive=True)
 
 
@@ -265,24 +267,26 @@
 
 
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGKILL])
-def test_whatever_ends_the_kit_nothing_stays(tmp_path: Path, how: signal.Signals) -> None:
+def test_no_process_remains_when_the_kit_is_interrupted_or_killed(
+    tmp_path: Path, how: signal.Signals
+) -> None:
     kit = start(tmp_path)
     assert kit.stderr is not None
     for line in kit.stderr:
-        if " of 30 s" in line:  # the day is on: all processes run
+        if " of 30 s" in line:  # the day has started: all processes run
             break
-    children = family(kit.pid)
-    assert len(children) == 5  # boxes, discovery, the keeper and its balancer, load
+    children = child_processes(kit.pid)
+    assert len(children) == 5  # boxes, discovery, the supervisor and its balancer, load
     kit.send_signal(how)
-    said = kit.communicate(timeout=TIMEOUT_S)[1]
+    output = kit.communicate(timeout=TIMEOUT_S)[1]
     assert kit.returncode == (1 if how is signal.SIGINT else -how)
-    assert ("interrupted" in said) == (how is signal.SIGINT)
+    assert ("interrupted" in output) == (how is signal.SIGINT)
     _, alive = psutil.wait_procs(children, timeout=TIMEOUT_S)
     assert alive == []
 
 
 def consecutive_ports(count: int) -> int:
-    """The first of so many free ports in a row."""
+    """Returns the first of `count` consecutive free ports."""
     for first in range(21_000 + os.getpid() % 5000, 32_000, count):
         with contextlib.ExitStack() as stack, contextlib.suppress(OSError):
             for port in range(first, first + count):
@@ -291,10 +295,10 @@
     raise AssertionError("no free ports")
 
 
-def test_against_a_balancer_that_somebody_else_started(tmp_path: Path) -> None:
-    """Ours, by its own file and its embedded list: no discovery at all."""
+def test_a_rehearsal_against_an_external_balancer(tmp_path: Path) -> None:
+    """The daemon runs with its own file and a static list of upstreams, without discovery."""
     base = consecutive_ports(8)
-    listen = base + 7  # six boxes, discovery, and this
+    listen = base + 7  # after six boxes and discovery
     boxes = "".join(f'[[upstream]]\nname = "b{i}"\naddress = "127.0.0.1:{base + i}"\n' for i in range(6))
     classes = "".join(
         f'[[class]]\nname = "{name}"\neffect = "safe"\naim_ms = 264\ndeadline_ms = 661\n'
@@ -316,9 +320,9 @@
                 str(base),
                 "--no-html",
             )
-            said = "".join(kit.communicate(timeout=TIMEOUT_S))
+            output = "".join(kit.communicate(timeout=TIMEOUT_S))
             report = json.loads((tmp_path / "out" / "report.json").read_text())
-            assert report["verdict"]["rules"]["kept"], said
+            assert report["verdict"]["rules"]["kept"], output
             requests = report["verdict"]["requests"]
             assert requests["served"] > 0.7 * requests["asked"] > 50
             assert report["verdict"]["balancers"] == {}
@@ -327,48 +331,52 @@
     assert balancer.returncode == 0
 
 
-def test_want_of_descriptors_voids_the_run_and_says_so(tmp_path: Path) -> None:
-    def few() -> None:
+def test_a_shortage_of_descriptors_voids_the_run_and_is_reported(tmp_path: Path) -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (24, 24))
 
-    kit = start(tmp_path, "--length", "2", "--rate", "100", "--no-html", preexec_fn=few)
-    said = "".join(kit.communicate(timeout=TIMEOUT_S))
+    kit = start(tmp_path, "--length", "2", "--rate", "100", "--no-html", preexec_fn=limit_descriptors)
+    output = "".join(kit.communicate(timeout=TIMEOUT_S))
     assert kit.returncode == 1
-    assert "VOID" in said or "could not be played" in said
-    assert "worth answered in time" not in said
+    assert "VOID" in output or "could not be played" in output
+    assert "worth answered in time" not in output
 
 
-def test_a_port_that_is_taken_is_told(tmp_path: Path) -> None:
+def test_a_port_in_use_is_reported(tmp_path: Path) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         port = taken.getsockname()[1]
         kit = start(tmp_path, "--base-port", str(port))
-        said = kit.communicate(timeout=TIMEOUT_S)[1]
-    assert kit.returncode == 1 and "ended early" in said and str(port) in said and "Traceback" not in said
+        output = kit.communicate(timeout=TIMEOUT_S)[1]
+    assert (
+        kit.returncode == 1 and "ended early" in output and str(port) in output and "Traceback" not in output
+    )
 
 
-def test_a_command_that_is_not_there_is_told(tmp_path: Path) -> None:
+def test_a_command_that_does_not_exist_is_reported(tmp_path: Path) -> None:
     kit = start(tmp_path, "--command", "no-such-balancer")
-    said = kit.communicate(timeout=TIMEOUT_S)[1]
-    assert kit.returncode == 1 and "No such file or directory: 'no-such-balancer'" in said
+    output = kit.communicate(timeout=TIMEOUT_S)[1]
+    assert kit.returncode == 1 and "No such file or directory: 'no-such-balancer'" in output
 
 
-def test_a_part_of_the_kit_that_dies_is_no_balancers_fault(tmp_path: Path) -> None:
+def test_a_kit_process_that_dies_is_not_charged_to_a_balancer(tmp_path: Path) -> None:
     kit = start(tmp_path, "--no-html", "--length", "4")
     assert kit.stderr is not None
     for line in kit.stderr:
         if " of 4 s" in line:
             break
     boxes = next(
-        p for p in family(kit.pid) if (tmp_path / "out" / "boxes-0.log").samefile(f"/proc/{p.pid}/fd/2")
+        p
+        for p in child_processes(kit.pid)
+        if (tmp_path / "out" / "boxes-0.log").samefile(f"/proc/{p.pid}/fd/2")
     )
     boxes.kill()
-    said = kit.communicate(timeout=TIMEOUT_S)[0]
-    assert kit.returncode == 1 and "VOID" in said and "boxes-0 ended early" in said
+    output = kit.communicate(timeout=TIMEOUT_S)[0]
+    assert kit.returncode == 1 and "VOID" in output and "boxes-0 ended early" in output
 
 
-def test_bad_input_starts_nothing(tmp_path: Path) -> None:
+def test_bad_input_is_rejected_before_the_start(tmp_path: Path) -> None:
     (tmp_path / "there").write_text("")
     for words in (
         ["run", "clam"],
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: shipped ones are good; mistakes are named all at once."""
+"""Scenario files: the shipped ones are valid, and all mistakes of a file are reported together."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 """
 
 
-def test_the_shipped_ones() -> None:
+def test_the_shipped_scenarios_are_valid() -> None:
     assert set(shipped()) == {
         "calm",
         "month-end",
@@ -44,13 +44,13 @@
         assert len(read.tenants) == (60 if name == "suspension" else 9)
 
 
-def test_mistakes_all_at_once(tmp_path: Path) -> None:
+def test_all_mistakes_are_reported_together(tmp_path: Path) -> None:
     path = tmp_path / "five.toml"
     path.write_text(FIVE)
     with pytest.raises(FileValidationError) as caught:
         read_scenario(str(path))
-    said = {m.place: str(m) for m in caught.value.problems}
-    assert set(said) == {
+    messages = {m.place: str(m) for m in caught.value.problems}
+    assert set(messages) == {
         "name",
         "load.rate",
         "load.shape",
@@ -59,10 +59,10 @@
         "fault[0].at_s",
         "fault[1]",
     }
-    assert "did you mean part?" in said["fault[0].prt"]
-    assert "'steady', 'ramp', 'wave' or 'bursty'" in said["load.shape"]
-    assert "'die', 'deploy', 'freeze'" in said["fault[1]"]
-    assert "allowed: under length_s (10)" in said["fault[0].at_s"]
+    assert "did you mean part?" in messages["fault[0].prt"]
+    assert "'steady', 'ramp', 'wave' or 'bursty'" in messages["load.shape"]
+    assert "'die', 'deploy', 'freeze'" in messages["fault[1]"]
+    assert "allowed: under length_s (10)" in messages["fault[0].at_s"]
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
         ),
     ],
 )
-def test_mistakes_between_keys(tmp_path: Path, text: str, path: str) -> None:
+def test_mistakes_that_involve_several_keys(tmp_path: Path, text: str, path: str) -> None:
     file = tmp_path / "x.toml"
     file.write_text('name = "x"\nlength_s = 100\n' + text)
     with pytest.raises(FileValidationError) as caught:
@@ -86,7 +86,7 @@
     assert [m.place for m in caught.value.problems] == [path]
 
 
-def test_changes_are_checked_with_the_file() -> None:
+def test_overrides_are_checked_with_the_file() -> None:
     assert read_scenario("calm", {"load.rate": 50.0, "seed": 9}).load.rate == 50
     with pytest.raises(FileValidationError, match=r"fleet\.boxes: found 0"):
         read_scenario("calm", {"fleet.boxes": 0})
@@ -94,7 +94,7 @@
         read_scenario("clam")
 
 
-def test_a_scenario_survives_its_way_to_the_processes() -> None:
+def test_a_scenario_survives_serialization_for_the_processes() -> None:
     for name in shipped():
         read = read_scenario(name)
         assert Scenario.model_validate(read.model_dump(mode="json", by_alias=True)) == read
