--- a/lanelift/cli/rehearse.py
+++ b/lanelift/cli/rehearse.py
@@ -165,8 +165,7 @@
 
 @contextmanager
 def _progress(length_s: float) -> Any:
-    """Yields a function that shows the progress: a live line in a terminal, or else plain lines at
-    intervals."""
+    """Yields a function that shows the progress, as a live line in a terminal or else as plain lines."""
     if not sys.stderr.isatty():
         yield _plain_progress(length_s)
         return
--- a/lanelift/rehearsal/__init__.py
+++ b/lanelift/rehearsal/__init__.py
@@ -1,2 +1,1 @@
-"""The rehearsal kit: runs a schedule of requests and faults against balancers on loopback and checks the
-rules."""
+"""The rehearsal kit: plays requests and faults against balancers on loopback and checks the rules."""
--- a/lanelift/rehearsal/balancer_supervisor.py
+++ b/lanelift/rehearsal/balancer_supervisor.py
@@ -1,5 +1,4 @@
-"""The process that supervises the balancers: it starts each as in service, signals them as planned, and
-samples their resource usage.
+"""Supervises the balancers: starts each as in service, signals them as planned, and samples their usage.
 
 Balancers never outlive this process: on Linux the kernel kills them when it exits, for whatever reason
 (`PR_SET_PDEATHSIG`, which the child sets for itself and which needs no privilege).
@@ -194,8 +193,7 @@
             send_message({"event": "down", "balancer": balancer.number, "why": run.expected_end or "crash"})
 
     async def _wait_ready(self, balancer: Balancer, within_s: float) -> bool:
-        """Waits until `GET /ready` answers 200. Returns False if it does not in time or the process has
-        ended."""
+        """Waits until `GET /ready` answers 200. Returns False on a timeout or if the process has ended."""
         host, _, port = balancer.address.rpartition(":")
         until = time.monotonic() + within_s
         while (
--- a/lanelift/rehearsal/directory_worker.py
+++ b/lanelift/rehearsal/directory_worker.py
@@ -1,5 +1,4 @@
-"""The process that runs the emulated directories and applies the suspensions and outages of the plan to
-them."""
+"""The process that runs the emulated directories, with the suspensions and outages of the plan."""
 
 from __future__ import annotations
 
--- a/lanelift/rehearsal/orchestrator.py
+++ b/lanelift/rehearsal/orchestrator.py
@@ -1,5 +1,4 @@
-"""Orchestrates a rehearsal: starts the processes of the kit and the balancers, starts the day, and collects
-the records.
+"""Orchestrates a rehearsal: starts the kit's processes, the balancers and the day, and collects the records.
 
 The processes read their standard input: when the orchestrator exits, by Ctrl-C, a crash or a kill, they end
 all that they have started and exit. The cleanup therefore does not depend on the orchestrator.
@@ -310,6 +309,5 @@
 
 
 def rehearse(scenario: Scenario, options: Options, progress: Callable[[float, Counter[str]], None]) -> Day:
-    """Runs the day and waits for its end. Raises RehearsalError, or KeyboardInterrupt once all processes have
-    ended."""
+    """Runs a rehearsal. Raises RehearsalError, or KeyboardInterrupt after all processes have ended."""
     return asyncio.run(Orchestrator(scenario, options, progress).run())
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -1,5 +1,5 @@
-"""The plan of a rehearsal: generates all requests, faults and discovery notifications with their times from a
-scenario and its seed. Performs no I/O.
+"""The plan of a rehearsal: all requests, faults and discovery notifications with their times, generated from
+a scenario and its seed. Performs no I/O.
 
 Nothing that happens during a run changes the plan: two runs with one seed offer the same requests at the same
 due times, and the work of a request depends only on its id. Times are ns after the start of the day.
@@ -45,8 +45,7 @@
     abandon_after_ns: int  # the client leaves this long after the due time; 0: never
 
     def try_id(self, number: int) -> str:
-        """Returns the X-Request-Id of a try: unique for each retry, and prefixed with the id of the
-        request."""
+        """Returns the X-Request-Id of a try: the id of the request, with a suffix for retries."""
         return self.id if number == 0 else f"{self.id}-{number}"
 
 
@@ -88,8 +87,7 @@
 
 
 class Command(NamedTuple):
-    """A command to a balancer (kill, restart, hup) or to discovery (silent, heard: an outage begins or
-    ends)."""
+    """A command: kill, restart or hup for a balancer; silent (an outage) or heard (its end) for discovery."""
 
     at_ns: int
     action: str
@@ -390,8 +388,7 @@
     def _choose_places(
         self, part: float, at: int, name: tuple[object, ...], include_unavailable: bool = False
     ) -> list[int]:
-        """Draws a share of all places. Skips those that another fault occupies, unless `include_unavailable`
-        is set."""
+        """Draws a share of all places, not those that another fault occupies unless `include_unavailable`."""
         free = [p.number for p in self.places if include_unavailable or self.available_ns[p.number] <= at]
         return sorted(self._rng(name).sample(free, min(len(free), round(part * len(self.places)))))
 
--- a/lanelift/rehearsal/records.py
+++ b/lanelift/rehearsal/records.py
@@ -1,5 +1,4 @@
-"""The records that the processes of the kit write during a day, one JSON array per line. The verdict is
-computed from them.
+"""The records of a day, which the kit's processes write as one JSON array per line for the verdict.
 
 Times are ns of the monotonic clock, which all processes of a machine share.
 """
@@ -73,8 +72,7 @@
 
 
 class BoxSample(NamedTuple):
-    """The state of a box: requests held, and capacity (seconds of work per second; 0 while it makes no
-    progress)."""
+    """The state of a box: requests held, and capacity (seconds of work per second; 0 while it is stopped)."""
 
     at_ns: int
     place: int
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -179,8 +179,7 @@
 
 
 def differences(a: Mapping[str, Any], b: Mapping[str, Any], path: str = "") -> Iterable[str]:
-    """Yields the differences of two scenarios, so that runs of different scenarios are not compared
-    unnoticed."""
+    """Yields the differences of two scenarios, as a warning when their runs are compared."""
     for key in sorted({*a, *b}):
         left, right, key_path = a.get(key), b.get(key), f"{path}{key}"
         if isinstance(left, dict) and isinstance(right, dict):
--- a/lanelift/rehearsal/scenario.py
+++ b/lanelift/rehearsal/scenario.py
@@ -1,8 +1,7 @@
-"""The schema of scenario files. Times in a file are seconds or milliseconds, as the suffix of their name
-says.
+"""The schema of scenario files. The suffix of a name says whether a time is in seconds or milliseconds.
 
-A value that a file gives as a range `[low, high]` is drawn from the seed for each box, request or fault
-separately.
+A value that a file gives as a range `[low, high]` is drawn separately for each box, request or fault, from
+the seed.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 MAX_REQUESTS = 1_000_000  # generated in advance and kept until the verdict, some hundred bytes each
 
 
-def _range(values: tuple[float, float]) -> tuple[float, float]:
+def _check_range(values: tuple[float, float]) -> tuple[float, float]:
     if values[0] > values[1]:
         raise ValueError("allowed: [low, high] with low not above high")
     return values
@@ -41,10 +40,10 @@
 Pair = Annotated[
     tuple[Annotated[float, Field(ge=0, le=1e6)], Annotated[float, Field(ge=0, le=1e6)]],
     Field(strict=False),
-    AfterValidator(_range),
+    AfterValidator(_check_range),
 ]
 Part = Annotated[float, Field(ge=0, le=1)]
-PartPair = Annotated[tuple[Part, Part], Field(strict=False), AfterValidator(_range)]
+PartPair = Annotated[tuple[Part, Part], Field(strict=False), AfterValidator(_check_range)]
 Name = Annotated[str, Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")]
 Seconds = Annotated[float, Field(ge=0, le=MAX_LENGTH_S)]
 
@@ -114,8 +113,7 @@
     usage: Annotated[float, Field(ge=0, le=1000)] = 1.0
 
 
-# The classes and tenants of rate-quotes-pos (the brief, 'Work' and 'Who shares it'), for files that name
-# none.
+# The defaults: classes and tenants of rate-quotes-pos (the brief, 'Work' and 'Who shares it').
 CLASSES = [
     ClassTable(name="rate-lookup", share=36, work_ms=75, cv=0.62, worth=3),
     ClassTable(name="fee-quote", share=27, work_ms=78, cv=0.68, worth=5),
@@ -178,8 +176,7 @@
 
 
 class DirectoryTable(Table):
-    """The LDAP directories that list the tenants. `more` is a number of further tenants that send no
-    requests."""
+    """The LDAP directories that list the tenants, and `more` tenants that send no requests."""
 
     servers: Annotated[int, Field(ge=1, le=4)] = 2
     unknown: Literal["share", "deny"] = "deny"
--- a/lanelift/rehearsal/verdict.py
+++ b/lanelift/rehearsal/verdict.py
@@ -65,8 +65,7 @@
 
 
 class DrainNotice(NamedTuple):
-    """A balancer was told that a box drains or is gone, with the fields of
-    `standins.discovery.DrainNotice`."""
+    """A balancer was told that a box drains or is gone. As `standins.discovery.DrainNotice`."""
 
     at_ns: int
     balancer: int
@@ -174,7 +173,7 @@
 def without_suspended_tenants(
     day: Day, found: Iterable[Outcome], suspended: Iterable[Suspension]
 ) -> list[Outcome]:
-    """Returns the outcomes of tenants that were certainly in good standing. Requests of suspended tenants
+    """Returns the outcomes of tenants that were certainly in good standing. The requests of suspended tenants
     have no worth."""
     by_tenant: dict[str, list[tuple[int, int]]] = defaultdict(list)
     late = round(SUSPENSION_LIMIT_S * SECOND)
@@ -315,8 +314,7 @@
                     )
 
     def _check_attempts(self) -> None:
-        """Rule 2: one attempt at a time, at most the allowed number, none after the answer, and no unsafe
-        request run twice."""
+        """Rule 2: one attempt at a time, not too many, none after the answer, no unsafe request run twice."""
         by_id: dict[str, list[Attempt]] = defaultdict(list)
         for attempt in self.day.attempts:
             by_id[attempt.id].append(attempt)
@@ -327,11 +325,11 @@
             rows = self.tries.get(name, ())
             balancer = rows[-1].balancer if rows else -1
             attempts.sort(key=lambda a: a.last_ns)
-            out_until = 0
+            busy_until = 0
             for a in attempts:
-                if a.last_ns < out_until - GRACE_NS:
+                if a.last_ns < busy_until - GRACE_NS:
                     self._breach(2, name, balancer, a.last_ns, f"sent to {a.box} while an attempt was out")
-                out_until = max(out_until, a.closed_ns)
+                busy_until = max(busy_until, a.closed_ns)
             if len(attempts) > max_attempts * max(1, len(rows)):
                 self._breach(
                     2,
@@ -350,8 +348,7 @@
                 )
 
     def _check_drains(self) -> None:
-        """Rule 3: no new attempt to a box after the grace time that follows the notification of its
-        balancer."""
+        """Rule 3: no new attempt to a box once the grace time after the notification has passed."""
         told_ns: dict[tuple[int, str], int] = {}
         for notice in self.day.drain_notices:
             key = notice.balancer, notice.box
@@ -399,7 +396,7 @@
 
 
 def void_reasons(day: Day) -> list[str]:
-    """Returns why this run is not a valid measurement: the kit was late or short of resources. Empty if it is
+    """Returns why this run is no valid measurement: the kit was late or lacked resources. Empty if it is
     valid."""
     reasons = [f"the kit's process {name} ended early" for name in day.lost_workers]
     for name, late in day.lateness.items():
--- a/lanelift/rehearsal/worker.py
+++ b/lanelift/rehearsal/worker.py
@@ -1,5 +1,4 @@
-"""A process of the kit: `python -m lanelift.rehearsal.worker`. The first line that it reads determines its
-role.
+"""A process of the kit: `python -m lanelift.rehearsal.worker`. Its first input line sets its role.
 
 The process reads JSON lines from standard input, first its job and then commands, and writes messages as JSON
 lines to standard output. When standard input ends, the orchestrator has exited for whatever reason: the
--- a/lanelift/standins/ber.py
+++ b/lanelift/standins/ber.py
@@ -1,5 +1,4 @@
-"""The subset of BER that LDAP uses (RFC 4511, section 5.1): definite lengths, one-byte tags, primitive
-strings.
+"""The part of BER that LDAP uses (RFC 4511, section 5.1): definite lengths, one-byte tags, primitive strings.
 
 Performs no I/O: functions take and return bytes.
 """
@@ -71,8 +70,7 @@
 
 
 def elements(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """Yields the tag and content of each element in `data`. Raises BerError, also if an element is
-    truncated."""
+    """Yields the tag and content of each element. Raises BerError, also if an element is truncated."""
     at = 0
     while at < len(data):
         found = content_span(data, at)
--- a/lanelift/standins/box.py
+++ b/lanelift/standins/box.py
@@ -1,5 +1,4 @@
-"""The queueing model of one box: its capacity, the jobs it holds, and when each job ends. Performs no I/O and
-reads no clock: callers pass the time.
+"""The queueing model of one box: its capacity, its jobs, and when each ends. Callers pass the time; no I/O.
 
 The work of a job is the time that the job takes alone on one core of speed 1. A box has `cores` and runs up
 to `slots` jobs concurrently. Each running job gets an equal share of the cores and at most one core; further
@@ -118,15 +117,13 @@
 
     @property
     def capacity(self) -> float:
-        """Seconds of work that the box can do per second with the jobs it now holds, not counting a
-        freeze."""
+        """Seconds of work that the box can do per second with its present jobs, ignoring a freeze."""
         spec = self.spec
         excess = max(0.0, self.held / spec.cores - spec.thrash_at)
         return spec.cores * spec.speed * self.warmth * (1 - self.stolen_share) / (1 + spec.thrash * excess)
 
     def next_ns(self) -> int | None:
-        """Returns when `advance` has to be called next if no other event occurs, or None if it need not
-        be."""
+        """Returns when `advance` has to be called if no other event occurs, or None if never."""
         if self.completed:
             return self.at_ns
         if not self.running or self.overloaded_ns:
@@ -147,8 +144,8 @@
             return False
         if self.warm_level < WARM_STEPS:
             # Counts work offered, whether accepted or not: the offered load is what overloads a cold box.
-            able = self.spec.cores * self.spec.speed * self.warmth * self.spec.overload_window_ns
-            if self.recent_work.add(work_ns, now) > self.spec.overload_multiple * able:
+            window_capacity = self.spec.cores * self.spec.speed * self.warmth * self.spec.overload_window_ns
+            if self.recent_work.add(work_ns, now) > self.spec.overload_multiple * window_capacity:
                 self.overloaded_ns = now
                 self.running.clear()
                 self.waiting.clear()
@@ -161,8 +158,8 @@
         return True
 
     def drop(self, job: str, now: int) -> bool:
-        """Handles a caller's disconnect. Returns True if its job was waiting and is removed; a running job
-        continues."""
+        """Removes a waiting job whose caller has disconnected. Returns whether it was removed; a running job
+        goes on."""
         self._advance_to(now)
         if not self.spec.drops_queued:
             return False
@@ -189,8 +186,7 @@
             self.attained -= work_ns / max(self.spec.cores, len(self.running))
 
     def advance(self, now: int) -> list[Completion]:
-        """Advances the clock. Returns the jobs that have ended since the last call, in order of their end
-        times."""
+        """Advances the clock. Returns the jobs that have ended since the last call, ordered by their end."""
         self._advance_to(now)
         done, self.completed = self.completed, []
         return done
--- a/lanelift/standins/directory.py
+++ b/lanelift/standins/directory.py
@@ -1,5 +1,4 @@
-"""An emulated LDAP directory on a loopback socket: `ldap.Session` on asyncio transports, with fault
-injection.
+"""An emulated LDAP directory on a loopback socket: `ldap.Session` on asyncio, with fault injection.
 
 Faults apply to every connection immediately and may be changed while clients are connected.
 """
--- a/lanelift/standins/discovery.py
+++ b/lanelift/standins/discovery.py
@@ -52,8 +52,7 @@
         self.busy_until_ns = 0
 
     def reserve(self, now: int) -> int | None:
-        """Returns when a call that arrives now will be done, or None if it would wait too long and is
-        rejected."""
+        """Returns when a call that arrives now will be done, or None if its wait would be too long."""
         start = max(now, self.busy_until_ns)
         if start - now > MAX_QUEUE_NS:
             return None
@@ -123,10 +122,10 @@
         if path != "/v1/endpoints" or request.method != "GET":
             request.answer(404)
             return
-        given = parse_qs(query)
+        parameters = parse_qs(query)
         try:
-            since = int(given["from"][0]) if "from" in given else None
-            hold_ms = min(MAX_HOLD_MS, max(0, int(given.get("hold_ms", ["0"])[0])))
+            since = int(parameters["from"][0]) if "from" in parameters else None
+            hold_ms = min(MAX_HOLD_MS, max(0, int(parameters.get("hold_ms", ["0"])[0])))
         except ValueError:
             request.answer(400)
             return
@@ -171,14 +170,14 @@
         if since is None:
             body = self.snapshot()
             # A full list also tells the balancer which boxes are gone, since it lacks them.
-            news = [entry for _, entry in self.changed.values() if entry.state != "Ready"]
+            drained = [entry for _, entry in self.changed.values() if entry.state != "Ready"]
         else:
             rows = [entry for version, entry in self.changed.values() if version > since]
             body = {"version": self.version, "full": False, "servers": [asdict(entry) for entry in rows]}
-            news = [entry for entry in rows if entry.state != "Ready"]
+            drained = [entry for entry in rows if entry.state != "Ready"]
         request.answer(200, json.dumps(body, separators=(",", ":")).encode())
         now = time.monotonic_ns()
-        self.drain_notices.extend(DrainNotice(now, self.balancer, entry.id, entry.state) for entry in news)
+        self.drain_notices.extend(DrainNotice(now, self.balancer, entry.id, entry.state) for entry in drained)
 
     def lost(self, connection: Connection) -> None:
         super().lost(connection)
@@ -190,8 +189,7 @@
 async def start_agents(
     count: int, call_ns: int | None, port: Callable[[int], int] = lambda number: 0
 ) -> tuple[list[Agent], list[DrainNotice]]:
-    """Starts an agent for each balancer. With `call_ns` they share one service, whose calls take that
-    long."""
+    """Starts an agent for each balancer. With `call_ns` they share a service whose calls take that long."""
     drain_notices: list[DrainNotice] = []
     service = SerialService(call_ns) if call_ns is not None else None
     agents = [Agent(number, drain_notices, service) for number in range(count)]
--- a/lanelift/standins/fencing_token_store.py
+++ b/lanelift/standins/fencing_token_store.py
@@ -14,8 +14,7 @@
 class FencingTokenStore:
     """A store that accepts writes with non-decreasing tokens.
 
-    `writes` holds each accepted value with its token. The largest token must be stored as durably as the
-    writes."""
+    `writes` holds each accepted value with its token. The largest token must be as durable as the writes."""
 
     highest_token: int = 0
     writes: list[tuple[int, object]] = field(default_factory=list)
--- a/lanelift/standins/http.py
+++ b/lanelift/standins/http.py
@@ -1,5 +1,4 @@
-"""The server side of HTTP/1.1 for the emulators: parses requests and notes when their first and last byte
-came.
+"""The server side of HTTP/1.1 for the emulators. Each request has the times of its first and last byte.
 
 Requests are parsed leniently, by httptools: an emulator records unusual requests and does not reject them.
 """
--- a/lanelift/standins/ldap.py
+++ b/lanelift/standins/ldap.py
@@ -164,8 +164,7 @@
 
 
 def read_filter(tag: int, content: bytes, ordering: bool = True, depth: int = 0) -> FilterTest:
-    """Decodes a search filter (RFC 4511, 4.5.1.7). Without `ordering`, >= and <= are undefined. Raises
-    BerError."""
+    """Decodes a search filter (RFC 4511, 4.5.1.7); >= and <= need `ordering`. Raises BerError."""
     if depth > MAX_DEPTH:
         raise BerError("filters too deep in each other")
     if tag in (0xA0, 0xA1):
--- a/lanelift/standins/seeded_random.py
+++ b/lanelift/standins/seeded_random.py
@@ -33,8 +33,7 @@
 
 
 def lognormal(mean: float, cv: float, seed: int, *name: object) -> float:
-    """Returns a log-normally distributed value with this mean and coefficient of variation (standard
-    deviation over mean)."""
+    """Returns a log-normally distributed value. `cv` is the standard deviation divided by the mean."""
     if cv <= 0:
         return mean
     sigma2 = math.log1p(cv * cv)
--- a/lanelift/standins/upstream_emulator.py
+++ b/lanelift/standins/upstream_emulator.py
@@ -151,7 +151,7 @@
             self._record(request, "dropped", request.disconnected_ns, False, 0)
             return
         if request.path in ("/health", "/status/load"):
-            self._probe(request, now)
+            self._answer_probe(request, now)
             return
         name = request.headers.get("x-request-id", "")
         work_ns = self.work_of(name) if name else None
@@ -185,7 +185,7 @@
         self._record(request, "cold fall", now, False, 0)
         self.die()
 
-    def _probe(self, request: Request, now: int) -> None:
+    def _answer_probe(self, request: Request, now: int) -> None:
         if request.path == "/health":
             request.answer(503 if self.draining else 200)
             return
--- a/tests/rehearsal/test_verdict.py
+++ b/tests/rehearsal/test_verdict.py
@@ -36,8 +36,7 @@
 
 
 def perfect(day_plan: Plan) -> Day:
-    """Returns a day on which each request is sent when due, reaches a box once and is answered after 100
-    ms."""
+    """Returns a day on which each request is sent when due, reaches one box and is answered in 100 ms."""
     tries, attempts = [], []
     for request in day_plan.requests:
         due = START + request.due_ns
--- a/tests/standins/test_box.py
+++ b/tests/standins/test_box.py
@@ -18,8 +18,7 @@
 
 
 def play(box: Box, jobs: list[tuple[int, int]]) -> dict[str, int]:
-    """Offers the jobs, given as (arrival, work). Returns the time in system of each job that is not
-    rejected."""
+    """Offers jobs given as (arrival, work). Returns the time in system of each job that was accepted."""
     arrived: dict[str, int] = {}
     time_in_system: dict[str, int] = {}
     for i, (at, work) in enumerate(jobs):
@@ -121,8 +120,7 @@
 @pytest.mark.parametrize("busy", [False, True])
 @pytest.mark.parametrize("by_work", [False, True])
 def test_a_cold_box_warms_up_along_the_specified_curve(busy: bool, by_work: bool) -> None:
-    """Warming by time is a linear ramp whatever the load. Warming by work equals it when idle and is never
-    slower."""
+    """Warming by time is a linear ramp; warming by work is the same when idle and never slower."""
     spec = BoxSpec(
         queue=100_000, cold_from=0.4, cold_ns=8 * SECOND, warm_by_work=by_work, overload_multiple=1e9
     )
