--- a/lanelift/routes/__init__.py
+++ b/lanelift/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: which class and pool a request belongs to, by host, path, method, headers and tenant."""
+"""Routes: map a request to a class and a pool, by its host, path, method, headers and tenant."""
--- a/lanelift/routes/check.py
+++ b/lanelift/routes/check.py
@@ -1,14 +1,14 @@
-"""Does a statement hold for a routing, in every state that matters? Proved, never tried. Pure.
+"""Verifies statements about a routing in all relevant failure scenarios, by proof and not by sampling. Pure.
 
-What is asked about requests is decided by generic requests (`regions.py`), what is asked about boxes by sets:
-the boxes of the pools that a request may be given, less those that can't be used. Three answers: it holds;
-it fails, with the smallest example and the rule at fault; or it is not decided, and why. What is not decided
-never counts as held.
+Representative requests (`match_sets.py`) decide the questions about requests. Sets of boxes decide the
+questions about boxes: the boxes of the pools that a request may be sent to, without the unusable ones. There
+are three verdicts: the statement holds; it fails, with the smallest example and the responsible rule; or it
+is not decided, with a reason. A statement that is not decided never counts as one that holds.
 
-What a pool is short of depends on which boxes the module avoids just now, and any may fail at any time. So a
-claim that says `never` or `always` counts every pool with a point of spilling over as short and as well,
-unless the statement says which; a claim that counts boxes takes them as the file lists them and as the
-statement's conditions change them.
+Whether a pool is short depends on the boxes that the decision module avoids at the time, and any box may fail
+at any time. So for a claim with `never` or `always`, each pool that can spill may be short or not, unless the
+statement says which. A claim that counts boxes uses the boxes that the file lists, changed by the conditions
+of the statement.
 """
 
 from __future__ import annotations
@@ -20,17 +20,19 @@
 from enum import Enum
 
 from lanelift.routes.expect import Claim, Conditions, Statement, Subject, Target
+from lanelift.routes.match_sets import MatchSet, format_request
 from lanelift.routes.pools import Box, Pool
-from lanelift.routes.regions import Region, shown
 from lanelift.routes.routing import Routing
 from lanelift.routes.table import Entry, Request, Rule
 
-# Choices of boxes that are tried one by one where pools of one chain overlap, so that no formula holds. Some
-# seconds' work; beyond, the answer is "not decided".
+# Combinations of boxes that are down. They are enumerated if the pools of a chain overlap, as there is no
+# formula for that. This takes some seconds; with more combinations the verdict is "not decided".
 MAX_CHOICES = 100_000
 
 
 class Verdict(Enum):
+    """The result of checking a statement."""
+
     HOLDS = "holds"
     FAILS = "fails"
     NOT_DECIDED = "not decided"
@@ -38,304 +40,326 @@
 
 @dataclass(frozen=True, slots=True)
 class Example:
-    """What goes against a statement: one request, the pools that it may be given in turn, and a state."""
+    """A counterexample to a statement: a request, the pools that it may reach in turn, and a scenario."""
 
-    asked: Request
+    request: Request
     pools: tuple[str, ...]
     box: str = ""
-    down: tuple[str, ...] = ()  # boxes that can't be used, beside those that are listed as draining
-    short: tuple[str, ...] = ()  # pools that have spilled over
+    down: tuple[str, ...] = ()  # unusable boxes, other than those listed as draining
+    short: tuple[str, ...] = ()  # pools that spill
 
     def __str__(self) -> str:
-        where = " -> ".join(name or "every box" for name in self.pools)
+        where = " -> ".join(name or "all boxes" for name in self.pools)
         box = f", box {self.box}" if self.box else ""
         down = f"; with {', '.join(self.down)} down" if self.down else ""
         short = f"; with pool {', '.join(self.short)} short" if self.short else ""
-        return f"{shown(self.asked)} -> {where or 'no rule'}{box}{down}{short}"
+        return f"{format_request(self.request)} -> {where or 'no rule'}{box}{down}{short}"
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
+    """A statement and its verdict."""
+
     statement: Statement
     verdict: Verdict
-    why: str = ""
-    rule: str = ""  # the one responsible
+    reason: str = ""
+    rule: str = ""  # the responsible one
     example: Example | None = None
 
     def __str__(self) -> str:
         rule = f" (rule {self.rule!r})" if self.rule else ""
         example = f"\n    for example {self.example}" if self.example is not None else ""
-        return f"{self.statement}\n    {self.verdict.value}: {self.why}{rule}{example}"
+        return f"{self.statement}\n    {self.verdict.value}: {self.reason}{rule}{example}"
 
 
 @dataclass(frozen=True, slots=True)
 class Flow:
-    """Requests of a subject that one rule takes, by the one that stands for them, and their pool."""
+    """The requests of a subject that one rule matches, as their representative, and one of their pools."""
 
     rule: Rule
-    asked: Request
+    request: Request
     pool: Pool
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    """A state in which a statement has to hold."""
+class Scenario:
+    """A state of boxes and pools in which a statement has to hold."""
 
     unusable: frozenset[str]  # boxes
-    any_down: int
-    short: frozenset[str]
-    well: frozenset[str]
-    down: frozenset[str]  # of the unusable, those that are so by a condition
+    any_down: int  # number of further boxes that may be down
+    short: frozenset[str]  # pools that spill
+    well: frozenset[str]  # pools that do not spill
+    down: frozenset[str]  # the unusable boxes that a condition makes so
 
 
 class Checker:
-    """Checks statements against one routing. `cold` tells whether boxes ever are: a box that starts is."""
+    """Checks statements against one routing. `cold`: whether boxes are cold after their start."""
 
     def __init__(self, routing: Routing, cold: bool = True) -> None:
         self.routing = routing
         self.cold = cold
-        self.entries = [(entry, Region.of(entry)) for entry in routing.table.entries]
+        self.entries = [(entry, MatchSet.from_entry(entry)) for entry in routing.table.entries]
         self.members = {name: routing.members(pool) for name, pool in routing.pools.items()}
-        self.flows_of: dict[str, list[Flow]] = {}  # by what a subject says: many statements share one
+        self.flow_cache: dict[str, list[Flow]] = {}  # by subject, as many statements have the same one
 
     # ---- requests ----------------------------------------------------------------------------------------
 
     def flows(self, subject: Subject) -> list[Flow]:
-        """Every rule that takes some of the subject's requests, and every pool that these may be given."""
+        """Return each rule that matches some requests of a subject, with each pool that it may choose."""
         key = repr(subject)
-        if key not in self.flows_of:
-            self.flows_of[key] = [
-                Flow(entry.rule, asked, pool)
-                for entry, asked in self._taken(subject)
+        if key not in self.flow_cache:
+            self.flow_cache[key] = [
+                Flow(entry.rule, request, pool)
+                for entry, request in self._matching_entries(subject)
                 for pool in self.routing.targets(entry.rule)
             ]
-        return self.flows_of[key]
+        return self.flow_cache[key]
 
-    def _taken(self, subject: Subject) -> Iterator[tuple[Entry, Request]]:
-        for entry, region in self.entries:
+    def _matching_entries(self, subject: Subject) -> Iterator[tuple[Entry, Request]]:
+        for entry, match_set in self.entries:
             if subject.class_name and entry.rule.class_name not in ("", subject.class_name):
                 continue
-            both = region.meet(subject.region)
+            both = match_set.intersection(subject.match_set)
             if both is None:
                 continue
-            asked = both.generic()
-            if self.routing.table.find(asked) is entry.rule:
-                yield entry, asked
+            request = both.representative()
+            if self.routing.table.find(request) is entry.rule:
+                yield entry, request
 
-    def unrouted(self, subject: Subject) -> Request | None:
-        """A request of the subject that no rule takes, if there is one."""
-        asked = subject.region.generic()
-        return asked if self.routing.table.find(asked) is None else None
+    def unmatched_request(self, subject: Subject) -> Request | None:
+        """Return a request of the subject that no rule matches, if there is one."""
+        request = subject.match_set.representative()
+        return request if self.routing.table.find(request) is None else None
 
-    # ---- states ------------------------------------------------------------------------------------------
+    # ---- scenarios ---------------------------------------------------------------------------------------
 
-    def worlds(self, when: Conditions) -> list[World]:
-        """The states in which it has to hold; several where any zone may be the lost one."""
+    def scenarios(self, when: Conditions) -> list[Scenario]:
+        """Return the scenarios that fulfil the conditions; one for each zone if any zone may be lost."""
         zones = sorted({box.zone for box in self.routing.boxes})
         lost = [{zone} for zone in zones] if when.any_zone_lost else [set(when.zones_lost)]
         states = dict(when.boxes)
         found = []
-        for some in lost:
-            down = {box.name for box in self.routing.boxes if box.zone in some}
+        for lost_zones in lost:
+            down = {box.name for box in self.routing.boxes if box.zone in lost_zones}
             down |= {name for name, state in states.items() if state != "cold"}
             listed = {box.name for box in self.routing.boxes if box.draining}
             found.append(
-                World(
+                Scenario(
                     frozenset(down | listed), when.any_down, when.short, when.well, frozenset(down - listed)
                 )
             )
         return found
 
-    def _usable(self, pool: Pool, world: World) -> list[Box]:
-        return [box for box in self.members[pool.name] if box.name not in world.unusable]
+    def _usable(self, pool: Pool, scenario: Scenario) -> list[Box]:
+        return [box for box in self.members[pool.name] if box.name not in scenario.unusable]
 
-    def given(self, flow: Flow, world: World) -> Iterator[tuple[Pool, tuple[str, ...]]]:
-        """The pools that its requests may be given to in some state of this world, each with the pools that
-        are short then."""
+    def candidate_pools(self, flow: Flow, scenario: Scenario) -> Iterator[tuple[Pool, tuple[str, ...]]]:
+        """Yield the pools that requests may be sent to in a scenario, each with the short pools before it."""
         short: tuple[str, ...] = ()
         for pool in self.routing.chain(flow.pool):
-            usable, needs = len(self._usable(pool, world)), pool.needs(len(self.members[pool.name]))
-            surely = pool.name in world.short or (usable < needs and pool.name not in world.well)
-            if not pool.spill or not surely:
+            usable, required = (
+                len(self._usable(pool, scenario)),
+                pool.required_boxes(len(self.members[pool.name])),
+            )
+            is_short = pool.name in scenario.short or (usable < required and pool.name not in scenario.well)
+            if not pool.spill or not is_short:
                 yield pool, short
-            if not pool.spill or pool.name in world.well:
+            if not pool.spill or pool.name in scenario.well:
                 return
             short = (*short, pool.name)
 
     # ---- statements --------------------------------------------------------------------------------------
 
     def check(self, statement: Statement) -> Finding:
-        what = statement.claim.what
-        if what == "no route":
+        """Check one statement."""
+        kind = statement.claim.kind
+        if kind == "no route":
             return self._no_route(statement)
-        if what in ("at least", "at most", "never refused"):
-            return self._counted(statement)
+        if kind in ("at least", "at most", "never refused"):
+            return self._check_box_count(statement)
         found = {
             "never reaches": self._never_reaches,
             "always reaches": self._always_reaches,
             "never shares": self._never_shares,
-        }[what](statement)
+        }[kind](statement)
         return found or Finding(statement, Verdict.HOLDS, "in every state")
 
     def _no_route(self, statement: Statement) -> Finding:
         flows = self.flows(statement.subject)
         if not flows:
-            return Finding(statement, Verdict.HOLDS, "no rule takes any of these requests")
+            return Finding(statement, Verdict.HOLDS, "no rule matches any of these requests")
         flow = flows[0]
-        example = Example(flow.asked, (flow.pool.name,))
-        return Finding(statement, Verdict.FAILS, "a rule takes them", flow.rule.name, example)
-
-    def _reached(self, statement: Statement) -> Iterator[tuple[Flow, World, Pool, tuple[str, ...], Box]]:
-        """Every box that a request of the subject may go to, and how."""
-        for world in self.worlds(statement.when):
+        example = Example(flow.request, (flow.pool.name,))
+        return Finding(statement, Verdict.FAILS, "a rule matches them", flow.rule.name, example)
+
+    def _reachable_boxes(
+        self, statement: Statement
+    ) -> Iterator[tuple[Flow, Scenario, Pool, tuple[str, ...], Box]]:
+        """Yield each box that a request of the subject may be sent to, and how it gets there."""
+        for scenario in self.scenarios(statement.when):
             for flow in self.flows(statement.subject):
-                for pool, short in self.given(flow, world):
-                    for box in self._usable(pool, world):
-                        yield flow, world, pool, short, box
+                for pool, short in self.candidate_pools(flow, scenario):
+                    for box in self._usable(pool, scenario):
+                        yield flow, scenario, pool, short, box
 
     def _never_reaches(self, statement: Statement) -> Finding | None:
         target = _target(statement.claim)
         if target.kind == "state" and target.name == "down":
-            why = "a balancer learns that a box is down by an attempt that fails"
-            return Finding(statement, Verdict.NOT_DECIDED, why)
+            reason = "a balancer detects that a box is down only by a failed attempt"
+            return Finding(statement, Verdict.NOT_DECIDED, reason)
         if target.kind == "state" and target.name == "draining":
-            # Legality in the module (`Request.may_send`): nothing is sent to a box that is not ready.
+            # The decision module (`Request.may_send`) sends nothing to a box that is not ready.
             return Finding(statement, Verdict.HOLDS, "nothing is sent to a box that is listed as draining")
-        for flow, world, pool, short, box in self._reached(statement):
-            if self._hits(target, pool, box, statement.when):
-                example = self._example(flow, world, pool, short, box)
+        for flow, scenario, pool, short, box in self._reachable_boxes(statement):
+            if self._matches_target(target, pool, box, statement.when):
+                example = self._example(flow, scenario, pool, short, box)
                 return Finding(
-                    statement, Verdict.FAILS, f"it reaches {_said(target)}", flow.rule.name, example
+                    statement, Verdict.FAILS, f"it reaches {_target_text(target)}", flow.rule.name, example
                 )
         return None
 
     def _always_reaches(self, statement: Statement) -> Finding | None:
         target = _target(statement.claim)
         if target.kind == "state":
-            why = "which boxes are in a state is not in the configuration"
-            return Finding(statement, Verdict.NOT_DECIDED, why)
-        for flow, world, pool, short, box in self._reached(statement):
-            if not self._hits(target, pool, box, statement.when):
-                example = self._example(flow, world, pool, short, box)
+            reason = "the configuration does not say which boxes are in a state"
+            return Finding(statement, Verdict.NOT_DECIDED, reason)
+        for flow, scenario, pool, short, box in self._reachable_boxes(statement):
+            if not self._matches_target(target, pool, box, statement.when):
+                example = self._example(flow, scenario, pool, short, box)
                 return Finding(
                     statement,
                     Verdict.FAILS,
-                    f"it reaches others than {_said(target)}",
+                    f"it reaches boxes other than {_target_text(target)}",
                     flow.rule.name,
                     example,
                 )
-        refused = self._least(statement, lambda ready, listed: ready >= 1)
+        refused = self._check_minimum(statement, lambda ready, listed: ready >= 1)
         if refused is not None and refused.verdict is Verdict.FAILS:
             return Finding(statement, Verdict.FAILS, "no box is left for it", refused.rule, refused.example)
         return refused
 
     def _never_shares(self, statement: Statement) -> Finding | None:
         assert statement.claim.other is not None
-        others: dict[tuple[World, str], Flow] = {}
-        for world in self.worlds(statement.when):
+        others: dict[tuple[Scenario, str], Flow] = {}
+        for scenario in self.scenarios(statement.when):
             for flow in self.flows(statement.claim.other):
-                for pool, _ in self.given(flow, world):
-                    for box in self._usable(pool, world):
-                        others.setdefault((world, box.name), flow)
-        for flow, world, pool, short, box in self._reached(statement):
-            other = others.get((world, box.name))
+                for pool, _ in self.candidate_pools(flow, scenario):
+                    for box in self._usable(pool, scenario):
+                        others.setdefault((scenario, box.name), flow)
+        for flow, scenario, pool, short, box in self._reachable_boxes(statement):
+            other = others.get((scenario, box.name))
             if other is not None:
-                example = self._example(flow, world, pool, short, box)
-                why = f"it shares a box with {shown(other.asked)} (rule {other.rule.name!r})"
-                return Finding(statement, Verdict.FAILS, why, flow.rule.name, example)
+                example = self._example(flow, scenario, pool, short, box)
+                reason = f"it shares a box with {format_request(other.request)} (rule {other.rule.name!r})"
+                return Finding(statement, Verdict.FAILS, reason, flow.rule.name, example)
         return None
 
-    def _counted(self, statement: Statement) -> Finding:
+    def _check_box_count(self, statement: Statement) -> Finding:
         claim = statement.claim
-        if claim.what == "never refused":
-            asked = self.unrouted(statement.subject) if not statement.subject.class_name else None
-            if asked is not None:
-                return Finding(statement, Verdict.FAILS, "no rule takes it", "", Example(asked, ()))
-            return self._least(statement, lambda ready, listed: ready >= 1) or _holds(statement)
+        if claim.kind == "never refused":
+            request = self.unmatched_request(statement.subject) if not statement.subject.class_name else None
+            if request is not None:
+                return Finding(statement, Verdict.FAILS, "no rule matches it", "", Example(request, ()))
+            return self._check_minimum(statement, lambda ready, listed: ready >= 1) or _satisfied(statement)
 
         def enough(ready: int, listed: int) -> bool:
             wanted = claim.amount * listed / 100 if claim.percent else claim.amount
-            return ready >= wanted if claim.what == "at least" else ready <= wanted
+            return ready >= wanted if claim.kind == "at least" else ready <= wanted
 
-        found = self._least(statement, enough) if claim.what == "at least" else self._most(statement, enough)
-        return found or _holds(statement)
+        found = (
+            self._check_minimum(statement, enough)
+            if claim.kind == "at least"
+            else self._check_maximum(statement, enough)
+        )
+        return found or _satisfied(statement)
 
-    def _least(self, statement: Statement, enough: Callable[[int, int], bool]) -> Finding | None:
-        return self._bounded(statement, enough, min)
+    def _check_minimum(self, statement: Statement, enough: Callable[[int, int], bool]) -> Finding | None:
+        return self._check_worst_case(statement, enough, min)
 
-    def _most(self, statement: Statement, enough: Callable[[int, int], bool]) -> Finding | None:
-        return self._bounded(statement, enough, max)
+    def _check_maximum(self, statement: Statement, enough: Callable[[int, int], bool]) -> Finding | None:
+        return self._check_worst_case(statement, enough, max)
 
-    def _bounded(
+    def _check_worst_case(
         self,
         statement: Statement,
         enough: Callable[[int, int], bool],
         worst: Callable[[Iterable[tuple[int, tuple[str, ...]]]], tuple[int, tuple[str, ...]]],
     ) -> Finding | None:
-        """Is the number of boxes that are left, at its worst, enough?"""
-        for world in self.worlds(statement.when):
+        """Check the number of boxes that are left in the worst case of each scenario."""
+        for scenario in self.scenarios(statement.when):
             for flow in self.flows(statement.subject):
-                states = self._left(self.routing.chain(flow.pool), world)
+                states = self._box_counts(self.routing.chain(flow.pool), scenario)
                 if states is None:
-                    why = f"pools that overlap, and more than {MAX_CHOICES} choices of boxes that are down"
-                    return Finding(statement, Verdict.NOT_DECIDED, why, flow.rule.name)
+                    reason = f"pools overlap, and more than {MAX_CHOICES} combinations of boxes may be down"
+                    return Finding(statement, Verdict.NOT_DECIDED, reason, flow.rule.name)
                 ready, down = worst(states)
                 listed = len(self.members[flow.pool.name])
                 if not enough(ready, listed):
                     boxes = "box is" if ready == 1 else "boxes are"
-                    names = tuple(sorted(world.down)) + down
-                    example = Example(flow.asked, (flow.pool.name,), down=names)
-                    why = f"{ready} of {listed} {boxes} left for it"
-                    return Finding(statement, Verdict.FAILS, why, flow.rule.name, example)
+                    names = tuple(sorted(scenario.down)) + down
+                    example = Example(flow.request, (flow.pool.name,), down=names)
+                    reason = f"{ready} of {listed} {boxes} left for it"
+                    return Finding(statement, Verdict.FAILS, reason, flow.rule.name, example)
         return None
 
-    def _left(self, chain: Sequence[Pool], world: World) -> list[tuple[int, tuple[str, ...]]] | None:
-        """How many boxes a request has, for every way in which boxes may be down, each with those that are.
-        None: too many to try."""
-        usable = [self._usable(pool, world) for pool in chain]
-        alike = _disjoint(usable)
-        if alike:
-            return list(self._by_number(chain, usable, world, 0, world.any_down))
-        several = sorted({box.name for boxes in usable for box in boxes})
-        downs = min(world.any_down, len(several))
-        if math.comb(len(several), downs) > MAX_CHOICES:
+    def _box_counts(
+        self, chain: Sequence[Pool], scenario: Scenario
+    ) -> list[tuple[int, tuple[str, ...]]] | None:
+        """Return the number of boxes for a request, for each combination of boxes that are down.
+
+        Each number comes with the boxes that are down. None: there are too many combinations.
+        """
+        usable = [self._usable(pool, scenario) for pool in chain]
+        disjoint = _disjoint(usable)
+        if disjoint:
+            return list(self._disjoint_box_counts(chain, usable, scenario, 0, scenario.any_down))
+        box_names = sorted({box.name for boxes in usable for box in boxes})
+        down_count = min(scenario.any_down, len(box_names))
+        if math.comb(len(box_names), down_count) > MAX_CHOICES:
             return None
         return [
-            (self._serving(chain, usable, world, frozenset(down)), down)
-            for down in itertools.combinations(several, downs)
+            (self._serving_box_count(chain, usable, scenario, frozenset(down)), down)
+            for down in itertools.combinations(box_names, down_count)
         ]
 
-    def _by_number(
-        self, chain: Sequence[Pool], usable: Sequence[Sequence[Box]], world: World, at: int, downs: int
+    def _disjoint_box_counts(
+        self,
+        chain: Sequence[Pool],
+        usable: Sequence[Sequence[Box]],
+        scenario: Scenario,
+        at: int,
+        down_count: int,
     ) -> Iterator[tuple[int, tuple[str, ...]]]:
-        """Pools that don't overlap: only how many of each are down counts, not which."""
+        """Yield the same for pools that don't overlap: only the number of boxes down in each one matters."""
         pool, boxes = chain[at], usable[at]
-        for down in range(min(downs, len(boxes)) + 1):
+        for down in range(min(down_count, len(boxes)) + 1):
             names = tuple(box.name for box in boxes[:down])
-            if at + 1 == len(chain) or not self._short(pool, len(boxes) - down, world):
+            if at + 1 == len(chain) or not self._is_short(pool, len(boxes) - down, scenario):
                 yield len(boxes) - down, names
             else:
-                for ready, more in self._by_number(chain, usable, world, at + 1, downs - down):
+                for ready, more in self._disjoint_box_counts(
+                    chain, usable, scenario, at + 1, down_count - down
+                ):
                     yield ready, names + more
 
-    def _serving(
-        self, chain: Sequence[Pool], usable: Sequence[Sequence[Box]], world: World, down: frozenset[str]
+    def _serving_box_count(
+        self, chain: Sequence[Pool], usable: Sequence[Sequence[Box]], scenario: Scenario, down: frozenset[str]
     ) -> int:
         ready = 0
         for pool, boxes in zip(chain, usable, strict=True):
             ready = sum(box.name not in down for box in boxes)
-            if not self._short(pool, ready, world):
+            if not self._is_short(pool, ready, scenario):
                 break
         return ready
 
-    def _short(self, pool: Pool, ready: int, world: World) -> bool:
-        if not pool.spill or pool.name in world.well:
+    def _is_short(self, pool: Pool, ready: int, scenario: Scenario) -> bool:
+        if not pool.spill or pool.name in scenario.well:
             return False
-        return pool.name in world.short or ready < pool.needs(len(self.members[pool.name]))
+        return pool.name in scenario.short or ready < pool.required_boxes(len(self.members[pool.name]))
 
-    # ---- words -------------------------------------------------------------------------------------------
+    # ---- targets and examples ----------------------------------------------------------------------------
 
-    def _hits(self, target: Target, pool: Pool, box: Box, when: Conditions) -> bool:
+    def _matches_target(self, target: Target, pool: Pool, box: Box, when: Conditions) -> bool:
         match target.kind:
             case "pool":
                 return pool.name == target.name
@@ -347,20 +371,24 @@
                 return box.kind == target.name
             case "box":
                 return box.name == target.name
-            case _:  # cold: any box may have started just now, unless the statement names those that did
+            case _:  # cold: any box may have just started, unless the statement names the cold ones
                 named = [name for name, state in when.boxes if state == "cold"]
                 return self.cold and (not named or box.name in named)
 
-    def _example(self, flow: Flow, world: World, pool: Pool, short: tuple[str, ...], box: Box) -> Example:
-        names = [one.name for one in self.routing.chain(flow.pool)]
-        given = tuple(names[: names.index(pool.name) + 1])
-        return Example(flow.asked, given, box.name, tuple(sorted(world.down)), short)
+    def _example(
+        self, flow: Flow, scenario: Scenario, pool: Pool, short: tuple[str, ...], box: Box
+    ) -> Example:
+        names = [member.name for member in self.routing.chain(flow.pool)]
+        pools_in_turn = tuple(names[: names.index(pool.name) + 1])
+        return Example(flow.request, pools_in_turn, box.name, tuple(sorted(scenario.down)), short)
+
+    # ---- consistency of statements -----------------------------------------------------------------------
 
-    # ---- all of them -------------------------------------------------------------------------------------
+    def problems(self, statements: Iterable[Statement]) -> Iterator[str]:
+        """Yield the problems of statements: unknown names, subjects without requests, and contradictions.
 
-    def mistakes(self, statements: Iterable[Statement]) -> Iterator[str]:
-        """Statements that speak of what does not exist, that no request can ever meet, or that can't hold
-        together, whatever the routing."""
+        Statements contradict each other if they can't both hold, for any routing.
+        """
         statements = list(statements)
         boxes = self.routing.boxes
         known = {
@@ -372,20 +400,20 @@
             "state": {"draining", "down", "cold"},
             "class": self.routing.classes,
         }
-        for one in statements:
-            for kind, name in _names(one):
+        for statement in statements:
+            for kind, name in _referenced_names(statement):
                 if name not in known[kind]:
-                    some = ", ".join(sorted(known[kind])[:8]) or "none"
-                    yield f"{one}: there is no {kind} {name!r}; there are: {some}"
-            subjects = [one.subject, *([one.claim.other] if one.claim.other else [])]
-            if one.claim.what != "no route":
+                    some_names = ", ".join(sorted(known[kind])[:8]) or "none"
+                    yield f"{statement}: there is no {kind} {name!r}; there are: {some_names}"
+            subjects = [statement.subject, *([statement.claim.other] if statement.claim.other else [])]
+            if statement.claim.kind != "no route":
                 for subject in subjects:
                     if not self.flows(subject) and subject.class_name in ("", *self.routing.classes):
-                        yield f"{one}: it says nothing, no rule takes any of these requests"
+                        yield f"{statement}: it has no effect, no rule matches any of these requests"
         yield from _contradictions(statements)
 
 
-def _holds(statement: Statement) -> Finding:
+def _satisfied(statement: Statement) -> Finding:
     return Finding(statement, Verdict.HOLDS, "in every state")
 
 
@@ -394,21 +422,21 @@
     return claim.target
 
 
-def _said(target: Target) -> str:
+def _target_text(target: Target) -> str:
     return f"a {target.name} box" if target.kind == "state" else f"{target.kind} {target.name!r}"
 
 
-def _names(one: Statement) -> Iterator[tuple[str, str]]:
-    for subject in (one.subject, one.claim.other):
+def _referenced_names(statement: Statement) -> Iterator[tuple[str, str]]:
+    for subject in (statement.subject, statement.claim.other):
         if subject is not None and subject.class_name:
             yield "class", subject.class_name
-    if one.claim.target is not None:
-        yield one.claim.target.kind, one.claim.target.name
-    for zone in sorted(one.when.zones_lost):
+    if statement.claim.target is not None:
+        yield statement.claim.target.kind, statement.claim.target.name
+    for zone in sorted(statement.when.zones_lost):
         yield "zone", zone
-    for box, _ in one.when.boxes:
+    for box, _ in statement.when.boxes:
         yield "box", box
-    for pool in sorted(one.when.short | one.when.well):
+    for pool in sorted(statement.when.short | statement.when.well):
         yield "pool", pool
 
 
@@ -418,11 +446,13 @@
 
 
 def _contradictions(statements: Sequence[Statement]) -> Iterator[str]:
-    """Pairs about the same requests and states that no routing can keep: told as such, since the one that
-    fails would be named alone, and mending it would break the other."""
+    """Yield pairs of statements about the same requests and scenarios that can't both hold.
+
+    A check would report only the one that fails, and a change that makes it hold would break the other.
+    """
     groups: dict[str, list[Statement]] = {}
-    for one in statements:
-        groups.setdefault(f"{one.subject!r} {one.when!r}", []).append(one)
+    for statement in statements:
+        groups.setdefault(f"{statement.subject!r} {statement.when!r}", []).append(statement)
     for group in groups.values():
         for a, b in itertools.combinations(group, 2):
             if _contradict(a.claim, b.claim) or _contradict(b.claim, a.claim):
@@ -430,10 +460,10 @@
 
 
 def _contradict(a: Claim, b: Claim) -> bool:
-    if a.what == "always reaches":
-        if b.what == "never reaches":
+    if a.kind == "always reaches":
+        if b.kind == "never reaches":
             return a.target == b.target
-        same = b.what == "always reaches" and a.target is not None and b.target is not None
+        same = b.kind == "always reaches" and a.target is not None and b.target is not None
         return bool(
             same
             and a.target
@@ -441,14 +471,14 @@
             and a.target.kind == b.target.kind
             and a.target != b.target
             and a.target.kind != "label"
-        )  # a box has one zone, one kind and one name, and a request one pool; labels may be several
-    if a.what == "at least" and b.what == "at most":
+        )  # a box has one zone, kind and name, and a request has one pool; a box may have several labels
+    if a.kind == "at least" and b.kind == "at most":
         return a.percent == b.percent and a.amount > b.amount
-    if a.what == "no route":
-        return b.what in ("always reaches", "never refused") or (b.what == "at least" and b.amount > 0)
+    if a.kind == "no route":
+        return b.kind in ("always reaches", "never refused") or (b.kind == "at least" and b.amount > 0)
     return False
 
 
 def check_all(checker: Checker, statements: Sequence[Statement]) -> list[Finding]:
-    """What became of each statement, in their order."""
-    return [checker.check(one) for one in statements]
+    """Check all statements; return the findings in their order."""
+    return [checker.check(statement) for statement in statements]
--- a/lanelift/routes/expect.py
+++ b/lanelift/routes/expect.py
@@ -1,8 +1,8 @@
-"""Expectations: statements of the routing that staff expect, read from text.
+"""Expectations: statements about the routing that operators expect, parsed from text.
 
-The grammar is `expect.lark`; parsing is lark's (a well-kept parser generator without dependencies: it tells
-line, column and what could have stood there). This module makes statements of its trees, and says what is
-wrong in the form of every other file: place, what was found, what is allowed.
+The grammar is `expect.lark`, and the parser is lark (a maintained parser generator without dependencies,
+whose errors have the line, the column and the allowed tokens). This module converts its trees to statements,
+and its errors to the form that problems of all files have: the place, the text found, and what is allowed.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from lark import Lark, Token, Transformer, UnexpectedInput, v_args
 from lark.exceptions import VisitError
 
-from lanelift.routes import normal
-from lanelift.routes.normal import Ambiguous
-from lanelift.routes.regions import FRESH, Region
+from lanelift.routes import normalization
+from lanelift.routes.match_sets import UNUSED_NAME, MatchSet
+from lanelift.routes.normalization import NormalizationError
 
 MAX_STATEMENTS = 5_000
 MAX_CHARACTERS = 1_000_000
-# What a terminal of the grammar is called in a message.
-WORDS = {
+# Names of the grammar's terminals in messages.
+TERMINAL_NAMES = {
     "NAME": "a name",
     "STRING": 'a name in "quotes"',
     "INT": "a number",
@@ -35,46 +35,51 @@
 }
 
 
-class Misread(ValueError):
-    """Text that is no statement: every mistake, each with line and column."""
+class ExpectationSyntaxError(ValueError):
+    """A text has invalid statements; `problems` has all problems, each with its line and column."""
 
-    def __init__(self, mistakes: Sequence[str]) -> None:
-        super().__init__("\n".join(mistakes))
-        self.mistakes = list(mistakes)
+    def __init__(self, problems: Sequence[str]) -> None:
+        super().__init__("\n".join(problems))
+        self.problems = list(problems)
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """The requests that a statement is about: of a class, or "" for any, within a region."""
+    """The requests that a statement is about: those of a class ("" for any) in a match set."""
 
     class_name: str
-    region: Region
+    match_set: MatchSet
 
 
 @dataclass(frozen=True, slots=True)
 class Conditions:
-    """When it has to hold. What is not named may be as it likes for claims that say `never` and `always`, and
-    is as the file lists it for claims that count."""
+    """The conditions under which a statement has to hold.
+
+    For claims with `never` and `always`, boxes and pools that are not named may be in any state; for claims
+    that count boxes, they are as the file lists them.
+    """
 
     zones_lost: frozenset[str] = frozenset()
     any_zone_lost: bool = False
-    any_down: int = 0  # so many boxes, whichever
+    any_down: int = 0  # number of boxes that are down, whichever they are
     boxes: tuple[tuple[str, str], ...] = ()  # box, state
-    short: frozenset[str] = frozenset()  # pools that are under their point of spilling over
-    well: frozenset[str] = frozenset()  # pools that are not
+    short: frozenset[str] = frozenset()  # pools that have too few available boxes and spill
+    well: frozenset[str] = frozenset()  # pools that do not spill
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
+    """The boxes that a claim is about."""
+
     kind: str  # "pool", "label", "zone", "kind", "box" or "state"
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """`what` is the grammar's name of it; the rest is set as that needs."""
+    """The claim of a statement. `kind` is its name in the grammar; the other fields depend on the kind."""
 
-    what: str
+    kind: str
     target: Target | None = None
     other: Subject | None = None
     amount: int = 0
@@ -83,6 +88,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
+    """One expectation, with its line number and its text."""
+
     line: int
     text: str
     label: str
@@ -100,41 +107,48 @@
     return Lark(text, parser="lalr", propagate_positions=True, maybe_placeholders=True)
 
 
-def read(text: str, file: str = "expectations") -> list[Statement]:
-    """The statements of a text. Raises Misread with every line that is none."""
+def parse_statements(text: str, file: str = "expectations") -> list[Statement]:
+    """Parse the statements of a text. Raises ExpectationSyntaxError with the problems of all lines."""
     if len(text) > MAX_CHARACTERS:
-        raise Misread([f"{file}: {len(text)} characters; at most {MAX_CHARACTERS} are allowed"])
+        raise ExpectationSyntaxError(
+            [f"{file}: {len(text)} characters; at most {MAX_CHARACTERS} are allowed"]
+        )
     statements: list[Statement] = []
     found: list[str] = []
-    for number, line in enumerate(text.splitlines(), 1):  # each by itself: one slip hides no other
+    for number, line in enumerate(text.splitlines(), 1):  # separately, so that an error hides no other
         if not line.split("#")[0].strip():
             continue
         try:
             tree = _grammar().parse(line + "\n")
-            made = _Reader(number, line.strip()).transform(tree)
+            parsed = _StatementBuilder(number, line.strip()).transform(tree)
         except UnexpectedInput as error:
-            found.append(f"{file}:{number}:{max(1, error.column)}: {_explained(error, line)}")
+            found.append(f"{file}:{number}:{max(1, error.column)}: {_error_text(error, line)}")
             continue
         except VisitError as error:
             found.append(f"{file}:{number}: {error.orig_exc}")
             continue
-        statements += made
+        statements += parsed
     if len(statements) > MAX_STATEMENTS:
         found.append(f"{file}: {len(statements)} statements; at most {MAX_STATEMENTS} are allowed")
     labels: dict[str, int] = {}
-    for one in statements:
-        if one.label and labels.setdefault(one.label, one.line) != one.line:
-            found.append(f"{file}:{one.line}: the label {one.label!r} stands in line {labels[one.label]} too")
+    for statement in statements:
+        if statement.label and labels.setdefault(statement.label, statement.line) != statement.line:
+            found.append(
+                f"{file}:{statement.line}: the label {statement.label!r} "
+                f"is in line {labels[statement.label]}, too"
+            )
     if found:
-        raise Misread(found)
+        raise ExpectationSyntaxError(found)
     return statements
 
 
-def _explained(error: UnexpectedInput, line: str) -> str:
+def _error_text(error: UnexpectedInput, line: str) -> str:
     found = line[error.column - 1 :].split(maxsplit=1)[0] if line[error.column - 1 :].strip() else ""
     wanted = getattr(error, "accepts", None) or getattr(error, "expected", None)
     wanted = wanted or getattr(error, "allowed", None) or ()
-    words = sorted({WORDS.get(name, name.lower()) for name in wanted if name != "_NL" or len(wanted) == 1})
+    words = sorted(
+        {TERMINAL_NAMES.get(name, name.lower()) for name in wanted if name != "_NL" or len(wanted) == 1}
+    )
     return (
         f"found {found!r}; allowed: {', '.join(words)}"
         if found
@@ -142,29 +156,29 @@
     )
 
 
-def _text(token: Token) -> str:
+def _unquoted(token: Token) -> str:
     text = str(token)
     text = text[1:-1] if text.startswith('"') else text
-    if FRESH in text.lower():
-        raise ValueError(f"{text!r}: the name {FRESH!r} is kept for what nobody names")
+    if UNUSED_NAME in text.lower():
+        raise ValueError(f"{text!r}: the name {UNUSED_NAME!r} is reserved")
     return text
 
 
 def _host(text: str) -> tuple[str, bool]:
     wildcard = text.startswith("*.")
-    return normal.host(text.removeprefix("*.")), wildcard
+    return normalization.host(text.removeprefix("*.")), wildcard
 
 
 @v_args(inline=True)
-class _Reader(Transformer[Token, list[Statement]]):
-    """From a tree to a statement. What it raises, lark hands on as a VisitError."""
+class _StatementBuilder(Transformer[Token, list[Statement]]):
+    """Converts a tree to a statement. lark wraps exceptions of these methods in a VisitError."""
 
     def __init__(self, line: int, text: str) -> None:
         super().__init__()
         self.line, self.text = line, text
 
     def start(self, *statements: Any) -> list[Statement]:
-        return [one for one in statements if isinstance(one, Statement)]
+        return [statement for statement in statements if isinstance(statement, Statement)]
 
     def statement(
         self, label: str | None, subject: Subject, when: Conditions | None, claim: Claim
@@ -181,38 +195,38 @@
         return self._subject(str(name), filters)
 
     def _subject(self, class_name: str, filters: Sequence[tuple[str, Any]]) -> Subject:
-        region: dict[str, Any] = {}
+        match_set: dict[str, Any] = {}
         headers: dict[str, str] = {}
-        for what, parts in filters:
-            said, found = (headers, "header") if what == "header" else (region, what)
-            if said.keys() & parts.keys():
-                raise ValueError(f"{found} is said twice")
-            said.update(parts)
-        return Subject(class_name, Region(**region, headers=headers))
+        for kind, parts in filters:
+            known, found = (headers, "header") if kind == "header" else (match_set, kind)
+            if known.keys() & parts.keys():
+                raise ValueError(f"{found} is given twice")
+            known.update(parts)
+        return Subject(class_name, MatchSet(**match_set, headers=headers))
 
     def host(self, value: Token) -> tuple[str, Any]:
         try:
-            name, wildcard = _host(_text(value))
-        except Ambiguous as error:
+            name, wildcard = _host(_unquoted(value))
+        except NormalizationError as error:
             raise ValueError(str(error)) from None
         return "host", {"host": name, "wildcard": wildcard}
 
     def path(self, value: Token) -> tuple[str, Any]:
-        text = _text(value)
+        text = _unquoted(value)
         try:
             below = text.endswith("/*")
-            segments = normal.path(text[:-1] if below else text)
-        except Ambiguous as error:
+            segments = normalization.path(text[:-1] if below else text)
+        except NormalizationError as error:
             raise ValueError(
-                f'{error}; allowed: a path like "/v1/fee-quote", or "/v1/*" for all below'
+                f'{error}; allowed: a path like "/v1/fee-quote", or "/v1/*" for all paths below it'
             ) from None
         return "path", {"segments": segments[:-1] if below else segments, "exact": not below}
 
     def tenant(self, value: Token) -> tuple[str, Any]:
-        return "tenant", {"tenant": _text(value)}
+        return "tenant", {"tenant": _unquoted(value)}
 
     def header(self, name: Token, value: Token) -> tuple[str, Any]:
-        return "header", {str(name).lower(): _text(value)}
+        return "header", {str(name).lower(): _unquoted(value)}
 
     def method(self, value: Token) -> tuple[str, Any]:
         return "method", {"method": str(value)}
@@ -223,28 +237,28 @@
         short: set[str] = set()
         well: set[str] = set()
         down, any_zone = 0, False
-        for what, value in conditions:
-            if what == "zone_lost":
+        for kind, value in conditions:
+            if kind == "zone_lost":
                 zones.add(value)
-            elif what == "any_zone_lost":
+            elif kind == "any_zone_lost":
                 any_zone = True
-            elif what == "any_down":
+            elif kind == "any_down":
                 down = value
-            elif what == "box_is":
+            elif kind == "box_is":
                 if boxes.setdefault(value[0], value[1]) != value[1]:
-                    raise ValueError(f"box {value[0]!r} can't be in two states at once")
+                    raise ValueError(f"box {value[0]!r} can't be in two states")
             else:
-                (short if what == "pool_short" else well).add(value)
+                (short if kind == "pool_short" else well).add(value)
         if short & well:
-            raise ValueError(f"pool {min(short & well)!r} can't be short and well at once")
+            raise ValueError(f"pool {min(short & well)!r} can't be both short and well")
         if any_zone and zones:
-            raise ValueError("any zone and a named one: say one of them")
+            raise ValueError("either any zone or a named zone can be lost, not both")
         return Conditions(
             frozenset(zones), any_zone, down, tuple(boxes.items()), frozenset(short), frozenset(well)
         )
 
     def zone_lost(self, value: Token) -> tuple[str, Any]:
-        return "zone_lost", _text(value)
+        return "zone_lost", _unquoted(value)
 
     def any_zone_lost(self) -> tuple[str, Any]:
         return "any_zone_lost", True
@@ -253,13 +267,13 @@
         return "any_down", int(count)
 
     def box_is(self, value: Token, state: Token) -> tuple[str, Any]:
-        return "box_is", (_text(value), str(state))
+        return "box_is", (_unquoted(value), str(state))
 
     def pool_short(self, value: Token) -> tuple[str, Any]:
-        return "pool_short", _text(value)
+        return "pool_short", _unquoted(value)
 
     def pool_well(self, value: Token) -> tuple[str, Any]:
-        return "pool_well", _text(value)
+        return "pool_well", _unquoted(value)
 
     def never_reaches(self, target: Target) -> Claim:
         return Claim("never reaches", target)
@@ -291,19 +305,19 @@
         return int(count), True
 
     def to_pool(self, value: Token) -> Target:
-        return Target("pool", _text(value))
+        return Target("pool", _unquoted(value))
 
     def to_label(self, value: Token) -> Target:
-        return Target("label", _text(value))
+        return Target("label", _unquoted(value))
 
     def to_zone(self, value: Token) -> Target:
-        return Target("zone", _text(value))
+        return Target("zone", _unquoted(value))
 
     def to_kind(self, value: Token) -> Target:
-        return Target("kind", _text(value))
+        return Target("kind", _unquoted(value))
 
     def to_box(self, value: Token) -> Target:
-        return Target("box", _text(value))
+        return Target("box", _unquoted(value))
 
     def to_state(self, state: Token) -> Target:
         return Target("state", str(state))
--- a/lanelift/routes/table.py
+++ b/lanelift/routes/table.py
@@ -1,16 +1,16 @@
-"""The table of routes: rules with an order of precedence, and a look-up whose cost does not grow with them.
+"""The table of routes: rules by precedence, and a lookup whose cost does not depend on their number.
 
-A request belongs to the rule that holds for it and stands first in this order, each step deciding only
-between rules that are alike in the steps before it (the order of the Kubernetes Gateway API, and tenants):
+Of the rules that match a request, the first one in this order applies; each step decides only between rules
+that are equal in all previous steps (the order of the Kubernetes Gateway API, extended by tenants):
 
-1. host: a name before a wildcard, a longer wildcard before a shorter one, any host last;
-2. path: a whole path before a prefix, a longer prefix before a shorter one;
-3. a method named, before none;
-4. more headers named, before fewer;
-5. a tenant named, before none;
+1. host: an exact name before a wildcard, a longer wildcard before a shorter one, any host last;
+2. path: an exact path before a prefix, a longer prefix before a shorter one;
+3. a rule with a method before one without;
+4. more headers before fewer;
+5. a rule with a tenant before one without;
 6. the order in the file.
 
-Pure. `Table.find` looks up what `first_match` would find by trying all rules in that order.
+Pure. `Table.find` returns the same rule as `first_match`, which tests all rules in that order.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from lanelift.routes.normal import MAX_SEGMENTS, Ambiguous, host, path
+from lanelift.routes.normalization import MAX_SEGMENTS, NormalizationError, host, path
 
-MAX_RULES = 20_000  # some tens of megabytes; far above what people keep in order by hand
-# Different sets of conditions beside one host and path (a method; two headers and a tenant; ...): each costs
-# a look-up of its own.
+MAX_RULES = 20_000  # some tens of megabytes; far more than can be maintained by hand
+# Different sets of other conditions for one host and path (a method; two headers and a tenant; ...): each set
+# costs a lookup of its own.
 MAX_SHAPES = 16
 
 
-class Unusable(ValueError):
-    """A table that can't be used: every mistake, each naming its rule."""
+class RouteValidationError(ValueError):
+    """A configuration of routes is invalid; `problems` has all problems, each with the name of its rule."""
 
-    def __init__(self, mistakes: Sequence[str]) -> None:
-        super().__init__("\n".join(mistakes))
-        self.mistakes = list(mistakes)
+    def __init__(self, problems: Sequence[str]) -> None:
+        super().__init__("\n".join(problems))
+        self.problems = list(problems)
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Conditions, all of which must hold, and where a request then belongs. What is empty holds for all."""
+    """Conditions that must all match, and the class and pool of the requests; an empty one matches all."""
 
     name: str
-    host: str = ""  # a name, or `*.` and a name: any below it
-    path: str = "/"  # and all below it
-    exact: bool = False  # the path itself alone
+    host: str = ""  # an exact name, or `*.` and a name for all of its subdomains
+    path: str = "/"  # this path and all paths below it
+    exact: bool = False  # only the path itself
     method: str = ""
-    headers: tuple[tuple[str, str], ...] = ()  # name in lower case, value as it stands
+    headers: tuple[tuple[str, str], ...] = ()  # name in lower case, exact value
     tenant: str = ""
     class_name: str = ""
     pool: str = ""
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What the rules ask of a request, in normal form."""
+    """The normalized parts of a request that rules can match."""
 
     host: str
     segments: tuple[str, ...]
@@ -60,11 +60,13 @@
     tenant: str = ""
 
 
-def request(
+def normalized_request(
     host_header: str, target: str, method: str, headers: Iterable[tuple[str, str]], tenant: str
 ) -> Request:
-    """A request as it came, in normal form. Of a header that comes twice, the values are joined by a comma
-    (RFC 9110, 5.3). Raises Ambiguous."""
+    """Normalize a received request. Raises NormalizationError.
+
+    The values of a header that occurs several times are joined by a comma (RFC 9110, 5.3).
+    """
     joined: dict[str, str] = {}
     for name, value in headers:
         key = name.lower()
@@ -72,23 +74,23 @@
     return Request(host(host_header), path(target), method, joined, tenant)
 
 
-Place = tuple[int, int]  # how much a host or path pattern says: kind, length
-Key = tuple[Place, Place, bool, int, bool, int]
+Specificity = tuple[int, int]  # of a host or path pattern: its kind, its length
+Key = tuple[Specificity, Specificity, bool, int, bool, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A rule with its patterns in normal form."""
+    """A rule with normalized patterns."""
 
     rule: Rule
     position: int  # in the file, from 0
     host: str  # without `*.`
     wildcard: bool
-    segments: tuple[str, ...]  # of a prefix without the last slash
+    segments: tuple[str, ...]  # without a last empty segment, if the path is a prefix
 
     @property
     def precedence(self) -> Key:
-        """The largest goes first."""
+        """The sort key of the entry; the largest key has precedence."""
         labels = self.host.count(".") + 1 if self.host else 0
         return (
             (int(bool(self.host) and not self.wildcard), labels),
@@ -107,31 +109,31 @@
             bool(self.rule.tenant),
         )
 
-    def holds(self, asked: Request) -> bool:
-        """Do all of its conditions hold? The definition that `Table.find` must agree with."""
+    def matches(self, request: Request) -> bool:
+        """Return whether all conditions match a request. `Table.find` must agree with this definition."""
         if self.host:
-            if self.wildcard and not asked.host.endswith("." + self.host):
+            if self.wildcard and not request.host.endswith("." + self.host):
                 return False
-            if not self.wildcard and asked.host != self.host:
+            if not self.wildcard and request.host != self.host:
                 return False
         if self.rule.exact:
-            if asked.segments != self.segments:
+            if request.segments != self.segments:
                 return False
-        elif asked.segments[: len(self.segments)] != self.segments:
+        elif request.segments[: len(self.segments)] != self.segments:
             return False
-        if self.rule.method and asked.method != self.rule.method:
+        if self.rule.method and request.method != self.rule.method:
             return False
-        if self.rule.tenant and asked.tenant != self.rule.tenant:
+        if self.rule.tenant and request.tenant != self.rule.tenant:
             return False
-        return all(asked.headers.get(name) == value for name, value in self.rule.headers)
+        return all(request.headers.get(name) == value for name, value in self.rule.headers)
 
 
-Shape = tuple[bool, tuple[str, ...], bool]  # a method, which headers, a tenant
+Shape = tuple[bool, tuple[str, ...], bool]  # whether there is a method, which headers, whether a tenant
 Values = tuple[str, tuple[str, ...], str]
 
 
-class Beside:
-    """The rules of one host and one path pattern, by the shape of their other conditions."""
+class ShapeIndex:
+    """The rules with one host pattern and one path pattern, by the shape of their other conditions."""
 
     __slots__ = ("shapes",)
 
@@ -139,120 +141,122 @@
         self.shapes: dict[Shape, dict[Values, Entry]] = {}
 
     def add(self, entry: Entry) -> Entry | None:
-        """Take in a rule; the one that it repeats, if there is one."""
+        """Add a rule; return an earlier rule with the same conditions, if there is one."""
         values = dict(entry.rule.headers)
         key = (entry.rule.method, tuple(values[name] for name in entry.shape[1]), entry.rule.tenant)
-        there = self.shapes.setdefault(entry.shape, {}).setdefault(key, entry)
-        return None if there is entry else there
+        existing = self.shapes.setdefault(entry.shape, {}).setdefault(key, entry)
+        return None if existing is entry else existing
 
-    def find(self, asked: Request) -> Entry | None:
+    def find(self, request: Request) -> Entry | None:
         best: Entry | None = None
         for (method, names, tenant), entries in self.shapes.items():
-            values = tuple(asked.headers.get(name, "") for name in names)
-            if not all(name in asked.headers for name in names):
+            values = tuple(request.headers.get(name, "") for name in names)
+            if not all(name in request.headers for name in names):
                 continue
-            entry = entries.get((asked.method if method else "", values, asked.tenant if tenant else ""))
+            entry = entries.get((request.method if method else "", values, request.tenant if tenant else ""))
             if entry is not None and (best is None or entry.precedence > best.precedence):
                 best = entry
         return best
 
 
-class Paths:
-    """The rules of one host pattern, by path."""
+class PathIndex:
+    """The rules with one host pattern, by path."""
 
     __slots__ = ("exact", "longest", "prefix")
 
     def __init__(self) -> None:
-        self.exact: dict[tuple[str, ...], Beside] = {}
-        self.prefix: dict[tuple[str, ...], Beside] = {}
-        self.longest = 0  # prefix, in segments
+        self.exact: dict[tuple[str, ...], ShapeIndex] = {}
+        self.prefix: dict[tuple[str, ...], ShapeIndex] = {}
+        self.longest = 0  # number of segments of the longest prefix
 
-    def beside(self, entry: Entry) -> Beside:
+    def shape_index(self, entry: Entry) -> ShapeIndex:
         if not entry.rule.exact:
             self.longest = max(self.longest, len(entry.segments))
-        return (self.exact if entry.rule.exact else self.prefix).setdefault(entry.segments, Beside())
+        return (self.exact if entry.rule.exact else self.prefix).setdefault(entry.segments, ShapeIndex())
 
-    def find(self, asked: Request) -> Entry | None:
-        beside = self.exact.get(asked.segments)
-        found = beside.find(asked) if beside is not None else None
-        for count in range(min(self.longest, len(asked.segments)), -1, -1):
+    def find(self, request: Request) -> Entry | None:
+        shape_index = self.exact.get(request.segments)
+        found = shape_index.find(request) if shape_index is not None else None
+        for count in range(min(self.longest, len(request.segments)), -1, -1):
             if found is not None:
                 break
-            beside = self.prefix.get(asked.segments[:count])
-            found = beside.find(asked) if beside is not None else None
+            shape_index = self.prefix.get(request.segments[:count])
+            found = shape_index.find(request) if shape_index is not None else None
         return found
 
 
 class Table:
-    """Rules, indexed: a look-up costs a few dictionary reads for each label of the host and segment of the
-    path. Raises Unusable."""
+    """An index of rules. Raises RouteValidationError.
+
+    A lookup costs a few dictionary reads for each label of the host and each segment of the path.
+    """
 
     def __init__(self, rules: Sequence[Rule]) -> None:
         self.entries: list[Entry] = []
-        self.names: dict[str, Paths] = {}
-        self.wildcards: dict[str, Paths] = {}
-        self.any = Paths()
-        mistakes = [] if len(rules) <= MAX_RULES else [f"{len(rules)} rules; at most {MAX_RULES} are allowed"]
+        self.names: dict[str, PathIndex] = {}
+        self.wildcards: dict[str, PathIndex] = {}
+        self.any = PathIndex()
+        problems = [] if len(rules) <= MAX_RULES else [f"{len(rules)} rules; at most {MAX_RULES} are allowed"]
         seen: set[str] = set()
         for position, rule in enumerate(rules[:MAX_RULES]):
             if rule.name in seen:
-                mistakes.append(f"rule {rule.name!r}: the name is used twice")
+                problems.append(f"rule {rule.name!r}: the name is used twice")
             seen.add(rule.name)
             try:
                 entry = _entry(rule, position)
-            except Ambiguous as error:
-                mistakes.append(f"rule {rule.name!r}: {error}")
+            except NormalizationError as error:
+                problems.append(f"rule {rule.name!r}: {error}")
                 continue
             self.entries.append(entry)
-            beside = self._paths(entry).beside(entry)
-            repeated = beside.add(entry)
+            shape_index = self._path_index(entry).shape_index(entry)
+            repeated = shape_index.add(entry)
             if repeated is not None:
-                mistakes.append(
+                problems.append(
                     f"rule {rule.name!r}: never reached, rule {repeated.rule.name!r} above has its conditions"
                 )
-            if len(beside.shapes) > MAX_SHAPES:
-                mistakes.append(
-                    f"rule {rule.name!r}: more than {MAX_SHAPES} sets of conditions beside one host and path"
+            if len(shape_index.shapes) > MAX_SHAPES:
+                problems.append(
+                    f"rule {rule.name!r}: more than {MAX_SHAPES} sets of conditions for one host and path"
                 )
-        if mistakes:
-            raise Unusable(mistakes)
+        if problems:
+            raise RouteValidationError(problems)
         self.entries.sort(key=lambda entry: entry.precedence, reverse=True)
 
-    def _paths(self, entry: Entry) -> Paths:
+    def _path_index(self, entry: Entry) -> PathIndex:
         if not entry.host:
             return self.any
-        return (self.wildcards if entry.wildcard else self.names).setdefault(entry.host, Paths())
-
-    def find(self, asked: Request) -> Rule | None:
-        """The rule that a request belongs to."""
-        paths = self.names.get(asked.host)
-        found = paths.find(asked) if paths is not None else None
-        below = asked.host
-        while found is None and self.wildcards and "." in below:
-            below = below.partition(".")[2]
-            paths = self.wildcards.get(below)
-            found = paths.find(asked) if paths is not None else None
-        found = found or self.any.find(asked)
+        return (self.wildcards if entry.wildcard else self.names).setdefault(entry.host, PathIndex())
+
+    def find(self, request: Request) -> Rule | None:
+        """Return the rule that applies to a request, if any."""
+        path_index = self.names.get(request.host)
+        found = path_index.find(request) if path_index is not None else None
+        suffix = request.host
+        while found is None and self.wildcards and "." in suffix:
+            suffix = suffix.partition(".")[2]
+            path_index = self.wildcards.get(suffix)
+            found = path_index.find(request) if path_index is not None else None
+        found = found or self.any.find(request)
         return found.rule if found is not None else None
 
-    def first_match(self, asked: Request) -> Rule | None:
-        """The same by the definition: all rules in the order of precedence. For tests and explanations."""
-        return next((entry.rule for entry in self.entries if entry.holds(asked)), None)
+    def first_match(self, request: Request) -> Rule | None:
+        """Return the same rule by testing all rules in order. Used by tests and explanations."""
+        return next((entry.rule for entry in self.entries if entry.matches(request)), None)
 
 
 def _entry(rule: Rule, position: int) -> Entry:
     wildcard = rule.host.startswith("*.")
     name = host(rule.host.removeprefix("*.")) if rule.host else ""
     if ":" in rule.host.rpartition("]")[2]:
-        raise Ambiguous(f"host {rule.host!r}: a port, which no rule can ask for")
+        raise NormalizationError(f"host {rule.host!r}: a port, which no rule can match")
     segments = path(rule.path)
     if "?" in rule.path:
-        raise Ambiguous(f"path {rule.path!r}: a query, which no rule can ask for")
+        raise NormalizationError(f"path {rule.path!r}: a query, which no rule can match")
     if not rule.exact and segments[-1] == "":
         segments = segments[:-1]
     if len(segments) > MAX_SEGMENTS:
-        raise Ambiguous(f"path {rule.path[:60]!r}: more than {MAX_SEGMENTS} segments")
+        raise NormalizationError(f"path {rule.path[:60]!r}: more than {MAX_SEGMENTS} segments")
     names = [header for header, _ in rule.headers]
     if len(set(names)) < len(names) or any(header != header.lower() or not header for header in names):
-        raise Ambiguous("headers: each name once, in lower case")
+        raise NormalizationError("headers: each name once, in lower case")
     return Entry(rule, position, name, wildcard, segments)
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -1,4 +1,4 @@
-"""The table finds what trying all rules in their order would find, and says what it can't use."""
+"""Lookups in the table agree with testing all rules in their order, and invalid tables are refused."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lanelift.routes.normal import Ambiguous
-from lanelift.routes.table import MAX_SHAPES, Request, Rule, Table, Unusable, request
+from lanelift.routes.normalization import NormalizationError
+from lanelift.routes.table import MAX_SHAPES, Request, RouteValidationError, Rule, Table, normalized_request
 
 HOSTS = ["", "a.example", "b.a.example", "*.example", "*.a.example", "c.b.a.example"]
 PATHS = ["/", "/q", "/q/", "/q/r", "/q/r/s", "/t"]
 
 
-def ask(
+def make_request(
     host: str = "a.example", target: str = "/q", tenant: str = "", method: str = "GET", **headers: str
 ) -> Request:
-    return request(host, target, method, headers.items(), tenant)
+    return normalized_request(host, target, method, headers.items(), tenant)
 
 
-def found(asked: Request, *rules: Rule) -> str:
-    rule = Table(rules).find(asked)
+def found(request_: Request, *rules: Rule) -> str:
+    rule = Table(rules).find(request_)
     return rule.name if rule is not None else ""
 
 
@@ -42,20 +42,20 @@
     ],
 )
 def test_the_order_of_precedence(weaker: Rule, stronger: Rule) -> None:
-    asked = ask("b.a.example", "/q/r", "ash", x="1", y="2")
+    request_ = make_request("b.a.example", "/q/r", "ash", x="1", y="2")
     rules = [stronger, weaker]
-    assert found(asked, *rules) == stronger.name
-    if stronger.name != "first":  # the order in the file comes last of all
-        assert found(asked, *reversed(rules)) == stronger.name
+    assert found(request_, *rules) == stronger.name
+    if stronger.name != "first":  # the order in the file is the last criterion
+        assert found(request_, *reversed(rules)) == stronger.name
 
 
-def test_what_matches_less_closely_is_used_where_the_closer_one_does_not_hold() -> None:
+def test_a_less_specific_rule_applies_if_the_more_specific_one_does_not_match() -> None:
     rules = [Rule("post", host="a.example", path="/q", method="POST"), Rule("rest")]
-    assert [found(ask(method=m), *rules) for m in ("POST", "GET")] == ["post", "rest"]
+    assert [found(make_request(method=m), *rules) for m in ("POST", "GET")] == ["post", "rest"]
 
 
 @pytest.mark.parametrize(
-    ("rule", "host", "target", "holds"),
+    ("rule", "host", "target", "matches"),
     [
         (Rule("r", host="*.example"), "example", "/", False),
         (Rule("r", host="*.example"), "notexample", "/", False),
@@ -69,24 +69,24 @@
         (Rule("r", path="/q"), "a.example", "/Q", False),
     ],
 )
-def test_hosts_and_paths(rule: Rule, host: str, target: str, holds: bool) -> None:
-    assert bool(found(ask(host, target), rule)) is holds
+def test_hosts_and_paths(rule: Rule, host: str, target: str, matches: bool) -> None:
+    assert bool(found(make_request(host, target), rule)) is matches
 
 
-def test_a_header_that_comes_twice_is_one_value() -> None:
-    twice = request("a.example", "/", "GET", [("X", "1"), ("x", "2")], "")
+def test_the_values_of_a_repeated_header_are_joined() -> None:
+    twice = normalized_request("a.example", "/", "GET", [("X", "1"), ("x", "2")], "")
     assert found(twice, Rule("one", headers=(("x", "1"),))) == ""
     assert found(twice, Rule("both", headers=(("x", "1, 2"),))) == "both"
-    assert found(ask(), Rule("empty", headers=(("x", ""),))) == ""  # it is not there
+    assert found(make_request(), Rule("empty", headers=(("x", ""),))) == ""  # the header is missing
 
 
-def test_a_request_that_means_two_things_has_no_route() -> None:
-    with pytest.raises(Ambiguous):
-        ask(target="/q/%2e%2e/admin")
+def test_an_ambiguous_request_is_refused() -> None:
+    with pytest.raises(NormalizationError):
+        make_request(target="/q/%2e%2e/admin")
 
 
 @pytest.mark.parametrize(
-    ("rules", "says"),
+    ("rules", "expected"),
     [
         ([Rule("a", path="/q/../r")], "rule 'a': path '/q/../r': a segment . or .."),
         ([Rule("a", host="b c")], "rule 'a': host 'b c'"),
@@ -102,16 +102,16 @@
         ),
     ],
 )
-def test_what_cant_be_used_is_named(rules: list[Rule], says: str) -> None:
-    with pytest.raises(Unusable) as caught:
+def test_invalid_rules_are_reported(rules: list[Rule], expected: str) -> None:
+    with pytest.raises(RouteValidationError) as caught:
         Table(rules)
-    assert says in str(caught.value)
+    assert expected in str(caught.value)
 
 
-def test_all_mistakes_come_at_once() -> None:
-    with pytest.raises(Unusable) as caught:
+def test_all_problems_are_reported_together() -> None:
+    with pytest.raises(RouteValidationError) as caught:
         Table([Rule("a", host="-"), Rule("b", path="q"), Rule("c"), Rule("c", path="/q")])
-    assert len(caught.value.mistakes) == 3
+    assert len(caught.value.problems) == 3
 
 
 headers = st.dictionaries(st.sampled_from("xyz"), st.sampled_from("12"), max_size=2)
@@ -128,24 +128,24 @@
 
 
 @given(st.lists(rules, max_size=30), st.integers(0, 2**32))
-def test_the_index_finds_what_the_definition_finds(made: list[Rule], seed: int) -> None:
+def test_the_index_agrees_with_the_definition(rule_list: list[Rule], seed: int) -> None:
     table = None
     kept: list[Rule] = []
-    for i, rule in enumerate(made):  # without those that repeat another
+    for i, rule in enumerate(rule_list):  # without rules that have the conditions of another one
         try:
             table = Table([*kept, dataclasses.replace(rule, name=f"r{i}")])
-        except Unusable:
+        except RouteValidationError:
             continue
         kept.append(dataclasses.replace(rule, name=f"r{i}"))
     if table is None:
         return
     table, draw = Table(kept), random.Random(seed)
     for _ in range(40):
-        asked = ask(
+        request_ = make_request(
             draw.choice(["a.example", "b.a.example", "d.b.a.example", "x.example", "other"]),
             draw.choice(["/", "/q", "/q/", "/q/r", "/q/r/", "/q/r/s", "/q/r/s/u", "/t/x"]),
             draw.choice(["", "ash", "birch", "cedar"]),
             draw.choice(["GET", "POST", "PUT"]),
             **{name: draw.choice("123") for name in "xyz" if draw.random() < 0.5},
         )
-        assert table.find(asked) == table.first_match(asked)
+        assert table.find(request_) == table.first_match(request_)
