--- a/lanelift/config/operator.py
+++ b/lanelift/config/operator.py
@@ -122,7 +122,7 @@
 
 
 class Discovery(Table):
-    """Where the endpoint list comes from, and whether an agent pushes its changes."""
+    """The source of the endpoint list, and whether an agent pushes its changes."""
 
     address: Address
     push: bool = True
--- a/lanelift/routes/table.py
+++ b/lanelift/routes/table.py
@@ -103,6 +103,7 @@
 
     @property
     def shape(self) -> Shape:
+        """The kinds of conditions that the rule has, besides its host and path."""
         return (
             bool(self.rule.method),
             tuple(sorted(name for name, _ in self.rule.headers)),
@@ -148,6 +149,7 @@
         return None if existing is entry else existing
 
     def find(self, request: Request) -> Entry | None:
+        """Return the matching entry with the highest precedence, if any."""
         best: Entry | None = None
         for (method, names, tenant), entries in self.shapes.items():
             values = tuple(request.headers.get(name, "") for name in names)
@@ -170,11 +172,13 @@
         self.longest = 0  # number of segments of the longest prefix
 
     def shape_index(self, entry: Entry) -> ShapeIndex:
+        """Return the index to which an entry belongs by its path; create it if necessary."""
         if not entry.rule.exact:
             self.longest = max(self.longest, len(entry.segments))
         return (self.exact if entry.rule.exact else self.prefix).setdefault(entry.segments, ShapeIndex())
 
     def find(self, request: Request) -> Entry | None:
+        """Return the matching entry with the highest precedence, if any."""
         shape_index = self.exact.get(request.segments)
         found = shape_index.find(request) if shape_index is not None else None
         for count in range(min(self.longest, len(request.segments)), -1, -1):
--- a/lanelift/tenants/replica_reader.py
+++ b/lanelift/tenants/replica_reader.py
@@ -45,7 +45,7 @@
 
     Args:
         session: An open session.
-        search: What to read.
+        search: The search to perform.
         attribute_map: Names of the attributes to parse.
         on_page: Called with each page as it is received.
     """
@@ -78,7 +78,7 @@
 
         Args:
             kind: The kind of the readings.
-            config: What to read.
+            config: The configuration of the sync process.
             events: The queue of events that the main thread runs.
             on_page: Called in the main thread with each page of changes.
             on_result: Called in the main thread when a reading has ended.
--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -20,7 +20,7 @@
 
 
 class ReadKind(StrEnum):
-    """What a reading covers."""
+    """The kinds of readings: of all entries, or only of changes."""
 
     FULL = "full"
     CHANGES = "changes"
--- a/lanelift/tenants/store.py
+++ b/lanelift/tenants/store.py
@@ -114,7 +114,7 @@
         seen: set[str] = set()
         self.notices.begin_reading()
         self.revision += 1
-        latest_us = self._mark(reading)
+        latest_us = self._update_mark(reading)
         # Of several new entries for one name, the one that has been unchanged for longest comes first. Of an
         # entry that is on two pages because it changed between them, the later state comes last.
         for parsed in sorted(reading.entries, key=lambda entry: (entry.stamp_us, entry.id, entry.suspended)):
@@ -155,7 +155,7 @@
 
     # ---- single entries ----------------------------------------------------------------------------------
 
-    def _mark(self, reading: Reading) -> int:
+    def _update_mark(self, reading: Reading) -> int:
         """Update the latest stamp of the directory, and return the latest stamp of the reading."""
         latest_us = max((entry.stamp_us for entry in reading.entries), default=0)
         before_us = 0 if reading.complete else self.marks_us.get(reading.source, 0)
--- a/lanelift/tenants/sync_config.py
+++ b/lanelift/tenants/sync_config.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncConfig:
-    """What to read, and when.
+    """The directories to read, how to read them, and how often.
 
     Attributes:
         directories: The directory servers, in order of preference.
--- a/lanelift/tenants/sync_messages.py
+++ b/lanelift/tenants/sync_messages.py
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Configure:
-    """To the sync process: what to read.
+    """To the sync process: its configuration.
 
     Attributes:
-        config: What to read, and when.
+        config: The new configuration.
         known: The tenants that stay unchanged until a directory shows them; None: none are added.
     """
 
--- a/lanelift/tenants/sync_process.py
+++ b/lanelift/tenants/sync_process.py
@@ -48,7 +48,7 @@
     """The directories of a configuration; `attach` creates the object that reads them.
 
     Attributes:
-        config: What to read, and when.
+        config: The configuration of the sync process.
         unknown_tenants: How the requests of a tenant that no directory shows are treated.
         wait_s: How long /ready waits for the first reading, in seconds; 0: not at all.
         settings: The tenants of the settings, by name, which apply until a directory is read.
@@ -69,7 +69,7 @@
 
     Attributes:
         dispatcher: Receives the updates.
-        source: What to read.
+        source: The directories to read.
         process: The running process, if any.
         task: Starts the process, and restarts it when it ends.
         first_read_complete: Whether a directory has been read completely.
--- a/lanelift/tenants/sync_worker.py
+++ b/lanelift/tenants/sync_worker.py
@@ -46,8 +46,8 @@
     Attributes:
         events: Functions to be run by the main thread, from the readers' threads and from standard input.
         store: The state of each tenant.
-        config: What to read; None before the first configuration.
-        schedule: When to read; None before the first configuration.
+        config: The configuration; None until it is received.
+        schedule: The schedule of readings; None until the configuration is received.
         readers: The thread for each kind of reading.
         began_revision: By kind: the store's revision when the running reading began.
         hung_threads: Number of abandoned threads.
--- a/tests/tenants/test_sync_worker.py
+++ b/tests/tenants/test_sync_worker.py
@@ -181,11 +181,11 @@
                 assert len(received.tenants) == 20
                 tree.change(dn("agent-17"), at(50), agentStanding="suspended")
                 await received.until(lambda: received.tenants["agent-17"] == "suspended")
-                mark = next(text for text in received.log if "confirm" in text).split('"')[1]
+                removal_id = next(text for text in received.log if "confirm" in text).split('"')[1]
                 send(
                     {
                         "job": sync_config(
-                            directory_config(d), full_interval_s=0.1, confirmed=frozenset({mark})
+                            directory_config(d), full_interval_s=0.1, confirmed=frozenset({removal_id})
                         ).to_json()
                     }
                 )
