--- a/tests/policy/checked_balancer.py
+++ b/tests/policy/checked_balancer.py
@@ -1,9 +1,9 @@
-"""Small settings with invented names, and a checker of the rules.
+"""Settings for tests, and a balancer whose actions are checked against the rules of the protocol.
 
-It holds request classes (one for each kind of idempotency, restriction and order), functions that make
-settings, endpoints and arrivals, and `CheckedBalancer`: it drives one balancer and checks each of its actions
-against the rules of the protocol. The checker keeps a record of its own from the events and actions alone; it
-shares no code with the package that it checks.
+The module defines request classes (one for each kind of idempotency, restriction and order), functions that
+make settings, endpoints and arrivals, and `CheckedBalancer`, which drives one balancer and checks each of its
+actions. The checker keeps its own record from events and actions alone, and shares no code with the package
+that it checks.
 """
 
 from __future__ import annotations
@@ -53,21 +53,21 @@
 
 READ = RequestClass("read", Idempotency.IDEMPOTENT, latency_objective_ns=300 * MS)
 PAY = RequestClass("pay", Idempotency.NON_IDEMPOTENT, latency_objective_ns=300 * MS)
-CELL = RequestClass(
+KEYED_IN_CELL = RequestClass(
     "cell",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.CELL,
     deduplication_window_ns=400 * MS,
     latency_objective_ns=300 * MS,
 )
-ANY = RequestClass(
+KEYED_ANYWHERE = RequestClass(
     "any",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.ALL,
     deduplication_window_ns=400 * MS,
     latency_objective_ns=300 * MS,
 )
-ROW = RequestClass(
+ORDERED = RequestClass(
     "row",
     Idempotency.IDEMPOTENCY_KEY,
     DeduplicationScope.CELL,
@@ -75,17 +75,21 @@
     latency_objective_ns=300 * MS,
     ordered_by_key=True,
 )
-WEST = RequestClass("west", Idempotency.IDEMPOTENT, latency_objective_ns=300 * MS, zones=frozenset({"west"}))
-BIG = RequestClass(
+WEST_ONLY = RequestClass(
+    "west", Idempotency.IDEMPOTENT, latency_objective_ns=300 * MS, zones=frozenset({"west"})
+)
+BIG_ONLY = RequestClass(
     "big", Idempotency.NON_IDEMPOTENT, latency_objective_ns=300 * MS, machine_kinds=frozenset({"big"})
 )
 MAY_STILL_RUN = (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
 
 
 def settings(**changes: object) -> Settings:
-    """Return settings with all classes above, two tenants, hedging and slow start, with these changes."""
+    """Return settings with the classes above, two tenants, hedging and slow start, and these changes."""
     base: dict[str, object] = {
-        "classes": {c.name: c for c in (READ, PAY, CELL, ANY, ROW, WEST, BIG)},
+        "classes": {
+            c.name: c for c in (READ, PAY, KEYED_IN_CELL, KEYED_ANYWHERE, ORDERED, WEST_ONLY, BIG_ONLY)
+        },
         "tenants": {"ash": Tenant("ash", 0.5), "birch": Tenant("birch", 0.5)},
         "limits": Limits(max_attempts=3, hedging=True, may_cancel=True, retry_after=True),
         "rules": Rules(slow_start_ns=4 * SECOND, key_cooldown_ns=100 * MS),
@@ -95,12 +99,12 @@
 
 
 def upstreams(count: int, first: int = 1, started_ns: int = 0) -> list[Endpoint]:
-    """Return so many ready endpoints of one zone, three to a cell, numbered from `first`."""
+    """Return `count` ready endpoints of one zone, three to a cell, numbered from `first`."""
     return [Endpoint(first + i, EndpointState.READY, "east", i // 3, 1.0, started_ns) for i in range(count)]
 
 
-def places(count: int) -> list[Endpoint]:
-    """Return so many ready endpoints, alternately in two zones and of two kinds."""
+def mixed_endpoints(count: int) -> list[Endpoint]:
+    """Return `count` ready endpoints, alternately in two zones and of two machine kinds."""
     return [
         endpoint._replace(zone=("east", "west")[endpoint.id % 2], kind=("big", "small")[endpoint.id // 2 % 2])
         for endpoint in upstreams(count)
@@ -121,9 +125,9 @@
 
 
 def check_slow_start_budget(sends: list[int], started_ns: int, rules: Rules, warm_per_s: float) -> None:
-    """Check rule 4 over all replicas, with a slack of two.
+    """Check rule 4 over all replicas, with a tolerance of two attempts.
 
-    In no window may an upstream that warms up get more attempts than its share of capacity allows.
+    In no window may an upstream that is warming up get more attempts than its share of capacity allows.
     """
     for i, last in enumerate(sends):
         age = last - started_ns
@@ -134,33 +138,33 @@
         )
         count = sum(last - rules.overload_window_ns < t <= last for t in sends[: i + 1])
         most = rules.overload_multiple * part * warm_per_s * rules.overload_window_ns / SECOND + 2
-        assert count <= most, f"{count} attempts at an upstream that warms up, {most:.1f} at most"
+        assert count <= most, f"{count} attempts at an upstream that is warming up, {most:.1f} allowed"
 
 
-FOREVER = 1 << 62
+NO_DEADLINE = 1 << 62
 
 
 class CheckedBalancer:
-    """Drives one balancer, keeps its timers, and checks the rules and the grammar of its actions.
+    """Drives one balancer, runs its timers, and checks its actions against the rules.
 
     Attributes:
-        config: The settings.
-        now: The time.
-        balancer: The balancer.
-        classes: The class of each request.
+        config: The settings of the balancer.
+        now: The simulated time.
+        balancer: The balancer under test.
+        classes: The request class of each request.
         deadline: When the client of each request gives up.
-        answer: What became of each request.
-        notified_complete: Requests of which the balancer knows that they are over.
-        body_pending: Requests whose body is still being received: sent, their time does not run.
-        body_consumed: Requests that can't be sent again.
-        response_started: The attempt of each request whose response is being passed on.
-        key_order: The requests of each ordering key, as they arrived.
-        cooldown_until: When later requests of the same key may go on, by request.
-        sends: The attempts of each request: the endpoint, and when.
-        results: How attempts ended, by request and number.
-        endpoints: The endpoint list.
-        timers: Timers that are set: when, and the name.
-        log: All actions.
+        answer: The final answer of each request, or that it ended without one.
+        notified_complete: Requests that were reported to the balancer as complete.
+        body_pending: Requests whose body is still being received, so that their time is not counted.
+        body_consumed: Requests that can't be sent again, as part of their body was consumed.
+        response_started: The number of the attempt whose response is being passed on, by request.
+        key_order: The requests of each ordering key, in order of arrival.
+        cooldown_until: When later requests of the same key may be forwarded, by request.
+        attempts: The attempts of each request: the endpoint, and when the attempt was started.
+        results: How attempts ended, by request and attempt number.
+        endpoints: The endpoint list, by upstream number.
+        timers: The timers that are set: due time and name.
+        log: All actions so far.
     """
 
     def __init__(self, config: Settings | None = None, seed: int = 7, upstream_count: int = 6) -> None:
@@ -176,18 +180,18 @@
         self.response_started: dict[str, int] = {}
         self.key_order: dict[str, list[str]] = {}
         self.cooldown_until: dict[str, int] = {}
-        self.sends: dict[str, list[tuple[Endpoint, int]]] = {}
+        self.attempts: dict[str, list[tuple[Endpoint, int]]] = {}
         self.results: dict[tuple[str, int], AttemptResult] = {}
         self.endpoints: dict[int, Endpoint] = {}
         self.timers: list[tuple[int, str]] = []
         self.log: list[Action] = []
         if upstream_count:
-            self.give(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(upstream_count)))
+            self.handle(EndpointUpdate(EndpointUpdateKind.CACHED, upstreams(upstream_count)))
 
-    # -- time --
+    # -- events and time --
 
-    def give(self, *events: Event) -> list[Action]:
-        """Let the balancer handle these events; record them, check its actions and return those."""
+    def handle(self, *events: Event) -> list[Action]:
+        """Make the balancer handle these events; record the events, and check and return its actions."""
         for event in events:
             self._record(event)
         actions = self.balancer.handle(self.now, events)
@@ -197,7 +201,7 @@
         return actions
 
     def advance(self, by_ns: int, step_ns: int = 5 * MS) -> list[Action]:
-        """Let time pass in ticks, with timers that are due and timeouts at the deadline."""
+        """Advance the time in steps; fire timers that are due, and time out attempts at their deadline."""
         seen: list[Action] = []
         end = self.now + by_ns
         while self.now < end:
@@ -205,29 +209,34 @@
             due = sorted(t for t in self.timers if t[0] <= self.now)
             self.timers = [t for t in self.timers if t[0] > self.now]
             events: list[Event] = [TimerFired(name) for _, name in due]
-            for request, number in self.out():
+            for request, number in self.attempts_in_flight():
                 if self.deadline[request] <= self.now and request not in self.body_pending:
                     events.append(self.result(request, number, AttemptResult.TIMEOUT))
             if events:
-                seen += self.give(*events)
+                seen += self.handle(*events)
             for request, deadline in self.deadline.items():
                 if deadline + 20 * MS < self.now and request not in self.answer:
-                    assert self.uploads(request), f"{request} had no final answer in its time"
+                    assert self.has_upload_in_flight(request), (
+                        f"{request} got no final answer by its deadline"
+                    )
         return seen
 
-    def out(self) -> list[tuple[str, int]]:
-        """Return the attempts in flight: request and number."""
+    def attempts_in_flight(self) -> list[tuple[str, int]]:
+        """Return the attempts in flight, as pairs of request and attempt number."""
         return [
-            (r, i) for r, sent in self.sends.items() for i in range(len(sent)) if (r, i) not in self.results
+            (r, i)
+            for r, sent in self.attempts.items()
+            for i in range(len(sent))
+            if (r, i) not in self.results
         ]
 
-    def uploads(self, request: str) -> bool:
-        """Return whether an attempt of a request is in flight whose body is pending."""
-        return request in self.body_pending and any(r == request for r, _ in self.out())
+    def has_upload_in_flight(self, request: str) -> bool:
+        """Return whether a request with a pending body has an attempt in flight."""
+        return request in self.body_pending and any(r == request for r, _ in self.attempts_in_flight())
 
     def result(self, request: str, number: int, result: AttemptResult) -> AttemptFinished:
         """Return the event that an attempt ends now with this result."""
-        upstream, sent = self.sends[request][number]
+        upstream, sent = self.attempts[request][number]
         over = request in self.answer or request in self.notified_complete
         if request in self.response_started:
             over = over or self.response_started[request] == number
@@ -238,14 +247,14 @@
     def finish(
         self, request: str, result: AttemptResult = AttemptResult.OK, number: int = -1
     ) -> list[Action]:
-        """Let an attempt of a request end, by default the last one."""
-        number = number if number >= 0 else len(self.sends[request]) - 1
-        return self.give(self.result(request, number, result))
+        """Report the end of an attempt, by default the last one of the request."""
+        number = number if number >= 0 else len(self.attempts[request]) - 1
+        return self.handle(self.result(request, number, result))
 
     # -- the record and the checks --
 
     def _record(self, event: Event) -> None:
-        """Record what an event says."""
+        """Record the content of an event."""
         if isinstance(event, RequestArrived):
             self.classes[event.request] = self.config.classes[event.class_name]
             self.deadline[event.request] = event.deadline_ns
@@ -274,7 +283,7 @@
             self.deadline[event.request] = event.deadline_ns
         elif isinstance(event, ResponseStarted) and event.request in self.classes:
             self.response_started.setdefault(event.request, event.attempt)
-            self.deadline[event.request] = FOREVER
+            self.deadline[event.request] = NO_DEADLINE
         elif isinstance(event, ClientDisconnected):
             self.answer.setdefault(event.request, "disconnected")
             self.notified_complete.add(event.request)
@@ -290,7 +299,7 @@
         """Return the attempts of a request that may have run."""
         return [
             s
-            for i, s in enumerate(self.sends.get(request, []))
+            for i, s in enumerate(self.attempts.get(request, []))
             if self.results.get((request, i)) not in NOT_EXECUTED
         ]
 
@@ -308,13 +317,13 @@
                     and request_class.deduplication_scope is DeduplicationScope.ALL
                 )
             )
-            assert harmless, f"{action.request} refused though it may have run"
+            assert harmless, f"{action.request} rejected though it may have run"
             self._check_answer(action.request, "rejected")
             assert 0 <= action.retry_after_ns <= self.config.limits.max_retry_after_ns
         elif isinstance(action, Fail):
             self._check_answer(action.request, "failed")
         elif isinstance(action, CancelAttempt):
-            assert self.config.limits.may_cancel and action.attempt < len(self.sends[action.request])
+            assert self.config.limits.may_cancel and action.attempt < len(self.attempts[action.request])
         elif isinstance(action, ProbeLoad):
             assert self.config.limits.load_probes and action.upstream in self.endpoints
         elif isinstance(action, SendPeerMessage):
@@ -324,18 +333,22 @@
             self.timers.append((self.now + action.delay_ns, action.name))
 
     def _check_key_order(self, request: str) -> None:
-        """Check rule 5: requests of one key run one at a time, in order, with a cooldown."""
+        """Check rule 5: requests of one key run one at a time, in order, and wait for its cooldown."""
         for order in self.key_order.values():
             for earlier in order[: order.index(request)] if request in order else ():
                 over = earlier in self.answer or earlier in self.notified_complete
-                assert over, f"{request} sent before {earlier}, taken earlier, is over"
-                assert earlier not in {r for r, _ in self.out()}, f"{request} sent while {earlier} is out"
-                assert self.now >= self.cooldown_until.get(earlier, 0), f"{request} sent while its key rests"
+                assert over, f"{request} sent before {earlier}, which arrived earlier, has ended"
+                assert earlier not in {r for r, _ in self.attempts_in_flight()}, (
+                    f"{request} sent while an attempt of {earlier} is in flight"
+                )
+                assert self.now >= self.cooldown_until.get(earlier, 0), (
+                    f"{request} sent in the cooldown of its key"
+                )
 
     def _check_answer(self, request: str, answer: str) -> None:
-        """Check rule 1: one final answer, in time."""
-        assert request in self.classes, f"{request} was never taken"
-        assert request not in self.response_started, f"{request} answered while another answer is passed on"
+        """Check rule 1: a request gets one final answer, in time."""
+        assert request in self.classes, f"{request} never arrived"
+        assert request not in self.response_started, f"{request} answered while a response is being passed on"
         assert request not in self.answer, f"{request} answered twice: {self.answer.get(request)}, {answer}"
         late = self.now > self.deadline[request] + 20 * MS
         assert not late or request in self.body_pending, f"{request} answered late"
@@ -350,27 +363,27 @@
             self._may_have_run(action.request),
         )
         assert request not in self.answer and request not in self.notified_complete, (
-            f"{request} sent after its end"
+            f"{request} sent after it has ended"
         )
-        assert upstream.state is EndpointState.READY, f"{request} sent to a draining or gone upstream"
+        assert upstream.state is EndpointState.READY, f"{request} sent to a draining or removed upstream"
         assert not request_class.zones or upstream.zone in request_class.zones, (
             f"{request} sent outside its zones"
         )
         assert not request_class.machine_kinds or upstream.kind in request_class.machine_kinds, (
-            f"{request} sent to a kind it may not use"
+            f"{request} sent to a machine kind that it may not use"
         )
         assert request not in self.body_consumed, f"{request} sent again without its body"
-        assert request not in self.response_started, f"{request} sent while an answer to it is passed on"
+        assert request not in self.response_started, f"{request} sent while a response is being passed on"
         self._check_key_order(request)
-        sent = self.sends.setdefault(request, [])
+        sent = self.attempts.setdefault(request, [])
         assert len(sent) < limits.max_attempts
-        out = sum((request, i) not in self.results for i in range(len(sent)))
-        assert out < (2 if limits.hedging else 1), f"{request}: {out} attempts out already"
+        in_flight = sum((request, i) not in self.results for i in range(len(sent)))
+        assert in_flight < (2 if limits.hedging else 1), f"{request}: {in_flight} attempts in flight already"
         if may_have_run and request_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError(f"{request} is unsafe, may have run and is sent again")
+            raise AssertionError(f"{request} is not idempotent, may have run and is sent again")
         if may_have_run and request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
             assert self.now - may_have_run[0][1] <= request_class.deduplication_window_ns, (
-                f"{request} repeated after its window"
+                f"{request} repeated after its deduplication window"
             )
             if request_class.deduplication_scope is DeduplicationScope.CELL:
                 assert all(
@@ -383,6 +396,6 @@
 ActionType = TypeVar("ActionType")
 
 
-def of(kind: type[ActionType], actions: Iterable[Action]) -> list[ActionType]:
-    """Return the actions of one kind."""
+def actions_of_type(kind: type[ActionType], actions: Iterable[Action]) -> list[ActionType]:
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -1,8 +1,8 @@
-"""Simulated days: balancers, emulated upstreams and arrivals, all in simulated time.
+"""Simulation of balancers, emulated upstreams and clients in simulated time.
 
-`Simulation` holds the balancers of one deployment, the emulators of their upstreams (the model of
-`lanelift.standins`) and a heap of what happens when. There is no socket and no clock; the same seed gives the
-same day. Several test files and `benchmarks/decisions.py` play days with it.
+`Simulation` holds the balancers of one deployment, emulators of their upstreams (the model of
+`lanelift.standins`) and a heap of scheduled events. It uses no socket and no clock, and the same seed gives
+the same run. Several test files and `benchmarks/decisions.py` use it.
 """
 
 from __future__ import annotations
@@ -40,29 +40,29 @@
 from lanelift.standins.box import Box, BoxSpec
 from tests.policy.checked_balancer import MS
 
-ONE_WAY_NS = MS // 4  # one way between a balancer and an emulator
-PEER_MESSAGE_NS = 10 * MS  # and between two balancers
+ONE_WAY_NS = MS // 4  # one-way delay between a balancer and an emulator
+PEER_MESSAGE_NS = 10 * MS  # one-way delay between two balancers
 
 
 class Simulation:
-    """Balancers and the emulators of their upstreams.
+    """The balancers of one deployment and the emulators of their upstreams.
 
     Attributes:
-        balancers: By replica.
-        owner: The replica that has a request.
+        balancers: Balancers by replica.
+        replica_of: The replica that each request arrived at.
         lost_share: The share of peer messages that is lost.
-        messages: How many peer messages were sent.
-        emulators: By upstream.
-        unresponsive: Upstreams that are cut off: what is sent there and what they answer is lost.
-        dead: Replicas that were killed: nothing reaches them any more.
-        due: What happens when: time, number, name of the method, details.
+        messages: The number of peer messages that were sent.
+        emulators: Emulators by upstream number.
+        unresponsive: Upstreams that are cut off: attempts at them, and their responses, are lost.
+        killed: Replicas that were killed: they handle no further events.
+        due: Scheduled events: time, sequence number, name of the method, details.
         tenant: The tenant of each request.
         deadline: When the client of each request gives up.
-        attempts: How many attempts each request has had.
-        sent: Attempts in flight: the upstream, and when.
-        answers: What became of the requests, by tenant.
-        answered: Requests that have their answer.
-        sends: All attempts: when, the replica, the upstream.
+        attempts: The number of attempts of each request.
+        sent: The attempts in flight: the upstream, and when each was sent.
+        counts: The number of requests by tenant and answer, and of all requests as "requested".
+        answered: Requests that have their final answer.
+        attempt_log: All attempts: time, replica, upstream.
     """
 
     def __init__(
@@ -78,38 +78,38 @@
             Balancer(dataclasses.replace(settings, replica=replica), seed + replica, 0)
             for replica in range(settings.replica_count)
         ]
-        self.owner: dict[str, int] = {}
+        self.replica_of: dict[str, int] = {}
         self.lost_share, self.rng, self.messages = lost, random.Random(seed), 0
         self.emulators = {i: Box(spec, 0) for i in range(1, emulator_count + 1)}
         self.unresponsive: set[int] = set()
-        self.dead: set[int] = set()
+        self.killed: set[int] = set()
         self.now = self.count = 0
         self.due: list[tuple[int, int, str, Any]] = []
         self.tenant: dict[str, str] = {}
         self.deadline: dict[str, int] = {}
         self.attempts: Counter[str] = Counter()
         self.sent: dict[tuple[str, int], tuple[int, int]] = {}
-        self.answers: Counter[tuple[str, str]] = Counter()
+        self.counts: Counter[tuple[str, str]] = Counter()
         self.answered: set[str] = set()
-        self.sends: list[tuple[int, int, int]] = []
+        self.attempt_log: list[tuple[int, int, int]] = []
         for replica in range(len(self.balancers)):
             self._handle(
                 [EndpointUpdate(EndpointUpdateKind.SNAPSHOT, [Endpoint(i) for i in self.emulators])], replica
             )
 
     def schedule(self, when: int, what: str, details: Any) -> None:
-        """Let something happen then: the method `_what` is called with the details."""
+        """Schedule an event: the method `_what` is called at this time with the details."""
         self.count += 1
         heapq.heappush(self.due, (when, self.count, what, details))
 
     def schedule_request(
         self, when: int, tenant: str, work_ns: int, class_name: str, wait_ns: int, replica: int = 0
     ) -> None:
-        """Let a request arrive then at a replica; its client waits for `wait_ns`."""
+        """Schedule a request to a replica; its client waits for `wait_ns`."""
         self.schedule(when, "arrive", (tenant, work_ns, class_name, wait_ns, replica))
 
     def run_until(self, until: int) -> None:
-        """Play all that happens up to then."""
+        """Run all events up to this time."""
         while True:
             emulator_due = min(
                 (due for emulator in self.emulators.values() if (due := emulator.next_ns()) is not None),
@@ -134,14 +134,14 @@
         tenant, work_ns, class_name, wait_ns, replica = details
         name = f"r{len(self.tenant)}/{work_ns}"
         self.tenant[name], self.deadline[name] = tenant, self.now + wait_ns
-        self.answers[tenant, "requested"] += 1
-        self.owner[name] = replica
+        self.counts[tenant, "requested"] += 1
+        self.replica_of[name] = replica
         self._handle(
             [RequestArrived(name, class_name, tenant, self.now + wait_ns, cost_hint_ns=work_ns)], replica
         )
 
     def _tenant_update(self, event: Event) -> None:
-        """A directory notifies the first replica."""
+        """The first replica receives an update from a directory."""
         self._handle([event], 0)
 
     def _update(self, details: tuple[int, Event]) -> None:
@@ -156,7 +156,7 @@
         """An attempt reaches its upstream, which may reject it."""
         name, attempt, number = details
         if number in self.unresponsive:
-            return  # its timeout follows
+            return  # the attempt will time out
         if not self.emulators[number].offer(f"{name}#{attempt}", int(name.partition("/")[2]), self.now):
             self._ended(name, attempt, AttemptResult.REJECTED)
 
@@ -175,7 +175,7 @@
             self._ended(name, attempt, AttemptResult.TIMEOUT)
 
     def _probe(self, details: tuple[int, int]) -> None:
-        """A load probe reaches its upstream, which reports."""
+        """A load probe reaches its upstream, which sends a load report."""
         replica, number = details
         if number in self.unresponsive:
             return
@@ -191,20 +191,21 @@
             self._ended(name, attempt, AttemptResult.CANCELLED)
 
     def _ended(self, name: str, attempt: int, result: AttemptResult) -> None:
-        """Note how an attempt ended, and notify its replica."""
+        """Record how an attempt ended, and report it to its replica."""
         number, since = self.sent.pop((name, attempt), (0, 0))
         if number:
             if result is AttemptResult.OK and name not in self.answered:
                 self.answered.add(name)
-                self.answers[self.tenant[name], "served"] += 1
+                self.counts[self.tenant[name], "served"] += 1
             over = name in self.answered
             self._handle(
-                [AttemptFinished(name, attempt, number, result, self.now - since, over)], self.owner[name]
+                [AttemptFinished(name, attempt, number, result, self.now - since, over)],
+                self.replica_of[name],
             )
 
     def _handle(self, events: Iterable[Event], replica: int) -> None:
-        """Let a replica handle events, and carry out its actions."""
-        if replica in self.dead:
+        """Make a replica handle events, and carry out its actions."""
+        if replica in self.killed:
             return
         for action in self.balancers[replica].handle(self.now, list(events)):
             match action:
@@ -212,7 +213,7 @@
                     number = self.attempts[action.request]
                     self.attempts[action.request] += 1
                     self.sent[action.request, number] = action.upstream, self.now
-                    self.sends.append((self.now, replica, action.upstream))
+                    self.attempt_log.append((self.now, replica, action.upstream))
                     self.schedule(self.now + ONE_WAY_NS, "reach", (action.request, number, action.upstream))
                     wait = action.timeout_ns or self.deadline[action.request] - self.now
                     self.schedule(self.now + wait, "expire", (action.request, number))
@@ -234,8 +235,8 @@
                     assert action.request not in self.answered, f"{action.request} answered twice"
                     self.answered.add(action.request)
                     kind = "rejected" if isinstance(action, Reject) else "failed"
-                    self.answers[self.tenant[action.request], kind] += 1
+                    self.counts[self.tenant[action.request], kind] += 1
 
     def share(self, tenant: str) -> float:
         """Return the share of a tenant's requests that were served."""
-        return self.answers[tenant, "served"] / max(1, self.answers[tenant, "requested"])
+        return self.counts[tenant, "served"] / max(1, self.counts[tenant, "requested"])
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -17,26 +17,28 @@
     READ,
     SECOND,
     START,
-    WEST,
+    WEST_ONLY,
     CheckedBalancer,
+    actions_of_type,
     arrival,
-    of,
     settings,
     upstreams,
 )
 
 
-def test_a_class_with_much_time_keeps_the_queue_short_for_one_with_little() -> None:
-    """Incident i31aba8: requests with two seconds to spare filled the queue, and short ones never got in."""
+def test_requests_with_much_time_do_not_fill_the_queue_of_those_with_little() -> None:
+    """Incident i31aba8: requests with two seconds to spare filled the queue, and short ones were always
+    shed.
+    """
     slow = RequestClass("slow", Idempotency.IDEMPOTENT, latency_objective_ns=20 * SECOND)
     checked = CheckedBalancer(
         settings(classes={"slow": slow, "read": READ}, replica_count=20), upstream_count=1
     )
     for i in range(200):
-        checked.give(arrival(i, checked.now, slow, wait_ns=20 * SECOND))
+        checked.handle(arrival(i, checked.now, slow, wait_ns=20 * SECOND))
         checked.advance(10 * MS)
-        for request, number in checked.out():
-            if checked.now - checked.sends[request][number][1] >= 50 * MS:
+        for request, number in checked.attempts_in_flight():
+            if checked.now - checked.attempts[request][number][1] >= 50 * MS:
                 checked.finish(request, number=number)
     assert (
         len(checked.balancer.registry.unrestricted_pool.queue) < 20 and "rejected" in checked.answer.values()
@@ -44,23 +46,23 @@
 
 
 @pytest.mark.parametrize(("waited_ms", "answer"), [(100, None), (290, "rejected")])
-def test_a_request_that_waited_too_long_unseen_is_rejected_at_once(
+def test_a_request_that_is_handled_too_late_is_rejected_immediately(
     waited_ms: int, answer: str | None
 ) -> None:
-    """The replica was late itself: a request was received long before it was looked at. Its answer
-    would be too late.
+    """The replica is late itself: it handles a request long after it was received, and its answer would be
+    too late.
     """
     checked = CheckedBalancer()
     received_ns = checked.now - waited_ms * MS
-    actions = checked.give(arrival(1, received_ns, wait_ns=500 * MS)._replace(received_ns=received_ns))
-    assert checked.answer.get("r1") == answer and len(checked.sends) == (answer is None)
-    assert all(a.retry_after_ns > 0 for a in of(Reject, actions) if isinstance(a, Reject))
+    actions = checked.handle(arrival(1, received_ns, wait_ns=500 * MS)._replace(received_ns=received_ns))
+    assert checked.answer.get("r1") == answer and len(checked.attempts) == (answer is None)
+    assert all(a.retry_after_ns > 0 for a in actions_of_type(Reject, actions) if isinstance(a, Reject))
 
 
 def test_no_tenants_and_an_unknown_class_work() -> None:
-    """No tenant is listed, and a request names a class that the settings do not."""
+    """No tenant is listed, and a request names a class that is not in the settings."""
     checked = CheckedBalancer(settings(tenants={}))
-    checked.give(arrival(1, checked.now, tenant=""))
+    checked.handle(arrival(1, checked.now, tenant=""))
     checked.finish("r1")
     b = Balancer(Settings(), 1, START)
     b.handle(
@@ -72,11 +74,11 @@
     )
 
 
-def test_with_no_allowed_upstream_listed_a_request_is_rejected_at_once() -> None:
+def test_a_request_with_no_allowed_upstream_is_rejected_immediately() -> None:
     """No upstream in the zones of a class is listed: its requests are rejected without a token."""
     checked = CheckedBalancer()  # all in the zone east
     tokens = checked.balancer.state.tenants.banks["ash"].balance
-    checked.give(arrival(1, checked.now, WEST))
+    checked.handle(arrival(1, checked.now, WEST_ONLY))
     assert (
         checked.answer["r1"] == "rejected" and checked.balancer.state.tenants.banks["ash"].balance == tokens
     )
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -13,61 +13,61 @@
 )
 from lanelift.policy.settings import RequestClass
 from tests.policy.checked_balancer import (
-    ANY,
-    CELL,
+    KEYED_ANYWHERE,
+    KEYED_IN_CELL,
     MS,
     PAY,
     READ,
     CheckedBalancer,
+    actions_of_type,
     arrival,
-    of,
     upstreams,
 )
 
 
-def test_a_request_with_a_response_needs_nothing_more() -> None:
-    """One attempt, one response: no other answer follows."""
+def test_a_served_request_gets_no_other_answer() -> None:
+    """A request is served by its only attempt: no other answer follows."""
     checked = CheckedBalancer()
-    assert len(of(StartAttempt, checked.give(arrival(1, checked.now)))) == 1
-    assert not of(Fail, checked.finish("r1")) and checked.answer["r1"] == "served"
+    assert len(actions_of_type(StartAttempt, checked.handle(arrival(1, checked.now)))) == 1
+    assert not actions_of_type(Fail, checked.finish("r1")) and checked.answer["r1"] == "served"
 
 
-@pytest.mark.parametrize("cls", [READ, PAY, CELL, ANY])
-def test_with_no_upstream_listed_a_request_is_rejected_in_time(cls: RequestClass) -> None:
+@pytest.mark.parametrize("cls", [READ, PAY, KEYED_IN_CELL, KEYED_ANYWHERE])
+def test_a_request_is_rejected_in_time_if_no_upstream_is_listed(cls: RequestClass) -> None:
     """The endpoint list is empty: a request of any class is rejected before its client gives up."""
     checked = CheckedBalancer(upstream_count=0)
-    checked.give(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, checked.now, cls))
+    checked.handle(EndpointUpdate(EndpointUpdateKind.CACHED), arrival(1, checked.now, cls))
     checked.advance(600 * MS)
     assert checked.answer["r1"] == "rejected"
 
 
-def test_with_all_upstreams_draining_a_request_is_rejected_in_time() -> None:
+def test_a_request_is_rejected_in_time_if_all_upstreams_drain() -> None:
     """All upstreams drain: a request gets no attempt, and is rejected before its client gives up."""
     checked = CheckedBalancer()
-    checked.give(
+    checked.handle(
         EndpointUpdate(
             EndpointUpdateKind.DELTA, [u._replace(state=EndpointState.DRAINING) for u in upstreams(6)]
         )
     )
-    checked.give(arrival(1, checked.now, PAY))
+    checked.handle(arrival(1, checked.now, PAY))
     checked.advance(600 * MS)
-    assert checked.answer["r1"] == "rejected" and "r1" not in checked.sends
+    assert checked.answer["r1"] == "rejected" and "r1" not in checked.attempts
 
 
 def test_a_non_idempotent_request_that_times_out_fails() -> None:
-    """An attempt of a request that must never run twice times out. It may have run: it fails, and is
-    not retried.
+    """An attempt of a non-idempotent request times out, and may have run: the request fails and is not
+    retried.
     """
     checked = CheckedBalancer()
-    checked.give(arrival(1, checked.now, PAY))
+    checked.handle(arrival(1, checked.now, PAY))
     checked.advance(600 * MS)
-    assert checked.answer["r1"] == "failed" and len(checked.sends["r1"]) == 1
+    assert checked.answer["r1"] == "failed" and len(checked.attempts["r1"]) == 1
 
 
 def test_a_client_that_disconnects_ends_its_request() -> None:
-    """A client disconnects, and that is reported twice and for an unknown request: nothing more happens."""
+    """A disconnect is reported twice, and once for an unknown request: the further reports have no effect."""
     checked = CheckedBalancer()
-    checked.give(
+    checked.handle(
         arrival(1, checked.now),
         ClientDisconnected("r1"),
         ClientDisconnected("r1"),
@@ -78,9 +78,9 @@
 
 
 def test_retry_after_is_jittered() -> None:
-    """Thirty requests are rejected at once: their clients must not return at once."""
+    """Thirty requests are rejected together: their clients must not return together."""
     checked = CheckedBalancer(upstream_count=0)
-    checked.give(*(arrival(i, checked.now) for i in range(30)))
+    checked.handle(*(arrival(i, checked.now) for i in range(30)))
     checked.advance(600 * MS)
     retry_after_values = {a.retry_after_ns for a in checked.log if isinstance(a, Reject)}
     assert len(retry_after_values) > 20
--- a/tests/policy/test_checker.py
+++ b/tests/policy/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker of the rules itself: it sees a breach of each."""
+"""The checker itself: it detects a violation of each rule."""
 
 from __future__ import annotations
 
@@ -14,58 +14,61 @@
 )
 from lanelift.policy.settings import Limits, Rules
 from tests.policy.checked_balancer import (
-    BIG,
+    BIG_ONLY,
     MS,
+    ORDERED,
     PAY,
-    ROW,
     SECOND,
     START,
-    WEST,
+    WEST_ONLY,
     CheckedBalancer,
     arrival,
     check_slow_start_budget,
-    places,
+    mixed_endpoints,
     settings,
 )
 
 
-def breach(checked: CheckedBalancer, *actions: Action) -> None:
-    """Carry out actions of which the last is illegal."""
+def check_illegal(checked: CheckedBalancer, *actions: Action) -> None:
+    """Check actions, and expect that one of them is reported as illegal."""
     with pytest.raises(AssertionError):
         for action in actions:
             checked._check(action)
 
 
-def test_the_checker_sees_a_breach_of_each_rule() -> None:
-    """Without this a checker that sees nothing would pass every test."""
+def test_the_checker_detects_a_violation_of_each_rule() -> None:
+    """A checker that detects nothing would let every other test pass."""
 
     def fresh(*events: Event) -> CheckedBalancer:
         checked = CheckedBalancer(settings(limits=Limits(max_attempts=3)), upstream_count=0)
-        for e in (EndpointUpdate(EndpointUpdateKind.SNAPSHOT, places(6)), *events):
+        for e in (EndpointUpdate(EndpointUpdateKind.SNAPSHOT, mixed_endpoints(6)), *events):
             checked._record(e)
         return checked
 
     one, pay = arrival(1, START), arrival(1, START, PAY)
-    breach(fresh(one), Reject("r1"), StartAttempt("r1", 1))  # 1: an attempt after its end
-    breach(fresh(one), Reject("r1"), Fail("r1"))  # 1: two answers
-    breach(fresh(one), StartAttempt("r1", 1), StartAttempt("r1", 2))  # 2: two out, copies not allowed
+    check_illegal(fresh(one), Reject("r1"), StartAttempt("r1", 1))  # 1: an attempt after the final answer
+    check_illegal(fresh(one), Reject("r1"), Fail("r1"))  # 1: two answers
+    check_illegal(fresh(one), StartAttempt("r1", 1), StartAttempt("r1", 2))  # 2: two in flight, no hedging
     ran = fresh(pay)
     ran._check(StartAttempt("r1", 1))
     ran.results["r1", 0] = AttemptResult.ERROR
-    breach(ran, Reject("r1"))  # 2: rejected though it may have run
-    breach(ran, StartAttempt("r1", 2))  # 2: unsafe and sent again
+    check_illegal(ran, Reject("r1"))  # 2: rejected though it may have run
+    check_illegal(ran, StartAttempt("r1", 2))  # 2: not idempotent, and sent again
     drains = fresh(
-        one, EndpointUpdate(EndpointUpdateKind.DELTA, [places(1)[0]._replace(state=EndpointState.DRAINING)])
+        one,
+        EndpointUpdate(
+            EndpointUpdateKind.DELTA, [mixed_endpoints(1)[0]._replace(state=EndpointState.DRAINING)]
+        ),
     )
-    breach(drains, StartAttempt("r1", 1))  # 3
+    check_illegal(drains, StartAttempt("r1", 1))  # 3
     with pytest.raises(AssertionError):  # 4
         check_slow_start_budget([START + i * MS for i in range(60)], START, Rules(slow_start_ns=SECOND), 10.0)
-    row = [arrival(i, START, ROW, key="k") for i in (1, 2)]
-    breach(fresh(*row), StartAttempt("r2", 1))  # 5: before the first of its key
+    row = [arrival(i, START, ORDERED, key="k") for i in (1, 2)]
+    check_illegal(fresh(*row), StartAttempt("r2", 1))  # 5: before the first of its key
     cools_down = fresh(*row)
     cools_down._check(StartAttempt("r1", 1))
     cools_down._record(cools_down.result("r1", 0, AttemptResult.RESET))
     cools_down._check(Fail("r1"))
-    breach(cools_down, StartAttempt("r2", 1))  # 5: in the cooldown of its key
-    breach(fresh(arrival(1, START, WEST)), StartAttempt("r1", 2))  # 6: zone
-    breach(fresh(arrival(1, START, BIG)), StartAttempt("r1", 2))  # 6: kind
+    check_illegal(cools_down, StartAttempt("r2", 1))  # 5: in the cooldown of its key
+    check_illegal(fresh(arrival(1, START, WEST_ONLY)), StartAttempt("r1", 2))  # 6: zone
+    check_illegal(fresh(arrival(1, START, BIG_ONLY)), StartAttempt("r1", 2))  # 6: kind
--- a/tests/policy/test_churn.py
+++ b/tests/policy/test_churn.py
@@ -1,4 +1,6 @@
-"""What a balancer remembers through days in which upstreams, peers, clients, tenants and keys all change."""
+"""What a balancer keeps in memory over days in which upstreams, peers, clients, tenants and keys all
+change.
+"""
 
 from __future__ import annotations
 
@@ -27,16 +29,16 @@
     TimerFired,
 )
 from lanelift.policy.settings import Limits, Tenant
-from tests.policy.checked_balancer import CELL, PAY, READ, ROW, SECOND, settings
+from tests.policy.checked_balancer import KEYED_IN_CELL, ORDERED, PAY, READ, SECOND, settings
 
 MINUTE = 60 * SECOND
-LISTED, REPLICAS, REPLACED = 200, 200, 10
+UPSTREAM_COUNT, REPLICA_COUNT, REPLACED_PER_MINUTE = 200, 200, 10
 LIMITS = Limits(max_attempts=3, may_cancel=True, peer_messages=True, retry_after=True)
-ATTEMPT_STARTED = b"\x01%b\x00\x64"  # the message of a send of 10 ms (docs/design/fleet.md)
+ATTEMPT_STARTED = b"\x01%b\x00\x64"  # announces an attempt with 10 ms of work (docs/design/fleet.md)
 
 
 def reachable_objects(root: object) -> Counter[str]:
-    """All objects that can be reached from this one, by their type's name."""
+    """Return the number of objects that can be reached from this one, by the name of their type."""
     seen, todo, found = {id(root)}, [root], Counter[str]()
     while todo:
         one = todo.pop()
@@ -49,23 +51,26 @@
 
 
 class Churn:
-    """One balancer; each minute a twentieth of its upstreams is replaced, and each client, key, tenant and
-    object that comes has never been there before."""
+    """One balancer under churn.
+
+    Each minute a twentieth of its upstreams is replaced; all new clients, keys, tenants and upstreams have
+    unused names.
+    """
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = SECOND
-        config = settings(replica_count=REPLICAS, limits=LIMITS)
+        config = settings(replica_count=REPLICA_COUNT, limits=LIMITS)
         self.balancer = Balancer(config, seed, self.now)
         self.due: list[tuple[int, int, Event]] = []
         self.timer: tuple[int, str] | None = None
         self.count = 0
-        self.listed = list(range(1, LISTED + 1))
-        self.sends: Counter[str] = Counter()
+        self.listed = list(range(1, UPSTREAM_COUNT + 1))
+        self.attempts: Counter[str] = Counter()
         self.over: set[str] = set()
-        self.give(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, [Endpoint(i) for i in self.listed]))
+        self.handle(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, [Endpoint(i) for i in self.listed]))
 
-    def give(self, *events: Event) -> None:
+    def handle(self, *events: Event) -> None:
         for action in self.balancer.handle(self.now, events):
             if isinstance(action, SetTimer):
                 self.timer = self.now + action.delay_ns, action.name
@@ -75,8 +80,8 @@
                 self.over.add(action.request)
 
     def _sent(self, send: StartAttempt) -> None:
-        number = self.sends[send.request]
-        self.sends[send.request] += 1
+        number = self.attempts[send.request]
+        self.attempts[send.request] += 1
         result = self.rng.choices(list(AttemptResult)[:6], [85, 3, 3, 3, 3, 3])[0]
         took = 600_000_000 if result is AttemptResult.TIMEOUT else int(self.rng.uniform(0.01, 0.4) * SECOND)
         outcome = AttemptFinished(send.request, number, send.upstream, result, took)
@@ -94,23 +99,23 @@
             self.now = max(self.now, at)
             if self.timer is not None and self.timer[0] <= self.now:
                 name, self.timer = self.timer[1], None
-                self.give(TimerFired(name))
+                self.handle(TimerFired(name))
             while self.due and self.due[0][0] <= self.now:
                 event = heapq.heappop(self.due)[2]
                 if isinstance(event, AttemptFinished):
                     if event.result is AttemptResult.OK:
                         self.over.add(event.request)
                     event = event._replace(request_complete=event.request in self.over)
-                self.give(event)
+                self.handle(event)
         self.now = until
 
     def run_minute(self) -> None:
-        """Its events, and all that follows from them."""
+        """Run the events of one minute, and all that follow from them."""
         start, self.count = self.now, self.count + 1
-        removed, self.listed = self.listed[:REPLACED], self.listed[REPLACED:]
-        new = [(self.count + 1) * LISTED + 1 + i for i in range(REPLACED)]
+        removed, self.listed = self.listed[:REPLACED_PER_MINUTE], self.listed[REPLACED_PER_MINUTE:]
+        new = [(self.count + 1) * UPSTREAM_COUNT + 1 + i for i in range(REPLACED_PER_MINUTE)]
         self.listed += new
-        self.give(
+        self.handle(
             EndpointUpdate(
                 EndpointUpdateKind.DELTA,
                 [Endpoint(i, EndpointState.REMOVED) for i in removed]
@@ -118,14 +123,16 @@
             )
         )
         tenant = f"tenant-{self.count}"
-        self.give(TenantUpdate([Tenant(tenant, 0.1, rate_limits=(("", 50.0),))]))
-        for i, cls in enumerate((READ, PAY, CELL, ROW) * 6):
+        self.handle(TenantUpdate([Tenant(tenant, 0.1, rate_limits=(("", 50.0),))]))
+        for i, cls in enumerate((READ, PAY, KEYED_IN_CELL, ORDERED) * 6):
             name = f"{self.count}-{i}"
-            who = (tenant, "ash", f"stranger-{name}")[i % 3]
+            tenant_name = (tenant, "ash", f"stranger-{name}")[i % 3]
             wait = 600_000_000
             self.schedule(
                 i * SECOND,
-                RequestArrived(name, cls.name, who, self.now + i * SECOND + wait, 10_000_000, f"key-{name}"),
+                RequestArrived(
+                    name, cls.name, tenant_name, self.now + i * SECOND + wait, 10_000_000, f"key-{name}"
+                ),
             )
             if i % 7 == 0:
                 self.schedule(i * SECOND + wait // 3, ClientDisconnected(name))
@@ -133,27 +140,27 @@
             number = self.rng.choice([*removed, *self.listed])
             self.schedule(i * SECOND, PeerMessageReceived(i, ATTEMPT_STARTED % number.to_bytes(8, "big")))
         self.run_until(start + MINUTE - SECOND)
-        self.give(TenantUpdate(removed=[tenant]))
+        self.handle(TenantUpdate(removed=[tenant]))
         self.run_until(start + MINUTE)
-        self.sends.clear()
+        self.attempts.clear()
         self.over.clear()
 
 
-def days(count: int, per_day: int) -> list[Counter[str]]:
-    """Return the objects at the end of each day; one of so many minutes, and a pause."""
+def simulate_days(count: int, per_day: int) -> list[Counter[str]]:
+    """Return the objects at the end of each day, which has `per_day` minutes of churn and a pause."""
     churn, found = Churn(5), []
     for _ in range(count):
         for _ in range(per_day):
             churn.run_minute()
         churn.run_until(churn.now + 5 * MINUTE)
         assert not churn.balancer.requests and not churn.balancer.ordering.queues
-        assert len(churn.balancer.registry.upstreams) == LISTED
+        assert len(churn.balancer.registry.upstreams) == UPSTREAM_COUNT
         found.append(reachable_objects(churn.balancer))
     return found
 
 
-def grown(found: list[Counter[str]]) -> dict[str, list[int]]:
-    """Kinds of which there are more at each day's end than after the first, by more than chance."""
+def growing_types(found: list[Counter[str]]) -> dict[str, list[int]]:
+    """Return the types that have clearly more objects after every later day than after the first."""
     return {
         kind: [day[kind] for day in found]
         for kind in found[0] | found[-1]
@@ -162,28 +169,26 @@
 
 
 def test_days_of_churn_leave_nothing_behind() -> None:
-    """In three days of churn no kind of object may grow in number from day to day."""
-    assert not grown(days(3, 240))
+    """In three days of churn, no type of object may grow in number from day to day."""
+    assert not growing_types(simulate_days(3, 240))
 
 
 @pytest.mark.parametrize("what", ["upstreams", "clients"])
-def test_the_count_sees_what_is_not_forgotten(what: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Upstreams or requests that something remembers for ever must be seen, or the test above would
-    pass always.
-    """
-    # Here and not above: `benchmarks/decisions.py` plays this file's days with older revisions as well.
+def test_the_object_count_detects_a_leak(what: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Upstreams or requests that are kept for ever must be detected, or the test above would always pass."""
+    # Imported here, as `benchmarks/decisions.py` also runs the churn of this file with older revisions.
     from lanelift.policy.answers import FinalAnswers
     from lanelift.policy.registry import UpstreamRegistry
     from lanelift.policy.requests import PendingRequest
 
-    if what == "upstreams":  # kept by something beside the table itself
-        keep: list[object] = []
+    if what == "upstreams":  # kept by a list outside the registry's table
+        leaked: list[object] = []
         update = UpstreamRegistry.update
 
         def updated(self: UpstreamRegistry, event: EndpointUpdate, now: int) -> None:
             update(self, event, now)
-            keep.extend(self.upstreams.values())
-            self.leak = keep  # type: ignore[attr-defined]
+            leaked.extend(self.upstreams.values())
+            self.leak = leaked  # type: ignore[attr-defined]
 
         monkeypatch.setattr(UpstreamRegistry, "update", updated)
     else:
@@ -196,4 +201,4 @@
             self.state.registry.leak = ended  # type: ignore[attr-defined]
 
         monkeypatch.setattr(FinalAnswers, "finish", end)
-    assert grown(days(3, 20))
+    assert growing_types(simulate_days(3, 20))
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -14,15 +14,15 @@
 )
 
 
-def test_the_window_does_not_run_away_before_the_first_responses() -> None:
-    """Incident i4eb9e9: requests queued at the start, and each wider window looked good before its
-    requests were done.
+def test_the_window_does_not_grow_unbounded_before_the_first_responses() -> None:
+    """Incident i4eb9e9: requests queued at the start, and each wider window looked good before its requests
+    had ended.
     """
     checked = CheckedBalancer(settings(replica_count=20))
     for i in range(300):
-        checked.give(arrival(i, checked.now))
+        checked.handle(arrival(i, checked.now))
         checked.now += MS // 10
-    assert len(checked.out()) <= 3
+    assert len(checked.attempts_in_flight()) <= 3
 
 
 def test_all_replicas_together_start_with_a_few_requests_for_each_upstream() -> None:
@@ -31,44 +31,44 @@
     """
     for replicas in (1, 10, 100, 400):
         checked = CheckedBalancer(settings(replica_count=replicas), upstream_count=40)
-        checked.give(*(arrival(i, checked.now) for i in range(400)))
-        assert len(checked.out()) * replicas / 40 <= 8 + replicas / 40
+        checked.handle(*(arrival(i, checked.now) for i in range(400)))
+        assert len(checked.attempts_in_flight()) * replicas / 40 <= 8 + replicas / 40
 
 
-def feed(checked: CheckedBalancer, took_ns: int, count: int = 40) -> None:
-    """So many requests, one after another, that each take this long."""
+def serve_requests(checked: CheckedBalancer, took_ns: int, count: int = 40) -> None:
+    """Let `count` requests arrive one after another, each served in this time."""
     for i in range(count):
         ident = f"{checked.now}-{i}"
-        checked.give(arrival(ident, checked.now))
+        checked.handle(arrival(ident, checked.now))
         checked.advance(took_ns)
-        if f"r{ident}" in checked.sends and (f"r{ident}", 0) in checked.out():
+        if f"r{ident}" in checked.attempts and (f"r{ident}", 0) in checked.attempts_in_flight():
             checked.finish(f"r{ident}", number=0)
 
 
-def test_slow_responses_narrow_the_window_and_quick_ones_bring_it_back() -> None:
+def test_slow_responses_narrow_the_window_and_quick_ones_widen_it_again() -> None:
     """Responses take nearly all of their objective, then little of it."""
     checked = CheckedBalancer(settings(replica_count=10))
     start = checked.balancer.state.concurrency.window
-    feed(checked, 280 * MS)
+    serve_requests(checked, 280 * MS)
     narrow = checked.balancer.state.concurrency.window
-    feed(checked, 20 * MS, 200)
+    serve_requests(checked, 20 * MS, 200)
     assert narrow < start and narrow < checked.balancer.state.concurrency.window
 
 
 def test_the_first_responses_count_more() -> None:
-    """Incident i530c5f: with two requests a second, what a request takes was known only after many
+    """Incident i530c5f: at two requests per second, the mean service time was known only after many
     seconds.
     """
     checked = CheckedBalancer()
     for i in range(3):
-        checked.give(arrival(i, checked.now))
+        checked.handle(arrival(i, checked.now))
         checked.now += 100 * MS
         checked.finish(f"r{i}")
     assert abs(checked.balancer.state.concurrency.mean_service_time_ns - 100 * MS) < 10 * MS
 
 
 @pytest.mark.parametrize("answers", [4, 400])
-def test_congestion_does_not_pass_for_normal_however_many_responses_there_are(answers: int) -> None:
+def test_congestion_does_not_become_the_baseline_at_any_response_rate(answers: int) -> None:
     """Responses take most of their objective for seconds: few or many, they must not become the baseline."""
     concurrency = CheckedBalancer().balancer.state.concurrency
     for second, latency_ratio in enumerate([0.15] * 10 + [0.7] * 5):
--- a/tests/policy/test_deadlines.py
+++ b/tests/policy/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Requests whose bodies are pending: their time does not run."""
+"""Requests whose bodies are pending: their time is not counted."""
 
 from __future__ import annotations
 
@@ -15,43 +15,41 @@
     MS,
     SECOND,
     CheckedBalancer,
+    actions_of_type,
     arrival,
-    of,
     settings,
 )
 
 
 def pending_body(checked: CheckedBalancer) -> tuple[RequestArrived, int]:
-    """Let a request with a pending body arrive; return that and the upstream of its attempt."""
+    """Let a request with a pending body arrive; return its event and the upstream of its attempt."""
     arrived = arrival(1, checked.now)._replace(body_pending=True)
-    sends = of(StartAttempt, checked.give(arrived))
+    sends = actions_of_type(StartAttempt, checked.handle(arrived))
     assert [(s.request, s.timeout_ns) for s in sends] == [("r1", 0)]
     return arrived, sends[0].upstream
 
 
-def test_while_its_body_is_pending_no_time_runs() -> None:
-    """A client uploads slowly: neither its request nor the upstream is late meanwhile. Both are, once
-    the body is complete.
-    """
+def test_no_time_is_counted_while_a_body_is_pending() -> None:
+    """A client uploads slowly: its request and the upstream can be late only once the body is complete."""
     checked = CheckedBalancer(upstream_count=1)
     _, number = pending_body(checked)
     upstream = checked.balancer.registry.upstreams[number]
     checked.advance(20 * SECOND)
     assert "r1" not in checked.answer and upstream.consecutive_ejections == 0
-    checked.give(BodyReceived("r1", checked.now + 300 * MS))
+    checked.handle(BodyReceived("r1", checked.now + 300 * MS))
     assert checked.balancer.requests["r1"].attempts[0].sent_ns == checked.now  # the upstream begins only now
     checked.advance(200 * MS)
-    assert upstream.consecutive_ejections  # and is checked as any other
+    assert upstream.consecutive_ejections  # and is checked like any other
     checked.advance(200 * MS)
     assert checked.answer["r1"] in ("rejected", "failed")
 
 
 @pytest.mark.parametrize(("spent", "sends"), [(True, 1), (False, 2)])
-def test_a_request_that_has_lost_its_body_is_rejected_and_not_retried(spent: bool, sends: int) -> None:
-    """Part of the body went with an attempt that failed: it can not be sent again."""
+def test_a_request_whose_body_was_consumed_is_rejected_and_not_retried(spent: bool, sends: int) -> None:
+    """An attempt that failed consumed part of the body, so the request can't be sent again."""
     checked = CheckedBalancer(settings(limits=Limits(max_attempts=3)))
     pending_body(checked)
-    checked.give(checked.result("r1", 0, AttemptResult.CONNECT_FAILED)._replace(body_consumed=spent))
+    checked.handle(checked.result("r1", 0, AttemptResult.CONNECT_FAILED)._replace(body_consumed=spent))
     checked.advance(50 * MS)
-    assert len(checked.sends["r1"]) == sends
+    assert len(checked.attempts["r1"]) == sends
     assert checked.answer.get("r1") == ("rejected" if spent else None)
--- a/tests/policy/test_directory.py
+++ b/tests/policy/test_directory.py
@@ -1,4 +1,6 @@
-"""Tenants that a directory names while requests are in flight: the policy alone, without the directory."""
+"""Updates of tenants from a directory while requests are in flight: the policy alone, without the
+directory.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,7 @@
 from lanelift.policy.requests import WaitingPlace
 from lanelift.policy.settings import Idempotency, Limits, RequestClass, Settings, Tenant, UnknownTenants
 from lanelift.policy.token_bucket import TokenBucket
-from tests.policy.checked_balancer import MS, SECOND, CheckedBalancer, arrival, of
+from tests.policy.checked_balancer import MS, SECOND, CheckedBalancer, actions_of_type, arrival
 from tests.policy.simulation import Simulation
 
 QUOTE = RequestClass("quote", Idempotency.IDEMPOTENT, latency_objective_ns=264 * MS, deadline_ns=661 * MS)
@@ -47,59 +49,65 @@
 
 
 class PlainBalancer:
-    """A balancer whose clock the test holds; upstreams are listed, and respond when the test says so."""
+    """A balancer whose clock and upstream responses are controlled by the test."""
 
     def __init__(self, known: Settings, upstreams: int = 4) -> None:
         self.balancer = Balancer(known, 1, 0)
         self.now = SECOND
         self.count = 0
-        self.give(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, [Endpoint(i) for i in range(1, upstreams + 1)]))
+        self.handle(
+            EndpointUpdate(EndpointUpdateKind.SNAPSHOT, [Endpoint(i) for i in range(1, upstreams + 1)])
+        )
 
-    def give(self, *events: Event) -> list[Action]:
+    def handle(self, *events: Event) -> list[Action]:
         return self.balancer.handle(self.now, events)
 
     def request(self, tenant: str, cls: str = "quote", retry: bool = False) -> list[Action]:
         self.count += 1
-        return self.give(
+        return self.handle(
             RequestArrived(f"r{self.count}", cls, tenant, self.now + 661 * MS, 20 * MS, retry=retry)
         )
 
     def serve(self, tenant: str) -> bool:
-        """Let a request arrive and its attempt succeed at once; return whether there was one."""
-        sent = of(StartAttempt, self.request(tenant))
+        """Let a request arrive and its attempt succeed immediately; return whether there was an attempt."""
+        sent = actions_of_type(StartAttempt, self.request(tenant))
         for send in sent:
             self.outcome(self.count, send.upstream, AttemptResult.OK)
         return bool(sent)
 
     def outcome(self, number: int, upstream: int, result: AttemptResult, attempt: int = 0) -> list[Action]:
         complete = result is AttemptResult.OK
-        return self.give(AttemptFinished(f"r{number}", attempt, upstream, result, 20 * MS, complete))
+        return self.handle(AttemptFinished(f"r{number}", attempt, upstream, result, 20 * MS, complete))
 
 
-def test_settings_hold_until_a_directory_has_named_tenants() -> None:
-    """A directory names one tenant: all are served until it has named all; from then on others are denied."""
+def test_settings_apply_until_a_directory_has_named_all_tenants() -> None:
+    """A directory names one tenant: all tenants are served until it has named all; then unlisted ones are
+    denied.
+    """
     plain = PlainBalancer(settings(ash=1))
-    assert of(StartAttempt, plain.request("ash")) and of(StartAttempt, plain.request("nobody"))
-    plain.give(tenant_update(Tenant("birch", 2.0)))
+    assert actions_of_type(StartAttempt, plain.request("ash")) and actions_of_type(
+        StartAttempt, plain.request("nobody")
+    )
+    plain.handle(tenant_update(Tenant("birch", 2.0)))
     for name in ("ash", "birch", "nobody"):
-        assert of(StartAttempt, plain.request(name)), name
-    plain.give(tenant_update(removed=("ash",), deny=True))
-    assert of(StartAttempt, plain.request("birch"))
+        assert actions_of_type(StartAttempt, plain.request(name)), name
+    plain.handle(tenant_update(removed=("ash",), deny=True))
+    assert actions_of_type(StartAttempt, plain.request("birch"))
     for name in ("ash", "nobody", ""):
         assert plain.request(name)[0] == Fail(f"r{plain.count}", "unknown tenant")
 
 
-def test_where_no_tenant_is_listed_all_are_admitted_until_all_are_named() -> None:
+def test_without_listed_tenants_all_are_admitted_until_all_are_named() -> None:
     """No tenant is in the settings: all share one bank until the directory has named all, and unknown
     ones share a small one afterwards.
     """
     plain = PlainBalancer(settings())
-    plain.give(tenant_update(Tenant("ash")))
+    plain.handle(tenant_update(Tenant("ash")))
     assert plain.balancer.state.tenants.banks.keys() == {""}
     assert all(plain.serve("nobody") for _ in range(50))
-    plain.give(tenant_update(deny=False))
+    plain.handle(tenant_update(deny=False))
     assert "" not in plain.balancer.state.tenants.banks
-    assert plain.serve("nobody")  # by the small throttle now
+    assert plain.serve("nobody")  # with the small shared bank now
     assert tenants.UNKNOWN_TENANTS_WEIGHT in plain.balancer.state.tenants.shared_banks
 
 
@@ -112,69 +120,71 @@
         (Tenant("ash", rate_limits=(("", 0.0),)), "limit of 0"),
     ],
 )
-def test_denied_at_once_and_admitted_again_when_that_is_over(tenant: Tenant, why: str) -> None:
-    """A tenant is suspended, may not use the class or has a limit of 0: its request fails at once, with
+def test_a_denied_tenant_fails_immediately_and_is_admitted_again_later(tenant: Tenant, why: str) -> None:
+    """A tenant is suspended, may not use the class or has a limit of 0: its request fails immediately, with
     the reason.
     """
     plain = PlainBalancer(settings(ash=1))
-    plain.give(tenant_update(tenant))
+    plain.handle(tenant_update(tenant))
     assert plain.request("ash") == [Fail("r1", why)]
     assert plain.balancer.requests == {}
-    plain.give(tenant_update(Tenant("ash")))
-    assert of(StartAttempt, plain.request("ash"))
+    plain.handle(tenant_update(Tenant("ash")))
+    assert actions_of_type(StartAttempt, plain.request("ash"))
 
 
 def test_only_the_class_that_is_not_allowed_is_denied() -> None:
     """A tenant may use one class of two: only requests of the other are denied."""
     plain = PlainBalancer(settings())
-    plain.give(tenant_update(Tenant("ash", classes=frozenset({"history"}), rate_limits=(("quote", 0.0),))))
-    assert of(StartAttempt, plain.request("ash", "history"))
+    plain.handle(tenant_update(Tenant("ash", classes=frozenset({"history"}), rate_limits=(("quote", 0.0),))))
+    assert actions_of_type(StartAttempt, plain.request("ash", "history"))
 
 
 @pytest.mark.parametrize(
     "result", [AttemptResult.REJECTED, AttemptResult.RESET, AttemptResult.TIMEOUT, AttemptResult.ERROR]
 )
 @pytest.mark.parametrize("how", ["suspended", "removed", "class"])
-def test_what_was_in_flight_gets_its_outcome_and_no_further_attempt(result: AttemptResult, how: str) -> None:
+def test_an_attempt_in_flight_at_a_denial_ends_and_is_not_retried(result: AttemptResult, how: str) -> None:
     """A tenant is denied while its attempt is in flight, which then fails: there is no retry, and the
     request fails with the reason.
     """
     plain = PlainBalancer(settings(ash=1))
-    sent = of(StartAttempt, plain.request("ash"))
+    sent = actions_of_type(StartAttempt, plain.request("ash"))
     updates = {
         "suspended": tenant_update(Tenant("ash", denial_reason="suspended")),
         "removed": tenant_update(removed=("ash",), deny=True),
         "class": tenant_update(Tenant("ash", classes=frozenset({"history"}))),
     }[how]
-    assert not of(Fail, plain.give(updates)) and not of(CancelAttempt, plain.give(updates))
+    assert not actions_of_type(Fail, plain.handle(updates)) and not actions_of_type(
+        CancelAttempt, plain.handle(updates)
+    )
     done = plain.outcome(1, sent[0].upstream, result)
-    assert not of(StartAttempt, done) and len(of(Fail, done)) == 1
-    assert of(Fail, done)[0].denial_reason
+    assert not actions_of_type(StartAttempt, done) and len(actions_of_type(Fail, done)) == 1
+    assert actions_of_type(Fail, done)[0].denial_reason
     assert plain.balancer.requests == {}
 
 
-def test_a_response_in_flight_as_its_tenant_is_denied_is_passed_on() -> None:
+def test_a_response_to_an_attempt_in_flight_at_a_denial_is_passed_on() -> None:
     """A tenant is suspended while its attempt is in flight, which then succeeds: its client gets the
     response.
     """
     plain = PlainBalancer(settings(ash=1))
-    sent = of(StartAttempt, plain.request("ash"))
-    plain.give(tenant_update(Tenant("ash", denial_reason="suspended")))
-    assert not of(Fail, plain.outcome(1, sent[0].upstream, AttemptResult.OK))
+    sent = actions_of_type(StartAttempt, plain.request("ash"))
+    plain.handle(tenant_update(Tenant("ash", denial_reason="suspended")))
+    assert not actions_of_type(Fail, plain.outcome(1, sent[0].upstream, AttemptResult.OK))
     assert plain.balancer.requests == {}
 
 
-def test_a_suspension_taken_back_in_time_allows_a_retry() -> None:
+def test_a_suspension_that_ends_in_time_allows_a_retry() -> None:
     """A tenant is suspended and admitted again while its attempt is in flight: the request may be retried."""
     plain = PlainBalancer(settings(ash=1))
-    sent = of(StartAttempt, plain.request("ash"))
-    plain.give(tenant_update(Tenant("ash", denial_reason="suspended")))
-    plain.give(tenant_update(Tenant("ash")))
-    assert of(StartAttempt, plain.outcome(1, sent[0].upstream, AttemptResult.REJECTED))
+    sent = actions_of_type(StartAttempt, plain.request("ash"))
+    plain.handle(tenant_update(Tenant("ash", denial_reason="suspended")))
+    plain.handle(tenant_update(Tenant("ash")))
+    assert actions_of_type(StartAttempt, plain.outcome(1, sent[0].upstream, AttemptResult.REJECTED))
 
 
-def place(plain: PlainBalancer, where: WaitingPlace, tenant: str) -> str:
-    """Bring a request of this tenant to that place; its name."""
+def make_request_wait(plain: PlainBalancer, where: WaitingPlace, tenant: str) -> str:
+    """Make a request of this tenant wait in this place; return its name."""
     if where is WaitingPlace.POOL_QUEUE:
         plain.balancer.state.concurrency.window = 0.0
         while not [
@@ -200,14 +210,14 @@
         pytest.param(WaitingPlace.POOL_QUEUE, id="pool-queue"),
     ],
 )
-def test_a_waiting_request_is_denied_at_once(where: WaitingPlace) -> None:
-    """A tenant is suspended while its request waits, wherever that is: it fails at once, and those of
-    others wait on.
+def test_a_waiting_request_is_denied_immediately(where: WaitingPlace) -> None:
+    """A tenant is suspended while its request waits: it fails immediately, and requests of others keep
+    waiting.
     """
     plain = PlainBalancer(settings(ash=1, birch=1))
-    name = place(plain, where, "ash")
-    other = place(plain, where, "birch")
-    failures = of(Fail, plain.give(tenant_update(Tenant("ash", denial_reason="suspended"))))
+    name = make_request_wait(plain, where, "ash")
+    other = make_request_wait(plain, where, "birch")
+    failures = actions_of_type(Fail, plain.handle(tenant_update(Tenant("ash", denial_reason="suspended"))))
     assert Fail(name, "suspended") in failures
     waiting = [r for r in plain.balancer.requests.values() if r.place is not WaitingPlace.NOWHERE]
     assert waiting and not [r for r in waiting if r.tenant_name == "ash"]
@@ -221,29 +231,29 @@
         pytest.param(WaitingPlace.POOL_QUEUE, id="pool-queue"),
     ],
 )
-def test_a_waiting_request_of_a_removed_tenant_goes_on_where_unknown_ones_are_admitted(
+def test_a_waiting_request_of_a_removed_tenant_is_served_if_unknown_ones_are_admitted(
     where: WaitingPlace,
 ) -> None:
     """A tenant is removed while its request waits, and unknown tenants are admitted: the request is
     forwarded in time.
     """
     plain = PlainBalancer(settings(ash=1, birch=1))
-    name = place(plain, where, "ash")
-    assert not of(Fail, plain.give(tenant_update(removed=("ash",), deny=False)))
+    name = make_request_wait(plain, where, "ash")
+    assert not actions_of_type(Fail, plain.handle(tenant_update(removed=("ash",), deny=False)))
     assert plain.balancer.requests[name].place is where
     plain.balancer.state.concurrency.window = 10.0
     sent: set[str] = set()
     for r in list(plain.balancer.requests.values()):
         for number, attempt in enumerate(r.attempts):
             done = AttemptFinished(r.id, number, attempt.upstream.id, AttemptResult.OK, 20 * MS, True)
-            sent |= {s.request for s in of(StartAttempt, plain.give(done))}
+            sent |= {s.request for s in actions_of_type(StartAttempt, plain.handle(done))}
     for _ in range(20):
         plain.now += 10 * MS
-        sent |= {s.request for s in of(StartAttempt, plain.give())}
+        sent |= {s.request for s in actions_of_type(StartAttempt, plain.handle())}
     assert name in sent
 
 
-def test_a_request_that_waits_for_its_key_is_denied_and_the_next_goes_on() -> None:
+def test_a_request_that_waits_for_its_key_is_denied_and_the_next_is_forwarded() -> None:
     """The second of three requests of a key is denied: the third follows the first."""
     ordered = RequestClass(
         "quote",
@@ -260,46 +270,46 @@
         )
     )
     deadline = plain.now + 2 * SECOND
-    plain.give(RequestArrived("a", "quote", "ash", deadline, key="k"))
-    plain.give(RequestArrived("b", "quote", "ash", deadline, key="k"))
-    plain.give(RequestArrived("c", "quote", "birch", deadline, key="k"))
-    failures = plain.give(tenant_update(Tenant("ash", denial_reason="suspended")))
-    assert of(Fail, failures) == [Fail("b", "suspended")]
+    plain.handle(RequestArrived("a", "quote", "ash", deadline, key="k"))
+    plain.handle(RequestArrived("b", "quote", "ash", deadline, key="k"))
+    plain.handle(RequestArrived("c", "quote", "birch", deadline, key="k"))
+    failures = plain.handle(tenant_update(Tenant("ash", denial_reason="suspended")))
+    assert actions_of_type(Fail, failures) == [Fail("b", "suspended")]
     first = plain.balancer.requests["a"].attempts[0].upstream.id
-    done = plain.give(AttemptFinished("a", 0, first, AttemptResult.OK, MS, True))
-    assert [s.request for s in of(StartAttempt, done)] == ["c"]
+    done = plain.handle(AttemptFinished("a", 0, first, AttemptResult.OK, MS, True))
+    assert [s.request for s in actions_of_type(StartAttempt, done)] == ["c"]
 
 
 # ---- limits --------------------------------------------------------------------------------------------
 
 
 def test_a_request_over_a_limit_gets_a_retry_after() -> None:
-    """A tenant asks for more than its limit: it is rejected, with the time until the next token; other
+    """A tenant exceeds the limit of one class: it is rejected, with the time until the next token; other
     classes are not.
     """
     plain = PlainBalancer(settings())
-    plain.give(tenant_update(Tenant("ash", rate_limits=(("quote", 4.0),))))
+    plain.handle(tenant_update(Tenant("ash", rate_limits=(("quote", 4.0),))))
     answers = [plain.request("ash") for _ in range(6)]
-    assert all(of(StartAttempt, a) for a in answers[:4])  # a second's worth at once
-    rejected = [of(Reject, a)[0] for a in answers[4:]]
+    assert all(actions_of_type(StartAttempt, a) for a in answers[:4])  # a burst of one second
+    rejected = [actions_of_type(Reject, a)[0] for a in answers[4:]]
     assert all(r.rate_limited and 0.25 * SECOND <= r.retry_after_ns <= 0.375 * SECOND for r in rejected)
-    assert of(StartAttempt, plain.request("ash", "history"))  # not what the limit is of
+    assert actions_of_type(StartAttempt, plain.request("ash", "history"))  # the limit is not for this class
     plain.now += SECOND // 4
-    assert of(StartAttempt, plain.request("ash"))
-    assert of(Reject, plain.request("ash"))
+    assert actions_of_type(StartAttempt, plain.request("ash"))
+    assert actions_of_type(Reject, plain.request("ash"))
 
 
-def test_a_limit_is_over_all_replicas_and_changes_at_run_time() -> None:
-    """Each of four replicas has a quarter of a limit, and takes a new one at once."""
+def test_a_limit_is_for_all_replicas_together_and_changes_at_run_time() -> None:
+    """Each of four replicas enforces a quarter of a limit, and applies a new limit immediately."""
     known = Settings(classes={"quote": QUOTE}, limits=LIMITS, replica_count=4)
     plain = PlainBalancer(known)
-    plain.give(tenant_update(Tenant("ash", rate_limits=(("", 8.0),))))
-    served = sum(bool(of(StartAttempt, plain.request("ash"))) for _ in range(10))
+    plain.handle(tenant_update(Tenant("ash", rate_limits=(("", 8.0),))))
+    served = sum(bool(actions_of_type(StartAttempt, plain.request("ash"))) for _ in range(10))
     assert served == 2  # a quarter of eight
-    plain.give(tenant_update(Tenant("ash", rate_limits=(("", 400.0),))))
-    plain.request("ash")  # up to now the old limit counts
+    plain.handle(tenant_update(Tenant("ash", rate_limits=(("", 400.0),))))
+    plain.request("ash")  # the old limit applies up to now
     plain.now += SECOND // 10
-    assert sum(bool(of(StartAttempt, plain.request("ash"))) for _ in range(20)) >= 3
+    assert sum(bool(actions_of_type(StartAttempt, plain.request("ash"))) for _ in range(20)) >= 3
 
 
 @given(
@@ -307,29 +317,31 @@
     st.lists(st.integers(0, 2 * SECOND), min_size=1, max_size=200),
 )
 @hyp(max_examples=50, deadline=None)
-def test_never_more_than_the_limit_and_its_burst(rate: float, gaps: list[int]) -> None:
-    """Whatever the gaps between requests, no more pass than the limit and one second of it."""
+def test_no_more_requests_pass_than_the_limit_and_its_burst(rate: float, gaps: list[int]) -> None:
+    """Whatever the gaps between requests, no more pass than the limit and a burst of one second of it."""
     bucket, now = TokenBucket(rate, 0), 0
     for taken, gap in enumerate(gaps, 1):
         now += gap
         wait = bucket.wait_ns(rate, now)
         if wait:
-            assert TokenBucket.wait_ns(bucket, rate, now + wait) == 0  # the time told is enough
+            assert TokenBucket.wait_ns(bucket, rate, now + wait) == 0  # the returned time is enough
             now += wait
         bucket.tokens -= 1
         assert taken <= rate * now / SECOND + max(1.0, rate) + 1e-6
 
 
-# ---- tables --------------------------------------------------------------------------------------------
+# ---- token banks and buckets ---------------------------------------------------------------------------
 
 
-def test_token_banks_are_of_tenants_that_send_requests() -> None:
+def test_only_tenants_that_send_requests_have_token_banks() -> None:
     """A directory names twenty thousand tenants, and fifty send a request: there are fifty banks, and
     none after a pause.
     """
     plain = PlainBalancer(settings())
-    plain.give(*(tenant_update(*(Tenant(f"t{i}") for i in range(k, k + 100))) for k in range(0, 20_000, 100)))
-    plain.give(tenant_update(deny=True))
+    plain.handle(
+        *(tenant_update(*(Tenant(f"t{i}") for i in range(k, k + 100))) for k in range(0, 20_000, 100))
+    )
+    plain.handle(tenant_update(deny=True))
     for i in range(0, 5000, 100):
         plain.request(f"t{i}")
     assert len(plain.balancer.state.tenants.banks) == 50
@@ -339,100 +351,104 @@
             plain.outcome(i, r.attempts[0].upstream.id, AttemptResult.OK)
     for _ in range(400):
         plain.now += SECOND // 2
-        plain.give()
+        plain.handle()
     assert not plain.balancer.state.tenants.banks and not plain.balancer.state.rate.banks
     assert plain.request("t7")[0]
 
 
 def test_tenants_beyond_the_bound_share_one_token_bank(monkeypatch: pytest.MonkeyPatch) -> None:
-    """More tenants send requests than there may be banks: those beyond share one."""
+    """More tenants send requests than there may be banks: the tenants beyond that number share one."""
     monkeypatch.setattr(tenants, "MAX_TOKEN_BANKS", 10)
     plain = PlainBalancer(settings(), upstreams=100)
-    plain.give(tenant_update(*(Tenant(f"t{i}") for i in range(30)), deny=True))
+    plain.handle(tenant_update(*(Tenant(f"t{i}") for i in range(30)), deny=True))
     for i in range(30):
-        assert of(StartAttempt, plain.request(f"t{i}"))
-    ours = plain.balancer.state.tenants
-    assert 9 <= len(ours.banks) <= 10 and tenants.OVERFLOW_TENANTS_WEIGHT in ours.shared_banks
+        assert actions_of_type(StartAttempt, plain.request(f"t{i}"))
+    registry = plain.balancer.state.tenants
+    assert 9 <= len(registry.banks) <= 10 and tenants.OVERFLOW_TENANTS_WEIGHT in registry.shared_banks
 
 
 def test_token_buckets_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """More limits are in use than there may be buckets: those beyond are not counted."""
+    """More limits are in use than there may be buckets: the limits beyond that number are not enforced."""
     monkeypatch.setattr(tenants, "MAX_TOKEN_BUCKETS", 5)
     plain = PlainBalancer(settings(), upstreams=100)
-    plain.give(tenant_update(*(Tenant(f"t{i}", rate_limits=(("", 1.0),)) for i in range(30)), deny=True))
+    plain.handle(tenant_update(*(Tenant(f"t{i}", rate_limits=(("", 1.0),)) for i in range(30)), deny=True))
     for i in range(30):
-        assert of(StartAttempt, plain.request(f"t{i}"))
+        assert actions_of_type(StartAttempt, plain.request(f"t{i}"))
     assert len(plain.balancer.state.tenants.buckets) == 5
     plain.now += 2 * SECOND
-    plain.give()
+    plain.handle()
     assert not plain.balancer.state.tenants.buckets
 
 
-def test_tokens_of_a_departed_tenant_are_not_lent_twice() -> None:
-    """It spends what it has, leaves and comes back: with what it left with, not with a new bank."""
+def test_tokens_of_a_removed_tenant_are_not_lent_twice() -> None:
+    """A tenant spends its tokens, is removed and is added again: it has its former bank, and
+    not a new one.
+    """
     plain = PlainBalancer(settings(ash=1, birch=1), upstreams=100)
     token_bank = plain.balancer.state.tenants.banks["ash"]
     plain.balancer.state.rate.rate_per_s = 40.0
     plain.balancer.state.rate.set_banks(plain.balancer.state.rate.banks, plain.now)
     while token_bank.balance > token_bank.buffer_capacity:
         plain.request("ash")
-    plain.give(tenant_update(removed=("ash",), deny=True))
+    plain.handle(tenant_update(removed=("ash",), deny=True))
     assert token_bank not in plain.balancer.state.rate.banks
-    plain.give(tenant_update(Tenant("ash", 1.0)))
+    plain.handle(tenant_update(Tenant("ash", 1.0)))
     plain.request("ash")
     again = plain.balancer.state.tenants.banks["ash"]
     assert again is token_bank and again.balance <= again.buffer_capacity
     assert again.rate_per_s == pytest.approx(plain.balancer.state.rate.rate_per_s / 2)
 
 
-def test_weights_change_and_tokens_and_buffered_requests_remain() -> None:
-    """A tenant gets another share while requests of it are buffered: they remain, and so do its tokens."""
+def test_a_change_of_weight_keeps_tokens_and_buffered_requests() -> None:
+    """The share of a tenant changes while its requests are buffered: they remain, and so do its tokens."""
     plain = PlainBalancer(settings(ash=1, birch=1))
-    place(plain, WaitingPlace.TOKEN_BUFFER, "ash")
+    make_request_wait(plain, WaitingPlace.TOKEN_BUFFER, "ash")
     token_bank = plain.balancer.state.tenants.banks["ash"]
     balance, buffered = token_bank.balance - token_bank.buffer_capacity, list(token_bank.buffered)
-    plain.give(tenant_update(Tenant("ash", 3.0)))
+    plain.handle(tenant_update(Tenant("ash", 3.0)))
     assert token_bank.weight == 3.0 and list(token_bank.buffered)[: len(buffered)] == buffered
     assert token_bank.balance - token_bank.buffer_capacity == balance
 
 
-def test_shares_that_sum_to_anything_are_divided_by_their_ratio() -> None:
+def test_only_the_ratio_of_shares_counts() -> None:
     """Shares need not sum to one: only their ratio counts."""
     for scale in (1e-5, 1.0, 1e6):
         plain = PlainBalancer(settings())
-        plain.give(tenant_update(Tenant("ash", scale), Tenant("birch", 3 * scale), deny=True))
+        plain.handle(tenant_update(Tenant("ash", scale), Tenant("birch", 3 * scale), deny=True))
         plain.request("ash"), plain.request("birch")
         token_banks = plain.balancer.state.tenants.banks
         for token_bank in token_banks.values():
-            token_bank.demand_per_s = 1e6  # both want more than there is
-        plain.give(tenant_update(Tenant("ash", scale * 1.000001)))
+            token_bank.demand_per_s = 1e6  # both demand more than the rate
+        plain.handle(tenant_update(Tenant("ash", scale * 1.000001)))
         assert token_banks["birch"].rate_per_s == pytest.approx(3 * token_banks["ash"].rate_per_s, rel=0.01)
 
 
-# ---- whole days ----------------------------------------------------------------------------------------
+# ---- simulations ---------------------------------------------------------------------------------------
 
 
 def simulate(updates: dict[float, TenantUpdate], seed: int, length_s: float = 20.0) -> Simulation:
-    """Play four upstreams (80 requests a second), three tenants of 15 a second each, and these updates."""
+    """Simulate four upstreams (80 requests per second), three tenants of 15 per second each, and these
+    updates.
+    """
     rng = random.Random(seed)
-    day = Simulation(settings(ash=1, birch=1, cedar=1), 4, seed)
+    simulation = Simulation(settings(ash=1, birch=1, cedar=1), 4, seed)
     for tenant in ("ash", "birch", "cedar"):
         now = 0.0
         while now < length_s:
             now += rng.expovariate(15)
-            day.schedule_request(
+            simulation.schedule_request(
                 int(now * SECOND), tenant, int(rng.expovariate(1 / 50) * MS) + MS, "quote", 300 * MS
             )
     for at, update in updates.items():
-        day.schedule(int(at * SECOND), "tenant_update", update)
-    day.run_until(int((length_s + 2) * SECOND))
-    assert len(day.answered) == len(day.tenant)  # each has its one answer
-    return day
+        simulation.schedule(int(at * SECOND), "tenant_update", update)
+    simulation.run_until(int((length_s + 2) * SECOND))
+    assert len(simulation.answered) == len(simulation.tenant)  # each request has one answer
+    return simulation
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_tenant_that_is_added_removed_and_changed_costs_the_others_nothing(seed: int) -> None:
-    """One tenant changes every second: the others are served as on a day without changes."""
+def test_changes_of_one_tenant_do_not_affect_the_others(seed: int) -> None:
+    """One tenant changes every second: the others are served as in a run without changes."""
     calm = simulate({}, seed)
     changes: dict[float, TenantUpdate] = {0.5: tenant_update(deny=True)}
     for i in range(1, 19):
@@ -444,13 +460,15 @@
     busy = simulate(changes, seed)
     for tenant in ("ash", "birch"):
         assert busy.share(tenant) > calm.share(tenant) - 0.01
-    assert busy.answers["cedar", "failed"] > 50
+    assert busy.counts["cedar", "failed"] > 50
 
 
 @given(st.integers(0, 2**32), st.lists(st.integers(0, 7), min_size=5, max_size=40))
 @hyp(max_examples=40, deadline=None)
-def test_any_update_at_any_time_leaves_each_request_one_answer(seed: int, steps: list[int]) -> None:
-    """Arrivals, outcomes and news in any order: one answer each, one attempt out, nothing left behind."""
+def test_each_request_gets_one_answer_whatever_the_updates(seed: int, steps: list[int]) -> None:
+    """Arrivals, outcomes and updates come in any order: each request gets one answer, and no
+    state remains.
+    """
     rng = random.Random(seed)
     checked = CheckedBalancer(upstream_count=4)
     names = ["ash", "birch", "cedar"]
@@ -460,15 +478,15 @@
         if step < 3:
             count += 1
             event = arrival(count, checked.now)
-            checked.give(event._replace(tenant=name))
+            checked.handle(event._replace(tenant=name))
         elif step == 3:
-            checked.give(tenant_update(Tenant(name, rng.choice([0.1, 1.0, 9.0]))))
+            checked.handle(tenant_update(Tenant(name, rng.choice([0.1, 1.0, 9.0]))))
         elif step == 4:
-            checked.give(tenant_update(Tenant(name, denial_reason="suspended")))
+            checked.handle(tenant_update(Tenant(name, denial_reason="suspended")))
         elif step == 5:
-            checked.give(tenant_update(removed=(name,), deny=rng.random() < 0.5))
-        elif step == 6 and checked.out():
-            request, number = rng.choice(checked.out())
+            checked.handle(tenant_update(removed=(name,), deny=rng.random() < 0.5))
+        elif step == 6 and checked.attempts_in_flight():
+            request, number = rng.choice(checked.attempts_in_flight())
             checked.finish(request, rng.choice(list(AttemptResult)), number)
         else:
             checked.advance(rng.randrange(MS, 300 * MS))
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,4 +1,4 @@
-"""Overdue attempts: when they are waited for, and whose fault they are."""
+"""Overdue attempts: how long they are waited for, and when they eject their upstream."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 def test_an_attempt_is_waited_for_past_the_latency_objective() -> None:
-    """Requests were rejected at their objective, and a fifth of all clients asked once more for work
-    that upstreams were doing.
+    """Requests were rejected at their objective, and a fifth of all clients repeated requests that upstreams
+    were still processing.
     """
     checked = CheckedBalancer(settings(limits=Limits(may_cancel=True)))
-    checked.give(arrival(1, checked.now, READ, wait_ns=READ.latency_objective_ns + 200 * MS))
+    checked.handle(arrival(1, checked.now, READ, wait_ns=READ.latency_objective_ns + 200 * MS))
     checked.advance(READ.latency_objective_ns + 100 * MS)
-    assert checked.out() == [("r1", 0)] and not checked.answer
+    assert checked.attempts_in_flight() == [("r1", 0)] and not checked.answer
     checked.finish("r1")
     assert checked.answer == {"r1": "served"}
 
 
 def test_a_late_replica_does_not_eject_an_upstream_for_its_own_lateness() -> None:
-    """The check of an overdue attempt comes late: the response may lie here unread, and its upstream is
+    """The check of an overdue attempt is late: the response may already be here, unread, and its upstream is
     not ejected.
     """
-    for step_ns, ejected_count in ((5 * MS, 1), (120 * MS, 0)):  # in time, and on one turn that comes late
+    for step_ns, ejected_count in ((5 * MS, 1), (120 * MS, 0)):  # in time, and in one late step
         checked = CheckedBalancer()
-        checked.give(arrival(1, checked.now))
+        checked.handle(arrival(1, checked.now))
         checked.advance(120 * MS, step_ns)
         assert (
             sum(s.ejected_until_ns > checked.now for s in checked.balancer.registry.upstreams.values())
--- a/tests/policy/test_module.py
+++ b/tests/policy/test_module.py
@@ -1,4 +1,6 @@
-"""What the text of the policy package is held to: lengths, listing, imports, purity, its example."""
+"""Checks of the policy package's source: lengths, the table of modules, imports, purity, and the README's
+example.
+"""
 
 from __future__ import annotations
 
@@ -18,12 +20,12 @@
 LONGEST_FUNCTION = 45  # lines
 
 
-def written(lines: list[str]) -> int:
+def nonblank_lines(lines: list[str]) -> int:
     return sum(bool(line.strip()) for line in lines)
 
 
 def test_length() -> None:
-    assert max(map(written, MODULES.values())) <= LONGEST_MODULE
+    assert max(map(nonblank_lines, MODULES.values())) <= LONGEST_MODULE
     assert max(map(len, LINES)) <= 110
 
 
@@ -34,7 +36,7 @@
 
 
 def imports(name: str) -> set[str]:
-    """Return the modules of the package that a module imports, wherever in its text that is."""
+    """Return the modules of the package that a module imports, anywhere in its source."""
     found: set[str] = set()
     for node in ast.walk(ast.parse("\n".join(MODULES[name]))):
         if isinstance(node, ast.ImportFrom) and node.module == "lanelift.policy":
@@ -60,19 +62,19 @@
     """Modules that import one another can't be read, or loaded, one at a time."""
     graph = {name: imports(name) for name in MODULES}
     assert set().union(*graph.values()) <= set(MODULES)
-    assert graph["balancer.py"]  # or the graph sees no imports at all
+    assert graph["balancer.py"]  # otherwise the graph has no imports at all
     order = list(graphlib.TopologicalSorter(graph).static_order())  # raises CycleError
     assert sorted(order) == sorted(MODULES)
 
 
 def test_the_package_names_every_module_in_its_table() -> None:
-    """An engineer on call starts from the table: a rule that it does not name is not found."""
+    """An engineer on call starts from the table, and would not find a rule that it does not name."""
     head = " ".join(MODULES["__init__.py"])
     assert not [name for name in MODULES if name != "__init__.py" and name not in head]
 
 
 def test_the_table_names_constants_that_its_modules_use() -> None:
-    """A constant is renamed or moved, and the table would send the engineer on call to the wrong place."""
+    """If a constant is renamed or moved, the table must follow, or it misleads the engineer on call."""
     named: list[tuple[str, str]] = []
     module = ""
     for row in MODULES["__init__.py"]:
@@ -85,7 +87,7 @@
         assert re.search(rf"\b{constant}\b", "\n".join(MODULES[module])), f"{module} has no {constant}"
 
 
-def test_names_its_interface_at_the_top() -> None:
+def test_the_package_names_its_interface_modules() -> None:
     head = " ".join(MODULES["__init__.py"])
     assert all(f"`{name}.py`" in head for name in ("settings", "events", "actions"))
 
@@ -95,7 +97,7 @@
     assert sorted(policy) == [f"lanelift/policy/{name}" for name in MODULES]
 
 
-def test_reads_no_clock_and_no_unseeded_chance() -> None:
+def test_the_package_reads_no_clock_and_uses_no_unseeded_randomness() -> None:
     text = "\n".join(LINES)
     assert "import time" not in text and "from time" not in text
     assert not [
--- a/tests/policy/test_ordering.py
+++ b/tests/policy/test_ordering.py
@@ -11,7 +11,7 @@
 from lanelift.policy.settings import Limits
 from tests.policy.checked_balancer import (
     MS,
-    ROW,
+    ORDERED,
     SECOND,
     CheckedBalancer,
     arrival,
@@ -19,20 +19,25 @@
 )
 
 
-def test_one_key_runs_one_at_a_time_and_other_keys_go_on() -> None:
+def test_requests_of_one_key_run_one_at_a_time_and_other_keys_do_not_wait() -> None:
     """Two requests of one key, one of another and one without: only the second of the key waits."""
     checked = CheckedBalancer()
-    checked.give(
-        arrival(1, checked.now, ROW, key="k"),
-        arrival(2, checked.now, ROW, key="k"),
-        arrival(3, checked.now, ROW, key="other"),
-        arrival(4, checked.now, ROW),
+    checked.handle(
+        arrival(1, checked.now, ORDERED, key="k"),
+        arrival(2, checked.now, ORDERED, key="k"),
+        arrival(3, checked.now, ORDERED, key="other"),
+        arrival(4, checked.now, ORDERED),
     )
     for number in (1, 3, 4):
         checked.advance(10 * MS)
         checked.finish(f"r{number}")
     checked.advance(10 * MS)
-    assert list(checked.sends) == ["r1", "r3", "r4", "r2"] or list(checked.sends) == ["r1", "r3", "r2", "r4"]
+    assert list(checked.attempts) == ["r1", "r3", "r4", "r2"] or list(checked.attempts) == [
+        "r1",
+        "r3",
+        "r2",
+        "r4",
+    ]
 
 
 @pytest.mark.parametrize(
@@ -47,52 +52,54 @@
 def test_a_key_cools_down_only_after_an_attempt_that_may_still_run(
     result: AttemptResult, cools_down: bool
 ) -> None:
-    """An attempt that broke or timed out may still run: the next request of its key waits for the
+    """An attempt that broke or timed out may still be running: the next request of its key waits for the
     cooldown.
     """
     limits = Limits(max_attempts=1)
     checked = CheckedBalancer(settings(limits=limits))
-    checked.give(arrival(1, checked.now, ROW, key="k"), arrival(2, checked.now, ROW, key="k"))
+    checked.handle(arrival(1, checked.now, ORDERED, key="k"), arrival(2, checked.now, ORDERED, key="k"))
     checked.now += MS
     checked.finish("r1", result)
     checked.advance(20 * MS)
-    assert ("r2" not in checked.sends) == cools_down
+    assert ("r2" not in checked.attempts) == cools_down
     checked.advance(100 * MS)
-    assert "r2" in checked.sends
+    assert "r2" in checked.attempts
 
 
 def test_a_disconnected_client_with_an_attempt_in_flight_still_holds_its_key() -> None:
-    """A client disconnects, but its attempt is in flight: the next request of the key waits for that."""
+    """A client disconnects, but its attempt is in flight: the next request of the key waits for the attempt
+    to end.
+    """
     checked = CheckedBalancer(settings(limits=Limits(max_attempts=2)))
-    checked.give(arrival(1, checked.now, ROW, key="k"), arrival(2, checked.now, ROW, key="k"))
-    checked.give(ClientDisconnected("r1"))
+    checked.handle(arrival(1, checked.now, ORDERED, key="k"), arrival(2, checked.now, ORDERED, key="k"))
+    checked.handle(ClientDisconnected("r1"))
     checked.advance(100 * MS)
-    assert "r2" not in checked.sends
+    assert "r2" not in checked.attempts
     checked.finish("r1", AttemptResult.ERROR)
     checked.advance(10 * MS)
-    assert "r2" in checked.sends
+    assert "r2" in checked.attempts
 
 
-def test_a_request_that_waits_for_its_key_spends_no_token_and_is_answered() -> None:
-    """Nineteen requests wait for one of their key that is never answered: none takes a token, each gets
-    its answer.
+def test_a_request_that_waits_for_its_key_takes_no_token_and_is_answered() -> None:
+    """Nineteen requests wait for an earlier one of their key that is never served: none takes a token, and
+    each is answered.
     """
     checked = CheckedBalancer()
-    checked.give(arrival(0, checked.now, ROW, key="k"))
+    checked.handle(arrival(0, checked.now, ORDERED, key="k"))
     before = checked.balancer.state.tenants.banks["ash"].balance
-    checked.give(*(arrival(i, checked.now, ROW, key="k") for i in range(1, 20)))
+    checked.handle(*(arrival(i, checked.now, ORDERED, key="k") for i in range(1, 20)))
     assert checked.balancer.state.tenants.banks["ash"].balance == before
     checked.advance(600 * MS)
     assert len(checked.answer) == 20
 
 
-def test_nothing_remains_of_a_key_after_its_last_use() -> None:
-    """Fifty keys are used once: after their cooldown nothing is left of them."""
+def test_no_state_of_a_key_remains_after_its_last_use() -> None:
+    """Fifty keys are used once: after their cooldown, no state of them remains."""
     checked = CheckedBalancer()
     for i in range(50):
-        checked.give(arrival(i, checked.now, ROW, key=f"k{i}"))
+        checked.handle(arrival(i, checked.now, ORDERED, key=f"k{i}"))
         checked.advance(10 * MS)
-        if i % 2 and f"r{i}" in checked.sends:
+        if i % 2 and f"r{i}" in checked.attempts:
             checked.finish(f"r{i}")
     checked.advance(2 * SECOND)
     assert not checked.balancer.ordering.queues and not checked.balancer.requests
--- a/tests/policy/test_outcomes.py
+++ b/tests/policy/test_outcomes.py
@@ -20,26 +20,29 @@
 
 
 def test_a_response_that_is_passed_on_frees_the_window_and_is_never_given_up() -> None:
-    """Clients that read slowly would fill the window, and each long response would pass for a slow
-    upstream.
+    """Otherwise slow clients would fill the window, and each long response would look like a
+    slow upstream.
     """
     checked = CheckedBalancer(settings(replica_count=16), upstream_count=4)  # a window of two
-    checked.give(*(arrival(i, checked.now) for i in range(3)))
+    checked.handle(*(arrival(i, checked.now) for i in range(3)))
     assert len(checked.balancer.requests) == 3 and checked.balancer.state.attempts_in_flight == 2
     first = next(iter(checked.balancer.requests.values()))
     upstream = first.attempts[0].upstream
     in_flight = upstream.in_flight
-    checked.give(ResponseStarted(first.id, 0, upstream.id, 20 * MS))
-    assert checked.balancer.state.attempts_in_flight == 2  # the third takes its place
+    checked.handle(ResponseStarted(first.id, 0, upstream.id, 20 * MS))
+    assert checked.balancer.state.attempts_in_flight == 2  # the third request takes its place
     assert upstream.in_flight <= in_flight
-    good, stress = checked.balancer.state.rate.on_time, checked.balancer.state.concurrency.latency_ratio
-    assert good == 1
+    on_time, latency_ratio = (
+        checked.balancer.state.rate.on_time,
+        checked.balancer.state.concurrency.latency_ratio,
+    )
+    assert on_time == 1
     checked.advance(2 * SECOND)  # past its deadline
     assert first.id not in checked.answer and not first.finished
-    checked.give(AttemptFinished(first.id, 0, upstream.id, AttemptResult.OK, 3 * SECOND, True))
+    checked.handle(AttemptFinished(first.id, 0, upstream.id, AttemptResult.OK, 3 * SECOND, True))
     assert (
         first.id not in checked.balancer.requests
-        and checked.balancer.state.concurrency.latency_ratio <= stress
+        and checked.balancer.state.concurrency.latency_ratio <= latency_ratio
     )
 
 
@@ -51,14 +54,14 @@
     would be a second answer.
     """
     checked = CheckedBalancer(settings(limits=Limits(max_attempts=3)), upstream_count=4)
-    checked.give(arrival(1, checked.now))
+    checked.handle(arrival(1, checked.now))
     r = checked.balancer.requests["r1"]
     upstream = r.attempts[0].upstream
-    checked.give(ResponseStarted("r1", 0, upstream.id, 20 * MS))
-    checked.give(ResponseStarted("r1", 0, upstream.id, 20 * MS))  # reported twice: counted once
+    checked.handle(ResponseStarted("r1", 0, upstream.id, 20 * MS))
+    checked.handle(ResponseStarted("r1", 0, upstream.id, 20 * MS))  # reported twice: counted once
     assert (upstream.in_flight, checked.balancer.state.attempts_in_flight) == (0, 0)
     was = checked.balancer.state.rate.late_or_failed
-    checked.give(AttemptFinished("r1", 0, upstream.id, result, SECOND, True))
+    checked.handle(AttemptFinished("r1", 0, upstream.id, result, SECOND, True))
     assert (
         upstream.in_flight,
         checked.balancer.state.attempts_in_flight,
@@ -72,7 +75,7 @@
     nothing happens.
     """
     checked = CheckedBalancer()
-    checked.give(arrival(1, checked.now))
+    checked.handle(arrival(1, checked.now))
     late = checked.result("r1", 0, AttemptResult.OK)
-    checked.give(late)
+    checked.handle(late)
     checked.balancer.handle(checked.now, [late, late._replace(request="unknown"), late._replace(upstream=99)])
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -17,12 +17,12 @@
 from tests.policy.checked_balancer import MS, SECOND, START, CheckedBalancer, arrival, settings, upstreams
 from tests.policy.simulation import Simulation
 
-PEERS = Limits(max_attempts=3, may_cancel=True, peer_messages=True)
+PEER_LIMITS = Limits(max_attempts=3, may_cancel=True, peer_messages=True)
 REPLICAS, EMULATORS = 12, 18
 
 
-def sharing_desk(**changes: Any) -> CheckedBalancer:
-    changes = {"limits": PEERS, "replica_count": REPLICAS, **changes}
+def sharing_balancer(**changes: Any) -> CheckedBalancer:
+    changes = {"limits": PEER_LIMITS, "replica_count": REPLICAS, **changes}
     return CheckedBalancer(settings(**changes), upstream_count=EMULATORS)
 
 
@@ -30,30 +30,34 @@
     return [a for a in actions if isinstance(a, SendPeerMessage)]
 
 
-def busy_day(seed: int, peers: bool, lost: float = 0.0) -> Simulation:
-    """Play many replicas, each with little traffic; their upstreams are six tenths busy."""
+def simulate_busy_replicas(seed: int, peers: bool, lost: float = 0.0) -> Simulation:
+    """Simulate many replicas with little traffic each; their upstreams are at six tenths of
+    their capacity.
+    """
     config = settings(
         classes={"quote": RequestClass("quote", latency_objective_ns=100 * MS, deadline_ns=400 * MS)},
         limits=Limits(max_attempts=3, may_cancel=True, peer_messages=peers),
         replica_count=REPLICAS,
     )
-    day, rng, now = Simulation(config, EMULATORS, seed, lost=lost), random.Random(seed), 0.0
+    simulation, rng, now = Simulation(config, EMULATORS, seed, lost=lost), random.Random(seed), 0.0
     while now < 10:
         now += rng.expovariate(0.6 * EMULATORS / 0.040)
         work = max(1, int(rng.lognormvariate(3.5, 0.6) * MS))
-        day.schedule_request(int(now * SECOND), "ash", work, "quote", 100 * MS, rng.randrange(REPLICAS))
-    day.run_until(11 * SECOND)
-    return day
+        simulation.schedule_request(
+            int(now * SECOND), "ash", work, "quote", 100 * MS, rng.randrange(REPLICAS)
+        )
+    simulation.run_until(11 * SECOND)
+    return simulation
 
 
 def test_an_attempt_is_announced_to_the_replicas_that_share_its_upstream_only() -> None:
     """One attempt: a message goes to each replica that has its upstream in its subset, and to no other."""
-    checked = sharing_desk()
-    actions = checked.give(arrival(1, checked.now))
-    number = checked.sends["r1"][0][0].id
+    checked = sharing_balancer()
+    actions = checked.handle(arrival(1, checked.now))
+    number = checked.attempts["r1"][0][0].id
     subsets = []
-    for me in range(1, REPLICAS):
-        other = Balancer(settings(limits=PEERS, replica_count=REPLICAS, replica=me), 1, START)
+    for replica in range(1, REPLICAS):
+        other = Balancer(settings(limits=PEER_LIMITS, replica_count=REPLICAS, replica=replica), 1, START)
         other.handle(START, [EndpointUpdate(EndpointUpdateKind.SNAPSHOT, upstreams(EMULATORS))])
         if any(
             s.id == number
@@ -61,7 +65,7 @@
                 : other.registry.unrestricted_pool.subset.size
             ]
         ):
-            subsets.append(me)
+            subsets.append(replica)
     assert {t.peer for t in peer_messages(actions)} <= set(subsets)
     assert len(peer_messages(actions)) == 3
     assert all(len(t.data) <= 16 for t in peer_messages(actions))
@@ -73,45 +77,45 @@
         {"limits": Limits(max_attempts=3, may_cancel=True)},
         {"prices": Prices(peer=1.0)},
         {"replica_count": 1},
-        {"replica_count": 400},  # each upstream has too many sharers
+        {"replica_count": 400},  # too many replicas share each upstream
     ],
 )
-def test_nothing_is_announced_where_that_is_not_allowed_or_expensive(changes: dict[str, Any]) -> None:
+def test_nothing_is_announced_if_that_is_not_allowed_or_too_expensive(changes: dict[str, Any]) -> None:
     """Peer messages are forbidden, cost too much, or would go to too many or to none: none is sent."""
-    checked = sharing_desk(**changes)
-    assert not peer_messages(checked.give(arrival(1, checked.now)))
+    checked = sharing_balancer(**changes)
+    assert not peer_messages(checked.handle(arrival(1, checked.now)))
 
 
 def test_upstreams_with_announced_work_are_avoided() -> None:
     """Other replicas have announced work at all upstreams but one: that one is chosen."""
-    checked = sharing_desk()
+    checked = sharing_balancer()
     order = checked.balancer.registry.unrestricted_pool.subset.order
     own_subset = order[: checked.balancer.registry.unrestricted_pool.subset.size]
     free = own_subset[0].id
     for s in own_subset[1:]:
-        checked.give(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, s.id, 500)))
+        checked.handle(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, s.id, 500)))
     checked.balancer.registry.unrestricted_pool.previous = own_subset[0]
-    checked.give(arrival(1, checked.now))
-    assert checked.sends["r1"][0][0].id == free
+    checked.handle(arrival(1, checked.now))
+    assert checked.attempts["r1"][0][0].id == free
 
 
 def test_own_attempts_count_as_queued_work() -> None:
     """Three requests in one instant go to three upstreams, and each has its work queued."""
-    checked = sharing_desk()
-    checked.give(*(arrival(i, checked.now)._replace(cost_hint_ns=40 * MS) for i in range(3)))
-    assert len({checked.sends[f"r{i}"][0][0].id for i in range(3)}) == 3
+    checked = sharing_balancer()
+    checked.handle(*(arrival(i, checked.now)._replace(cost_hint_ns=40 * MS) for i in range(3)))
+    assert len({checked.attempts[f"r{i}"][0][0].id for i in range(3)}) == 3
     assert all(
         checked.balancer.registry.upstreams[sent[0][0].id].free_at_ns == checked.now + 40 * MS
-        for sent in checked.sends.values()
+        for sent in checked.attempts.values()
     )
 
 
-def test_a_message_counts_from_when_it_was_received() -> None:
-    """A message was read late: the work that it announces has begun meanwhile."""
-    checked = sharing_desk()
+def test_announced_work_counts_from_when_the_message_was_received() -> None:
+    """A message is handled late: the work that it announces has begun in the meantime."""
+    checked = sharing_balancer()
     upstream = checked.balancer.registry.unrestricted_pool.subset.order[0]
     checked.advance(SECOND)
-    checked.give(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 500), checked.now - 30 * MS))
+    checked.handle(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 500), checked.now - 30 * MS))
     assert upstream.queued_work_ns(checked.now, 0) == 20 * MS
 
 
@@ -127,38 +131,42 @@
         b"\xff" * 256,
     ],
 )
-def test_a_message_that_means_nothing_changes_nothing(data: bytes) -> None:
+def test_an_invalid_message_is_ignored(data: bytes) -> None:
     """A message is too short or long, of another kind, or about an unknown upstream: it changes nothing."""
-    checked = sharing_desk()
-    checked.give(PeerMessageReceived(3, data))
+    checked = sharing_balancer()
+    checked.handle(PeerMessageReceived(3, data))
     assert not any(s.free_at_ns for s in checked.balancer.registry.upstreams.values())
 
 
-def test_a_flood_of_messages_needs_no_memory() -> None:
+def test_a_flood_of_messages_needs_bounded_memory() -> None:
     """A replica announces a thousand attempts at one upstream: what is remembered and counted is bounded."""
-    checked = sharing_desk()
+    checked = sharing_balancer()
     upstream = checked.balancer.registry.unrestricted_pool.subset.order[0]
-    checked.give(*(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 0xFFFF)) for _ in range(1000)))
+    checked.handle(
+        *(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 0xFFFF)) for _ in range(1000))
+    )
     assert len(upstream.reservations) <= 64
-    assert upstream.queued_work_ns(checked.now, 0) <= SECOND  # nor is it left alone for hours
+    assert upstream.queued_work_ns(checked.now, 0) <= SECOND  # and it is not left idle for hours
 
 
-def test_a_hint_is_no_reason_to_reject_before_responses_confirmed_hints() -> None:
-    """A client hints at two seconds before anything was answered: nothing says that hints are right."""
-    checked = sharing_desk()
-    checked.give(arrival(1, checked.now)._replace(cost_hint_ns=2 * SECOND))
-    assert "r1" in checked.sends and not checked.answer
+def test_no_request_is_rejected_by_its_hint_before_responses_confirm_hints() -> None:
+    """A client hints at two seconds before there are any responses, so nothing shows yet that hints are
+    right.
+    """
+    checked = sharing_balancer()
+    checked.handle(arrival(1, checked.now)._replace(cost_hint_ns=2 * SECOND))
+    assert "r1" in checked.attempts and not checked.answer
 
 
 def test_a_response_shows_that_earlier_attempts_are_completed() -> None:
-    """A response shows that its upstream has done what was sent before it: only later work is still
+    """A response shows that its upstream has completed all earlier attempts: only later work is still
     queued.
     """
-    checked = sharing_desk()
-    checked.give(arrival(1, checked.now))
-    upstream = checked.balancer.registry.upstreams[checked.sends["r1"][0][0].id]
+    checked = sharing_balancer()
+    checked.handle(arrival(1, checked.now))
+    upstream = checked.balancer.registry.upstreams[checked.attempts["r1"][0][0].id]
     checked.advance(MS, MS)
-    checked.give(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 300)))
+    checked.handle(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 300)))
     checked.advance(MS, MS)
     checked.finish("r1")
     assert upstream.queued_work_ns(checked.now, 0) == 30 * MS
@@ -167,64 +175,68 @@
 @pytest.mark.parametrize(
     "result", [AttemptResult.REJECTED, AttemptResult.ERROR, AttemptResult.CONNECT_FAILED]
 )
-def test_a_rejected_attempt_is_no_queued_work(result: AttemptResult) -> None:
-    """An upstream did nothing of a request: its work is not queued there."""
-    checked = sharing_desk()
-    checked.give(arrival(1, checked.now))
-    upstream = checked.balancer.registry.upstreams[checked.sends["r1"][0][0].id]
+def test_a_rejected_attempt_is_not_queued_work(result: AttemptResult) -> None:
+    """The upstream did not execute the request: its work is not queued there."""
+    checked = sharing_balancer()
+    checked.handle(arrival(1, checked.now))
+    upstream = checked.balancer.registry.upstreams[checked.attempts["r1"][0][0].id]
     checked.finish("r1", result)
-    assert checked.sends["r1"][1][0].id == upstream.id or not upstream.queued_work_ns(checked.now, 0)
+    assert checked.attempts["r1"][1][0].id == upstream.id or not upstream.queued_work_ns(checked.now, 0)
 
 
-def test_a_request_that_its_client_will_not_wait_for_is_rejected_at_once() -> None:
+def test_a_request_that_takes_longer_than_its_client_waits_is_rejected_immediately() -> None:
     """Hints have proved right, and one request would take longer than its client waits."""
-    checked = sharing_desk()
+    checked = sharing_balancer()
     for i in range(1, 200):
         checked.balancer.state.service_times.by_hint.observe(i * MS, i * MS)
     hopeless = arrival(1, checked.now)._replace(cost_hint_ns=900 * MS)
-    checked.give(hopeless, arrival(2, checked.now)._replace(cost_hint_ns=500 * MS))
-    assert checked.answer == {"r1": "rejected"} and "r2" in checked.sends
+    checked.handle(hopeless, arrival(2, checked.now)._replace(cost_hint_ns=500 * MS))
+    assert checked.answer == {"r1": "rejected"} and "r2" in checked.attempts
 
 
 @pytest.mark.parametrize(("ahead_ms", "answer"), [(0, None), (100, None), (260, "rejected")])
-def test_queued_work_that_makes_a_request_late_is_a_reason_to_reject(
-    ahead_ms: int, answer: str | None
-) -> None:
-    """All upstreams were behind: all responses came late, and each client asked once more."""
-    checked = sharing_desk()
+def test_a_request_that_queued_work_would_make_late_is_rejected(ahead_ms: int, answer: str | None) -> None:
+    """All upstreams had a backlog: all responses were late, and each client repeated its request."""
+    checked = sharing_balancer()
     for s in checked.balancer.registry.upstreams.values():
-        checked.give(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, s.id, max(1, 10 * ahead_ms))))
+        checked.handle(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, s.id, max(1, 10 * ahead_ms))))
     checked.advance(MS, MS)
-    checked.give(arrival(1, checked.now)._replace(cost_hint_ns=50 * MS))
+    checked.handle(arrival(1, checked.now)._replace(cost_hint_ns=50 * MS))
     assert checked.answer.get("r1") == answer
 
 
 @pytest.mark.parametrize("power", [0.3, 1.0, 0.0])
-def test_the_meaning_of_hints_is_learned(power: float) -> None:
-    """Hints of 6 ms took 30 and those of 200 ms 80: added up as they stand they mislead."""
-    guess, draw = HintRegression(), random.Random(3)
-    assert guess.estimate_ns(20 * MS) == 20 * MS
+def test_the_relation_of_hints_and_durations_is_learned(power: float) -> None:
+    """Requests with hints of 6 ms took 30 ms and those of 200 ms took 80 ms, so the sum of raw hints was
+    misleading.
+    """
+    regression, rng = HintRegression(), random.Random(3)
+    assert regression.estimate_ns(20 * MS) == 20 * MS
     for _ in range(200):
-        hint = int(math.exp(draw.gauss(3, 1)) * MS) + 1
-        guess.observe(hint, 30 * MS * (hint / (20 * MS)) ** power * draw.uniform(0.8, 1.25))
+        hint = int(math.exp(rng.gauss(3, 1)) * MS) + 1
+        regression.observe(hint, 30 * MS * (hint / (20 * MS)) ** power * rng.uniform(0.8, 1.25))
     for hint in (5, 20, 100):
-        assert guess.estimate_ns(hint * MS) == pytest.approx(30 * MS * (hint / 20) ** power, rel=0.2)
-    guess.observe(1, 0)  # whatever it is told
-    assert 0 < guess.estimate_ns(1) < 10 * SECOND
+        assert regression.estimate_ns(hint * MS) == pytest.approx(30 * MS * (hint / 20) ** power, rel=0.2)
+    regression.observe(1, 0)  # for any sample
+    assert 0 < regression.estimate_ns(1) < 10 * SECOND
 
 
-def test_one_response_is_not_taken_for_a_law() -> None:
-    """After one sample the estimate lies between what that and the hint say."""
-    guess = HintRegression()
-    guess.observe(10 * MS, 90 * MS)
-    assert guess.estimate_ns(10 * MS) == pytest.approx(90 * MS)
-    assert 90 * MS < guess.estimate_ns(40 * MS) < 360 * MS
+def test_one_response_does_not_determine_the_estimate() -> None:
+    """After one sample, the estimate lies between the sample and the hint."""
+    regression = HintRegression()
+    regression.observe(10 * MS, 90 * MS)
+    assert regression.estimate_ns(10 * MS) == pytest.approx(90 * MS)
+    assert 90 * MS < regression.estimate_ns(40 * MS) < 360 * MS
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_announcements_serve_more_and_a_lost_message_costs_little(seed: int) -> None:
-    """Two draws by own counts alone are nearly blind where each replica has one request in flight."""
-    alone, telling, lossy = busy_day(seed, False), busy_day(seed, True), busy_day(seed, True, lost=0.2)
-    assert telling.share("ash") > alone.share("ash") + 0.03
-    assert lossy.share("ash") > alone.share("ash") + 0.02
-    assert not alone.messages and telling.messages <= 4 * telling.answers["ash", "requested"]
+def test_announcements_raise_the_served_share_and_lost_messages_cost_little(seed: int) -> None:
+    """Two draws by own counts alone say nearly nothing if each replica has one request in flight."""
+    without_messages, announcing, with_losses = (
+        simulate_busy_replicas(seed, False),
+        simulate_busy_replicas(seed, True),
+        simulate_busy_replicas(seed, True, lost=0.2),
+    )
+    assert announcing.share("ash") > without_messages.share("ash") + 0.03
+    assert with_losses.share("ash") > without_messages.share("ash") + 0.02
+    assert not without_messages.messages and announcing.messages <= 4 * announcing.counts["ash", "requested"]
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -14,13 +14,13 @@
 from tests.policy.checked_balancer import (
     MS,
     CheckedBalancer,
+    actions_of_type,
     arrival,
-    of,
     settings,
 )
 
 
-def probing_desk(upstream_count: int = 6) -> CheckedBalancer:
+def probing_balancer(upstream_count: int = 6) -> CheckedBalancer:
     """Return a balancer that sends load probes."""
     limits = Limits(max_attempts=3, load_probes=True, may_cancel=True)
     return CheckedBalancer(
@@ -30,7 +30,7 @@
 
 def probed_by(actions: list[Action]) -> list[int]:
     """Return the upstreams that actions probe."""
-    return [a.upstream for a in of(ProbeLoad, actions)]
+    return [a.upstream for a in actions_of_type(ProbeLoad, actions)]
 
 
 def reports(upstreams: list[int], in_flight: float) -> list[Event]:
@@ -39,102 +39,106 @@
 
 
 def test_probes_a_few_upstreams_and_forwards_to_the_least_loaded() -> None:
-    """Where replicas are many, own counts say little: the load reports of upstreams decide."""
-    checked = probing_desk()
-    probed = [a.upstream for a in checked.give(arrival(1, checked.now)) if isinstance(a, ProbeLoad)]
-    assert probed and "r1" not in checked.sends
+    """With many replicas, own counts say little: the load reports of upstreams decide."""
+    checked = probing_balancer()
+    probed = [a.upstream for a in checked.handle(arrival(1, checked.now)) if isinstance(a, ProbeLoad)]
+    assert probed and "r1" not in checked.attempts
     checked.now += MS
-    checked.give(
+    checked.handle(
         *(LoadProbeFinished(u, AttemptResult.OK, MS, {"inflight": float(i)}) for i, u in enumerate(probed))
     )
-    assert checked.sends["r1"][0][0].id == probed[0]
+    assert checked.attempts["r1"][0][0].id == probed[0]
 
 
 def test_does_not_wait_for_a_lost_report() -> None:
-    """No load report comes: the request is forwarded without."""
-    checked = probing_desk()
-    checked.give(arrival(1, checked.now))
+    """No load report is received: the request is forwarded without one."""
+    checked = probing_balancer()
+    checked.handle(arrival(1, checked.now))
     checked.advance(20 * MS)
-    assert len(checked.sends["r1"]) == 1
+    assert len(checked.attempts["r1"]) == 1
 
 
 def test_rejects_when_all_probed_upstreams_would_answer_late() -> None:
-    """All upstreams, also those of the second round, report far too much work: the request is rejected."""
-    checked = probing_desk()
-    probed = probed_by(checked.give(arrival(1, checked.now)))
+    """All upstreams, including those of the second round, report far too much work: the request is
+    rejected.
+    """
+    checked = probing_balancer()
+    probed = probed_by(checked.handle(arrival(1, checked.now)))
     checked.now += MS
-    others = probed_by(checked.give(*reports(probed, 500.0)))
-    checked.give(*reports(others, 500.0))
+    others = probed_by(checked.handle(*reports(probed, 500.0)))
+    checked.handle(*reports(others, 500.0))
     assert checked.answer["r1"] == "rejected"
 
 
 def test_probes_others_before_it_waits_behind_work() -> None:
-    """Four of five busy upstreams say nothing of the fifth: a third of all requests waited behind work
+    """Four busy upstreams of five say nothing about the fifth: a third of all requests waited behind work
     while it was idle.
     """
-    checked = probing_desk(upstream_count=8)
-    first = probed_by(checked.give(arrival(1, checked.now)))
+    checked = probing_balancer(upstream_count=8)
+    first = probed_by(checked.handle(arrival(1, checked.now)))
     checked.now += MS
-    others = probed_by(checked.give(*reports(first, 1.0)))
-    assert others and not set(others) & set(first) and "r1" not in checked.sends
+    others = probed_by(checked.handle(*reports(first, 1.0)))
+    assert others and not set(others) & set(first) and "r1" not in checked.attempts
     checked.now += MS
-    assert not probed_by(checked.give(*reports(others[1:], 1.0), *reports(others[:1], 0.0)))
-    assert checked.sends["r1"][0][0].id == others[0]
+    assert not probed_by(checked.handle(*reports(others[1:], 1.0), *reports(others[:1], 0.0)))
+    assert checked.attempts["r1"][0][0].id == others[0]
 
 
 def test_probes_others_once_and_then_takes_the_least_loaded_of_all() -> None:
     """Both rounds of probes report work: there is no third, and the least loaded of all is chosen."""
-    checked = probing_desk(upstream_count=8)
-    first = probed_by(checked.give(arrival(1, checked.now)))
+    checked = probing_balancer(upstream_count=8)
+    first = probed_by(checked.handle(arrival(1, checked.now)))
     checked.now += MS
-    others = probed_by(checked.give(*reports(first[1:], 2.0), *reports(first[:1], 1.0)))
+    others = probed_by(checked.handle(*reports(first[1:], 2.0), *reports(first[:1], 1.0)))
     checked.now += MS
-    assert not probed_by(checked.give(*reports(others, 2.0)))
-    assert checked.sends["r1"][0][0].id == first[0]
+    assert not probed_by(checked.handle(*reports(others, 2.0)))
+    assert checked.attempts["r1"][0][0].id == first[0]
 
 
-def test_a_second_round_of_probes_that_is_lost_holds_nothing_up() -> None:
+def test_a_lost_second_round_of_probes_does_not_stop_a_request() -> None:
     """The first probes report work, and the second round is never answered: the request is forwarded."""
-    checked = probing_desk(upstream_count=8)
-    first = probed_by(checked.give(arrival(1, checked.now)))
+    checked = probing_balancer(upstream_count=8)
+    first = probed_by(checked.handle(arrival(1, checked.now)))
     checked.now += MS
-    assert probed_by(checked.give(*reports(first, 1.0)))
+    assert probed_by(checked.handle(*reports(first, 1.0)))
     checked.advance(20 * MS)
-    assert len(checked.sends["r1"]) == 1
+    assert len(checked.attempts["r1"]) == 1
 
 
 @pytest.mark.parametrize(("upstream_count", "in_flight"), [(8, 0.0), (3, 1.0)])
-def test_no_second_round_where_one_is_idle_or_all_were_probed(upstream_count: int, in_flight: float) -> None:
-    """A second round of probes can find nothing better: it costs a delay, so there is none."""
-    checked = probing_desk(upstream_count=upstream_count)
+def test_no_second_round_of_probes_if_one_is_idle_or_all_were_probed(
+    upstream_count: int, in_flight: float
+) -> None:
+    """A second round of probes can find nothing better and would cost time, so there is none."""
+    checked = probing_balancer(upstream_count=upstream_count)
     checked.balancer.rng.seed(3)
-    for number in range(6):  # until one has probed all there are
-        first = probed_by(checked.give(arrival(number, checked.now)))
+    for number in range(6):  # until a request has probed all of them
+        first = probed_by(checked.handle(arrival(number, checked.now)))
         checked.now += MS
-        others = probed_by(checked.give(*reports(first, in_flight)))
+        others = probed_by(checked.handle(*reports(first, in_flight)))
         if upstream_count == 8 or len(set(first)) == upstream_count:
             assert not others
-        checked.give(*reports(others, in_flight))
+        checked.handle(*reports(others, in_flight))
         checked.finish(f"r{number}")
 
 
 def test_an_idle_upstream_is_never_too_slow_to_try() -> None:
-    """One heavy request made an upstream look slow, and on a quiet day all that followed was rejected."""
-    checked = probing_desk(upstream_count=1)
+    """One heavy request made an upstream look slow, and under low load all later requests were rejected."""
+    checked = probing_balancer(upstream_count=1)
     checked.balancer.registry.upstreams[1].service_time_factor = 9.0
-    checked.give(arrival(1, checked.now, wait_ns=100 * MS))
-    checked.give(LoadProbeFinished(1, AttemptResult.OK, MS, {"inflight": 0.0}))
-    assert len(checked.sends["r1"]) == 1
+    checked.handle(arrival(1, checked.now, wait_ns=100 * MS))
+    checked.handle(LoadProbeFinished(1, AttemptResult.OK, MS, {"inflight": 0.0}))
+    assert len(checked.attempts["r1"]) == 1
 
 
-def test_expensive_or_blind_probes_are_not_used() -> None:
+def test_expensive_or_uninformative_probes_are_not_used() -> None:
     """Probes cost too much, or do not report requests in flight: none is sent."""
     limits = Limits(max_attempts=3, load_probes=True)
     expensive = settings(limits=limits, load_report_fields=("inflight",), prices=Prices(probe=0.05))
     for config in (expensive, settings(limits=limits, load_report_fields=("util",))):
         checked = CheckedBalancer(config)
-        checked.give(arrival(1, checked.now))
-        assert "r1" in checked.sends and not of(ProbeLoad, checked.log)
+        checked.handle(arrival(1, checked.now))
+        assert "r1" in checked.attempts and not actions_of_type(ProbeLoad, checked.log)
 
 
 def probing_with_retry_after(upstream_count: int = 6) -> CheckedBalancer:
@@ -148,29 +152,31 @@
 def test_one_probe_is_in_flight_at_each_upstream_and_serves_all_requests() -> None:
     """Each request sent its own probes: in half a second 160 connections were open, and none was free."""
     checked = probing_with_retry_after(3)
-    actions = checked.give(*(arrival(i, checked.now) for i in range(20)))
+    actions = checked.handle(*(arrival(i, checked.now) for i in range(20)))
     probed = [a.upstream for a in actions if isinstance(a, ProbeLoad)]
-    assert len(probed) == len(set(probed)) <= 3 and not checked.sends
+    assert len(probed) == len(set(probed)) <= 3 and not checked.attempts
     checked.now += MS
-    checked.give(*(LoadProbeFinished(u, AttemptResult.OK, MS, {"inflight": 0.0}) for u in probed))
-    assert len(checked.sends) > 1 and not checked.answer
-    # An upstream that does not report is not probed again meanwhile, nor waited for; once it has, it is.
+    checked.handle(*(LoadProbeFinished(u, AttemptResult.OK, MS, {"inflight": 0.0}) for u in probed))
+    assert len(checked.attempts) > 1 and not checked.answer
+    # An upstream that does not report is neither probed again nor waited for until its probe has ended.
     checked = probing_with_retry_after(1)
-    assert len(of(ProbeLoad, checked.give(arrival(1, checked.now)))) == 1
+    assert len(actions_of_type(ProbeLoad, checked.handle(arrival(1, checked.now)))) == 1
     checked.advance(20 * MS)
-    assert "r1" in checked.sends
-    assert not of(ProbeLoad, checked.give(arrival(2, checked.now))) and "r2" in checked.sends
-    checked.give(LoadProbeFinished(1, AttemptResult.TIMEOUT, 20 * MS))
-    assert len(of(ProbeLoad, checked.give(arrival(3, checked.now)))) == 1
+    assert "r1" in checked.attempts
+    assert (
+        not actions_of_type(ProbeLoad, checked.handle(arrival(2, checked.now))) and "r2" in checked.attempts
+    )
+    checked.handle(LoadProbeFinished(1, AttemptResult.TIMEOUT, 20 * MS))
+    assert len(actions_of_type(ProbeLoad, checked.handle(arrival(3, checked.now)))) == 1
 
 
 def test_attempts_made_while_a_probe_is_in_flight_count_on_top_of_its_report() -> None:
     """A report may not count what was forwarded since its probe: both are queued work."""
     checked = probing_with_retry_after(1)
-    checked.give(arrival(1, checked.now))
-    checked.advance(20 * MS)  # not waited for any longer
-    checked.give(arrival(2, checked.now))
-    checked.give(LoadProbeFinished(1, AttemptResult.OK, 20 * MS, {"inflight": 3.0}))
+    checked.handle(arrival(1, checked.now))
+    checked.advance(20 * MS)  # the report is no longer waited for
+    checked.handle(arrival(2, checked.now))
+    checked.handle(LoadProbeFinished(1, AttemptResult.OK, 20 * MS, {"inflight": 3.0}))
     concurrency, upstream = checked.balancer.state.concurrency, checked.balancer.registry.upstreams[1]
     service_times = checked.balancer.state.service_times
     own = sum(
@@ -183,10 +189,12 @@
 
 
 def test_waiting_for_a_load_report_does_not_saturate_the_pool() -> None:
-    """Requests of tenants over their share were rejected as soon as one other waited for a load report."""
+    """Requests of tenants over their share were rejected as soon as one other request waited for a load
+    report.
+    """
     checked = probing_with_retry_after()
     checked.balancer.state.rate.goodput_per_s = 1.0
     for t in checked.balancer.state.tenants.banks.values():
         t.over_share = True
-    checked.give(*(arrival(i, checked.now) for i in range(5)))
+    checked.handle(*(arrival(i, checked.now) for i in range(5)))
     assert not checked.answer
--- a/tests/policy/test_random_days.py
+++ b/tests/policy/test_random_schedules.py
@@ -1,4 +1,4 @@
-"""Random legal days against the checker of the rules."""
+"""Random legal sequences of events, with each action checked against the rules."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 )
 from lanelift.policy.settings import Limits
 from tests.policy.checked_balancer import (
-    ANY,
-    BIG,
-    CELL,
+    BIG_ONLY,
+    KEYED_ANYWHERE,
+    KEYED_IN_CELL,
     MS,
+    ORDERED,
     PAY,
     READ,
-    ROW,
     SECOND,
-    WEST,
+    WEST_ONLY,
     CheckedBalancer,
     arrival,
-    places,
+    mixed_endpoints,
     settings,
 )
 
@@ -39,14 +39,14 @@
 
 @hyp(derandomize=True, deadline=None, max_examples=120)
 @given(st.integers(0, 10**6), st.booleans(), st.booleans(), st.integers(1, 9))
-def test_random_days_keep_the_rules(seed: int, copies: bool, push: bool, upstream_count: int) -> None:
-    """Any legal order of arrivals, outcomes, updates and timers: every action is legal, each request
+def test_random_schedules_keep_the_rules(seed: int, hedging: bool, push: bool, upstream_count: int) -> None:
+    """For any legal order of arrivals, outcomes, updates and timers, every action is legal and each request
     gets one answer.
     """
     rng = random.Random(seed)
     limits = Limits(
         max_attempts=rng.choice([1, 2, 3, 5]),
-        hedging=copies,
+        hedging=hedging,
         may_cancel=rng.random() < 0.7,
         retry_after=True,
         load_probes=True,
@@ -57,14 +57,16 @@
         seed,
         upstream_count,
     )
-    pool = places(upstream_count)
-    checked.give(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, pool))
+    pool = mixed_endpoints(upstream_count)
+    checked.handle(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, pool))
     for number in range(rng.randint(5, 120)):
         for _ in range(rng.choice([0, 1, 1, 2, 12])):
-            cls = rng.choice([READ, PAY, CELL, ANY, ROW, ROW, WEST, BIG])
-            ident = f"{number}-{rng.random()}"
+            cls = rng.choice(
+                [READ, PAY, KEYED_IN_CELL, KEYED_ANYWHERE, ORDERED, ORDERED, WEST_ONLY, BIG_ONLY]
+            )
+            name = f"{number}-{rng.random()}"
             arrived = arrival(
-                ident,
+                name,
                 checked.now,
                 cls,
                 rng.choice(["ash", "birch"]),
@@ -72,29 +74,29 @@
                 rng.random() < 0.2,
                 rng.choice(["", "k1", "k2"]),
             )
-            checked.give(arrived._replace(body_pending=rng.random() < 0.2))
-        for request, attempt in checked.out():
+            checked.handle(arrived._replace(body_pending=rng.random() < 0.2))
+        for request, attempt in checked.attempts_in_flight():
             if (
                 rng.random() < 0.1
                 and request not in checked.answer
                 and request not in checked.response_started
             ):
-                upstream, sent = checked.sends[request][attempt]
-                checked.give(ResponseStarted(request, attempt, upstream.id, checked.now - sent))
+                upstream, sent = checked.attempts[request][attempt]
+                checked.handle(ResponseStarted(request, attempt, upstream.id, checked.now - sent))
             elif request in checked.body_pending and request not in checked.answer and rng.random() < 0.3:
-                checked.give(BodyReceived(request, checked.now + rng.choice([2, 40, 300]) * MS))
+                checked.handle(BodyReceived(request, checked.now + rng.choice([2, 40, 300]) * MS))
             elif request in checked.body_pending and rng.random() < 0.3:
-                checked.give(
+                checked.handle(
                     checked.result(request, attempt, AttemptResult.CONNECT_FAILED)._replace(
                         body_consumed=True
                     )
                 )
             elif rng.random() < 0.4:
-                checked.give(checked.result(request, attempt, rng.choice(RESULTS)))
+                checked.handle(checked.result(request, attempt, rng.choice(RESULTS)))
         if rng.random() < 0.1:
             open_ones = [r for r in checked.classes if r not in checked.answer]
             if open_ones:
-                checked.give(ClientDisconnected(rng.choice(open_ones)))
+                checked.handle(ClientDisconnected(rng.choice(open_ones)))
         if rng.random() < 0.1:
             i = rng.randrange(len(pool))
             started = checked.now if rng.random() < 0.5 else pool[i].started_ns
@@ -102,14 +104,14 @@
             kind = rng.choice(
                 [EndpointUpdateKind.DELTA, EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED]
             )
-            checked.give(EndpointUpdate(kind, [pool[i]] if kind is EndpointUpdateKind.DELTA else pool))
+            checked.handle(EndpointUpdate(kind, [pool[i]] if kind is EndpointUpdateKind.DELTA else pool))
         if not push and rng.random() < 0.05:
-            checked.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+            checked.handle(EndpointUpdate(EndpointUpdateKind.FAILED))
         checked.advance(rng.choice([0, 1, 10, 50]) * MS)
     checked.advance(2 * SECOND)
-    while out := checked.out():  # what is passed on, or is coming, may take for ever
+    while out := checked.attempts_in_flight():  # responses and bodies in transfer may take any time
         request, attempt = out[0]
         assert request in checked.response_started or request in checked.body_pending
-        checked.give(checked.result(request, attempt, rng.choice(RESULTS)))
+        checked.handle(checked.result(request, attempt, rng.choice(RESULTS)))
     assert set(checked.answer) == set(checked.classes)
     assert not checked.balancer.state.attempts_in_flight and not checked.balancer.requests
--- a/tests/policy/test_registry.py
+++ b/tests/policy/test_registry.py
@@ -14,36 +14,36 @@
 )
 
 
-def test_what_is_missing_from_a_snapshot_is_removed() -> None:
-    """A snapshot names one upstream of six: the others get nothing more."""
+def test_an_upstream_missing_from_a_snapshot_is_removed() -> None:
+    """A snapshot names one upstream of six: the others get no more attempts."""
     checked = CheckedBalancer()
-    checked.give(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, upstreams(1)))
+    checked.handle(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, upstreams(1)))
     for i in range(5):
-        checked.give(arrival(i, checked.now))
+        checked.handle(arrival(i, checked.now))
         checked.finish(f"r{i}")
-    assert {u.id for sent in checked.sends.values() for u, _ in sent} == {1}
+    assert {u.id for sent in checked.attempts.values() for u, _ in sent} == {1}
 
 
 def test_a_removed_upstream_is_forgotten_with_its_last_attempt() -> None:
-    """Upstreams are replaced for ever, by snapshots and deltas: only listed ones and those with
-    attempts are remembered.
+    """Upstreams are replaced again and again, by snapshots and deltas: only listed ones and those with
+    attempts are kept.
     """
     checked = CheckedBalancer(upstream_count=3)
-    checked.give(*(arrival(i, checked.now) for i in range(6)))
-    assert checked.out()
-    for first in range(10, 3000, 3):  # ever new ids, by whole lists and by changes
+    checked.handle(*(arrival(i, checked.now) for i in range(6)))
+    assert checked.attempts_in_flight()
+    for first in range(10, 3000, 3):  # always new ids, by snapshots and deltas
         removed = [
             u._replace(state=EndpointState.REMOVED)
             for u in checked.endpoints.values()
             if u.state is not EndpointState.REMOVED
         ]
         kind = (EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.DELTA)[first % 2]
-        checked.give(
+        checked.handle(
             EndpointUpdate(kind, upstreams(3, first) + (removed if kind is EndpointUpdateKind.DELTA else []))
         )
     registry = checked.balancer.registry
     assert {s.id for s in registry.upstreams.values()} - {1, 2, 3} == {first, first + 1, first + 2}
-    for request, number in checked.out():
+    for request, number in checked.attempts_in_flight():
         checked.finish(request, number=number)
     assert set(registry.upstreams) == {first, first + 1, first + 2}
     assert checked.balancer.state.attempts_in_flight == 0 and not checked.balancer.requests
--- a/tests/policy/test_side_by_side.py
+++ b/tests/policy/test_side_by_side.py
@@ -9,13 +9,13 @@
 from tests.policy.checked_balancer import MS, SECOND, settings
 from tests.policy.simulation import Simulation
 
-HERE = settings(
+FIRST_SETTINGS = settings(
     classes={"quote": RequestClass("quote", latency_objective_ns=100 * MS, deadline_ns=400 * MS)},
     limits=Limits(max_attempts=3, may_cancel=True, peer_messages=True),
     replica_count=6,
 )
-# The same names with another meaning: effect, times, limits, price of a look, a tenant's share.
-THERE = settings(
+# The same names with other meanings: idempotency, times, limits, load probes, a tenant's share.
+SECOND_SETTINGS = settings(
     classes={
         "quote": RequestClass(
             "quote", Idempotency.NON_IDEMPOTENT, latency_objective_ns=900 * MS, deadline_ns=3 * SECOND
@@ -27,43 +27,43 @@
     rules=Rules(slow_start_ns=4 * SECOND, overload_multiple=2.0),
     replica_count=2,
 )
-STEP, STEPS = SECOND // 20, 100
+STEP_NS, STEP_COUNT = SECOND // 20, 100
 
 
-def day(config: Settings, seed: int) -> Simulation:
-    made, rng, now = Simulation(config, 8, seed), random.Random(seed), 0.0
+def simulate(config: Settings, seed: int) -> Simulation:
+    simulation, rng, now = Simulation(config, 8, seed), random.Random(seed), 0.0
     while now < 4:
         now += rng.expovariate(150)
-        who = rng.choice(("ash", "elm", "nobody"))
-        made.schedule_request(
+        tenant = rng.choice(("ash", "elm", "nobody"))
+        simulation.schedule_request(
             int(now * SECOND),
-            who,
+            tenant,
             int(rng.lognormvariate(3.5, 0.6) * MS),
             "quote",
             400 * MS,
             rng.randrange(config.replica_count),
         )
-    return made
+    return simulation
 
 
 def outcome(played: Simulation) -> tuple[list[tuple[int, int, int]], Counter[tuple[str, str]], int]:
-    return played.sends, played.answers, played.messages
+    return played.attempt_log, played.counts, played.messages
 
 
-def test_two_customers_in_one_process_decide_as_each_does_alone() -> None:
-    """Two balancers with the same names for different things run in one process: neither changes a
-    decision of the other.
+def test_two_balancers_in_one_process_decide_as_each_does_alone() -> None:
+    """Two balancers use the same names for different things in one process: neither changes a decision of the
+    other.
     """
     alone = []
-    for config, seed in ((HERE, 3), (THERE, 4)):
-        one = day(config, seed)
-        for step in range(STEPS):
-            one.run_until(step * STEP)
-        alone.append(outcome(one))
-    both = [day(HERE, 3), day(THERE, 4)]
-    for step in range(STEPS):
-        for one in both:
-            one.run_until(step * STEP)
-    assert [outcome(one) for one in both] == alone
+    for config, seed in ((FIRST_SETTINGS, 3), (SECOND_SETTINGS, 4)):
+        simulation = simulate(config, seed)
+        for step in range(STEP_COUNT):
+            simulation.run_until(step * STEP_NS)
+        alone.append(outcome(simulation))
+    both = [simulate(FIRST_SETTINGS, 3), simulate(SECOND_SETTINGS, 4)]
+    for step in range(STEP_COUNT):
+        for simulation in both:
+            simulation.run_until(step * STEP_NS)
+    assert [outcome(simulation) for simulation in both] == alone
     assert all(len(sends) > 200 for sends, _, _ in alone)
     assert alone[0] != alone[1]
--- a/tests/policy/test_subscription.py
+++ b/tests/policy/test_subscription.py
@@ -1,4 +1,4 @@
-"""How the endpoint list is asked for."""
+"""The subscription to the endpoint list."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     SECOND,
     START,
     CheckedBalancer,
-    of,
+    actions_of_type,
     settings,
 )
 
@@ -21,14 +21,14 @@
 def test_without_push_it_subscribes_and_backs_off() -> None:
     """Each call to discovery fails: the calls come at growing intervals, within the notification deadline."""
     checked = CheckedBalancer(settings(discovery_push=False))
-    assert not of(Subscribe, checked.log)
+    assert not actions_of_type(Subscribe, checked.log)
     checked.advance(5 * SECOND)
-    assert len(of(Subscribe, checked.log)) == 1
+    assert len(actions_of_type(Subscribe, checked.log)) == 1
     gaps, last = [], checked.now
     for _ in range(4):
-        checked.give(EndpointUpdate(EndpointUpdateKind.FAILED))
-        before = len(of(Subscribe, checked.log))
-        while len(of(Subscribe, checked.log)) == before:
+        checked.handle(EndpointUpdate(EndpointUpdateKind.FAILED))
+        before = len(actions_of_type(Subscribe, checked.log))
+        while len(actions_of_type(Subscribe, checked.log)) == before:
             checked.advance(50 * MS)
             assert checked.now - last < 20 * SECOND
         gaps.append(checked.now - last)
@@ -37,7 +37,7 @@
 
 
 def test_first_calls_are_spread() -> None:
-    """Replicas start in one instant: their first calls to discovery are spread."""
+    """Replicas start at the same time: their first calls to discovery are spread."""
     delays = set()
     for seed in range(10):
         b = Balancer(settings(discovery_push=False), seed, START)
@@ -49,4 +49,4 @@
     """The endpoint list is pushed: no call is made."""
     checked = CheckedBalancer()
     checked.advance(5 * SECOND)
-    assert not of(Subscribe, checked.log)
+    assert not actions_of_type(Subscribe, checked.log)
--- a/tests/policy/test_tenants.py
+++ b/tests/policy/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants: the requests of one must not cost another."""
+"""Tenants: the requests of one tenant must not take capacity from another."""
 
 from __future__ import annotations
 
@@ -20,27 +20,31 @@
 
 
 def simulate(rates: dict[str, float], length_s: float = 20.0, seed: int = 1) -> Simulation:
-    """Play four upstreams (80 requests a second) and Poisson streams; `*` is a flood under ever new names."""
+    """Simulate four upstreams (80 requests per second) and Poisson streams; `*` is a flood under always new
+    names.
+    """
     rng = random.Random(seed)
-    day = Simulation(SETTINGS, 4, seed)
+    simulation = Simulation(SETTINGS, 4, seed)
     for tenant, rate in rates.items():
         now, number = 0.0, 0
         while now < length_s:
             now += rng.expovariate(rate)
             number += 1
             name = f"nobody-{number}" if tenant == "*" else tenant
-            day.schedule_request(
+            simulation.schedule_request(
                 int(now * SECOND), name, int(rng.expovariate(1 / WORK_MS) * MS) + MS, "quote", 300 * MS
             )
-    day.run_until(int((length_s + 2) * SECOND))
-    assert len(day.answered) == len(day.tenant)  # each has its answer
-    return day
+    simulation.run_until(int((length_s + 2) * SECOND))
+    assert len(simulation.answered) == len(simulation.tenant)  # each request has its answer
+    return simulation
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_flood_of_unknown_tenants_costs_no_known_one(seed: int) -> None:
-    """Thousands of unknown tenants flood the balancer. Once they spent the tokens of whichever tenant
-    was listed first, which was served 12 % of its requests.
+def test_a_flood_of_unknown_tenants_does_not_affect_known_ones(seed: int) -> None:
+    """Thousands of unknown tenants flood the balancer.
+
+    They used to spend the tokens of whichever tenant was listed first, which was then served 12 % of its
+    requests.
     """
     calm = simulate({"ash": 15, "birch": 15}, seed=seed)
     flood = simulate({"ash": 15, "birch": 15, "*": 300}, seed=seed)
@@ -48,16 +52,18 @@
     for tenant in ("ash", "birch"):
         assert flood.share(tenant) > calm.share(tenant) - 0.1
     unknown_served = sum(
-        n for (tenant, what), n in flood.answers.items() if what == "served" and "nobody" in tenant
+        n for (tenant, what), n in flood.counts.items() if what == "served" and "nobody" in tenant
     )
-    assert unknown_served > 50  # they have a part of their own, and no more: nothing is lent to them
+    assert unknown_served > 50  # they have a share of their own, but nothing is lent to them
 
 
-def test_few_requests_of_unknown_tenants_are_admitted_like_any() -> None:
+def test_few_requests_of_unknown_tenants_are_admitted() -> None:
     """Unknown tenants send few requests: nearly all are served."""
-    day = simulate({"ash": 15, "birch": 15, "*": 5})
+    simulation = simulate({"ash": 15, "birch": 15, "*": 5})
     requested = sum(
-        n for (tenant, what), n in day.answers.items() if what == "requested" and "nobody" in tenant
+        n for (tenant, what), n in simulation.counts.items() if what == "requested" and "nobody" in tenant
+    )
+    served = sum(
+        n for (tenant, what), n in simulation.counts.items() if what == "served" and "nobody" in tenant
     )
-    served = sum(n for (tenant, what), n in day.answers.items() if what == "served" and "nobody" in tenant)
     assert served > 0.9 * requested
--- a/tests/policy/test_token_bank.py
+++ b/tests/policy/test_token_bank.py
@@ -27,8 +27,11 @@
     )
 
 
-def play(bank: TokenBank, steps: list[int]) -> tuple[list[int], list[int], list[str]]:
-    """At each second: one token, then that many requests. Gives U, the overflows so far, the order sent."""
+def run_steps(bank: TokenBank, steps: list[int]) -> tuple[list[int], list[int], list[str]]:
+    """Each second, add one token and offer the given number of requests.
+
+    Returns the values of U, the overflows so far, and the requests in the order in which they were forwarded.
+    """
     path, lost, sent = [], [], []
     overflow = count = 0
     for second, arrivals in enumerate(steps, 1):
@@ -47,7 +50,7 @@
 
 
 def recursion(total: int, balance: int, steps: list[int]) -> tuple[list[int], list[int]]:
-    """(2.8) and (2.10), a token epoch and then the requests one by one."""
+    """Return the values of (2.8) and (2.10), for a token epoch followed by the requests one by one."""
     path, lost, overflow = [], [], 0
     for arrivals in steps:
         balance = min(total, balance + 1)
@@ -69,7 +72,7 @@
 def test_counter_follows_the_recursion(capacity: int, buffer: int, steps: list[int]) -> None:
     """The balance U follows the recursion (2.8) with the overflow (2.10), whatever arrives."""
     bank = token_bank(capacity, buffer, capacity + buffer)
-    path, lost, _ = play(bank, steps)
+    path, lost, _ = run_steps(bank, steps)
     assert (path, lost) == recursion(capacity + buffer, capacity + buffer, steps)
     assert len(bank.buffered) == max(0, buffer - bank.balance)  # (2.3)
 
@@ -79,12 +82,12 @@
 def test_overflow_depends_on_the_sum_of_the_capacities_only(
     total: int, data: st.DataObject, steps: list[int]
 ) -> None:
-    """Theorem 3.1: the overflow depends on C_T + C_J and not on either alone."""
+    """Theorem 3.1: the overflow depends on C_T + C_J, and not on either of them alone."""
     a, b = (data.draw(st.integers(1, total)) for _ in "ab")
     balance = data.draw(st.integers(max(a, b), total))
     assert (
-        play(token_bank(total - a, a, balance), steps)[:2]
-        == play(token_bank(total - b, b, balance), steps)[:2]
+        run_steps(token_bank(total - a, a, balance), steps)[:2]
+        == run_steps(token_bank(total - b, b, balance), steps)[:2]
     )
 
 
@@ -92,7 +95,7 @@
 @given(STEPS)
 def test_buffered_requests_leave_in_order(steps: list[int]) -> None:
     """Buffered requests are released in the order in which they came."""
-    _, _, sent = play(token_bank(1, 4, 5), steps)
+    _, _, sent = run_steps(token_bank(1, 4, 5), steps)
     assert sent == sorted(sent, key=lambda pending: int(pending[1:]))
 
 
@@ -106,7 +109,9 @@
 
 
 def test_a_change_of_rate_keeps_tokens_and_buffered_requests() -> None:
-    """R is divided anew while a request is buffered: it remains, and leaves by the new rate."""
+    """R is divided again while a request is buffered: the request remains, and is released at
+    the new rate.
+    """
     bank = token_bank(0, 2, 2)
     pending = request(1, bank)
     assert bank.offer(pending, 0) is TokenResult.BUFFERED
@@ -115,7 +120,7 @@
     assert list(bank.release_buffered(20 * MS)) == [pending]
 
 
-def test_starts_full_and_ticks_out_of_step() -> None:
+def test_banks_start_full_and_accrue_tokens_out_of_step() -> None:
     """Banks start full, and their tokens come at different times."""
     banks = [TokenBank(1.0, random.Random(seed), 0) for seed in range(20)]
     for bank in banks:
