--- a/lanelift/faults/activity_log.py
+++ b/lanelift/faults/activity_log.py
@@ -1,8 +1,8 @@
 """A task that logs when it acts, and the checks of such logs: `python -m lanelift.faults.activity_log FILE`.
 
-Each action is one line, in one write, in a file of the task's own: `WHAT TOKEN TIME PID`, the time from the
-machine's one CLOCK_BOOTTIME, in nanoseconds. The checks believe nothing that the lease code says, neither
-who holds nor that tokens rise: who acted when is read from the files alone.
+Each action is logged as one line, in a single write, to a file of the task's own: `WHAT TOKEN TIME PID`, with
+the time in nanoseconds of the machine's CLOCK_BOOTTIME. The checks read from these files alone which task
+acted when. They do not rely on the lease code, neither for the holder nor for rising tokens.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
     Attributes:
         file: The name of the task's file.
         token: The fencing token that the task was started with.
-        first_ns: When it acted first, on CLOCK_BOOTTIME.
-        last_ns: When it acted last.
-        actions: How often it acted.
-        ended: Whether it logged its own end.
-        pid: Its process.
+        first_ns: The time of the first action, on CLOCK_BOOTTIME.
+        last_ns: The time of the last action, on CLOCK_BOOTTIME.
+        actions: How often the task acted.
+        ended: Whether the task logged its own end.
+        pid: The task's process id.
     """
 
     file: str
@@ -47,7 +47,7 @@
 def read_intervals(folder: Path) -> list[HoldInterval]:
     """Reads all activity logs of a folder.
 
-    A last line that a kill has cut off is no action.
+    A last line that was cut off by a kill is ignored.
 
     Returns:
         All intervals, in the order of their first action.
@@ -59,7 +59,7 @@
 
 
 def overlapping_pairs(intervals: list[HoldInterval]) -> list[tuple[HoldInterval, HoldInterval]]:
-    """Returns the pairs that acted at the same time."""
+    """Returns the pairs of intervals that overlap."""
     return [
         (earlier, later)
         for number, earlier in enumerate(intervals)
@@ -69,19 +69,19 @@
 
 
 def token_regressions(intervals: list[HoldInterval]) -> list[tuple[HoldInterval, HoldInterval]]:
-    """Returns the neighbours whose tokens did not rise."""
+    """Returns the pairs of consecutive intervals whose tokens do not rise."""
     return [
         (earlier, later) for earlier, later in itertools.pairwise(intervals) if later.token <= earlier.token
     ]
 
 
 def main(path: str, duration_s: float = DEFAULT_DURATION_S, ignores_sigterm: bool = False) -> int:
-    """Acts, and logs it, until SIGTERM or until its time is over.
+    """Acts and logs each action, until SIGTERM or until the duration is over.
 
     Args:
         path: The file to log to; lines are appended.
-        duration_s: How long it acts.
-        ignores_sigterm: Whether it goes on after SIGTERM.
+        duration_s: How long to act.
+        ignores_sigterm: Whether to continue after SIGTERM.
 
     Returns:
         The exit code, 0.
--- a/lanelift/faults/datagram_proxy.py
+++ b/lanelift/faults/datagram_proxy.py
@@ -1,6 +1,7 @@
-"""A proxy for the datagrams between two processes, which injects faults in each direction by itself.
+"""A proxy for the datagrams between two processes, which injects faults in each direction independently.
 
-Each pair of ends has a proxy of its own, which can cut, delay, lose or repeat what passes. Loopback only.
+Each pair of ends has its own proxy, which can cut the link, and delay, lose or repeat datagrams. Loopback
+only.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 
 Address = tuple[str, int]
 LOOPBACK = "127.0.0.1"
-MAX_COPY_DELAY_MS = 600  # until a repeated datagram follows, where no step says otherwise: as in `simulation`
+MAX_COPY_DELAY_MS = 600  # default delay of a repeated datagram, the same as in `simulation`
 
 
 class ProxyEndpoint(asyncio.DatagramProtocol):
-    """The socket to which one end sends what is for the other.
+    """The socket to which one end sends the datagrams for the other end.
 
     Attributes:
-        received: Called with each datagram and where it was sent from.
-        transport: Its socket, once it is open.
+        received: Called with each datagram and its source address.
+        transport: The transport of the socket, once it is open.
     """
 
     def __init__(self, received: Callable[[bytes, Address], None]) -> None:
@@ -31,22 +32,22 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the socket."""
+        """Keeps the transport of the open socket (called by asyncio)."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Hands over a datagram."""
+        """Passes a datagram to `received` (called by asyncio)."""
         self.received(data, address[:2])
 
     @property
     def address(self) -> Address:
-        """The address of its open socket."""
+        """The address of the open socket."""
         assert self.transport is not None
         host, port = self.transport.get_extra_info("sockname")[:2]
         return host, port
 
     def send(self, data: bytes, address: Address | None) -> None:
-        """Sends a datagram; drops it where the address is unknown or the socket is closed."""
+        """Sends a datagram; drops it if the address is unknown or the socket is closed."""
         if address is not None and self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, address)
 
@@ -54,13 +55,13 @@
 class DatagramProxy:
     """The proxy between two ends, `a` and `b`.
 
-    `a` is given `address_of(b)` as the address of `b`, and the other way round. An end whose own address is
-    not known beforehand is answered where it last sent from.
+    `a` is configured with `address_of(b)` as the address of `b`, and vice versa. Datagrams for an end whose
+    own address is not known beforehand are sent to the address from which it last sent.
 
     Attributes:
         links: The state of each direction, by sender and recipient.
-        loss: The part of all datagrams that is lost, whatever a step says of one direction.
-        double: The part of all datagrams that is repeated.
+        loss: The share of all datagrams that is lost, in addition to the loss of each direction.
+        double: The share of all datagrams that is repeated.
     """
 
     def __init__(self, a: str, b: str, known_addresses: dict[str, Address], rng: random.Random) -> None:
@@ -69,8 +70,8 @@
         Args:
             a: One end.
             b: The other end.
-            known_addresses: Where ends listen, as far as that is known; may name others as well.
-            rng: Decides what is lost and repeated.
+            known_addresses: The known addresses of ends; may include other ends.
+            rng: Decides which datagrams are lost and repeated.
         """
         self.ends, self.rng = (a, b), rng
         self.addresses: dict[str, Address | None] = {a: known_addresses.get(a), b: known_addresses.get(b)}
@@ -96,13 +97,13 @@
         return self.endpoints[opposite].address
 
     def close(self) -> None:
-        """Closes both sockets; datagrams that were delayed are dropped."""
+        """Closes both sockets; delayed datagrams are dropped."""
         for endpoint in self.endpoints.values():
             if endpoint.transport is not None:
                 endpoint.transport.close()
 
     def _received(self, sender: str, recipient: str, data: bytes, source: Address) -> None:
-        """Forwards a datagram, or does to it what the link does."""
+        """Forwards a datagram, subject to the faults of its link."""
         if sender not in self.fixed_ends:
             self.addresses[sender] = source
         link = self.links[sender, recipient]
@@ -121,5 +122,5 @@
                 self._forward(recipient, data)
 
     def _forward(self, recipient: str, data: bytes) -> None:
-        """Sends a datagram from the recipient's endpoint, whose address stands for the sender there."""
+        """Sends a datagram from the endpoint that the recipient knows as the sender's address."""
         self.endpoints[recipient].send(data, self.addresses[recipient])
--- a/lanelift/faults/model_checker.py
+++ b/lanelift/faults/model_checker.py
@@ -1,6 +1,6 @@
-"""A model checker: visits every state that can be reached, breadth first.
+"""A model checker that visits every reachable state, breadth first. Pure.
 
-A violation is found by its shortest counterexample, as in explicit-state checkers like TLC. Pure.
+It reports a violation by its shortest counterexample, as explicit-state checkers like TLC do.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Exploration:
-    """What a search has found.
+    """The result of an exploration.
 
     Attributes:
         states: How many states were visited.
         steps: How many steps were followed.
-        complete: Whether no state was left out.
-        violation: What is broken in the last state; empty for nothing.
-        counterexample: The names of the steps that lead to it, in order.
+        complete: Whether all reachable states were visited.
+        violation: The rule that the last state violates; empty for none.
+        counterexample: The names of the steps that lead to that state, in order.
     """
 
     states: int
@@ -37,13 +37,13 @@
     violation_in: Callable[[State], str],
     max_states: int,
 ) -> Exploration:
-    """Visits all states until one violates a rule, or `max_states` were visited.
+    """Visits all reachable states, until one violates a rule or `max_states` were visited.
 
     Args:
-        initial: The states to begin with.
-        successors: Gives each step from a state: its name, and the state that it leads to.
-        violation_in: Says which rule a state breaks; empty for none.
-        max_states: The bound of the table of visited states.
+        initial: The initial states.
+        successors: Returns each step from a state: its name and the state that it leads to.
+        violation_in: Returns the rule that a state violates; empty for none.
+        max_states: The maximum number of visited states.
     """
     predecessors: dict[State, tuple[State, str] | None] = dict.fromkeys(initial)
     layer, steps = list(predecessors), 0
--- a/lanelift/faults/process_cluster.py
+++ b/lanelift/faults/process_cluster.py
@@ -1,8 +1,8 @@
 """Members and contenders as processes of the program, on loopback, with the same faults as in the simulation.
 
-Members are `lanelift serve`, contenders `lanelift lease run` with a task that logs when it acts
-(`activity_log.py`). All their messages go through datagram proxies of this process. Times of a schedule are
-real here.
+A member is a `lanelift serve` process. A contender is a `lanelift lease run` process, whose task logs when it
+acts (`activity_log.py`). All their messages pass through datagram proxies in this process. A schedule is
+played in real time.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
     StepKind.RELEASE: signal.SIGTERM,
 }
 PLAYABLE_STEPS = (StepKind.KILL, StepKind.LOSE, StepKind.START, *SIGNALS, *LINK_STEPS)
-POLL_S = 0.01  # between two looks at what processes write; only this module's own waits, and no process's
+POLL_S = 0.01  # interval at which this module polls the processes' output; processes don't wait for it
 DEFAULT_WAIT_S = 20.0
-TASK_LEASES = (0.2, 4.0)  # how long a task lasts, in leases
-IGNORES_SIGTERM_PART = 0.3  # of all tasks
-MAX_REST_S = 0.2  # until a contender that has ended begins anew
+TASK_LEASES = (0.2, 4.0)  # the duration of a task, in leases
+IGNORES_SIGTERM_PART = 0.3  # share of all tasks
+MAX_REST_S = 0.2  # until a contender that has ended is started again
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterTimings:
-    """A cluster's timings, under the names and in the units of the operator's file."""
+    """A cluster's timings, with the names and units of the operator's file."""
 
     lease_ms: int = 1000
     answer_ms: int = 60
@@ -47,11 +47,11 @@
 
 @dataclass
 class ProcessRecord:
-    """A process that a schedule names.
+    """The process of a node in the schedule.
 
     Attributes:
         process: The process, which may have ended.
-        log: The file of its output.
+        log: The file that contains the output of the process.
     """
 
     process: asyncio.subprocess.Process
@@ -59,12 +59,12 @@
 
     @property
     def running(self) -> bool:
-        """Whether it has not been seen to end."""
+        """Whether the process is not known to have ended."""
         return self.process.returncode is None
 
 
 def free_port(kind: socket.SocketKind) -> int:
-    """Returns a port of loopback that was free a moment ago."""
+    """Returns a port on loopback that was free when this function checked."""
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind((LOOPBACK, 0))
         port: int = sock.getsockname()[1]
@@ -72,15 +72,15 @@
 
 
 class ProcessCluster:
-    """One cluster. Use as `async with`; all that it started is ended with it.
+    """A cluster of processes. An asynchronous context manager, which ends all its processes on exit.
 
     Attributes:
-        folder: Where its files, state, logs and activity logs are.
-        voters: The members, all of which vote.
-        contenders: The processes that want the lease.
-        records: The present or last process of each name.
-        starts: How often each name was started.
-        proxy_by_pair: The proxy between each two that exchange messages.
+        folder: The folder of the cluster's configuration files, state, logs and activity logs.
+        voters: The names of the members, all of which vote.
+        contenders: The names of the processes that compete for the lease.
+        records: The present or last process of each node, by name.
+        starts: How often each node was started, by name.
+        proxy_by_pair: The proxy between each pair of nodes that exchange messages.
         admin_ports: Each voter's port for operators.
     """
 
@@ -99,11 +99,11 @@
         Args:
             folder: An empty folder.
             voters: The names of the members.
-            contenders: The names of those that want the lease.
-            timings: The timings of all.
-            seed: Decides what the network does, and what contenders do.
-            rates_ppm: Whose clock goes faster, in millionths.
-            environment: The environment of all processes; None for this one's.
+            contenders: The names of the processes that compete for the lease.
+            timings: The timings of all processes.
+            seed: Seed of the network's faults and of the contenders' tasks.
+            rates_ppm: By name, how much faster than true time a node's clock runs, in millionths.
+            environment: The environment of all processes; None for that of this process.
         """
         self.folder, self.timings = folder, timings
         self.voters, self.contenders = tuple(voters), tuple(contenders)
@@ -134,25 +134,25 @@
 
     async def __aexit__(self, *exception: object) -> None:
         self.closing = True
-        while not all(task.done() for task in self.tasks):  # one may be starting a process at this moment
+        while not all(task.done() for task in self.tasks):  # a task may be starting a process right now
             for record in self.records.values():
                 if record.running:
                     record.process.kill()
             await asyncio.wait(self.tasks, timeout=POLL_S)
         for record in self.records.values():
             if record.running:
-                record.process.kill()  # its task goes with it: the watchdog's work
+                record.process.kill()  # the watchdog ends the task of a killed holder
                 await record.process.wait()
         for proxy in self.proxy_by_pair.values():
             proxy.close()
         await asyncio.sleep(0)
 
     def file(self, name: str) -> Path:
-        """Returns the operator's file of a name."""
+        """Returns the path of a node's configuration file."""
         return self.folder / f"{name}.toml"
 
     def _write_file(self, name: str) -> None:
-        """Writes a name's file: they differ in the proxies by which the others are reached."""
+        """Writes a node's configuration file, in which the other members have the addresses of proxies."""
         rows = []
         for voter in self.voters:
             if voter == name:
@@ -174,7 +174,7 @@
         )
 
     async def start(self, name: str, *task_arguments: str) -> ProcessRecord:
-        """Starts a voter, or a contender with the arguments of its task (`activity_log.main`)."""
+        """Starts a voter, or a contender whose task has these arguments (`activity_log.main`)."""
         number = self.starts[name] = self.starts.get(name, 0) + 1
         log = self.folder / f"{name}-{number}.log"
         if name in self.voters:
@@ -192,12 +192,12 @@
         return record
 
     async def until(self, what: str, done: Callable[[], bool], within_s: float = DEFAULT_WAIT_S) -> None:
-        """Waits for an event. Raises TimeoutError, which names it."""
+        """Waits for an event. Raises TimeoutError, whose message names the event."""
         try:
             async with asyncio.timeout(within_s):
                 while not done():
                     await asyncio.sleep(POLL_S)
-        except TimeoutError:  # from None: the frames of the wait say nothing of the event
+        except TimeoutError:  # from None, as the traceback of the wait says nothing about the event
             raise TimeoutError(f"not within {within_s:g} s: {what}\n{self.logs()}") from None
 
     def logs(self) -> str:
@@ -205,7 +205,7 @@
         return "\n".join(f"--- {path.name}\n{path.read_text()}" for path in sorted(self.folder.glob("*.log")))
 
     def logged(self, name: str, event: str) -> bool:
-        """Returns whether such an event is in the log of a name's present process."""
+        """Returns whether the log of a node's present process contains this event."""
         return f'"event": "{event}"' in self.records[name].log.read_text()
 
     def activity_log(self, name: str) -> Path:
@@ -218,7 +218,7 @@
         return path.exists() and path.stat().st_size > 0
 
     async def apply_step(self, step: Step) -> None:
-        """Carries out one step. Raises ScheduleError for one that is not in `PLAYABLE_STEPS`."""
+        """Applies one step. Raises ScheduleError for a step that is not in `PLAYABLE_STEPS`."""
         record = self.records.get(step.who)
         if step.what in (StepKind.KILL, StepKind.LOSE):
             if record is not None and record.running:
@@ -244,10 +244,10 @@
                 yield proxy.links[step.who, next(iter(others))]
 
     async def play(self, schedule: Schedule) -> None:
-        """Carries out a schedule in real time; each contender begins anew when it has ended.
+        """Plays a schedule in real time; a contender that has ended is started again.
 
         Raises:
-            ScheduleError: A step can't be done to processes of one machine; nothing was started.
+            ScheduleError: A step can't be applied to processes on one machine; nothing was started.
         """
         _check_playable(schedule)
         for proxy in self.proxy_by_pair.values():
@@ -263,7 +263,7 @@
         await asyncio.sleep(max(0.0, start_s + schedule.until_ms / 1000 - loop.time()))
 
     def _random_task(self) -> tuple[str, ...]:
-        """Draws the arguments of a task: how long it lasts, and whether it ignores SIGTERM."""
+        """Draws the arguments of a task: its duration, and whether it ignores SIGTERM."""
         duration_s = self.rng.uniform(*TASK_LEASES) * self.timings.lease_ms / 1000
         ignores_sigterm = self.rng.random() < IGNORES_SIGTERM_PART
         return (f"{duration_s:.3f}", *(["stubborn"] if ignores_sigterm else []))
@@ -278,9 +278,9 @@
 
 
 def _check_playable(schedule: Schedule) -> None:
-    """Raises ScheduleError for the first step that can't be done to processes of one machine."""
+    """Raises ScheduleError for the first step that can't be applied to processes on one machine."""
     for number, step in enumerate(schedule.steps):
         if step.what not in PLAYABLE_STEPS:
             key, found = f"steps[{number}].what", str(step.what)
-            text = f"{key}: found {found!r}; among processes: {', '.join(PLAYABLE_STEPS)}"
+            text = f"{key}: found {found!r}; allowed among processes: {', '.join(PLAYABLE_STEPS)}"
             raise ScheduleError(text, key, found)
--- a/lanelift/faults/random_schedule.py
+++ b/lanelift/faults/random_schedule.py
@@ -1,7 +1,7 @@
-"""A schedule of faults drawn from a seed. Pure.
+"""Generates a schedule of faults from a seed. Pure.
 
-The order of draws is part of the result: digests of the traces of many seeds are kept with the tests, so that
-no draw may be added, left out or moved without recording them anew.
+The order of the random draws is part of the result: the tests contain digests of the traces of many seeds,
+which have to be recorded again if a draw is added, removed or moved.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from lanelift.faults.schedule import Schedule, Step, StepKind
 
-RESTART_MS = 40  # from a kill to the start under another list of voters
+RESTART_MS = 40  # from a kill to the start with another list of voters
 
 
 class RandomFault(StrEnum):
-    """A fault that is drawn: each gives one or more steps, with those that undo it."""
+    """A kind of random fault, which results in one or more steps, including the steps that undo it."""
 
     KILL = "kill"
     STOP = "stop"
@@ -25,13 +25,13 @@
     ISOLATE = "isolate"  # one direction of all links of a node is cut
     DELAY = "delay"
     DROP = "drop"
-    ALL = "all"  # all voters are killed at once
-    ROLL = "roll"  # all voters are killed one after the other, faster than a lease
+    ALL = "all"  # all voters are killed at the same time
+    ROLL = "roll"  # all voters are killed one after the other, at intervals shorter than a lease
     RELEASE = "release"
     ASK = "ask"
 
 
-FAULT_WEIGHTS = (  # one that stands twice is drawn twice as often
+FAULT_WEIGHTS = (  # a fault that is listed twice is drawn twice as often
     RandomFault.KILL,
     RandomFault.KILL,
     RandomFault.STOP,
@@ -47,29 +47,29 @@
     RandomFault.ASK,
 )
 GAP_LEASES = (0.2, 1.0, 3.0)  # the mean time between two faults
-# Long and short, and just about a lease: what is wrong is wrong at its edges.
+# Short and long durations, and some close to the length of a lease: errors show at its edges.
 DURATION_LEASES = (0.05, 0.2, 0.5, 0.95, 1.0, 1.05, 1.5, 3.0)
-MOVE_GAP_LEASES = (0.1, 0.5, 1.5)  # between two restarts under another list of voters
+MOVE_GAP_LEASES = (0.1, 0.5, 1.5)  # between two restarts with another list of voters
 
 
 @dataclass(frozen=True, slots=True)
 class _Draw:
-    """What one random fault was drawn with.
+    """The parameters of one random fault.
 
     Attributes:
-        at_ms: When it begins.
-        duration_ms: How long it lasts.
-        who: The node that it happens to, or the sending end of a link.
-        whom: The receiving end of a link.
+        at_ms: When the fault begins.
+        duration_ms: How long the fault lasts.
+        node: The node that the fault affects, or the sending end of a link.
+        recipient: The receiving end of a link.
         members: All voters.
-        contenders: All that want the lease.
-        lease_ms: How long a lease is.
+        contenders: All processes that compete for the lease.
+        lease_ms: The length of a lease.
     """
 
     at_ms: int
     duration_ms: int
-    who: str
-    whom: str
+    node: str
+    recipient: str
     members: Sequence[str]
     contenders: Sequence[str]
     lease_ms: int
@@ -78,16 +78,16 @@
 def random_schedule(
     seed: int, voters: int, contenders: int, until_ms: int, lease_ms: int, drift: float, plans: bool = False
 ) -> Schedule:
-    """Returns a schedule by its seed alone: faults of every kind, as close to each other as a lease is long.
+    """Returns a random schedule with faults of every kind, at intervals of about the length of a lease.
 
     Args:
-        seed: Gives the same schedule each time.
+        seed: Determines the schedule; the same arguments give the same schedule.
         voters: How many members vote, up to 9.
-        contenders: How many processes want the lease.
-        until_ms: How long it lasts.
-        lease_ms: How long a lease is.
-        drift: The bound of clocks: each goes right, or slower or faster by this part.
-        plans: Whether the list of voters changes on the way.
+        contenders: How many processes compete for the lease.
+        until_ms: The length of the schedule.
+        lease_ms: The length of a lease.
+        drift: The maximum drift of clocks: each clock is right, or slower or faster by this fraction.
+        plans: Whether the list of voters changes during the schedule.
     """
     rng = random.Random(seed)
     members = tuple("abcdefghi"[:voters])
@@ -101,17 +101,17 @@
             break
         steps += _random_fault(rng, int(at_ms), members, others, lease_ms)
     steps.sort(key=lambda step: step.at_ms)
-    rates = tuple((who, rng.choice((-drift, 0.0, drift))) for who in everybody)
+    rates = tuple((node, rng.choice((-drift, 0.0, drift))) for node in everybody)
     loss, double = rng.choice((0.0, 0.0, 0.05, 0.3)), rng.choice((0.0, 0.1))
     schedule = Schedule(seed, members, others, until_ms, tuple(steps), rates, loss, double)
     return _with_voter_changes(rng, schedule, lease_ms) if plans else schedule
 
 
 def _with_voter_changes(rng: random.Random, schedule: Schedule, lease_ms: int) -> Schedule:
-    """Returns the same schedule with the list of voters changed on the way.
+    """Returns the same schedule with changes of the list of voters.
 
-    It changes by one or by more than one, in any order of starts; perhaps not for all nodes, and perhaps back
-    again.
+    Each change adds or removes one voter or more. The nodes are restarted in any order; some may keep the
+    former list, and a later change may return to it.
     """
     members = schedule.voters
     new = f"{chr(ord(members[-1]) + 1)}"
@@ -122,25 +122,25 @@
     for number in rng.choice(([1], [1, 2], [1, 0], [1, 2, 0])):
         voters = (members, *plans)[number]
         half = rng.sample(schedule.contenders, (len(schedule.contenders) + 1) // 2)
-        rest = [who for who in (*members, *schedule.contenders) if who not in (*voters, *half)]
+        rest = [node for node in (*members, *schedule.contenders) if node not in (*voters, *half)]
         at_ms = rng.randrange(schedule.until_ms)
-        for who in (*rng.sample([*voters, *half], len(voters) + len(half)), None, *rest):
-            if who is None:  # those that are left out follow later, or not at all
+        for node in (*rng.sample([*voters, *half], len(voters) + len(half)), None, *rest):
+            if node is None:  # the remaining nodes are restarted later, or not at all
                 at_ms += rng.randrange(4 * lease_ms)
                 rest_moves = rng.random() < 0.5
-            elif who not in rest or rest_moves:
+            elif node not in rest or rest_moves:
                 at_ms += rng.randrange(max(1, int(lease_ms * rng.choice(MOVE_GAP_LEASES))))
-                steps += _restart_under(number, who, at_ms)
+                steps += _restart_under(number, node, at_ms)
     steps.sort(key=lambda step: step.at_ms)
     return replace(schedule, steps=tuple(steps), plans=plans)
 
 
-def _restart_under(number: int, who: str, at_ms: int) -> list[Step]:
-    """Restarts a node under the list of voters with this number."""
+def _restart_under(number: int, node: str, at_ms: int) -> list[Step]:
+    """Returns the steps that restart a node with the list of voters of this number."""
     return [
-        Step(at_ms, StepKind.PLAN, who, ms=number),
-        Step(at_ms, StepKind.KILL, who),
-        Step(at_ms + RESTART_MS, StepKind.START, who),
+        Step(at_ms, StepKind.PLAN, node, ms=number),
+        Step(at_ms, StepKind.KILL, node),
+        Step(at_ms + RESTART_MS, StepKind.START, node),
     ]
 
 
@@ -148,10 +148,10 @@
     rng: random.Random, at_ms: int, members: Sequence[str], contenders: Sequence[str], lease_ms: int
 ) -> list[Step]:
     """Draws one fault; returns its steps."""
-    who, whom = rng.sample([*members, *contenders], 2)
+    node, recipient = rng.sample([*members, *contenders], 2)
     duration_ms = int(lease_ms * rng.choice(DURATION_LEASES))
     kind = rng.choice(FAULT_WEIGHTS)
-    draw = _Draw(at_ms, duration_ms, who, whom, members, contenders, lease_ms)
+    draw = _Draw(at_ms, duration_ms, node, recipient, members, contenders, lease_ms)
     if kind is RandomFault.KILL:
         return _until_undone(draw, StepKind.KILL, StepKind.START)
     if kind is RandomFault.STOP:
@@ -166,36 +166,36 @@
 
 
 def _link_fault(rng: random.Random, kind: RandomFault, draw: _Draw) -> list[Step]:
-    """Returns the steps of a fault of the network."""
-    at_ms, who, whom = draw.at_ms, draw.who, draw.whom
+    """Returns the steps of a network fault."""
+    at_ms, node, recipient = draw.at_ms, draw.node, draw.recipient
     end_ms = at_ms + draw.duration_ms
     if kind is RandomFault.CUT:
-        return [Step(at_ms, StepKind.CUT, who, whom), Step(end_ms, StepKind.HEAL, who, whom)]
+        return [Step(at_ms, StepKind.CUT, node, recipient), Step(end_ms, StepKind.HEAL, node, recipient)]
     if kind is RandomFault.ISOLATE:
         return _isolation(rng, draw)
     if kind is RandomFault.DELAY:
         return [
-            Step(at_ms, StepKind.DELAY, who, whom, ms=draw.duration_ms),
-            Step(at_ms + 2 * draw.duration_ms, StepKind.HEAL, who, whom),
+            Step(at_ms, StepKind.DELAY, node, recipient, ms=draw.duration_ms),
+            Step(at_ms + 2 * draw.duration_ms, StepKind.HEAL, node, recipient),
         ]
     return [
-        Step(at_ms, StepKind.DROP, who, "", part=rng.choice((0.3, 0.8))),
-        Step(end_ms, StepKind.HEAL, who),
+        Step(at_ms, StepKind.DROP, node, "", part=rng.choice((0.3, 0.8))),
+        Step(end_ms, StepKind.HEAL, node),
     ]
 
 
 def _until_undone(draw: _Draw, fault: StepKind, end: StepKind) -> list[Step]:
-    """One node's fault and its end."""
-    return [Step(draw.at_ms, fault, draw.who), Step(draw.at_ms + draw.duration_ms, end, draw.who)]
+    """Returns the steps of a node's fault and its end."""
+    return [Step(draw.at_ms, fault, draw.node), Step(draw.at_ms + draw.duration_ms, end, draw.node)]
 
 
 def _isolation(rng: random.Random, draw: _Draw) -> list[Step]:
-    """A node receives and nobody receives it, or the other way round."""
+    """Returns the steps of a one-way isolation: only the node's outgoing or incoming messages pass."""
     if rng.random() < 0.5:
-        ends = [(draw.who, "")]
+        ends = [(draw.node, "")]
     else:
         everybody = (*draw.members, *draw.contenders)
-        ends = [(other, draw.who) for other in everybody if other != draw.who]
+        ends = [(other, draw.node) for other in everybody if other != draw.node]
     end_ms = draw.at_ms + draw.duration_ms
     steps = []
     for sender, recipient in ends:
@@ -205,7 +205,7 @@
 
 
 def _all_killed(draw: _Draw) -> list[Step]:
-    """All voters are killed at once, and restarted at once."""
+    """Returns the steps that kill all voters at the same time, and restart them at the same time."""
     steps = []
     for member in draw.members:
         steps.append(Step(draw.at_ms, StepKind.KILL, member))
@@ -214,7 +214,7 @@
 
 
 def _rolling_restart(draw: _Draw) -> list[Step]:
-    """All voters are restarted one after the other, faster than a lease."""
+    """Returns the steps that restart all voters in turn, at intervals shorter than a lease."""
     gap_ms = max(1, draw.lease_ms // 8)
     steps = []
     for number, member in enumerate(draw.members):
--- a/lanelift/faults/schedule.py
+++ b/lanelift/faults/schedule.py
@@ -1,7 +1,8 @@
-"""A schedule of faults is data: what happens to whom at which millisecond. Pure.
+"""A schedule of faults as data: each step names a fault, a node and a time in milliseconds. Pure.
 
-As JSON (`to_json`, `from_json`): `{"seed": 7, "voters": ["a", "b", "c"], "contenders": ["p1"], "until_ms":
-9000, "steps": [{"at_ms": 1200, "what": "kill", "who": "b"}]}`. Every member and every contender has a name.
+An example of the JSON (`to_json`, `from_json`): `{"seed": 7, "voters": ["a", "b", "c"], "contenders": ["p1"],
+"until_ms": 9000, "steps": [{"at_ms": 1200, "what": "kill", "who": "b"}]}`. Every member and every contender
+has a name.
 """
 
 from __future__ import annotations
@@ -15,34 +16,34 @@
 
 
 class StepKind(StrEnum):
-    """What a step does; the values are the words of schedule files."""
-
-    KILL = "kill"  # its memory is gone
-    LOSE = "lose"  # killed, and its disk is gone as well
-    START = "start"  # after it was killed
-    STOP = "stop"  # it stands still: SIGSTOP
-    GO = "go"  # it goes on: SIGCONT
-    CUT = "cut"  # nothing passes from who to whom
-    HEAL = "heal"  # all that was cut, delayed or lost from who to whom passes again
-    DELAY = "delay"  # what goes from who to whom takes `ms` longer
-    DROP = "drop"  # this `part` of what goes from who to whom is lost
-    DOUBLE = "double"  # this `part` of it arrives twice, the second time up to `ms` later
-    RATE = "rate"  # its clock goes faster by this `part` from now on
-    STEP = "step"  # its wall clock is set by `ms`; nothing should care
-    PLAN = "plan"  # its next start is under the list of voters number `ms`
-    RELEASE = "release"  # a holder releases its lease
-    ASK = "ask"  # a contender that has ended begins anew
+    """The kind of a step, which affects the node `who`; the values are the words of schedule files."""
+
+    KILL = "kill"  # the node is killed and loses its memory
+    LOSE = "lose"  # the node is killed and loses its disk as well
+    START = "start"  # the killed node is started
+    STOP = "stop"  # the node is stopped (SIGSTOP)
+    GO = "go"  # the stopped node continues (SIGCONT)
+    CUT = "cut"  # no message passes from `who` to `whom`
+    HEAL = "heal"  # messages from `who` to `whom` pass normally again
+    DELAY = "delay"  # messages from `who` to `whom` take `ms` longer
+    DROP = "drop"  # a share `part` of the messages from `who` to `whom` is lost
+    DOUBLE = "double"  # a share `part` of these messages arrives twice, the second time up to `ms` later
+    RATE = "rate"  # the node's clock runs faster by the fraction `part` from now on
+    STEP = "step"  # the node's wall clock is moved by `ms`, which should have no effect
+    PLAN = "plan"  # the node's next start uses the list of voters with the number `ms`
+    RELEASE = "release"  # the holder releases its lease
+    ASK = "ask"  # a contender that has ended starts to acquire the lease again
 
 
 LINK_STEPS = (StepKind.CUT, StepKind.HEAL, StepKind.DELAY, StepKind.DROP, StepKind.DOUBLE)
 
 
 class ScheduleError(LaneliftError, ValueError):
-    """Not a schedule, or not one that can be played here.
+    """A text that is not a schedule, or a schedule that can't be played here.
 
     Attributes:
-        key: The key that is wrong, such as `steps[0].what`; empty where the text is no schedule at all.
-        found: What stands there; empty where the text is no schedule at all.
+        key: The key with the wrong value, such as `steps[0].what`; empty if the text is not a schedule.
+        found: The value that was found; empty if the text is not a schedule.
     """
 
     def __init__(self, message: str, key: str = "", found: str = "") -> None:
@@ -55,12 +56,12 @@
     """One fault, or the end of one.
 
     Attributes:
-        at_ms: When, in milliseconds from the start.
+        at_ms: The time of the step, in milliseconds from the start.
         what: A `StepKind`, or any other word until it is checked.
-        who: The node that it happens to, or the sending end of a link.
-        whom: The receiving end of a link; empty for all others.
+        who: The node that the step affects, or the sending end of a link.
+        whom: The receiving end of a link; empty for all other nodes.
         ms: A time, or the number of a list of voters; see `StepKind`.
-        part: A part of 1; see `StepKind`.
+        part: A fraction of 1; see `StepKind`.
     """
 
     at_ms: int
@@ -79,16 +80,16 @@
 
 @dataclass(slots=True)
 class Link:
-    """One direction between two ends, in the simulation and among processes.
+    """One direction of the link between two ends, in the simulation and among processes.
 
     Attributes:
-        cut: Whether nothing passes.
+        cut: Whether no message passes.
         delay_ms: How much longer each message takes.
-        loss: The part of all messages that is lost.
-        double: The part of all messages that arrives twice.
-        double_ms: How long after the first a repeated one arrives at most; 0 for the default.
-        passed: Messages that passed so far, where they are counted.
-        lost: Messages that were lost so far, where they are counted.
+        loss: The share of messages that is lost.
+        double: The share of messages that arrives twice.
+        double_ms: The maximum delay of a repeated message after the first one; 0 for the default.
+        passed: Number of messages that have passed, if they are counted.
+        lost: Number of messages that were lost, if they are counted.
     """
 
     cut: bool = False
@@ -100,7 +101,7 @@
     lost: int = 0
 
     def change(self, step: Step) -> None:
-        """Carries out a step of `LINK_STEPS`. Raises ScheduleError for any other."""
+        """Applies a step of `LINK_STEPS`. Raises ScheduleError for any other step."""
         if step.what == StepKind.CUT:
             self.cut = True
         elif step.what == StepKind.HEAL:
@@ -112,24 +113,24 @@
         elif step.what == StepKind.DOUBLE:
             self.double, self.double_ms = step.part, step.ms
         else:
-            text = f"{step.what}: found between two ends; allowed: {', '.join(LINK_STEPS)}"
+            text = f"{step.what}: not a step of a link; allowed: {', '.join(LINK_STEPS)}"
             raise ScheduleError(text, "what", step.what)
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """Nodes and their faults.
+    """A set of nodes and the faults that they are subjected to.
 
     Attributes:
-        seed: Decides what the network does to each message; the steps are the same for every seed.
+        seed: Seed of the network's treatment of each message; the steps do not depend on it.
         voters: The members that vote.
-        contenders: The processes that want the lease.
-        until_ms: How long it lasts.
-        steps: The faults, by time.
-        rates: Whose clock differs from true time from the start, by which part.
-        loss: The part of all messages that is lost.
-        double: The part of all messages that arrives twice.
-        plans: Other lists of voters that a `plan` step names, from 1.
+        contenders: The processes that compete for the lease.
+        until_ms: The length of the schedule.
+        steps: The faults, ordered by time.
+        rates: Nodes whose clocks run faster than true time from the start, each with the fraction.
+        loss: The share of all messages that is lost.
+        double: The share of all messages that arrives twice.
+        plans: Other lists of voters, which `plan` steps refer to by number, from 1.
     """
 
     seed: int
@@ -143,8 +144,8 @@
     plans: tuple[tuple[str, ...], ...] = ()
 
     def description(self) -> str:
-        """Returns for people what it begins with, and a line for each step."""
-        rates = ", ".join(f"{who} {part:+g}" for who, part in self.rates if part)
+        """Returns a description for people: the initial conditions, and a line for each step."""
+        rates = ", ".join(f"{name} {part:+g}" for name, part in self.rates if part)
         head = f"seed {self.seed}: voters {' '.join(self.voters)}; contenders {' '.join(self.contenders)}"
         more = f"; clocks {rates}" if rates else ""
         more += f"; {self.loss:g} lost" if self.loss else ""
@@ -163,7 +164,7 @@
     try:
         schedule = msgspec.json.decode(data, type=Schedule)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ScheduleError(str(error)) from None  # its text says where; the decoder's frames say no more
+        raise ScheduleError(str(error)) from None  # the message names the place; the traceback adds nothing
     names = {*schedule.voters, *schedule.contenders, *(name for plan in schedule.plans for name in plan)}
     for number, step in enumerate(schedule.steps):
         _check_step(f"steps[{number}]", step, names)
@@ -171,7 +172,7 @@
 
 
 def _check_step(key: str, step: Step, names: set[str]) -> None:
-    """Raises ScheduleError for a step of no kind, or one that names no node of the schedule."""
+    """Raises ScheduleError for a step of an unknown kind, or with an unknown node."""
     if step.what not in tuple(StepKind):
         text = f"{key}.what: found {step.what!r}; allowed: {', '.join(StepKind)}"
         raise ScheduleError(text, f"{key}.what", step.what)
--- a/lanelift/faults/shrinking.py
+++ b/lanelift/faults/shrinking.py
@@ -1,6 +1,7 @@
-"""A failing schedule cut down to the steps that it needs. Pure.
+"""Reduces a failing schedule to the steps that the failure needs. Pure.
 
-Delta debugging, after Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input" (2002).
+The method is delta debugging (Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input",
+2002).
 """
 
 from __future__ import annotations
@@ -16,12 +17,13 @@
 def shrink(schedule: Schedule, fails: Callable[[Schedule], object], max_plays: int = MAX_PLAYS) -> Schedule:
     """Returns the shortest schedule found that still fails.
 
-    First the network and the clocks are put right; then steps are left out by halves, and down to one by one.
+    The function first tries the schedule without losses and repetitions, and without clock drift. It then
+    removes steps in groups, from half of the steps down to single ones.
 
     Args:
-        schedule: One that fails.
-        fails: Plays a schedule; true where it fails.
-        max_plays: The bound of its calls.
+        schedule: A schedule that fails.
+        fails: Plays a schedule and returns a true value if it fails.
+        max_plays: The maximum number of calls of `fails`.
     """
     plays = 0
 
--- a/lanelift/faults/simulation.py
+++ b/lanelift/faults/simulation.py
@@ -1,8 +1,8 @@
-"""Nodes in simulated time, with clocks of their own and a network that fails.
+"""Simulates nodes in virtual time, with clocks of their own and an unreliable network.
 
-The same pure code as in the processes runs here; one seed gives the same trace to the letter. Time here is
-true time in nanoseconds. A node is given the time of its own clock, which began anywhere and may go too fast
-or too slow.
+The simulation runs the same pure code as the processes. The same seed gives exactly the same trace. Times
+are true time in nanoseconds unless stated otherwise. A node sees only its own clock, which starts at a random
+time and may run too fast or too slow.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 Arguments = TypeVarTuple("Arguments")
 
 MS = 1_000_000  # nanoseconds in a millisecond
-LATENCY_NS = (100_000, 3 * MS)  # how long a message takes, where nothing is wrong
-MAX_COPY_DELAY_NS = 600 * MS  # until a repeated message follows: late enough for another holder's term
-MAX_INBOX_MESSAGES = 256  # that wait for a stopped node, as in a socket's buffer; more are lost
+LATENCY_NS = (100_000, 3 * MS)  # range of a message's latency without faults
+MAX_COPY_DELAY_NS = 600 * MS  # of a repeated message, which may arrive while another holder has the lease
+MAX_INBOX_MESSAGES = 256  # messages queued for a stopped node, as in a socket's buffer; further ones are lost
 MAX_CLOCK_START_NS = 10**15
 
 Outgoing = list[tuple[Any, Any]]
-"""Messages that a node sends: each recipient and message."""
+"""Messages that a node sends, each with its recipient."""
 
 
 class Node(Protocol):
-    """One process: it runs from a start to a kill, and knows its own clock only."""
+    """A process, which runs from a start to a kill and sees only its own clock."""
 
     @property
     def due_ns(self) -> int | None:
-        """When `tick` is due on its clock; None for never."""
+        """When `tick` is due on the node's clock; None for never."""
         ...
 
     def receive(self, message: Any, source: str, now: int) -> Outgoing:
-        """Takes a message at its own time `now` (ns); returns what it sends."""
+        """Handles a message at the node's own time `now` (ns); returns the messages to send."""
         ...
 
     def tick(self, now: int) -> Outgoing:
-        """Does what is due at its own time `now` (ns); returns what it sends."""
+        """Performs the actions due at the node's own time `now` (ns); returns the messages to send."""
         ...
 
 
@@ -49,9 +49,9 @@
     """A node's clock.
 
     Attributes:
-        base_ns: What it shows at `since_ns`.
-        rate: By which part it goes faster than true time.
-        since_ns: The true time from which this rate holds.
+        base_ns: The clock's time at `since_ns`.
+        rate: The fraction by which the clock runs faster than true time.
+        since_ns: The true time from which this rate applies.
     """
 
     base_ns: int
@@ -59,29 +59,29 @@
     since_ns: int = 0
 
     def local(self, true_ns: int) -> int:
-        """Returns what it shows at a true time."""
+        """Returns the clock's time at a true time."""
         return self.base_ns + int((true_ns - self.since_ns) * (1 + self.rate))
 
     def true(self, local_ns: int) -> int:
-        """Returns a true time at which it shows at least `local_ns`."""
+        """Returns a true time at which the clock's time is at least `local_ns`."""
         return self.since_ns + int((local_ns - self.base_ns) / (1 + self.rate)) + 1
 
     def set_rate(self, rate: float, true_ns: int) -> None:
-        """Changes its rate from a true time on."""
+        """Changes the clock's rate from a true time on."""
         self.base_ns, self.since_ns, self.rate = self.local(true_ns), true_ns, rate
 
 
 @dataclass(slots=True)
 class NodeSlot:
-    """Where a node runs: what outlives it, and what waits while it is stopped.
+    """The state that the simulation keeps for a node, also across its restarts.
 
     Attributes:
-        clock: Its clock, which a restart does not change.
+        clock: The node's clock, which a restart does not change.
         node: The running node; None after a kill.
-        stopped: Whether it stands still.
-        inbox: Senders and messages that wait while it is stopped, up to `MAX_INBOX_MESSAGES`.
-        incarnation: How often it was started so far.
-        tick_ns: The true time of its pending tick.
+        stopped: Whether the node is stopped.
+        inbox: Senders and messages queued while the node is stopped, up to `MAX_INBOX_MESSAGES`.
+        incarnation: How often the node was started so far.
+        tick_ns: The true time of the node's pending tick; None if none is pending.
     """
 
     clock: Clock
@@ -96,14 +96,14 @@
     """Plays a schedule. A subclass starts the nodes (`start_node`), and checks them (`after_event`).
 
     Attributes:
-        schedule: What is played.
-        rng: Decides what the network does; the order of its draws is part of the trace.
+        schedule: The schedule that is played.
+        rng: Determines the behaviour of the network; the order of its draws is part of the trace.
         now: True time in nanoseconds.
         messages: How many messages were sent so far.
-        plan_of: Which list of voters each node's next start is under.
-        slots: Where each node runs.
-        links: The state of each direction that a step has changed.
-        trace: A line for each event, or None where no trace is kept.
+        plan_of: The number of the list of voters that each node's next start uses.
+        slots: The slot of each node, by name.
+        links: The state of each direction that a step has changed, by sender and recipient.
+        trace: A line for each event, or None if no trace is kept.
     """
 
     def __init__(self, schedule: Schedule, keep_trace: bool = False) -> None:
@@ -128,25 +128,25 @@
         for name in names:
             self.call_at(0, self._start, name)
 
-    # What a subclass defines.
+    # Hooks for subclasses.
 
     def start_node(self, name: str, slot: NodeSlot, now: int) -> Node:
         """Returns a node that starts at its own time `now` (ns)."""
         raise NotImplementedError
 
     def after_event(self) -> None:
-        """Called after each event, at true time `now`: checks look here."""
+        """Called after each event, at true time `now`; subclasses check their rules here."""
 
     def node_killed(self, name: str, slot: NodeSlot, disk_lost: bool) -> None:
-        """Called after a node was killed; `disk_lost`: its disk is lost as well."""
+        """Called after a node was killed; `disk_lost` says whether its disk is lost as well."""
 
     def node_step(self, step: Step) -> None:
-        """Carries out a step that concerns what the nodes do: `release`, `ask`."""
+        """Applies a step that concerns the work of a node: `release` or `ask`."""
 
     # For subclasses and tests.
 
     def play(self) -> None:
-        """Runs all events until the end of the schedule, in the order of their times, then as entered."""
+        """Runs all events until the end of the schedule, by time and then in the order of scheduling."""
         until_ns = self.schedule.until_ms * MS
         while self._events and self._events[0][0] <= until_ns:
             self.now, _, callback, arguments = heapq.heappop(self._events)
@@ -154,7 +154,7 @@
             self.after_event()
 
     def call_at(self, when_ns: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Enters an event: a call at a true time."""
+        """Schedules an event, a call at a true time."""
         self._event_count += 1
         heapq.heappush(self._events, (when_ns, self._event_count, callback, arguments))
 
@@ -164,11 +164,11 @@
             self.trace.append(f"{self.now / MS:10.3f} {text}")
 
     def local(self, name: str) -> int:
-        """Returns what a node's clock shows now, in nanoseconds."""
+        """Returns the present time of a node's clock, in nanoseconds."""
         return self.slots[name].clock.local(self.now)
 
     def send_all(self, name: str, outgoing: Iterable[tuple[Any, Any]]) -> None:
-        """Sends what a node gives, and enters its next tick."""
+        """Sends a node's outgoing messages, and schedules its next tick."""
         for recipient, message in outgoing:
             self._send(name, str(recipient), message)
         self._schedule_tick(name)
@@ -176,7 +176,7 @@
     # The network.
 
     def _send(self, sender: str, recipient: str, message: Any) -> None:
-        """Sends a message: it is lost, or delivered once or twice."""
+        """Sends a message, which is lost, or delivered once or twice."""
         self.messages += 1
         link = self.links.get((sender, recipient)) or Link()
         if link.cut or self.rng.random() < 1 - (1 - self.schedule.loss) * (1 - link.loss):
@@ -189,7 +189,7 @@
             self.call_at(arrival_ns, self._deliver, sender, recipient, message)
 
     def _deliver(self, sender: str, recipient: str, message: Any) -> None:
-        """A message arrives: the node takes it, or it waits while the node is stopped."""
+        """Delivers a message to its recipient, or queues it while the recipient is stopped."""
         slot = self.slots.get(recipient)
         if slot is None or slot.node is None:
             return
@@ -209,7 +209,7 @@
     # Timers.
 
     def _schedule_tick(self, name: str) -> None:
-        """Enters a node's next tick, where none is pending that comes as early."""
+        """Schedules a node's next tick, unless a tick at or before that time is pending."""
         slot = self.slots[name]
         if slot.node is None or slot.stopped or slot.node.due_ns is None:
             return
@@ -219,7 +219,7 @@
             self.call_at(when_ns, self._tick, name, slot.incarnation)
 
     def _tick(self, name: str, incarnation: int) -> None:
-        """A node's timer: nothing where it was restarted or stopped since then."""
+        """Runs a node's tick; does nothing if the node was restarted or stopped in the meantime."""
         slot = self.slots[name]
         if slot.incarnation != incarnation or slot.node is None or slot.stopped:
             return
@@ -233,7 +233,7 @@
     # Steps of the schedule.
 
     def _start(self, name: str) -> None:
-        """Starts a node, where none runs."""
+        """Starts a node, unless it is running."""
         slot = self.slots[name]
         if slot.node is not None:
             return
@@ -244,7 +244,7 @@
         self._schedule_tick(name)
 
     def _apply_step(self, step: Step) -> None:
-        """Carries out one step of the schedule."""
+        """Applies one step of the schedule."""
         self.note(str(step).strip())
         slot = self.slots[step.who]
         if step.what in (StepKind.KILL, StepKind.LOSE):
@@ -261,18 +261,18 @@
             self.plan_of[step.who] = step.ms
         elif step.what in (StepKind.RELEASE, StepKind.ASK):
             self.node_step(step)
-        elif step.what != StepKind.STEP:  # nobody here has a wall clock
+        elif step.what != StepKind.STEP:  # simulated nodes have no wall clock
             for link in self._links_of(step):
                 link.change(step)
 
     def _kill(self, name: str, slot: NodeSlot, disk_lost: bool) -> None:
-        """Ends a node, where one runs, with all that waits for it."""
+        """Kills a node, if it is running, and drops the messages queued for it."""
         if slot.node is not None:
             slot.node, slot.inbox = None, []
             self.node_killed(name, slot, disk_lost)
 
     def _resume(self, name: str, slot: NodeSlot) -> None:
-        """A stopped node goes on, with its timers or with what it has received first."""
+        """Resumes a stopped node; its tick runs at random before or after the queued messages."""
         if not slot.stopped:
             return
         slot.stopped, slot.tick_ns = False, None
--- a/lanelift/membership/__init__.py
+++ b/lanelift/membership/__init__.py
@@ -1,11 +1,11 @@
-"""Which members of the fleet are alive: failure detection by gossip, after SWIM. Used by nothing yet.
+"""Membership of the fleet: failure detection by gossip, after SWIM. Not used by other packages yet.
 
-| module | holds |
+| module | contents |
 | --- | --- |
-| `gossip.py` | messages and member updates, and their bytes |
+| `gossip.py` | messages and member updates, and their encoding |
 | `detector.py` | the failure detector of one member: probes, suspicions, views of the others |
-| `timing.py`, `records.py` | how long things take; what is remembered of a member and a probe |
+| `timing.py`, `records.py` | the timings of probes; the records of members and pending probes |
 | `suspicion.py` | how long a suspicion lasts |
-| `dissemination.py` | which updates ride on the next message |
+| `dissemination.py` | the choice of updates that are piggybacked on the next message |
 | `simulation.py` | a whole fleet in simulated time, for tests and measurements |
 """
--- a/lanelift/membership/detector.py
+++ b/lanelift/membership/detector.py
@@ -1,20 +1,21 @@
-"""The failure detector of one member: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's awareness of one's
-own health (Dadgar, Phillips, Currey, 2017).
+"""The failure detector of one member: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health
+awareness (Dadgar, Phillips, Currey, 2017).
 
-Pure: it is given messages and the time, and returns messages; `due_ns` says when to call `tick`. Times are
-nanoseconds of its own clock; randomness comes from the seed.
+Pure: the caller passes in messages and the time, and sends the returned messages; `due_ns` says when to call
+`tick`. Times are nanoseconds of the member's own clock; randomness comes from the seed.
 
-In each period one member is pinged, in an order that is shuffled anew for each round. A member that does not
-acknowledge in time is pinged through a few others; one that does not acknowledge those either is suspected,
-and counts as unreachable once the suspicion has lasted long enough (`suspicion.py`). A member that learns of
-its own suspicion refutes it under a new incarnation.
+In each period the detector pings one member, in an order that is shuffled for each round. A member that does
+not acknowledge in time is pinged through a few others; if it does not acknowledge those pings either, it is
+suspected, and counts as unreachable once the suspicion has lasted long enough (`suspicion.py`). A member that
+learns that it is suspected refutes the suspicion under a new incarnation.
 
-Unreachable is not dead: a network partition looks the same from either side. So two questions have two
-answers:
+Unreachable does not mean dead: a network partition looks the same from either side. Two methods therefore
+treat unreachable members differently:
 
-- `is_reachable(member)`: is it worth sending to? Not to members that are unreachable.
-- `count_alive(now)`: among how many is a common budget divided? Every member counts that may be alive: all
-  but those that said they leave, or were unreachable for longer than any partition is assumed to last.
+- `is_reachable(member)` decides whether to send to a member: not while it is unreachable.
+- `count_alive(now)` counts the members among which a common budget is divided: every member that may be
+  alive. Only members that announced that they leave, or were unreachable for longer than any partition is
+  assumed to last, are left out.
 """
 
 from __future__ import annotations
@@ -44,14 +45,14 @@
 from lanelift.membership.timing import ProbeTiming
 
 MAX_MEMBERS = 4096  # bounds the tables of one member; numbers on the wire could be 16 times as high
-INDIRECT_PROBES = 3  # members that are asked to ping in one's place: one lossy path is no suspicion
+INDIRECT_PROBES = 3  # members that ping the target as well, so that one lossy path causes no suspicion
 MAX_HEALTH_PENALTY = 4  # an unhealthy member waits up to five times as long before it accuses (Lifeguard)
-MAX_PROBES_FOR_OTHERS = 64  # pings under way; further requests are ignored
-ISOLATION_PERIODS = 3  # without any message for so many periods, it is this member that is cut off
+MAX_PROBES_FOR_OTHERS = 64  # pending probes above which requests to ping are ignored
+ISOLATION_PERIODS = 3  # a member that has received no message for this many periods is itself cut off
 ABSENT_STATES = (MemberState.SUSPECT, MemberState.UNREACHABLE)
-SEQUENCE_COUNT = 1 << 16  # sequence numbers wrap around after so many
+SEQUENCE_COUNT = 1 << 16  # sequence numbers wrap around at this number
 
-Outgoing = list[tuple[int, bytes]]  # messages: to which member, and their bytes
+Outgoing = list[tuple[int, bytes]]  # messages as bytes, each with its recipient
 
 
 class FailureDetector:
@@ -59,21 +60,21 @@
 
     Args:
         me: This member's number.
-        zones: The zone of each member by number, this one's among them.
-        timing: How long things take.
-        seed: For the order of probes.
-        now: Nanoseconds of the own clock.
+        zones: The zone of each member by number, including this member's.
+        timing: The timings of probes.
+        seed: Seed of the order of probes, and of all other random choices.
+        now: The time of this member's clock in nanoseconds.
 
     Raises:
-        ValueError: `me` is not among the members, or there are too many of them.
+        ValueError: `me` is not among the members, or there are too many members.
     """
 
     def __init__(self, me: int, zones: Sequence[str], timing: ProbeTiming, seed: int, now: int) -> None:
         if not 0 <= me < len(zones) <= MAX_MEMBERS:
             raise ValueError(f"member {me} of {len(zones)}; allowed: up to {MAX_MEMBERS} members")
         self.me, self.timing, self.rng = me, timing, random.Random(seed)
-        # Drawn at each start. Where it lies behind that of the start before, the others' older updates win,
-        # and are refuted as a suspicion is.
+        # Drawn at each start. If it is behind the incarnation of the last start, the older updates that the
+        # others hold take precedence; this member refutes them like a suspicion.
         self.incarnation = self.rng.randrange(INCARNATION_COUNT)
         self.members = {
             number: MemberRecord(number, zone, MemberUpdate(number, MemberState.ALIVE, 0), now)
@@ -83,7 +84,7 @@
         self.zone_sizes = Counter(record.zone for record in self.members.values())
         self.zone_absent: Counter[str] = Counter()  # suspected or unreachable members of each zone
         self.suspects: dict[int, MemberRecord] = {}
-        self.unknown_incarnations = set(self.members)  # members that nothing was received about yet
+        self.unknown_incarnations = set(self.members)  # members without any received update
         self.probe_order: list[int] = []  # the rest of this round
         self.probes: dict[int, PendingProbe] = {}  # by sequence number
         self.sequence = 0
@@ -91,21 +92,21 @@
         self.last_received_ns = now
         self.left = False
         self.dissemination = Dissemination(len(self.members))
-        # All members may start at one moment: the first probe comes at a random point of the period.
+        # All members may start at the same moment, so the first probe is sent at a random time of the period.
         self.next_probe_ns = now + int(self.rng.random() * timing.period_ns)
 
-    # What the rest of the program asks.
+    # Queries.
 
     def state(self, member: int) -> MemberState:
-        """Returns what is thought of another member."""
+        """Returns the present state of another member in this member's view."""
         return self.members[member].update.state
 
     def is_reachable(self, member: int) -> bool:
-        """Returns whether it is worth sending to a member."""
+        """Returns whether messages should be sent to a member."""
         return member == self.me or self.state(member) < MemberState.UNREACHABLE
 
     def count_alive(self, now: int) -> int:
-        """Returns how many members may be alive, this one among them.
+        """Returns how many members may be alive, including this one.
 
         The count is never below the number that are alive, under two assumptions: no partition lasts longer
         than `ProbeTiming.dead_after_ns` less one round of probes, and no member returns after it was counted
@@ -124,7 +125,7 @@
 
     @property
     def due_ns(self) -> int | None:
-        """When `tick` is to be called next; None: never again."""
+        """When `tick` is to be called next; None once this member has left."""
         if self.left:
             return None
         suspicions = [self._suspicion_ends_ns(record) for record in self.suspects.values()]
@@ -132,7 +133,7 @@
         return min([self.next_probe_ns, *suspicions, *deadlines])
 
     def tick(self, now: int) -> Outgoing:
-        """Returns what is due: requests for unacknowledged probes, and the next probe; ends suspicions."""
+        """Ends suspicions that are due; returns ping requests for unanswered probes, and the next probe."""
         if self.left:
             return []
         outgoing: Outgoing = []
@@ -150,7 +151,7 @@
         return outgoing
 
     def receive(self, data: bytes, now: int) -> Outgoing:
-        """Takes a message of another member, or any bytes; returns the responses."""
+        """Handles a message from another member; ignores any other bytes. Returns the responses."""
         message = decode(data)
         if message is None or message.sender not in self.members or self.left:
             return []
@@ -169,13 +170,13 @@
         return []
 
     def piggyback(self, room_bytes: int) -> bytes:
-        """Returns updates for a message that is sent anyway and has so much room; empty for none."""
+        """Returns the updates that fit in this many bytes of another message; empty for none."""
         if room_bytes < HEADER.size + UPDATE.size or not self.dissemination:
             return b""
         return encode(self._compose(MessageKind.UPDATES, 0, self.me, room_bytes))
 
     def leave(self) -> Outgoing:
-        """Returns messages to a few members that this one leaves (graceful shutdown); they pass it on."""
+        """Returns messages that tell a few members that this one leaves; they pass it on to the others."""
         self.left = True
         updates = (MemberUpdate(self.me, MemberState.LEFT, self.incarnation, self.me),)
         reachable = [r.number for r in self.members.values() if self.is_reachable(r.number)]
@@ -186,9 +187,9 @@
     # Probes.
 
     def _next_target(self) -> int | None:
-        """Returns whom to probe: each member once a round.
+        """Returns the member to probe next, or None; each member is probed once in a round.
 
-        Unreachable members are among them, so that the end of a partition is seen; members that left are not.
+        Unreachable members are probed so that the end of a partition is detected; members that left are not.
         """
         while True:
             if not self.probe_order:
@@ -222,7 +223,7 @@
             chosen = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
             return [self._message(n, MessageKind.PING_REQUEST, sequence, probe.target) for n in chosen]
         del self.probes[sequence]
-        if record.update.state is MemberState.ALIVE:  # no acknowledgement of a suspect was to be expected
+        if record.update.state is MemberState.ALIVE:  # a suspect's acknowledgement was not expected
             self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
         if not self._is_isolated(now) and record.update.state in (MemberState.ALIVE, MemberState.SUSPECT):
             incarnation = record.update.incarnation
@@ -240,19 +241,20 @@
         return []
 
     def _stretched(self, duration_ns: int) -> int:
-        """Returns a longer time while acknowledgements are missed: the fault may be its own (Lifeguard)."""
+        """Returns the duration, lengthened while acknowledgements are missed (Lifeguard).
+
+        This member itself may be the cause of the missed acknowledgements.
+        """
         return duration_ns * (1 + self.health_penalty)
 
     def _is_isolated(self, now: int) -> bool:
-        """Returns whether this member is cut off. It then accuses nobody: all others would seem dead."""
+        """Returns whether this member is cut off; it then accuses none, as all others would seem dead."""
         return now - self.last_received_ns > ISOLATION_PERIODS * self.timing.period_ns
 
     # Updates.
 
     def _sender_is_alive(self, sender: int, incarnation: int, now: int) -> None:
-        """Notes that a member sent a message under that incarnation: it is alive, whatever was said of an
-        earlier one.
-        """
+        """Records that a sender is alive under this incarnation, which supersedes all earlier ones."""
         record = self.members[sender]
         update = MemberUpdate(sender, MemberState.ALIVE, incarnation, sender)
         if self._first_contact(record, update):
@@ -273,7 +275,7 @@
             self._apply(record, update, now)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Answers a suspicion of oneself, under an incarnation later than the one it names."""
+        """Refutes a suspicion of this member, under an incarnation later than the suspected one."""
         if update.state is MemberState.ALIVE or is_later(self.incarnation, update.incarnation):
             return
         self.incarnation = (update.incarnation + 1) % INCARNATION_COUNT
@@ -281,9 +283,10 @@
         self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
 
     def _first_contact(self, record: MemberRecord, update: MemberUpdate) -> bool:
-        """Returns whether an update is the first about its member, and says only that it is alive.
+        """Returns whether an update is the first about its member and only confirms that it is alive.
 
-        That was assumed: nothing is passed on, or each start of a fleet would be a storm of updates.
+        Every member is assumed to be alive at first. Such an update is not passed on, since each start of a
+        fleet would otherwise cause a storm of updates.
         """
         if record.number not in self.unknown_incarnations:
             return False
@@ -292,7 +295,7 @@
         return update.state is MemberState.ALIVE and record.update.state is MemberState.ALIVE
 
     def _suspect(self, record: MemberRecord, update: MemberUpdate, now: int) -> None:
-        """Suspects a member that missed a probe; a further accuser shortens the suspicion."""
+        """Suspects a member that missed a probe; further accusers shorten the suspicion."""
         if record.update.state is not MemberState.SUSPECT:
             self._apply(record, update, now)
         elif update.reported_by not in record.accusers and len(record.accusers) <= CONFIRMATIONS_NEEDED:
@@ -301,7 +304,7 @@
             self.dissemination.enqueue(record)
 
     def _apply(self, record: MemberRecord, update: MemberUpdate, now: int) -> None:
-        """Makes an update what is known of its member, and passes it on."""
+        """Stores an update in the record of its member, and enqueues it for dissemination."""
         if update.state is not record.update.state:
             record.since_ns = now
             was_absent = record.update.state in ABSENT_STATES
@@ -317,7 +320,7 @@
 
     def _suspicion_ended(self, record: MemberRecord, now: int) -> None:
         if self._is_isolated(now):
-            record.since_ns = now  # what was seen while cut off says nothing about others: it begins anew
+            record.since_ns = now  # restarts: what this member saw while cut off says nothing about others
             return
         incarnation = record.update.incarnation
         update = MemberUpdate(record.number, MemberState.UNREACHABLE, incarnation, self.me)
@@ -337,12 +340,12 @@
         message = self._compose(kind, sequence, subject, MAX_MESSAGE_BYTES)
         about_receiver = self.members[to].update
         if about_receiver.state is not MemberState.ALIVE and about_receiver not in message.updates:
-            # A member that is suspected, or is back, has to learn of it to refute it.
+            # A member that is suspected, or has returned, must learn of its state to refute it.
             message = message._replace(updates=(about_receiver, *message.updates[: MAX_UPDATES - 1]))
         return to, encode(message)
 
     def _compose(self, kind: MessageKind, sequence: int, subject: int, room_bytes: int) -> GossipMessage:
-        """Returns a message with as many updates as there is room for."""
+        """Returns a message with as many updates as fit in this many bytes."""
         capacity = (room_bytes - HEADER.size) // UPDATE.size
         own = MemberUpdate(self.me, MemberState.ALIVE, self.incarnation, self.me)
         updates = tuple(self.dissemination.take(capacity, own))
--- a/lanelift/membership/dissemination.py
+++ b/lanelift/membership/dissemination.py
@@ -1,5 +1,5 @@
-"""Which member updates ride on the next message: those that were sent least often, each a bounded number of
-times (SWIM: Das, Gupta, Motivala, 2002, section 4.1).
+"""Chooses the member updates that are piggybacked on the next message: those that were sent least often, each
+a bounded number of times (SWIM: Das, Gupta, Motivala, 2002, section 4.1).
 """
 
 from __future__ import annotations
@@ -10,38 +10,38 @@
 from lanelift.membership.gossip import MemberUpdate
 from lanelift.membership.records import MemberRecord
 
-# Times log2(members + 2) that an update is sent: enough to reach all members with high probability.
+# An update is sent this many times log2(members + 2): enough to reach all members with high probability.
 RETRANSMISSION_FACTOR = 4.0
 
 
 class Dissemination:
-    """The updates that one member still passes on, at most one for each member it knows of.
+    """The updates that one member still has to pass on, at most one about each member.
 
     Args:
-        member_count: How many other members there are; it decides how often an update is sent.
+        member_count: How many other members there are; it determines how often an update is sent.
     """
 
     def __init__(self, member_count: int) -> None:
         self.max_transmissions = int(RETRANSMISSION_FACTOR * math.log2(member_count + 2))
         self.pending: dict[int, MemberRecord] = {}
-        self.own_announcements = 0  # times that the own liveness is still to be sent
+        self.own_announcements = 0  # how many more times this member's own liveness is sent
 
     def __bool__(self) -> bool:
         return bool(self.pending or self.own_announcements)
 
     def enqueue(self, record: MemberRecord) -> None:
-        """Passes on what this record says from now on, in place of what was passed on about that member."""
+        """Passes on this record's update from now on, in place of any earlier one about the same member."""
         record.transmissions = 0
         self.pending[record.number] = record
 
     def announce_self(self) -> None:
-        """Sends the own liveness along, as often as any update: a suspicion has to be refuted."""
+        """Sends this member's liveness along, as often as any update, to refute a suspicion."""
         self.own_announcements = self.max_transmissions
 
     def take(self, capacity: int, own: MemberUpdate) -> list[MemberUpdate]:
-        """Returns at most so many updates for one message, the least often sent first.
+        """Returns at most `capacity` updates for one message, the least often sent first.
 
-        `own` states that this member is alive; it goes first where it is to be announced.
+        `own` states that this member is alive; it goes first while it has to be announced.
         """
         taken: list[MemberUpdate] = []
         if self.own_announcements:
--- a/lanelift/membership/gossip.py
+++ b/lanelift/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between members, as values and as bytes: small enough to ride on messages that are sent anyway.
+"""Gossip messages between members and their encoding, small enough to be piggybacked on other messages.
 
     version (1)  kind (1)  sender (2)  its incarnation (2)  sequence (2)  subject (2)
 
@@ -6,9 +6,9 @@
 
     member (2)  state (1)  incarnation (2)  reported by (2)
 
-All numbers are unsigned and in network order. Members go by their numbers in the settings. A message that
-can't be decoded is None; an unknown kind or state is skipped, and so is whatever a later version appends in
-units of another size.
+All numbers are unsigned and in network order. Members are identified by their numbers in the settings. A
+message that can't be decoded, or has an unknown kind, is decoded as None. Updates with an unknown state are
+skipped, and so are trailing bytes of a later version that do not fill an update.
 """
 
 from __future__ import annotations
@@ -18,37 +18,37 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-MAX_MESSAGE_BYTES = 256  # the most that the platform's messages hold
+MAX_MESSAGE_BYTES = 256  # the limit of the platform's messages
 VERSION = 1
 HEADER = struct.Struct("!BBHHHH")
 UPDATE = struct.Struct("!HBHH")
 MAX_UPDATES = (MAX_MESSAGE_BYTES - HEADER.size) // UPDATE.size
-INCARNATION_COUNT = 1 << 16  # incarnations wrap around after so many
+INCARNATION_COUNT = 1 << 16  # incarnations wrap around at this number
 
 
 class MemberState(IntEnum):
-    """What is thought of a member. Of two updates for one incarnation the higher state holds."""
+    """The state of a member. Of two updates for one incarnation, the higher state takes precedence."""
 
     ALIVE = 0
-    SUSPECT = 1  # it did not acknowledge a probe, and has not refuted that yet
-    UNREACHABLE = 2  # suspected for too long: it is passed over, and may live beyond a network partition
-    LEFT = 3  # it said itself that it leaves
+    SUSPECT = 1  # the member did not acknowledge a probe, and has not refuted the suspicion yet
+    UNREACHABLE = 2  # suspected for too long: not sent to, but it may be alive beyond a network partition
+    LEFT = 3  # the member itself announced that it leaves
 
 
 class MessageKind(IntEnum):
-    """What a message asks for."""
+    """The kind of a message."""
 
-    PING = 1  # acknowledge this
-    ACK = 2  # `subject` acknowledged the ping of that sequence number
-    PING_REQUEST = 3  # ping `subject` for the sender
-    UPDATES = 4  # only the updates that it carries
+    PING = 1  # requests an acknowledgement
+    ACK = 2  # `subject` has acknowledged the ping with this sequence number
+    PING_REQUEST = 3  # requests a ping of `subject` on behalf of the sender
+    UPDATES = 4  # carries only updates
 
 
 class MemberUpdate(NamedTuple):
-    """One statement about a member; `reported_by` is the member that saw it itself.
+    """One statement about a member; `reported_by` is the member that made the observation itself.
 
-    Several members that suspect the same one count for more than one suspicion that was passed around: that
-    is why an update names who reported it.
+    Independent suspicions by several members count for more than one suspicion that was passed around, so
+    each update names its reporter.
     """
 
     member: int
@@ -58,7 +58,7 @@
 
     @property
     def statement(self) -> tuple[int, int, int]:
-        """What it says, whoever reported it."""
+        """The content of the update without its reporter."""
         return self.member, self.state, self.incarnation
 
 
@@ -66,12 +66,12 @@
     """One message between two members.
 
     Attributes:
-        kind: What it asks for.
-        sender: The member that sent it.
+        kind: The kind of the message.
+        sender: The member that sent the message.
         incarnation: The sender's own incarnation.
-        sequence: Ties an acknowledgement to its ping.
-        subject: The member that it is about.
-        updates: Member updates that ride along, at most `MAX_UPDATES`.
+        sequence: Matches an acknowledgement to its ping.
+        subject: The member that the message is about.
+        updates: The piggybacked member updates, at most `MAX_UPDATES`.
     """
 
     kind: MessageKind
@@ -88,7 +88,7 @@
 
 
 def supersedes(update: MemberUpdate, known: MemberUpdate) -> bool:
-    """Returns whether an update replaces what is known of the same member."""
+    """Returns whether an update replaces the known update about the same member."""
     if is_later(update.incarnation, known.incarnation):
         return True
     return update.incarnation == known.incarnation and update.state > known.state
@@ -108,7 +108,7 @@
 
 
 def decode(data: bytes) -> GossipMessage | None:
-    """Returns the message that these bytes hold; None for none of this version and of a known kind."""
+    """Returns the decoded message, or None if it is not of this version and a known kind."""
     if len(data) < HEADER.size or len(data) > MAX_MESSAGE_BYTES:
         return None
     version, kind, sender, incarnation, sequence, subject = HEADER.unpack_from(data)
--- a/lanelift/membership/records.py
+++ b/lanelift/membership/records.py
@@ -1,4 +1,4 @@
-"""What one member remembers of another, and of a probe under way."""
+"""The records that one member keeps of the other members and of pending probes."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass(slots=True, eq=False)
 class MemberRecord:
-    """What is known of another member.
+    """The record of another member.
 
     Attributes:
-        number: Its number in the settings.
-        zone: Its zone.
-        update: The latest that is known of it.
-        since_ns: When it entered that state, on the own clock. Set anew where a suspicion ended while this
-            member was isolated: it begins anew.
-        accusers: The members that report a suspicion of it from a probe of their own.
+        number: The member's number in the settings.
+        zone: The member's zone.
+        update: The latest known update about the member.
+        since_ns: When the member entered its state, on this member's clock. Reset if a suspicion ended while
+            this member was isolated, so that the suspicion starts over.
+        accusers: The members that report a suspicion of the member from a probe of their own.
         transmissions: How often the update was passed on.
     """
 
@@ -31,13 +31,13 @@
 
 @dataclass(slots=True, eq=False)
 class PendingProbe:
-    """A probe that is not acknowledged yet: a ping, and then requests to others to ping the target.
+    """A probe that is not acknowledged yet: a ping, followed by requests to others to ping the target.
 
     Attributes:
         target: The member that was pinged.
-        deadline_ns: When it counts as unacknowledged, on the own clock.
-        requester: For whom it was sent, and that member's sequence number; None: on the own account.
-        indirect: Other members were asked to ping the target as well.
+        deadline_ns: When the probe times out, on this member's clock.
+        requester: The member that requested the probe, and its sequence number; None for an own probe.
+        indirect: Whether other members were asked to ping the target as well.
     """
 
     target: int
--- a/lanelift/membership/simulation.py
+++ b/lanelift/membership/simulation.py
@@ -1,4 +1,4 @@
-"""Membership in simulated time: what truly happened beside what each member thought."""
+"""Membership in simulated time: compares what happened with the view of each member."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StateChange(NamedTuple):
-    """One member changed what it thinks of another; `at_ns` is true time."""
+    """A change of one member's state in the view of another; `at_ns` is true time."""
 
     at_ns: int
     observer: int
@@ -23,7 +23,7 @@
 
 
 class RecordingDetector(FailureDetector):
-    """Reports each change of its view to the simulation."""
+    """A failure detector that reports each change of its view to the simulation."""
 
     simulation: MembershipSimulation
 
@@ -35,32 +35,32 @@
 
 
 class SimulatedMember:
-    """One member as a node of the simulation, which knows members by name."""
+    """One member as a node of the simulation, which identifies members by name."""
 
     def __init__(self, detector: FailureDetector) -> None:
         self.detector = detector
 
     @property
     def due_ns(self) -> int | None:
-        """When it is to be woken, on its own clock; None: never."""
+        """When `tick` is due, on the member's own clock; None for never."""
         return self.detector.due_ns
 
     def receive(self, message: Any, source: str, now: int) -> Outgoing:
-        """Hand over a message; returns the answers."""
+        """Passes a message to the detector; returns the responses."""
         return [(str(to), data) for to, data in self.detector.receive(message, now)]
 
     def tick(self, now: int) -> Outgoing:
-        """Do what is due; returns the messages."""
+        """Runs the detector's `tick`; returns the messages to send."""
         return [(str(to), data) for to, data in self.detector.tick(now)]
 
 
 class MembershipSimulation(Simulation):
-    """So many members by number, their zones given in order.
+    """A fleet of numbered members in simulated time, with one zone given for each member.
 
     Attributes:
         changes: Each change of a view, in order.
-        deaths: When each member that is dead now died, in true nanoseconds.
-        bytes: Of all messages so far.
+        deaths: When each presently dead member died, in nanoseconds of true time.
+        bytes: The total size of all messages so far.
     """
 
     detector_class: type[RecordingDetector] = RecordingDetector
@@ -75,7 +75,7 @@
         super().__init__(schedule, keep_trace)
 
     def start_node(self, name: str, slot: NodeSlot, now: int) -> Any:
-        """A member starts."""
+        """Returns a member that starts."""
         self.deaths.pop(int(name), None)
         seed = self.rng.getrandbits(60)
         detector = self.detector_class(int(name), self.zones, self.timing, seed, now)
@@ -83,7 +83,7 @@
         return SimulatedMember(detector)
 
     def node_killed(self, name: str, slot: NodeSlot, disk_lost: bool) -> None:
-        """A member was killed."""
+        """Records the death of a member."""
         self.deaths[int(name)] = self.now
 
     def _send(self, sender: str, recipient: str, message: Any) -> None:
@@ -91,13 +91,15 @@
         super()._send(sender, recipient, message)
 
     def detector(self, number: int) -> FailureDetector | None:
-        """The detector of a member; None while it is not running."""
+        """Returns the detector of a member; None while the member is not running."""
         node = self.slots[str(number)].node
         return node.detector if isinstance(node, SimulatedMember) else None
 
     def detection_delays_ns(self) -> list[int]:
-        """For each death and each member that lives, how long until that one thought it unreachable (or knew
-        that it left); -1: not yet.
+        """Returns, for each death and each living member, the time until the latter detected the former.
+
+        A death is detected when the dead member becomes unreachable, or is known to have left; -1 if it is
+        not detected yet.
         """
         detected: dict[tuple[int, int], int] = {}
         for change in self.changes:
@@ -112,7 +114,7 @@
         ]
 
     def false_detections(self) -> int:
-        """How often a member that lived was thought unreachable by another."""
+        """Returns how often a living member became unreachable in the view of another."""
         return sum(
             change.state is MemberState.UNREACHABLE
             and (change.member not in self.deaths or change.at_ns < self.deaths[change.member])
@@ -123,6 +125,6 @@
 def membership_schedule(
     count: int, seed: int, until_ms: int, loss: float = 0.0, steps: Sequence[Any] = ()
 ) -> Schedule:
-    """A schedule of faults for so many members, until so many milliseconds; `loss`: of all messages."""
+    """Returns a schedule of faults for `count` members; `loss` is the share of all messages that is lost."""
     names = tuple(map(str, range(count)))
     return Schedule(seed, names, (), until_ms, tuple(steps), loss=loss)
--- a/lanelift/membership/suspicion.py
+++ b/lanelift/membership/suspicion.py
@@ -1,22 +1,23 @@
-"""How long a suspicion lasts before its member counts as unreachable.
+"""Computes how long a suspicion lasts before the suspected member counts as unreachable.
 
-The timeout shrinks as independent members confirm the suspicion (Lifeguard: Dadgar, Phillips, Currey, 2017):
-a single accuser may itself be slow or cut off.
+The timeout shrinks as independent members confirm the suspicion, since a single accuser may itself be slow or
+cut off (Lifeguard: Dadgar, Phillips, Currey, 2017).
 """
 
 from __future__ import annotations
 
 import math
 
-# The shortest suspicion, in probe periods for each factor of ten in members: a suspicion has to reach its
-# member, and the refutation the others, while updates spread in a time that grows with the logarithm.
+# The shortest suspicion, in probe periods for each factor of ten in members: the suspicion has to reach the
+# suspect, and the refutation the other members, and updates spread in a time logarithmic in their number.
 SHORTEST_PERIODS = 5.0
 LONGEST_FACTOR = 3.0  # an unconfirmed suspicion lasts this many times the shortest one
-CONFIRMATIONS_NEEDED = 3  # further accusers that bring a suspicion down to its shortest
-# A zone's members that are suspected or unreachable, as a share, from which on the zone counts as partitioned
-# and its members are given PARTITION_FACTOR times as long: they live, and a partition ends for all at once.
+CONFIRMATIONS_NEEDED = 3  # further accusers that reduce a suspicion to its shortest duration
+# If at least this share of a zone's members is suspected or unreachable, the zone counts as partitioned, and
+# suspicions of its members last PARTITION_FACTOR times as long: the members are alive, and a partition ends
+# for all of them at the same time.
 PARTITION_SHARE = 0.6
-PARTITION_MIN_MEMBERS = 3  # a zone of fewer says nothing about a partition
+PARTITION_MIN_MEMBERS = 3  # in a smaller zone, absent members do not indicate a partition
 PARTITION_FACTOR = 3.0
 
 
@@ -44,5 +45,5 @@
 
 
 def zone_is_partitioned(size: int, absent: int) -> bool:
-    """Returns whether so many absent members (suspected, unreachable) of a zone mean a network partition."""
+    """Returns whether a zone with this many absent members (suspected, unreachable) counts as partitioned."""
     return size >= PARTITION_MIN_MEMBERS and absent >= PARTITION_SHARE * size
--- a/lanelift/membership/timing.py
+++ b/lanelift/membership/timing.py
@@ -1,4 +1,4 @@
-"""How long the failure detector waits."""
+"""The timings of the failure detector."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeTiming:
-    """How long things take, in nanoseconds.
+    """The timings of probes, in nanoseconds.
 
     Attributes:
-        period_ns: Time between two probes that one member sends.
-        ack_timeout_ns: An acknowledgement takes no longer while the network is healthy.
-        dead_after_ns: No partition lasts longer; a member that was unreachable for so long counts as dead.
+        period_ns: Time between two probes of one member.
+        ack_timeout_ns: The longest time that an acknowledgement takes while the network is healthy.
+        dead_after_ns: How long a member is unreachable before it counts as dead; no partition lasts longer.
     """
 
     period_ns: int = 1000 * MILLISECOND_NS
--- a/tests/faults/test_datagram_proxy.py
+++ b/tests/faults/test_datagram_proxy.py
@@ -1,4 +1,4 @@
-"""Proxies between processes: what passes, what does not, and which schedules can be played there."""
+"""Datagram proxies: the faults of a link, and the steps that can't be applied to processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class End:
-    """One end, and what came to it."""
+    """One end of a link, which records the datagrams that it receives and their sources."""
 
     def __init__(self) -> None:
         self.received: list[bytes] = []
@@ -37,18 +37,18 @@
                 await asyncio.sleep(0.005)
 
 
-def test_each_direction_by_itself() -> None:
+def test_each_direction_has_its_own_faults() -> None:
     async def story() -> None:
         a, b = End(), End()
         await a.open()
         await b.open()
-        # a is answered where it sent from
+        # the address of a is not known beforehand: datagrams for a go to the address that it sent from
         proxy = DatagramProxy("a", "b", {"b": b.endpoint.address}, random.Random(1))
         await proxy.open()
         address_of_a, address_of_b = proxy.address_of("a"), proxy.address_of("b")
         a.endpoint.send(b"1", address_of_b)
         await b.until(1)
-        assert b.sources == {address_of_a}  # it comes from the address that stands for a
+        assert b.sources == {address_of_a}  # the proxy sends from the address that b knows as that of a
         b.endpoint.send(b"2", address_of_a)
         await a.until(1)
         proxy.links["a", "b"].change(Step(0, "cut", "a", "b"))
@@ -71,25 +71,25 @@
     run(story())
 
 
-def test_what_heals_is_the_step_and_not_the_whole_network() -> None:
+def test_heal_undoes_the_faults_of_its_link() -> None:
     link = Link()
     for step in (Step(0, "delay", "a", ms=5), Step(0, "drop", "a", part=0.5), Step(0, "cut", "a")):
         link.change(step)
     assert (link.delay_ms, link.loss, link.cut) == (5, 0.5, True)
     link.change(Step(0, "heal", "a"))
     assert link == Link()
-    with pytest.raises(ScheduleError, match="found between two ends; allowed: cut, heal"):
+    with pytest.raises(ScheduleError, match="kill: not a step of a link; allowed: cut, heal"):
         link.change(Step(0, "kill", "a"))
 
 
 @pytest.mark.parametrize("what", ["plan", "rate", "step", "ask"])
-def test_what_can_not_be_done_to_processes_is_refused_before_any_is_started(
+def test_a_step_not_playable_among_processes_is_rejected_before_any_is_started(
     what: str, tmp_path: Path
 ) -> None:
     async def story() -> None:
         async with ProcessCluster(tmp_path) as fleet:
             with pytest.raises(
-                ScheduleError, match=rf"steps\[1\].what: found '{what}'; among processes: kill"
+                ScheduleError, match=rf"steps\[1\].what: found '{what}'; allowed among processes: kill"
             ):
                 await fleet.play(Schedule(1, ("a",), (), 100, (Step(0, "kill", "a"), Step(1, what, "a"))))
             assert not fleet.records
--- a/tests/membership/test_budgets.py
+++ b/tests/membership/test_budgets.py
@@ -1,5 +1,5 @@
-"""A common budget is divided by each member alone: the parts add up to no more than the whole, whatever the
-views are.
+"""Each member computes its own part of a common budget. The parts must never add up to more than the budget,
+even if the members' views differ.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
     ]
 
 
-def test_all_divergent_views_of_five_members_add_up() -> None:
-    """Each set of living ones, and in each of their views any set of the dead left out: in full."""
+def test_parts_add_up_for_all_divergent_views_of_five_members() -> None:
+    """Checks all sets of living members, each of which may leave out any set of the dead members."""
     everybody = frozenset(range(5))
     views = 0
     for living in subsets(everybody):
@@ -40,15 +40,15 @@
     assert views == sum(len(subsets(everybody - s)) ** len(s) for s in subsets(everybody) if s)
 
 
-def test_one_living_member_left_out_by_the_others_is_too_much() -> None:
-    """The planted mistake: who is only silent counts as dead. Three live, two of them leave out the third."""
+def test_parts_exceed_the_budget_if_a_living_member_is_left_out() -> None:
+    """A planted mistake: a silent member counts as dead. Two of three living members leave out the third."""
     assert sum(Fraction(1, n) for n in (2, 2, 3)) > 1
 
 
 class CountingSimulation(MembershipSimulation):
-    """Checks in each second what each member that lives would divide by."""
+    """Checks once a second that the parts computed by the living members do not exceed the budget."""
 
-    over = 0
+    violations = 0
     checks = 0
     next_ns = 0
 
@@ -59,31 +59,33 @@
         detectors = [self.detector(n) for n in range(COUNT)]
         living = [d for d in detectors if d is not None and not d.left]
         self.checks += 1
-        self.over += sum(Fraction(1, d.count_alive(self.local(str(d.me)))) for d in living) > 1
+        self.violations += sum(Fraction(1, d.count_alive(self.local(str(d.me)))) for d in living) > 1
 
 
 def schedule(seed: int) -> list[Step]:
-    """Deaths, some with a return before it counts as death, and cuts between any two sides; each is over
-    within 20 s, and followed by time enough for a round of questions: the promise's assumption, that nobody
-    who lives is out of reach for `dead_after_ns`."""
-    rng, steps, here = random.Random(seed), [], list(range(COUNT))
-    at = 5_000
-    while at < 200_000:
-        lasts = rng.randrange(1_000, 20_000)
+    """Returns deaths, some with a return before the member counts as dead, and cuts between any two sides.
+
+    Each fault ends within 20 s and is followed by enough time for a round of probes. This meets the
+    assumption of `count_alive` that no living member is out of reach for `dead_after_ns`.
+    """
+    rng, steps, remaining = random.Random(seed), [], list(range(COUNT))
+    at_ms = 5_000
+    while at_ms < 200_000:
+        duration_ms = rng.randrange(1_000, 20_000)
         if rng.random() < 0.5:
-            who = rng.choice(here)
-            steps.append(Step(at, "kill", str(who)))
-            if rng.random() < 0.7 or len(here) < 3:
-                steps.append(Step(at + lasts, "start", str(who)))
+            who = rng.choice(remaining)
+            steps.append(Step(at_ms, "kill", str(who)))
+            if rng.random() < 0.7 or len(remaining) < 3:
+                steps.append(Step(at_ms + duration_ms, "start", str(who)))
             else:
-                here.remove(who)
+                remaining.remove(who)
         else:
             left = set(rng.sample(range(COUNT), rng.randrange(1, COUNT)))
-            ways = [(a, b) for a in left for b in set(range(COUNT)) - left]
-            ways += [(b, a) for a, b in ways] if rng.random() < 0.7 else []
-            steps += [Step(at, "cut", str(a), str(b)) for a, b in ways]
-            steps += [Step(at + lasts, "heal", str(a), str(b)) for a, b in ways]
-        at += lasts + rng.randrange(25_000, 40_000)
+            directions = [(a, b) for a in left for b in set(range(COUNT)) - left]
+            directions += [(b, a) for a, b in directions] if rng.random() < 0.7 else []
+            steps += [Step(at_ms, "cut", str(a), str(b)) for a, b in directions]
+            steps += [Step(at_ms + duration_ms, "heal", str(a), str(b)) for a, b in directions]
+        at_ms += duration_ms + rng.randrange(25_000, 40_000)
     return sorted(steps, key=lambda s: s.at_ms)
 
 
@@ -99,7 +101,7 @@
 def test_parts_add_up_during_deaths_returns_and_partitions() -> None:
     simulations = [simulate(seed) for seed in range(12)]
     assert sum(simulation.checks for simulation in simulations) > 2_000
-    assert not sum(simulation.over for simulation in simulations)
+    assert not sum(simulation.violations for simulation in simulations)
 
 
 class UnreachableIsDead(RecordingDetector):
@@ -115,4 +117,4 @@
 
 @pytest.mark.parametrize("mistake", [UnreachableIsDead, SuspectIsDead])
 def test_a_planted_mistake_is_found(mistake: type[RecordingDetector]) -> None:
-    assert any(simulate(seed, mistake).over for seed in range(30))
+    assert any(simulate(seed, mistake).violations for seed in range(30))
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -48,9 +48,11 @@
 
 def partition(at_s: int, until_s: int, left: range, right: range) -> list[Step]:
     pairs = [(str(a), str(b)) for a in left for b in right]
-    ways = [*pairs, *((b, a) for a, b in pairs)]
+    directions = [*pairs, *((b, a) for a, b in pairs)]
     return [
-        step for a, b in ways for step in (Step(at_s * 1000, "cut", a, b), Step(until_s * 1000, "heal", a, b))
+        step
+        for a, b in directions
+        for step in (Step(at_s * 1000, "cut", a, b), Step(until_s * 1000, "heal", a, b))
     ]
 
 
@@ -61,7 +63,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.05, 0.3])
-def test_seven_in_ten_deaths_at_once_are_detected_by_all_and_nobody_else_is_accused(loss: float) -> None:
+def test_simultaneous_deaths_of_seven_in_ten_are_detected_and_no_other_is_accused(loss: float) -> None:
     dead = range(17)
     simulation = simulate(*(Step(20_000, "kill", str(n)) for n in dead), loss=loss, until_s=240)
     for who in range(17, N):
@@ -71,15 +73,16 @@
     assert not simulation.false_detections()
 
 
-def test_without_faults_nobody_is_accused_at_a_bounded_number_of_messages() -> None:
+def test_without_faults_no_member_is_accused_and_messages_are_bounded() -> None:
     simulation = simulate(until_s=300, count=40)
     assert not [v for v in simulation.changes if v.state is not MemberState.ALIVE]
-    assert simulation.messages / 300 / 40 < 2.1  # a question and an answer each period
+    assert simulation.messages / 300 / 40 < 2.1  # a ping and an acknowledgement per period
 
 
-def test_a_partition_is_not_taken_for_death_and_its_end_joins_both_views() -> None:
-    """Two zones can't reach each other, first for 6 s and then for 25 s. Both sides see the other as
-    unreachable, and still count it: a budget divided by fewer members than live would be overspent.
+def test_a_partition_does_not_count_as_death_and_views_agree_after_it() -> None:
+    """Two sides can't reach each other, in one run for 6 s and in another for 25 s. In the longer one each
+    side sees the other as unreachable but still counts it: dividing a budget by fewer members than are alive
+    would overspend it.
     """
     short = simulate(*partition(20, 26, range(12), range(12, N)))
     assert not short.false_detections()
@@ -93,9 +96,9 @@
         assert set(view_of(healed, who).values()) == {MemberState.ALIVE}
 
 
-def test_an_isolated_member_accuses_nobody() -> None:
-    """One member is cut off from all others. To itself all others seem dead at once; it has to see that it is
-    the one that is cut off. The others do detect it.
+def test_an_isolated_member_accuses_no_other_member() -> None:
+    """One member is cut off from all others, which all seem dead to it. It has to recognize that it is itself
+    cut off. The others detect it as unreachable.
     """
     simulation = simulate(*partition(20, 50, range(1), range(1, N)), until_s=50)
     assert not [v for v in simulation.changes if v.observer == 0 and v.state is MemberState.UNREACHABLE]
@@ -105,15 +108,15 @@
 
 
 def test_one_way_loss_is_bridged_by_indirect_probes() -> None:
-    """Messages from member 0 to member 1 are lost, those back are not. Each still gets the other's
-    acknowledgement through third members, so that neither accuses the other.
+    """Messages from member 0 to member 1 are lost, but those from 1 to 0 are not. Each still receives the
+    other's acknowledgement through third members, so neither accuses the other.
     """
     simulation = simulate(Step(20_000, "cut", "0", "1"), Step(50_000, "heal", "0", "1"))
     assert not simulation.false_detections()
 
 
-def test_a_member_that_is_paused_repeatedly_accuses_nobody() -> None:
-    """A process is stopped for 1.5 s in every 2 s. Acknowledgements that it misses are its own fault, and its
+def test_a_member_that_is_paused_repeatedly_accuses_no_other_member() -> None:
+    """A process is stopped for 1.5 s in every 2 s. It misses acknowledgements through its own fault, so its
     probes wait longer from then on.
     """
     steps = [
@@ -124,8 +127,9 @@
 
 
 def test_a_zone_that_vanishes_as_a_whole_is_given_more_time() -> None:
-    """A single member dies, or all members of a zone at one moment. The second looks like a partition, which
-    ends for all at once: its members stay suspects for longer, and are detected in the end.
+    """In one run a single member dies, in another all members of a zone die at the same moment. The second
+    case looks like a partition, which ends for all members at the same time: the members of the zone stay
+    suspected for longer, but are detected in the end.
     """
     one = simulate(Step(20_000, "kill", "0"), until_s=150)
     zone = simulate(*(Step(20_000, "kill", str(n)) for n in range(0, N, 3)), until_s=150)
@@ -145,10 +149,10 @@
 
 
 def test_a_member_that_returns_after_it_was_unreachable_is_alive_again() -> None:
-    """A member is killed and starts again under a random incarnation, which may lie behind the one that the
-    others hold against it. It learns of that and refutes it.
+    """A member is killed and starts again under a random incarnation, which may be behind the incarnation in
+    the others' updates about it. The member learns of these updates and refutes them.
     """
-    for seed in range(6):  # its new incarnation is ahead of the old one, or behind
+    for seed in range(6):  # in some seeds the new incarnation is ahead of the old one, in others behind it
         simulation = simulate(
             Step(10_000, "kill", "3"), Step(40_000, "start", "3"), seed=seed, until_s=80, count=8
         )
@@ -174,7 +178,7 @@
 
 
 def test_two_members_under_one_number_settle_without_a_message_storm() -> None:
-    """Two processes run under one number by mistake, and refute each other. Their messages stay bounded."""
+    """Two processes run under one number by mistake and refute each other; their messages stay bounded."""
     a, b = FailureDetector(0, ["", "", ""], TIMING, 1, 0), FailureDetector(0, ["", "", ""], TIMING, 2, 0)
     third = FailureDetector(1, ["", "", ""], TIMING, 3, 0)
     message = 0
@@ -183,18 +187,18 @@
         for one in (a, b):
             for to, data in one.tick(now):
                 if to == 1:
-                    for _, answer in third.receive(data, now):
+                    for _, response in third.receive(data, now):
                         message += 1
-                        a.receive(answer, now)
-                        b.receive(answer, now)
+                        a.receive(response, now)
+                        b.receive(response, now)
     assert message < 120 and third.is_reachable(0)
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_accepted_without_an_error(data: bytes) -> None:
+def test_invalid_bytes_cause_no_error(data: bytes) -> None:
     detector = FailureDetector(0, ["", "", ""], TIMING, 1, 0)
-    for _, answer in detector.receive(data, 5):
-        assert len(answer) <= MAX_MESSAGE_BYTES
+    for _, response in detector.receive(data, 5):
+        assert len(response) <= MAX_MESSAGE_BYTES
 
 
 @given(
@@ -203,20 +207,20 @@
         st.tuples(st.integers(0, 99), st.sampled_from(MemberState), st.integers(0, 65_535)), max_size=60
     ),
 )
-def test_a_decoded_message_equals_the_encoded_one_as_far_as_there_is_room(
+def test_a_decoded_message_equals_the_encoded_one_up_to_the_maximum_size(
     incarnation: int, rows: list[tuple[int, MemberState, int]]
 ) -> None:
-    news = tuple(MemberUpdate(whom, state, inc, 7) for whom, state, inc in rows)
-    data = encode(GossipMessage(MessageKind.PING, 3, incarnation, 9, 4, news))
+    updates = tuple(MemberUpdate(whom, state, inc, 7) for whom, state, inc in rows)
+    data = encode(GossipMessage(MessageKind.PING, 3, incarnation, 9, 4, updates))
     assert len(data) <= MAX_MESSAGE_BYTES
-    assert decode(data) == GossipMessage(MessageKind.PING, 3, incarnation, 9, 4, news[:MAX_UPDATES])
+    assert decode(data) == GossipMessage(MessageKind.PING, 3, incarnation, 9, 4, updates[:MAX_UPDATES])
 
 
-def test_messages_of_a_later_version_are_decoded_as_far_as_they_are_known() -> None:
+def test_known_parts_of_messages_of_a_later_version_are_decoded() -> None:
     data = encode(GossipMessage(MessageKind.PING, 1, 2, 3, 4, (MemberUpdate(2, MemberState.ALIVE, 5, 2),)))
-    assert decode(data + b"xyz") == decode(data)  # less than one more update
+    assert decode(data + b"xyz") == decode(data)  # trailing bytes that do not fill an update
     odd = bytearray(data)
-    odd[HEADER.size + 2] = 99  # a state that is not known yet: that update is skipped
+    odd[HEADER.size + 2] = 99  # an unknown state: the update is skipped
     assert decode(bytes(odd)) == GossipMessage(MessageKind.PING, 1, 2, 3, 4, ())
     odd = bytearray(data)
     odd[0] = 2
@@ -231,7 +235,7 @@
     assert not supersedes(MemberUpdate(1, MemberState.LEFT, old), MemberUpdate(1, MemberState.ALIVE, new))
 
 
-def test_updates_are_piggybacked_only_where_there_are_some_and_room_for_them() -> None:
+def test_updates_are_piggybacked_only_if_any_are_pending_and_fit() -> None:
     detector = FailureDetector(0, [""] * 5, TIMING, 1, 0)
     assert detector.piggyback(200) == b""
     suspicion = MemberUpdate(2, MemberState.SUSPECT, 0, 1)
@@ -241,11 +245,11 @@
     assert message is not None and message.updates[0].member == 2
 
 
-# Planted mistakes: each makes one of the above fail.
+# Planted mistakes: each makes one of the tests above fail.
 
 
 class IgnoresIncarnations(RecordingDetector):
-    """An old suspicion wins over its refutation."""
+    """An old suspicion takes precedence over its refutation."""
 
     def _receive_update(self, update: MemberUpdate, now: int) -> None:
         record = self.members.get(update.member)
@@ -263,7 +267,7 @@
 
 
 class SkipsIndirectProbes(RecordingDetector):
-    """One lost acknowledgement is a suspicion."""
+    """A single lost acknowledgement causes a suspicion."""
 
     def tick(self, now: int) -> list[tuple[int, bytes]]:
         for probe in self.probes.values():
@@ -282,11 +286,11 @@
             super()._receive_update(update, now)
 
 
-def accused(simulation: MembershipSimulation) -> bool:
+def accuses_living(simulation: MembershipSimulation) -> bool:
     return bool(simulation.false_detections())
 
 
-def blames(simulation: MembershipSimulation) -> bool:
+def accuses_others(simulation: MembershipSimulation) -> bool:
     return bool([v for v in simulation.changes if v.observer == 0 and v.state is MemberState.UNREACHABLE])
 
 
@@ -298,9 +302,9 @@
 @pytest.mark.parametrize(
     ("planted", "steps", "loss", "until_s", "wrong"),
     [
-        (IgnoresIncarnations, (), 0.3, 60, accused),
-        (NeverRefutes, (), 0.3, 60, accused),
-        (AccusesWhileIsolated, partition(20, 90, range(1), range(1, N)), 0.0, 90, blames),
+        (IgnoresIncarnations, (), 0.3, 60, accuses_living),
+        (NeverRefutes, (), 0.3, 60, accuses_living),
+        (AccusesWhileIsolated, partition(20, 90, range(1), range(1, N)), 0.0, 90, accuses_others),
         (
             SkipsIndirectProbes,
             (Step(20_000, "cut", "0", "1"),),
@@ -317,14 +321,14 @@
 ) -> None:
     assert callable(wrong)
     assert wrong(simulate(*steps, loss=loss, until_s=until_s, detector=planted))
-    if planted is not SkipsIndirectProbes:  # that one is wrong by more than it should be, not by being at all
+    if planted is not SkipsIndirectProbes:  # suspicions are allowed: this mistake only causes more of them
         assert not wrong(simulate(*steps, loss=loss, until_s=until_s))
 
 
 def test_the_state_is_bounded_for_two_thousand_members() -> None:
     detector = FailureDetector(0, ["abc"[i % 3] for i in range(2000)], TIMING, 1, 0)
-    place = NodeSlot(Clock(0, 0.0))
-    assert place.node is None
+    slot = NodeSlot(Clock(0, 0.0))
+    assert slot.node is None
     now = 0
     for _ in range(400):
         now += 1000 * MS
