--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -1,4 +1,4 @@
-"""The inequalities of the timings, and what members must have alike."""
+"""The inequalities of the timings, and the digest of the configuration that members must share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @given(st.integers(1, 10**13), st.floats(0, MAX_DRIFT))
 def test_a_holder_stops_before_any_voter_is_free(lease_ns: int, drift: float) -> None:
-    """In true time, with the holder's clock as slow and the voter's as fast as they may be."""
+    """The inequality holds in true time with the slowest allowed holder's clock and fastest voter's clock."""
     timing = LeaseTiming(lease_ns=lease_ns, drift=drift)
     rounding = 1 + 1e-15 * lease_ns
     assert timing.validity_ns / (1 - drift) <= lease_ns / (1 + drift) + rounding
@@ -31,21 +31,21 @@
         (LeaseTiming(response_timeout_ns=3000 * MS), "answer_ms"),
     ],
 )
-def test_what_does_not_fit_together_is_named(timing: LeaseTiming, key: str) -> None:
+def test_inconsistent_timings_are_named(timing: LeaseTiming, key: str) -> None:
     """An operator sets a margin or a timeout that leaves no time for renewals."""
     assert [found for found, *_ in timing.problems()] == ([key] if key else [])
 
 
-def test_the_digest_is_of_what_must_be_alike() -> None:
+def test_the_digest_covers_what_members_must_share() -> None:
     cluster = ClusterConfiguration("trust", ABC)
     moved = tuple(replace(m, address=("127.0.0.1", 99), zone="east") for m in reversed(ABC))
     assert (
         cluster.digest == ClusterConfiguration("trust", moved).digest
-    )  # reached by other ways, told in another order
+    )  # addresses, zones and the order of members are not covered
     listed = ClusterConfiguration("trust", (*ABC[:2], replace(ABC[2], votes=False)))
     assert (
         listed.digest == ClusterConfiguration("trust", ABC[:2]).digest
-    )  # who does not vote changes nothing for those who do
+    )  # members that do not vote are not covered
     others = [
         ClusterConfiguration("bank", ABC),
         ClusterConfiguration("trust", ABC[:2]),
@@ -55,5 +55,5 @@
     assert len({cluster.digest, *(other.digest for other in others)}) == 1 + len(others)
 
 
-def test_two_majorities_share_one() -> None:
+def test_two_majorities_share_a_voter() -> None:
     assert all(2 * majority(n) > n and majority(n) <= n for n in range(1, 40))
--- a/tests/fleet/test_codec.py
+++ b/tests/fleet/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages as bytes: what was sent is received, and any other bytes are rejected with a reason."""
+"""The encoding of messages: decoding returns the sent message, and rejects other bytes with a reason."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_what_was_sent_comes_out(message: Message) -> None:
+def test_decoding_returns_the_encoded_message(message: Message) -> None:
     assert decode(encode(DIGEST, message)) == (DIGEST, message)
 
 
-def test_the_largest_fits_a_datagram() -> None:
+def test_the_largest_message_fits_in_a_datagram() -> None:
     name, most = "x" * 64, 2**62 - 1
     seen = [LeaseStatus(name, name, most, most, 64) for _ in range(MAX_LEASES_PER_PAGE)]
     assert len(encode(DIGEST, LeaseList(most, name, most, seen, True))) > MAX_DATAGRAM_BYTES // 2
@@ -57,18 +57,18 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_dropped(data: bytes) -> None:
-    """Anybody may send anything to the port: bytes that are no message are an error, and nothing else."""
+def test_bytes_that_are_not_a_message_are_rejected(data: bytes) -> None:
+    """The port may receive any datagram: bytes that are not a message raise an error of one class only."""
     with pytest.raises(MessageDecodeError):
         decode(data)
 
 
 @given(st.sampled_from(MESSAGES), st.integers(0, 10_000), st.integers(1, 255))
-def test_a_changed_byte_is_seen(message: Message, at: int, change: int) -> None:
-    """A datagram is damaged on its way.
+def test_a_changed_byte_is_detected(message: Message, at: int, change: int) -> None:
+    """A datagram is damaged by the network.
 
-    The checksum shows it; where it is the digest of the cluster that was changed, the transport drops the
-    message as another cluster's.
+    The checksum detects it. If the digest of the cluster was changed, the transport drops the message as one
+    of another cluster.
     """
     data = bytearray(encode(DIGEST, message))
     at %= len(data)
@@ -77,17 +77,17 @@
         digest, same = decode(bytes(data))
     except MessageDecodeError:
         return
-    assert digest != DIGEST and same == message  # another plan's: the port drops that
+    assert digest != DIGEST and same == message  # the transport drops messages with another digest
 
 
 def framed(body: bytes, version: int = 1) -> bytes:
     return HEADER.pack(MAGIC, version, DIGEST, zlib.crc32(body)) + body
 
 
-def test_what_a_later_release_sends_is_skipped() -> None:
+def test_unknown_parts_of_messages_of_a_later_release_are_skipped() -> None:
     """Half of the members were upgraded, and send fields and kinds that this release does not know.
 
-    More fields at the end are skipped, and unknown kinds and versions are an error of their own kind.
+    Additional fields at the end are skipped; unknown kinds and versions raise an error class of their own.
     """
     longer = msgspec.msgpack.encode(["look", 5, "m", "more"])
     assert decode(framed(longer)) == (DIGEST, ListLeases(5, "m"))
@@ -98,6 +98,6 @@
 
 @pytest.mark.parametrize("row", [["look", -1], ["look", 2**62], ["look", "1"], ["ask", "", 1, 1, "p", 1]])
 def test_values_out_of_bounds_are_rejected(row: list[object]) -> None:
-    """A message is well formed, and its numbers or names are out of bounds."""
+    """A message is well formed, but its numbers or names are out of bounds."""
     with pytest.raises(UnknownMessageError):
         decode(framed(msgspec.msgpack.encode(row)))
--- a/tests/fleet/test_log.py
+++ b/tests/fleet/test_log.py
@@ -1,5 +1,4 @@
-"""Each event of the fleet's log stands in the catalogue, and nothing stands there that the code does not
-say."""
+"""The catalogue of the fleet's log events lists each event that the code logs, and no other."""
 
 from __future__ import annotations
 
@@ -9,11 +8,11 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_the_catalogue_has_each_event_and_no_other() -> None:
+def test_the_catalogue_lists_exactly_the_logged_events() -> None:
     code = "".join(
-        p.read_text() for room in ("fleet", "leases") for p in (ROOT / "lanelift" / room).glob("*.py")
+        p.read_text() for package in ("fleet", "leases") for p in (ROOT / "lanelift" / package).glob("*.py")
     )
-    said = set(re.findall(r'log\.(?:info|warning|error)\(\s*"([a-z_]+)"', code))
+    logged = set(re.findall(r'log\.(?:info|warning|error)\(\s*"([a-z_]+)"', code))
     page = (ROOT / "docs" / "operating" / "fleet-log.md").read_text()
-    told = set(re.findall(r"^\| `([a-z_]+)` \|", page, re.M))
-    assert said and said == told
+    listed = set(re.findall(r"^\| `([a-z_]+)` \|", page, re.M))
+    assert logged and logged == listed
--- a/tests/fleet/test_recovery.py
+++ b/tests/fleet/test_recovery.py
@@ -1,6 +1,6 @@
 """Voter recovery: restarts, lost state, changed voter sets.
 
-What must never be: a voter that may vote while a majority of a former configuration still could be.
+A voter must never be able to vote while a majority of a former configuration may still exist.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 
 @dataclass
 class Fleet:
-    """Voters with state files, each under a configuration of its own.
+    """Voters with state files, each with its own configuration.
 
-    Those under the same configuration exchange statuses.
+    Voters with the same configuration exchange statuses.
     """
 
     state_files: dict[str, PersistentState] = field(default_factory=dict)
@@ -67,11 +67,11 @@
 
 
 @pytest.mark.parametrize("voters", ["a", "ab", "abc", "abcde"])
-def test_a_new_fleet_begins_once_all_are_there(voters: str) -> None:
-    """Five voters of a new fleet start one after the other: none votes before the last one is there.
+def test_a_new_fleet_votes_once_all_voters_are_started(voters: str) -> None:
+    """Up to five voters of a new fleet start one after the other: none votes before the last one has started.
 
-    Nobody has any state, so that a majority might have been given a lease by voters that lost theirs.
-    Only all voters together know that there never was one.
+    No voter has any state, so each one's former state may have been lost, and a majority may have given a
+    lease. Only all voters together know that there was no lease.
     """
     fleet = Fleet()
     fleet.start(configuration(voters), *voters[:-1])
@@ -86,13 +86,13 @@
 def test_a_restarted_voter_is_quiet_and_promises_above_its_ceiling() -> None:
     """A voter is restarted and has forgotten its votes and promises.
 
-    It may vote without asking anybody, but only after the quiet period, and only on ballots above the
-    ceiling that it had persisted.
+    It may vote without a status of other voters, but only after the quiet period, and only on ballots above
+    its persisted ceiling.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
     fleet.exchange_statuses()
-    fleet.start(configuration("abc"), "a")  # nobody needs to be asked
+    fleet.start(configuration("abc"), "a")  # needs no status of other voters
     recovery = fleet.recoveries["a"]
     assert recovery.may_vote and recovery.ready_ns == 1000 * MS
     assert recovery.ballot_floor == BALLOT_BLOCK and fleet.state_files["a"].ballot_ceiling == 2 * BALLOT_BLOCK
@@ -101,8 +101,8 @@
 def test_a_voter_that_lost_its_state_needs_one_of_each_majority() -> None:
     """The disk of a is lost while c and d are down.
 
-    a, c and d may have been a majority that nobody else remembers: b and e do not suffice for a to vote
-    again. With c they do, and a promises only above the highest of their ceilings.
+    a, c and d may have been a majority whose promises b and e do not know, so the statuses of b and e do not
+    suffice for a to vote again. With the status of c they do, and a promises only above the highest ceiling.
     """
     fleet = Fleet()
     fleet.start(configuration("abcde"), *"abcde")
@@ -114,16 +114,16 @@
         del fleet.recoveries[name]
     fleet.start(configuration("abcde"), "a")
     fleet.exchange_statuses()
-    assert "a" not in fleet.voting()  # b and e alone: c, d and a itself may have been a majority
+    assert "a" not in fleet.voting()  # b and e do not suffice: a, c and d may have been a majority
     fleet.start(configuration("abcde"), "c")
     fleet.exchange_statuses()
     assert "a" in fleet.voting() and fleet.recoveries["a"].ballot_floor >= 7 * BALLOT_BLOCK
 
 
-def test_a_reply_to_an_earlier_start_counts_for_nothing() -> None:
+def test_a_reply_to_an_earlier_start_is_ignored() -> None:
     """A late reply to the status of an earlier start is received.
 
-    What it says may have changed since: it is ignored.
+    Its contents may be outdated, so the voter ignores it.
     """
     fleet = Fleet()
     fleet.start(configuration("ab"), "a", "b")
@@ -135,8 +135,8 @@
 def test_a_changed_voter_set_waits_for_a_majority_of_the_former_one() -> None:
     """Voters are added: d and e join while b and c still vote under the former configuration.
 
-    b and c could give a lease to somebody else. Nobody votes under the new configuration before b has
-    joined it, and c is no majority any more.
+    b and c could still give a lease to another proposer. No voter votes under the new configuration before b
+    has joined it and c alone is no longer a majority.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
@@ -144,20 +144,20 @@
     new = configuration("abcde")
     fleet.start(new, *"ade")
     fleet.exchange_statuses()
-    assert fleet.voting() == "bc"  # the former plan still has a majority: b and c
+    assert fleet.voting() == "bc"  # the former configuration still has a majority, b and c
     fleet.start(new, "b")
     fleet.exchange_statuses()
-    assert fleet.voting() == "abc"  # c still under the former one, alone; d and e know of too few
+    assert fleet.voting() == "abc"  # c is alone under the former one; d and e have too few replies
     fleet.start(new, "c")
     fleet.exchange_statuses()
     assert fleet.voting() == "abcde"
 
 
-def test_a_voter_that_joined_does_not_go_back_as_if_it_had_not() -> None:
-    """a relies on b's having joined the new configuration; then b's file is put back.
+def test_a_voter_that_returns_to_a_former_configuration_waits_for_a_majority() -> None:
+    """b joins the new configuration, which a relies on; then b is restarted under the former one.
 
     b and c would be a majority of the former configuration again, beside a and d under the new one. b may
-    only vote once a majority of the new one is back as well.
+    vote only once a majority of the new configuration has returned as well.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
@@ -165,19 +165,19 @@
     new = configuration("abd")
     fleet.start(new, *"abd")
     fleet.exchange_statuses()
-    assert set(fleet.voting()) == set("abcd")  # c alone is none any more
+    assert set(fleet.voting()) == set("abcd")  # c alone is no longer a majority
     fleet.start(configuration("abc"), "b")
     fleet.exchange_statuses()
     assert not fleet.recoveries["b"].may_vote
-    fleet.start(configuration("abc"), "a")  # now most of those of the new plan are back, too
+    fleet.start(configuration("abc"), "a")  # now a majority of the new configuration has returned
     fleet.exchange_statuses()
     assert fleet.recoveries["a"].may_vote and fleet.recoveries["b"].may_vote
 
 
-def test_two_voters_replaced_at_once_may_not_vote() -> None:
-    """Two of three voters are replaced at once, against the operating page.
+def test_two_of_three_voters_replaced_together_may_not_vote() -> None:
+    """Two of three voters are replaced in one change, against the operating instructions.
 
-    The two former voters still are a majority of the former configuration: the new ones never vote.
+    The two former voters still are a majority of the former configuration, so the new voters never vote.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
@@ -187,11 +187,11 @@
     assert fleet.voting() == "bc"
 
 
-def test_shorter_leases_begin_after_a_quiet_period_of_the_longer_ones() -> None:
+def test_a_shortened_lease_starts_after_the_quiet_period_of_the_longer_one() -> None:
     """The lease is shortened from 5 s to 1 s, and the voters are restarted.
 
-    Votes for 5 s may still bind: all are quiet for that long, also after another restart. Once a state
-    without them is persisted the quiet period is the short one.
+    Votes for 5 s may still bind the voters, so they are quiet for that long, also after another restart. Once
+    a state with the shorter quiet period is persisted, that period applies.
     """
     fleet = Fleet()
     fleet.start(configuration("abc", 5000), *"abc")
@@ -199,7 +199,7 @@
     fleet.start(configuration("abc", 1000), *"abc")
     fleet.exchange_statuses()
     assert {recovery.ready_ns for recovery in fleet.recoveries.values()} == {5000 * MS}
-    fleet.start(configuration("abc", 1000), "a")  # also where it is started anew in between
+    fleet.start(configuration("abc", 1000), "a")  # also after another restart in between
     assert fleet.recoveries["a"].ready_ns == 5000 * MS
     fleet.recoveries["a"].extend_ceiling(BALLOT_BLOCK)
     fleet.write("a")
@@ -208,20 +208,20 @@
 
 
 def test_too_many_changes_in_a_row_are_rejected() -> None:
-    """A file is edited again and again, and the voter never votes in between.
+    """The operator's file is changed repeatedly, and the voter never votes in between.
 
-    What it must remember is bounded: it ends with an error that says so.
+    The number of former voter sets is bounded: the voter fails with an error that names the bound.
     """
     state = PersistentState("00", ("a",), 1, 1, tuple((f"v{i}",) for i in range(MAX_FORMER_VOTER_SETS)))
     with pytest.raises(VoterStateError, match=f"allowed: {MAX_FORMER_VOTER_SETS}"):
         VoterRecovery(configuration("abc"), "a", 1, state)
 
 
-def test_a_voter_that_joined_a_new_fleet_does_not_begin_another_one() -> None:
-    """a and b vote since c, which had no state, was there; then c is put under another configuration.
+def test_a_voter_that_joined_a_new_fleet_does_not_start_another_one() -> None:
+    """a and b vote because c, which had no state, had started; then c is started with another configuration.
 
-    c has not voted yet, and knows of nothing. Still it may not begin a second new fleet with two others:
-    that it had joined the first one is persisted.
+    c has not voted yet and knows no ballot. Still it may not start a second new fleet with two other voters,
+    as its state records that it joined the first one.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
@@ -241,27 +241,27 @@
     assert fleet.voting() == "ab"
 
 
-def test_configurations_that_others_came_by_are_waited_for() -> None:
-    """b goes back from the second configuration to the first one, relying on c.
+def test_former_configurations_of_the_other_voters_must_end_as_well() -> None:
+    """b returns from the second configuration to the first one, and relies on c.
 
-    c was under a third one meanwhile, which lives on. Its status says so, and b waits for the third one's
-    end as well.
+    In the meantime c was under a third configuration, which still has a majority. The status of c lists it,
+    and b also waits until that majority has ended.
     """
     fleet = Fleet()
     for voters, who in (("abc", "abc"), ("bcd", "bcd"), ("cde", "cde"), ("abc", "bc")):
         fleet.start(configuration(voters), *who)
         fleet.exchange_statuses()
     assert not fleet.recoveries["b"].may_vote and not fleet.recoveries["c"].may_vote
-    fleet.start(configuration("bcde"), *"bcde")  # a plan with a majority of each of those that it comes from
+    fleet.start(configuration("bcde"), *"bcde")  # contains a majority of each former configuration
     fleet.exchange_statuses()
     assert set(fleet.voting()) >= set("bcde")
 
 
-def test_it_promises_above_the_ballots_of_those_it_relies_on() -> None:
-    """c promised more under the second configuration than b did, and both go back to the first one.
+def test_a_voter_promises_above_the_ceilings_of_the_voters_it_relies_on() -> None:
+    """c promised higher ballots under the second configuration than b, and both return to the first one.
 
-    a and b are a majority there, and must not give a smaller token than c's: b promises only above c's
-    ceiling.
+    a and b are a majority there, and must not give a token below one that c voted for: b promises only above
+    the ceiling of c.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
--- a/tests/fleet/test_state_file.py
+++ b/tests/fleet/test_state_file.py
@@ -1,4 +1,4 @@
-"""The state file of a voter: written as a whole or not at all, and for one process at a time."""
+"""The state file of a voter: written atomically, and locked by one process at a time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 STATE = PersistentState("0123", ("a", "b"), 10**10, 65_536, (("a",),))
 
 
-def test_what_was_written_is_read(tmp_path: Path) -> None:
+def test_the_written_state_is_read(tmp_path: Path) -> None:
     file = StateFile(tmp_path / "new", "a")
     assert file.read() is None
     file.write(STATE)
@@ -21,10 +21,10 @@
     file.close()
 
 
-def test_a_file_cut_off_at_any_byte_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_file_truncated_at_any_byte_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A crash of the machine leaves only a part of the file.
 
-    Wherever it was cut off, it is an error that names the file, and never taken for another state.
+    A file truncated anywhere raises an error that names the file, and is never read as another state.
     """
     file = StateFile(tmp_path, "a")
     file.write(STATE)
@@ -39,7 +39,7 @@
 def test_a_write_that_fails_leaves_the_old_state(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The disk is full while the state is written.
 
-    The former state is still there, as a whole.
+    The file still holds the complete former state.
     """
     file = StateFile(tmp_path, "a")
     file.write(STATE)
@@ -57,7 +57,7 @@
 def test_two_processes_under_one_id_are_rejected(tmp_path: Path) -> None:
     """A member is started twice by mistake.
 
-    Both would vote on their own, each without the other's promises: the second one ends with an error.
+    Each process would vote without knowing the other's promises, so the second one fails with an error.
     """
     file = StateFile(tmp_path, "a")
     with pytest.raises(VoterStateError, match="another process runs as a"):
@@ -67,8 +67,8 @@
     StateFile(tmp_path, "a").close()
 
 
-def test_a_folder_that_can_not_be_had_is_named(tmp_path: Path) -> None:
-    """The state folder of the operator's file is a file."""
+def test_a_folder_that_can_not_be_created_is_named(tmp_path: Path) -> None:
+    """The operator's file names a file as the state folder."""
     (tmp_path / "file").write_text("")
     with pytest.raises(VoterStateError, match="file"):
         StateFile(tmp_path / "file", "a")
