--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -18,7 +18,7 @@
 
 MIN_WEIGHT = 1e-6  # minimum weight of a token bank, as R is divided by the sum of weights
 UNKNOWN_TENANTS_WEIGHT = 0.05  # weight of all unknown tenants together, as a share of that of known ones
-# A directory may name any number of tenants; only those that sent requests lately have banks. Dividing R
+# A directory may name any number of tenants; only those that sent requests recently have banks. Dividing R
 # among this many takes a few milliseconds. All tenants beyond this number share one bank.
 MAX_TOKEN_BANKS = 1024
 OVERFLOW_TENANTS_WEIGHT = 0.5  # weight of that shared bank, as a share of that of the others
@@ -27,7 +27,7 @@
 
 
 class TenantRegistry:
-    """The token banks and buckets of tenants that sent requests lately, and the rate R that they share.
+    """The token banks and buckets of tenants that sent requests recently, and the rate R that they share.
 
     Attributes:
         banks: Token banks by tenant name; "" is the bank of all requests while no tenant is listed.
--- a/tests/policy/test_churn.py
+++ b/tests/policy/test_churn.py
@@ -175,7 +175,7 @@
 
 @pytest.mark.parametrize("what", ["upstreams", "clients"])
 def test_the_object_count_detects_a_leak(what: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Upstreams or requests that are kept for ever must be detected, or the test above would always pass."""
+    """Upstreams or requests that are kept forever must be detected, or the test above would always pass."""
     # Imported here, as `benchmarks/decisions.py` also runs the churn of this file with older revisions.
     from lanelift.policy.answers import FinalAnswers
     from lanelift.policy.registry import UpstreamRegistry
--- a/tests/policy/test_outcomes.py
+++ b/tests/policy/test_outcomes.py
@@ -20,8 +20,8 @@
 
 
 def test_a_response_that_is_passed_on_frees_the_window_and_is_never_given_up() -> None:
-    """Otherwise slow clients would fill the window, and each long response would look like a
-    slow upstream.
+    """Clients that read slowly must not fill the window, and long responses must not look like a slow
+    upstream.
     """
     checked = CheckedBalancer(settings(replica_count=16), upstream_count=4)  # a window of two
     checked.handle(*(arrival(i, checked.now) for i in range(3)))
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -217,7 +217,7 @@
         regression.observe(hint, 30 * MS * (hint / (20 * MS)) ** power * rng.uniform(0.8, 1.25))
     for hint in (5, 20, 100):
         assert regression.estimate_ns(hint * MS) == pytest.approx(30 * MS * (hint / 20) ** power, rel=0.2)
-    regression.observe(1, 0)  # for any sample
+    regression.observe(1, 0)  # an extreme sample
     assert 0 < regression.estimate_ns(1) < 10 * SECOND
 
 
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -71,8 +71,9 @@
 
 
 def test_probes_others_before_it_waits_behind_work() -> None:
-    """Four busy upstreams of five say nothing about the fifth: a third of all requests waited behind work
-    while it was idle.
+    """The reports of four busy upstreams say nothing about a fifth.
+
+    A third of all requests waited behind work while the fifth of five upstreams was idle.
     """
     checked = probing_balancer(upstream_count=8)
     first = probed_by(checked.handle(arrival(1, checked.now)))
--- a/tests/policy/test_subsets.py
+++ b/tests/policy/test_subsets.py
@@ -46,7 +46,7 @@
 
 
 def test_an_upstream_that_is_added_or_removed_moves_no_other() -> None:
-    """Subsets were consecutive positions on one ring.
+    """Subsets used to be consecutive positions on one ring.
 
     When six in ten of sixty upstreams were replaced within seconds, each change moved four times as many as
     necessary.
--- a/tests/sim/test_wirehost.py
+++ b/tests/sim/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter as a real subprocess: round trip, bad input, the same actions whatever the hash seed."""
+"""The simulator host as a subprocess: round trip, bad input, and the same actions whatever the hash seed."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
     }
 
 
-def day() -> list[str]:
+def two_balancer_batches() -> list[str]:
     lines = [batch(1, 10**9), batch(2, 2 * 10**9, *start(0), *start(1))]
     for i in range(40):
         now = 2 * 10**9 + i * 10**7
@@ -109,16 +109,17 @@
 
 
 def test_same_actions_whatever_the_hash_seed() -> None:
-    assert run(day(), "1").stdout == run(day(), "2").stdout != ""
+    assert run(two_balancer_batches(), "1").stdout == run(two_balancer_batches(), "2").stdout != ""
 
 
 def test_each_action_has_its_command(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A field of an action is renamed, and the host still reads it by its former name. Nothing checks that
-    before the action is written: the balancer is then reported as faulty, and its other commands are lost. So
-    one action of each kind is written here, with each of its fields.
+    """Each kind of action is written, with each of its fields.
+
+    If a field of an action is renamed and the host still reads it by its former name, nothing fails before
+    such an action is written. The balancer is then reported as faulty, and its other commands are lost.
     """
 
-    class Puppet(Balancer):
+    class ScriptedBalancer(Balancer):
         def handle(self, now: int, events: object) -> list[Action]:
             return [
                 actions.StartAttempt("r1", 11, 7),
@@ -133,7 +134,7 @@
                 actions.Log("said"),
             ]
 
-    monkeypatch.setattr(wirehost, "Balancer", Puppet)
+    monkeypatch.setattr(wirehost, "Balancer", ScriptedBalancer)
     reply = json.loads(Host().run_batch(batch(1, 1, *start())))
     assert [command.pop("balancer") for command in reply["cmds"]] == [0] * 10
     assert reply["cmds"] == [
@@ -151,8 +152,8 @@
 
 
 def test_power_off_forgets_the_balancer() -> None:
-    """A balancer is powered off, and an event for it comes later. It is unknown then: the host ends with a
-    plain message.
+    """An event is received for a balancer that was powered off: it is unknown, and the host ends with a plain
+    message.
     """
     now = 2 * 10**9
     done = run(
@@ -224,15 +225,15 @@
     ],
 )
 def test_malformed_input_stops_with_a_plain_message(line: str, says: str) -> None:
-    """A line on the wire is not a batch, or an event in it can't be read. The host ends with a plain
-    message and exit status 2.
+    """A line is not a batch, or an event in it can't be read: the host ends with a plain message and exit
+    status 2.
     """
     done = run([line])
     assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr
 
 
 def test_bad_utf_8_is_malformed() -> None:
-    """A line on the wire is not UTF-8. That is bad input like any other, and no crash."""
+    """A line is not UTF-8: it is reported like any other bad input, without a traceback."""
     done = subprocess.run(
         [sys.executable, "-m", "lanelift.wirehost"],
         input=b'{"round": "\xff"}\n',
@@ -243,9 +244,9 @@
     assert done.returncode == 2 and b"line 1: not JSON" in done.stderr and b"Traceback" not in done.stderr
 
 
-def test_an_exception_in_the_module_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The decisions raise an exception. It is reported as that balancer's fault with the place where it
-    happened, and the host goes on.
+def test_an_exception_in_a_balancer_is_reported_as_its_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The decision code raises an exception: it is reported as that balancer's fault, with its place, and the
+    host goes on.
     """
 
     def broken(self: Balancer, now: int, events: object) -> list[Action]:
@@ -260,7 +261,7 @@
     assert "IndexError: no such place at broken:" in fault["message"]
 
 
-def test_settings_reach_the_module() -> None:
+def test_settings_on_the_wire_reach_the_policy() -> None:
     row = {
         "name": "order",
         "repeat": "idempotency_key",
@@ -282,8 +283,8 @@
     assert read_upstream({"upstream": 1, "class_of_host": "big"}).kind == "big"
 
 
-def test_events_of_what_is_over_are_ignored() -> None:
-    """Events come for requests and attempts that are over. They are ignored."""
+def test_events_for_ended_requests_are_ignored() -> None:
+    """Events for requests and attempts that have ended, and for old timers, are ignored."""
     now = 2 * 10**9
     gone = {"t": "dropped", "balancer": 0, "ticket": "t1"}
     late = {
