--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -1,4 +1,4 @@
-"""`lanelift lease`: who holds what over the fleet, and commands that run only while a lease is held."""
+"""`lanelift lease`: shows the fleet's leases, and runs commands only while a lease is held."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import click
 
-from lanelift.cli.main import CONFIG, FELL_SHORT, refuse
+from lanelift.cli.main import CONFIG, EXIT_FAILURE, exit_with_bad_input
 from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 from lanelift.fleet.cluster import majority
@@ -39,8 +39,8 @@
     statuses = [status for pages in found.values() for page in pages for status in page.leases]
     names = sorted({status.lease for status in statuses})
     for name in names:
-        of_name = [status for status in statuses if status.lease == name]
-        click.echo(_summary(name, of_name, len(source.cluster.voters)))
+        lease_statuses = [status for status in statuses if status.lease == name]
+        click.echo(_summary(name, lease_statuses, len(source.cluster.voters)))
     if not names:
         click.echo("no lease is held or waited for")
     _require_majority(source, found)
@@ -89,7 +89,7 @@
             or not re.fullmatch(NAME, text)
             or (not text and what != "--hand-to")
         ):
-            refuse(
+            exit_with_bad_input(
                 f"{what}: found {text!r}; allowed: 1 to {MAX_NAME_CHARACTERS} printable ASCII characters,"
                 " no spaces"
             )
@@ -108,18 +108,18 @@
 
 
 def _source(path: Path) -> FleetSource:
-    """Returns the fleet of the operator's file; ends the program with its mistakes, if it has any."""
+    """Returns the fleet of the operator's file; prints the problems and exits if the file is invalid."""
     try:
         source: FleetSource | None = read_operator_file(path).fleet_source()
     except (FileValidationError, SettingsError) as error:
-        refuse(error)
+        exit_with_bad_input(error)
     if source is None:
-        refuse(f"{path}: fleet: missing; leases need it (docs/operating/leases.md)")
+        exit_with_bad_input(f"{path}: fleet: missing; leases need it (docs/operating/leases.md)")
     return source
 
 
 def _summary(name: str, statuses: list[LeaseStatus], voters: int) -> str:
-    """Returns one line on a lease, by what each voter that knows it responded."""
+    """Returns one line on a lease, from the responses of the voters that know the lease."""
     held = [status for status in statuses if status.holder]
     waiters = max(status.waiters for status in statuses)
     latest = max(held, key=lambda status: status.token, default=None)
@@ -133,7 +133,7 @@
 
 
 def _described(pages: list[LeaseList] | None, name: str) -> str:
-    """Returns what one voter responded on a lease."""
+    """Returns the state of a lease in the response of one voter, as text."""
     if pages is None:
         return "no answer"
     if pages[0].quiet_ns:
@@ -155,4 +155,4 @@
     voters = len(source.cluster.voters)
     if len(found) < majority(voters):
         click.echo(f"{len(found)} of {voters} voters answered: no majority", err=True)
-        sys.exit(FELL_SHORT)
+        sys.exit(EXIT_FAILURE)
--- a/lanelift/cli/rehearse.py
+++ b/lanelift/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""`lanelift rehearse`: plays a day on loopback sockets and judges it."""
+"""The command `lanelift rehearse`, which runs rehearsals on loopback sockets and compares their reports."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 import click
 
-from lanelift.cli.main import FELL_SHORT, FILE, refuse
+from lanelift.cli.main import EXIT_FAILURE, FILE, exit_with_bad_input
 from lanelift.config.checked import FileValidationError
-from lanelift.rehearsal.conductor import Failed, Options
-from lanelift.rehearsal.conductor import rehearse as play
+from lanelift.rehearsal.orchestrator import Options, RehearsalError
+from lanelift.rehearsal.orchestrator import rehearse as run_rehearsal
 from lanelift.rehearsal.report import (
-    Unreadable,
+    ReportFormatError,
     compare,
     differences,
     make_report,
@@ -27,7 +27,7 @@
 )
 from lanelift.rehearsal.scenario import Scenario, read_scenario, shipped
 
-PLAIN_S = 5.0  # between two lines of progress where nobody watches
+PLAIN_INTERVAL_S = 5.0  # between two lines of progress if the output is not a terminal
 
 
 @click.group()
@@ -62,7 +62,7 @@
     try:
         return read_scenario(name, {key: value for key, value in changes.items() if value is not None})
     except FileValidationError as mistakes:
-        refuse(mistakes)
+        exit_with_bad_input(mistakes)
 
 
 def _address(context: click.Context, parameter: click.Parameter, value: str | None) -> tuple[str, int] | None:
@@ -128,12 +128,12 @@
         },
     )
     if base_port and base_port + read.fleet.boxes + read.fleet.balancers > 65_536:
-        refuse(
+        exit_with_bad_input(
             f"--base-port: found {base_port}; allowed: so low that each box and discovery has a port above it"
         )
     folder = out or Path("rehearsals") / f"{read.name}-{read.seed}-{time.strftime('%Y%m%dT%H%M%S')}"
     if folder.exists() and any(folder.iterdir()):
-        refuse(f"{folder}: found files there; allowed: an empty folder, or a new one")
+        exit_with_bad_input(f"{folder}: found files there; allowed: an empty folder, or a new one")
     options = Options(
         folder,
         target=target,
@@ -144,28 +144,28 @@
     )
     try:
         with _progress(read.length_s) as show:
-            day = play(read, options, show)
-    except Failed as error:
+            day = run_rehearsal(read, options, show)
+    except RehearsalError as error:
         click.echo(f"the rehearsal could not be played: {error}", err=True)
-        sys.exit(FELL_SHORT)
+        sys.exit(EXIT_FAILURE)
     except KeyboardInterrupt:
         click.echo("interrupted: all processes of the rehearsal are ended", err=True)
-        sys.exit(FELL_SHORT)
+        sys.exit(EXIT_FAILURE)
     report = make_report(day)
     write_report(report, folder / "report.json")
     for line in summary(report):
         click.echo(line)
     if html:
-        from lanelift.rehearsal.page import write_page
+        from lanelift.rehearsal.html_report import write_html_report
 
-        write_page(report, folder / "report.html")
+        write_html_report(report, folder / "report.html")
     click.echo(f"Report: {folder / ('report.html' if html else 'report.json')}")
-    sys.exit(FELL_SHORT if report["verdict"]["void"] or not report["verdict"]["rules"]["kept"] else 0)
+    sys.exit(EXIT_FAILURE if report["verdict"]["void"] or not report["verdict"]["rules"]["kept"] else 0)
 
 
 @contextmanager
 def _progress(length_s: float) -> Any:
-    """A live line in a terminal, a plain one now and then in a pipe."""
+    """Yields a function that shows the progress, as a live line in a terminal or else as plain lines."""
     if not sys.stderr.isatty():
         yield _plain_progress(length_s)
         return
@@ -182,23 +182,23 @@
     task = bar.add_task("starting", total=length_s)
     with bar:
         yield lambda at_s, counts: bar.update(
-            task, completed=max(0.0, min(length_s, at_s)), description=_counted(counts)
+            task, completed=max(0.0, min(length_s, at_s)), description=_format_counts(counts)
         )
 
 
 def _plain_progress(length_s: float) -> Callable[[float, Counter[str]], None]:
-    last = -PLAIN_S
+    last = -PLAIN_INTERVAL_S
 
     def show(at_s: float, counts: Counter[str]) -> None:
         nonlocal last
-        if at_s >= last + PLAIN_S:
+        if at_s >= last + PLAIN_INTERVAL_S:
             last = at_s
-            click.echo(f"{max(0.0, at_s):5.1f} of {length_s:g} s  {_counted(counts)}", err=True)
+            click.echo(f"{max(0.0, at_s):5.1f} of {length_s:g} s  {_format_counts(counts)}", err=True)
 
     return show
 
 
-def _counted(counts: Counter[str]) -> str:
+def _format_counts(counts: Counter[str]) -> str:
     return (
         f"{counts['asked']} asked, {counts['served']} in time, {counts['late']} late, "
         f"{counts['unserved']} unserved"
@@ -219,11 +219,11 @@
     try:
         left = [read_report(path) for path in (a, *more)]
         right = [read_report(path) for path in (b, *vs)]
-    except Unreadable as error:
-        refuse(error)
+    except ReportFormatError as error:
+        exit_with_bad_input(error)
     for report, path in zip([*left, *right], [a, *more, b, *vs], strict=True):
         if report["verdict"]["void"]:
-            refuse(f"{path}: the run was void, and has no figures to compare")
+            exit_with_bad_input(f"{path}: the run was void, and has no figures to compare")
     for difference in differences(left[0]["scenario"], right[0]["scenario"]):
         click.echo(f"note: the days differ in {difference}")
     click.echo(f"{'':14}{'A':>10}{'B':>10}{'change':>10}{'noise':>10}")
--- a/lanelift/cli/tenants.py
+++ b/lanelift/cli/tenants.py
@@ -1,4 +1,4 @@
-"""`lanelift tenants`: what directories say, and what is wrong there, without a balancer."""
+"""`lanelift tenants`: shows the tenants of directories and checks their entries, without a balancer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import click
 
-from lanelift.cli.main import CONFIG, FELL_SHORT, FILE, refuse
+from lanelift.cli.main import CONFIG, EXIT_FAILURE, FILE, exit_with_bad_input
 from lanelift.config.checked import FileValidationError
 from lanelift.config.operator import read_operator_file
 from lanelift.settings import SettingsError
@@ -46,7 +46,7 @@
             click.echo(_as_json(rows) if as_json else _table(rows))
             return
         click.echo(f"{directory}: {failure}", err=True)
-    sys.exit(FELL_SHORT)
+    sys.exit(EXIT_FAILURE)
 
 
 @tenants.command()
@@ -67,17 +67,17 @@
     for number in range(len(source.config.directories)):
         valid = _check_directory(source.config, number, before)
         all_valid = all_valid and valid
-    sys.exit(0 if all_valid else FELL_SHORT)
+    sys.exit(0 if all_valid else EXIT_FAILURE)
 
 
 def _check_directory(config: SyncConfig, number: int, before: dict[str, TenantState]) -> bool:
-    """Print what one directory shows against the tenants of before; return whether all of it is valid."""
+    """Print a directory's problems, and its changes from `before`; return whether it has no problems."""
     found, failure = _read(config, number)
     incomplete = f"; not whole: {failure}" if failure else ""
     click.echo(f"{config.directories[number]}: {len(found)} entries{incomplete}")
     if failure and not found:
         return False
-    # Seeded with what holds now, so that removals past the share are seen as a balancer would see them.
+    # Seeded with the present tenants, so that too many removals are detected as in a balancer.
     notices: list[str] = []
     store = TenantStore(config.removal_part, config.confirmed, lambda _, text: notices.append(text))
     store.seed((tenant.name, tenant.denial_reason == "suspended", tenant.share) for tenant in before.values())
@@ -108,14 +108,14 @@
     try:
         source = read_operator_file(path).config().tenants
     except (FileValidationError, SettingsError) as error:
-        refuse(error)
+        exit_with_bad_input(error)
     if not isinstance(source, TenantSource):
-        refuse(f"{path}: tenants: missing; the file names no directory")
+        exit_with_bad_input(f"{path}: tenants: missing; the file names no directory")
     return source
 
 
 def _read(config: SyncConfig, number: int) -> ReadResult:
-    # Only here: without the extra `tenants` there is no client, and `_source` has said so by now.
+    # Imported only here: without the extra `tenants` there is no LDAP client, which `_source` has reported.
     from lanelift.tenants.client import DirectoryError, Session
     from lanelift.tenants.replica_reader import ReadResult, read_all
 
@@ -130,7 +130,7 @@
 
 
 def _before(source: TenantSource, against: Path | None) -> dict[str, TenantState]:
-    """Return the tenants to compare with, by name."""
+    """Return the tenants to compare with, by name, from a file or from the settings."""
     if against is None:
         listed = source.settings.values()
         return {tenant.name: TenantState(tenant.name, "", tenant.share, None, (), ()) for tenant in listed}
@@ -138,7 +138,9 @@
         rows = json.loads(against.read_text(encoding="utf-8"))["tenants"]
         return {row["name"]: _from_json(row) for row in rows}
     except (OSError, ValueError, KeyError, TypeError) as error:
-        refuse(f"{against}: found no tenants ({error!r}); allowed: what `lanelift tenants show --json` wrote")
+        exit_with_bad_input(
+            f"{against}: found no tenants ({error!r}); allowed: what `lanelift tenants show --json` wrote"
+        )
 
 
 def _from_json(row: dict[str, Any]) -> TenantState:
@@ -148,7 +150,7 @@
 
 
 def _to_json(tenant: TenantState) -> dict[str, Any]:
-    """Return a tenant under the names that `show --json` prints; files of before have them, too."""
+    """Return a tenant with the keys of `show --json`, which must not change, as existing files have them."""
     fields = tenant._asdict()
     return {"barred" if name == "denial_reason" else name: value for name, value in fields.items()}
 
@@ -165,7 +167,7 @@
 
 
 def _summary(tenant: TenantState) -> str:
-    """Return one tenant at a glance."""
+    """Return a summary of one tenant, in one line."""
     parts = [tenant.denial_reason or "served", f"share {tenant.share:g}"]
     if tenant.quota_per_s is not None:
         parts.append(f"at most {tenant.quota_per_s:g}/s")
--- a/lanelift/rehearsal/__init__.py
+++ b/lanelift/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""The rehearsal kit: plays a day of requests against balancers on loopback sockets and judges it."""
+"""The rehearsal kit: plays requests and faults against balancers on loopback and checks the rules."""
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,6 +1,6 @@
-"""The other ends of the balancer's sockets, on loopback: scripted upstreams and discovery, and a client.
+"""The peers of a balancer, on loopback: scripted upstreams, a scripted discovery server, and a client.
 
-Everything waits on events: `until` returns once its condition holds, and `run` bounds a whole test.
+Tests wait for conditions: `until` returns once its condition holds, and `run` limits the time of a test.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
     asyncio.run(asyncio.wait_for(test, TEST_S))
 
 
-class Watched:
-    """Something whose changes can be waited for."""
+class Observable:
+    """An object whose changes a test can wait for."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
 
-    def poke(self) -> None:
+    def notify(self) -> None:
         self._changed.set()
 
     async def until(self, holds: Callable[[], object]) -> None:
@@ -47,10 +47,10 @@
 
 @dataclass
 class Message:
-    start: list[str]  # the words of the first line
+    start: list[str]  # the parts of the first line
     headers: dict[str, str]
     body: bytes
-    link: int = 0  # which connection it came on
+    link: int = 0  # the number of the connection it came on, from 1
 
     @property
     def status(self) -> int:
@@ -69,20 +69,20 @@
     return http.answer(status, body, [(name, value.strip()) for name, _, value in rows])
 
 
-class Scripted(Watched, http.Server):
-    """A server that does as it is told. `reply` gives what to write; None resets the connection."""
+class ScriptedServer(Observable, http.Server):
+    """A server that writes what `reply` returns for each request; None resets the connection."""
 
     def __init__(self, reply: Callable[[Message], Awaitable[bytes | None]]) -> None:
-        Watched.__init__(self)
+        Observable.__init__(self)
         http.Server.__init__(self)
         self.reply = reply
         self.seen: list[Message] = []
         self.links: list[http.Connection] = []
-        self.ended = 0  # connections that are no more
+        self.ended = 0  # how many connections have ended
         self.waiting: dict[asyncio.Task[None], http.Connection] = {}
 
     @property
-    def where(self) -> tuple[str, int]:
+    def socket_address(self) -> tuple[str, int]:
         return self.host, self.port
 
     async def start(self) -> None:
@@ -98,14 +98,14 @@
     def connected(self, connection: http.Connection) -> None:
         super().connected(connection)
         self.links.append(connection)
-        self.poke()
+        self.notify()
 
     def lost(self, connection: http.Connection) -> None:
         super().lost(connection)
         for task in [task for task, link in self.waiting.items() if link is connection]:
             task.cancel()
         self.ended += 1
-        self.poke()
+        self.notify()
 
     def requested(self, request: http.Request) -> None:
         link = request.connection
@@ -116,7 +116,7 @@
             self.links.index(link) + 1,
         )
         self.seen.append(message)
-        self.poke()
+        self.notify()
         task = asyncio.create_task(self._answer(message, link))
         self.waiting[task] = link
         task.add_done_callback(self.waiting.pop)
@@ -127,7 +127,7 @@
             link.abort()
         else:
             link.write(reply)
-        self.poke()
+        self.notify()
 
 
 async def never() -> bytes | None:
@@ -135,9 +135,9 @@
     return None
 
 
-class FakeUpstream(Scripted):
-    """Answers 200 with its name, or what stands in `script`, one entry a request: bytes to write, `never` to
-    be silent, None to reset."""
+class FakeUpstream(ScriptedServer):
+    """Answers 200 with its name, or with the entries of `script`, one for each request: bytes to write,
+    `never` to give no answer, or None to reset the connection."""
 
     def __init__(self, name: str) -> None:
         super().__init__(self._next)
@@ -166,8 +166,8 @@
         }
 
 
-class FakeDiscovery(Scripted):
-    """Tells a list and its changes; `down` makes it break every call, `silent` leave it open."""
+class FakeDiscovery(ScriptedServer):
+    """Serves a list and its changes; with `down` it resets every call, with `silent` it never answers."""
 
     def __init__(self, rows: Iterable[Json]) -> None:
         super().__init__(self._tell)
@@ -182,9 +182,9 @@
         self.changes = list(rows)
         names = {row["id"] for row in rows}
         self.rows = [r for r in self.rows if r["id"] not in names] + [r for r in rows if r["state"] != "Gone"]
-        self.poke()
+        self.notify()
 
-    def whole(self) -> Json:
+    def snapshot(self) -> Json:
         return {"version": self.version, "full": True, "servers": self.rows}
 
     async def _tell(self, message: Message) -> bytes | None:
@@ -193,7 +193,7 @@
         if self.silent:
             return await never()
         if "from=" not in message.start[1]:
-            return answer(200, json.dumps(self.whole()).encode())
+            return answer(200, json.dumps(self.snapshot()).encode())
         known = int(message.start[1].partition("from=")[2].partition("&")[0])
         await self.until(lambda: self.version > known)
         change = {"version": self.version, "full": False, "servers": self.changes}
@@ -231,7 +231,7 @@
         lines = "".join(f"{key}: {value}\r\n" for key, value in rows.items() if value is not None)
         self.writer.write(f"{method} {path or '/' + kind} HTTP/1.1\r\n{lines}\r\n".encode() + body)
 
-    async def ask(self, name: str, *args: Any, **more: Any) -> Message:
+    async def request(self, name: str, *args: Any, **more: Any) -> Message:
         self.send(name, *args, **more)
         return await self.answer()
 
@@ -250,15 +250,15 @@
         self.writer.close()
 
     def reset(self) -> None:
-        """Leave by a reset; what was sent before it has left."""
+        """Disconnects by a reset."""
         sock = self.writer.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
 @contextmanager
-def deaf() -> Iterator[tuple[str, int]]:
-    """The address of a listener whose backlog is full: it answers nothing to the next connection."""
+def unresponsive_listener() -> Iterator[tuple[str, int]]:
+    """Gives the address of a listener whose backlog is full: it does not answer a new handshake."""
     full, *waiting = (socket.socket() for _ in range(5))
     full.bind(("127.0.0.1", 0))
     full.listen(0)
@@ -271,7 +271,7 @@
 
 
 def free_port() -> int:
-    """A loopback port where nobody listens."""
+    """Returns a loopback port on which no socket listens."""
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         port: int = taken.getsockname()[1]
