--- a/lanelift/policy/__init__.py
+++ b/lanelift/policy/__init__.py
@@ -2,13 +2,14 @@
 
 `balancer.py` handles the events of `events.py` and returns the actions of `actions.py`, as configured by
 `settings.py`. It routes each event to one of the rules below; `state.py` holds the state that they share.
-Names in capitals are constants of the module; other names are fields of the settings or of the state.
+Names in capitals are constants of the module; other names are fields of the settings or of the state. R is
+the rate at which this replica forwards requests (`rate_control.py`), and U the balance of a token bank.
 
 ==================== ====================== ================================== =============================
 Rule                 Module                 Inputs                             Condition or limit
 ==================== ====================== ================================== =============================
 Tenant denied        tenants.py             directory, class, tenant           unknown, suspended, 0 limit
-Bounds of tenants    tenants.py             tenants that send requests         MAX_TOKEN_BANKS,
+Tenant state bounds  tenants.py             tenants that send requests         MAX_TOKEN_BANKS,
                                                                                MAX_TOKEN_BUCKETS
 Rate limit           token_bucket.py        the limit, time                    no token left; BURST_S
 Token bank           token_bank.py          the tenant's part of R, time       U < 1; BANK_CAPACITY_S,
@@ -56,7 +57,7 @@
 with load probes if they are used (`probing.py`). `placement.py` picks an upstream from the pool and checks
 with `legality.py` that the attempt is allowed; `forwarding.py` starts the attempt and `hedging.py` watches
 it. `outcomes.py` handles its end. Then `retries.py` queues the request again, or `answers.py` gives its final
-answer, as it does when `deadlines.py` finds that a request has waited too long.
+answer. `answers.py` also answers requests that `deadlines.py` finds to have waited too long.
 
 `requests.py`, `attempts.py` and `upstreams.py` define the records that the rules keep of requests, attempts
 and upstreams; `timers.py` schedules calls; `units.py` names the units of time.
--- a/lanelift/policy/admission.py
+++ b/lanelift/policy/admission.py
@@ -2,16 +2,17 @@
 
 1. If its tenant is denied or over a rate limit, it is answered immediately, without a token (`tenants.py`).
 2. If it is hopeless, as it takes more than `HOPELESS_FACTOR` times as long as its client waits, it is shed.
-   This applies only if attempts are announced between replicas (`peer_load.py`) and `MIN_HINT_SAMPLES`
-   responses were seen, as estimates are too rough before; it does not apply to streaming classes, or while
+   This applies only if attempts are announced between replicas (`peer_load.py`) and the estimate by cost hint
+   has `MIN_HINT_SAMPLES` samples, as it is too rough before; it does not apply to streaming classes, or while
    the body is being received.
 3. If it was received so long ago that its answer would miss the latency objective, it is shed, unless a late
    answer earns something or the class streams.
 4. If it is not the first of its ordering key, it waits until it is (`ordering.py`).
 5. If no upstream that it may use is listed, or its tenant's token bank and buffer are exhausted, it is shed.
    A client's retry takes only spare tokens, so that retries do not starve fresh requests (`token_bank.py`).
-6. If its pool is saturated and the queue takes more than `QUEUE_TIME_SHARE` of its spare time
-   (`OVER_SHARE_QUEUE_TIME_SHARE` if its tenant is over its share), it is shed.
+6. If its pool is saturated, and serving the requests that are queued there would take more than
+   `QUEUE_TIME_SHARE` of the request's spare time (`OVER_SHARE_QUEUE_TIME_SHARE` if its tenant is over its
+   share), it is shed.
 7. Otherwise it joins the queue of its pool (`placement.py`).
 
 Inputs: the event, service time estimates, and the state of its tenant's bank and its pool. Reason: a request
@@ -35,7 +36,7 @@
 
 # A request that takes longer than this multiple of the time that its client waits is shed immediately.
 HOPELESS_FACTOR = 1.3
-MIN_HINT_SAMPLES = 8  # samples needed before requests are shed by their estimates
+MIN_HINT_SAMPLES = 8  # samples of the estimate by hint that are needed to shed hopeless requests
 QUEUE_TIME_SHARE = 0.5  # share of a request's spare time that it may spend in the queue
 OVER_SHARE_QUEUE_TIME_SHARE = 0.1  # the same, for a tenant that is over its share
 
@@ -125,9 +126,9 @@
     def _is_too_old(request: PendingRequest, expected_ns: float, age_ns: int) -> bool:
         """Return whether a request was received so long ago that its answer would come too late.
 
-        It has waited unseen, because this replica itself is late. If all such requests were served in order,
-        the work on them would make the ones behind them late as well. Too many requests are shed if
-        `expected_ns` is far too high.
+        The request has waited unread, because this replica itself is late. If all such requests were served
+        in order, the work on them would make the requests behind them late as well. If `expected_ns` is far
+        too high, too many requests are shed.
         """
         request_class = request.request_class
         return expected_ns < request_class.latency_objective_ns < age_ns + expected_ns and not (
@@ -181,10 +182,10 @@
         self.probing.begin(request, now)
 
     def _queue_is_too_long(self, request: PendingRequest, now: int) -> bool:
-        """Return whether the queue takes more of a request's spare time than it may.
+        """Return whether serving the queue would take more than the allowed share of a request's spare time.
 
-        Spare time counts up to the shortest objective, so that a class with much time does not make the queue
-        too long for those with little.
+        Spare time beyond the shortest objective is not counted, so that a class with much time does not make
+        the queue too long for classes with little.
         """
         state = self.state
         share = OVER_SHARE_QUEUE_TIME_SHARE if request.token_bank.over_share else QUEUE_TIME_SHARE
--- a/lanelift/policy/answers.py
+++ b/lanelift/policy/answers.py
@@ -30,7 +30,11 @@
         self.ordering = ordering
 
     def reject_or_fail(self, request: PendingRequest, now: int) -> None:
-        """Answer a request that is not served: its denial, a rejection if that is legal, or a failure."""
+        """Give the final answer to a request that is not served.
+
+        The answer is a failure with the denial reason if the request is denied, a rejection if that is legal,
+        and otherwise a failure.
+        """
         state = self.state
         if request.denial_reason:
             state.actions.append(Fail(request.id, request.denial_reason))
--- a/lanelift/policy/attempts.py
+++ b/lanelift/policy/attempts.py
@@ -23,8 +23,8 @@
             one.
         queued_work_ns: The estimated work that the upstream had queued before this attempt.
         work_ns: The estimated work of this attempt.
-        opens_connection: Whether there were more attempts at the upstream than ever before, so that it had to
-            open a connection.
+        opens_connection: Whether it raised the number of attempts in flight at the upstream to a new peak, so
+            that a connection had to be opened for it.
         result: How it ended; None while it is in flight.
         response_started: Whether its response is being passed on, so that its upstream has done its work.
         overdue: Whether it has been in flight for longer than its upstream should take.
--- a/lanelift/policy/balancer.py
+++ b/lanelift/policy/balancer.py
@@ -51,7 +51,7 @@
         self.settings = settings
         self.state = state = PolicyState(settings, seed, now)
         self.timers = state.timers
-        self.ordering = KeyOrdering(state, self._first_of_its_key)
+        self.ordering = KeyOrdering(state, self._admit_first_of_key)
         self.answers = FinalAnswers(state, self.ordering)
         self.probing = LoadProbing(state)
         self.ejection = OutlierEjection(state.rng, state.timers, state.registry.unrestricted_pool)
@@ -80,7 +80,7 @@
         }
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-        """Handle events in order, make the calls that are due and serve the queues; return the actions.
+        """Handle events in order, make the scheduled calls that are due and serve the queues.
 
         Args:
             now: The clock time in nanoseconds; it never goes back.
@@ -101,7 +101,7 @@
             actions.append(timer)
         return actions
 
-    def _first_of_its_key(self, request: PendingRequest, now: int) -> None:
+    def _admit_first_of_key(self, request: PendingRequest, now: int) -> None:
         """Admit a request that is now the first of its ordering key."""
         self.admission.take_token(request, now)
 
--- a/lanelift/policy/concurrency.py
+++ b/lanelift/policy/concurrency.py
@@ -49,7 +49,7 @@
     Attributes:
         initial_window: The window before there are outcomes; a narrower window widens back to it.
         window: How many attempts this replica may have in flight for each upstream that its pool draws from.
-        latency_ratio: The recent share of their latency objective that responses take.
+        latency_ratio: The smoothed latency ratio of recent responses.
         baseline_ratio: The latency ratio without congestion.
         response_interval_ns: The mean time from one outcome to the next.
         observed_at_ns: When the last outcome was observed.
--- a/lanelift/policy/deadlines.py
+++ b/lanelift/policy/deadlines.py
@@ -1,9 +1,9 @@
 """Deadlines: how long a request may wait before it is given up.
 
-Inputs: the request's objective and deadline, its expected time, and the deviation of such estimates. A
-waiting request is given up when less time is left until its objective than it needs, but not before a quarter
-of the time until its deadline has passed. Reason: an answer after the objective earns little or nothing, and
-the upstream's time for it would make other answers late.
+Inputs: the request's objective and deadline, its expected time, and the mean deviation of durations from
+expected times. A waiting request is given up when less time is left until its objective than it needs, but
+not before a quarter of the time until its deadline has passed. Reason: an answer after the objective earns
+little or nothing, and the upstream's time for it would make other answers late.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
         self.state.timers.call_at(request.give_up_at_ns, self._give_up, request)
 
     def _give_up(self, request: PendingRequest, now: int) -> None:
-        """Give a request that still waits its final answer, if its wait timeout is over."""
+        """Reject or fail a request whose wait timeout is over, if it still waits."""
         if request.place is not WaitingPlace.NOWHERE and now >= request.give_up_at_ns:
             self.state.rate.unplaceable += request.place is WaitingPlace.POOL_QUEUE
             self.answers.reject_or_fail(request, now)
--- a/lanelift/policy/ejection.py
+++ b/lanelift/policy/ejection.py
@@ -3,8 +3,8 @@
 Inputs: attempts that fail or are overdue, and responses. An upstream is ejected
 
 - for an attempt that was rejected, timed out, could not connect or is overdue;
-- for a connection that broke, unless more than `SHARED_RESET_RATE` of all connections break (the network is
-  then at fault) and fewer than `MIN_CONSECUTIVE_RESETS` broke in a row at this upstream;
+- for a connection that broke, unless at least `SHARED_RESET_RATE` of all attempts break (the network is then
+  at fault) and fewer than `MIN_CONSECUTIVE_RESETS` broke in a row at this upstream;
 - for an error response, if nearly all of its responses are errors (`ERROR_EJECTION_RATE`), unless most
   responses of all upstreams are (`SHARED_ERROR_RATE`): the requests or the network are then at fault.
 
@@ -70,12 +70,12 @@
         self.timers.wake_at(attempt.upstream.ejected_until_ns)
 
     def _eject(self, attempt: Attempt, now: int, base_ns: float) -> None:
-        """Eject an upstream, unless too many are ejected.
+        """Count the failure, and eject the upstream unless too many are ejected.
 
         If an upstream stops, the attempts in flight there fail one after another, so all that were sent
-        before the ejection count as one failure. Otherwise eight attempts would be seven ejections in a row,
-        the upstream would be idle for seconds, and its load would congest the next. The next attempt detects
-        a stall that lasts.
+        before the ejection count as one failure. Otherwise eight attempts would cause seven ejections in
+        a row, the upstream would be idle for seconds, and its load would congest the next upstream. If the
+        upstream does not recover, the first attempt after the ejection detects that.
         """
         upstream = attempt.upstream
         if upstream.ejected_until_ns > now or attempt.sent_ns < upstream.ejected_at_ns:
--- a/lanelift/policy/events.py
+++ b/lanelift/policy/events.py
@@ -142,7 +142,12 @@
 
 
 class BodyReceived(NamedTuple):
-    """The last byte of a pending request body was received; the request's time is counted from now."""
+    """The last byte of a pending request body was received; the request's time is counted from now.
+
+    Attributes:
+        request: The request's identifier.
+        deadline_ns: When its client gives up; replaces the deadline of `RequestArrived`.
+    """
 
     request: str
     deadline_ns: int
--- a/lanelift/policy/feedback.py
+++ b/lanelift/policy/feedback.py
@@ -1,6 +1,6 @@
 """Feedback loops that adjust the subsets, the rate R and the slow start in each interval.
 
-Inputs: the counts since the previous interval. `FEEDBACK_INTERVAL_NS` is the length of an interval.
+Inputs: the counts since the end of the previous interval. An interval lasts `FEEDBACK_INTERVAL_NS`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Feedback:
-    """Runs the slow control loops.
+    """Runs the feedback loops.
 
     Attributes:
         ran_at_ns: When the loops ran last.
--- a/lanelift/policy/hedging.py
+++ b/lanelift/policy/hedging.py
@@ -1,10 +1,10 @@
-"""Hedging: the upstream of an overdue attempt is ejected, and its request may get a second attempt.
+"""Hedging: the upstream of an overdue attempt is ejected, and the request may get a second attempt.
 
-Inputs: the expected time of an attempt, the deviation of such estimates, and the time. An attempt is overdue
-if it has been in flight for its expected time multiplied by `DURATION_MARGIN` plus `DEVIATIONS` times the
-deviation. Its upstream may have stopped, and is ejected. The request gets a hedged attempt if one is legal
-and would be in time, nothing waits in the pool's queue, and its tenant has a spare token. Reason: hedging
-must cost fresh requests nothing.
+Inputs: the expected time of an attempt, the mean relative deviation of durations, and the time. An attempt is
+overdue if it has been in flight for its expected time multiplied by the sum of `DURATION_MARGIN` and
+`DEVIATIONS` times the deviation. Its upstream may have stopped, and is ejected. The request gets a hedged
+attempt if one is legal and would be in time, nothing waits in the pool's queue, and its tenant has a spare
+token. Reason: hedging must cost fresh requests nothing.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from lanelift.policy.service_time import DURATION_MARGIN
 from lanelift.policy.state import PolicyState
 
-DEVIATIONS = 3
-MAX_LATENESS_NS = 10_000_000  # of a check; if it is later, this replica is late and not the upstream
+DEVIATIONS = 3  # multiple of the deviation after which an attempt is overdue
+MAX_LATENESS_NS = 10_000_000  # if a check is later than this, this replica is late and not the upstream
 
 
 class Hedging:
@@ -45,8 +45,8 @@
             return
         if now - due_ns > MAX_LATENESS_NS:
             # This replica is late itself, so the response may already be here, unread. The attempt is checked
-            # again after the same delay. If the upstream has stopped as well, that is detected later by as
-            # much.
+            # again after the same delay. If the upstream has stopped as well, this is detected later by
+            # that delay.
             again_ns = 2 * now - due_ns
             self.state.timers.call_at(again_ns, self._check, request, attempt, again_ns)
             return
--- a/lanelift/policy/legality.py
+++ b/lanelift/policy/legality.py
@@ -3,7 +3,7 @@
 The numbers are those of the platform's protocol page ("rules"; docs/glossary.md lists them).
 
 Rule 1: a request gets one final answer, by its deadline unless it is streamed, and nothing after it.
-Rule 2: a request gets no more attempts than allowed, and none that could execute it twice if that does harm.
+Rule 2: a request gets no more attempts than allowed, and none that does harm if an earlier one may have run.
 Rule 3: an upstream that drains or is removed gets no attempt.
 Rule 5: the requests of an ordering key run one at a time (`ordering.py`).
 Rule 6: a class uses only the zones and kinds of machines that it is restricted to (`restrictions.py`).
@@ -32,7 +32,7 @@
         and is_first_of_its_key(request, now)
         and not request.denial_reason
         and not request.body_consumed
-        and _cannot_run_twice(request, upstream, now)
+        and _repeat_is_harmless(request, upstream, now)
     )
 
 
@@ -48,8 +48,8 @@
     return request.attempts_in_flight < (MAX_IN_FLIGHT_WITH_HEDGING if limits.hedging else MAX_IN_FLIGHT)
 
 
-def _cannot_run_twice(request: PendingRequest, upstream: Upstream, now: int) -> bool:
-    """Rule 2: a request that may have run is repeated only if that does no harm.
+def _repeat_is_harmless(request: PendingRequest, upstream: Upstream, now: int) -> bool:
+    """Rule 2: the request has not run yet, or may be repeated at this upstream without harm.
 
     An idempotent request may be repeated. A request with an idempotency key may be repeated within its
     deduplication window at upstreams that drop its repeats. A non-idempotent request may not be repeated.
@@ -68,13 +68,16 @@
 
 
 def is_first_of_its_key(request: PendingRequest, now: int) -> bool:
-    """Rule 5: return whether a request is the first of its key, and the cooldown before it is over."""
+    """Rule 5: return whether a request may run now, as it is the first of its key.
+
+    The cooldown after an earlier request of the key must be over. A request without a key never waits.
+    """
     queue = request.key_queue
     return queue is None or (queue.waiting[0] is request and now >= request.cooldown_until_ns)
 
 
 def may_reject(request: PendingRequest) -> bool:
-    """Rule 2: return whether a retry by the client is harmless.
+    """Rule 2: return whether a request may be rejected, as a retry by its client is harmless.
 
     A retry of a request that may have run is harmless only if a repeat does no harm at any upstream.
     """
--- a/lanelift/policy/outcomes.py
+++ b/lanelift/policy/outcomes.py
@@ -62,7 +62,7 @@
         if request is None or request.attempts[event.attempt].result is not None:
             return
         attempt = request.attempts[event.attempt]
-        upstream = attempt.upstream  # counted even if it is no longer listed, as counts must balance
+        upstream = attempt.upstream  # updated even if it is no longer listed, as its counts must balance
         attempt.result = event.result
         upstream.unreachable = event.result is AttemptResult.CONNECT_FAILED
         request.body_consumed = request.body_consumed or event.body_consumed
@@ -132,7 +132,7 @@
         )
         late = attempt.sent_ns + duration_ns > request.objective_at_ns
         state.rate.on_time += not late
-        state.rate.late_or_failed += late  # the first sign of congestion
+        state.rate.late_or_failed += late  # late responses are the first sign of congestion
         self.ejection.record_success(attempt.upstream)
 
     def response_started(self, event: ResponseStarted, now: int) -> None:
--- a/lanelift/policy/pool.py
+++ b/lanelift/policy/pool.py
@@ -77,7 +77,8 @@
     def draw(self, count: int, now: int) -> list[Upstream]:
         """Return up to `count` random draws from the eligible upstreams, and the previous choice.
 
-        The cost depends on the `width` upstreams of the subset, and not on the number of listed ones.
+        The previous choice is left out if it is not eligible. The cost depends on the `width` upstreams of
+        the subset, and not on the number of listed ones.
         """
         order, width = self.subset.order, self.subset.width
         is_eligible, random_number = self.eligibility.is_eligible, self.rng.random
@@ -102,7 +103,9 @@
         return candidates
 
     def pick(self, now: int, allowed: Iterable[Upstream] | None = None) -> Upstream | None:
-        """Return the upstream that becomes free first, of a few draws or of those allowed, or None.
+        """Return the upstream that becomes free first, of a few draws or of those allowed.
+
+        None is returned if no upstream is eligible.
 
         Args:
             now: The time.
--- a/lanelift/policy/probing.py
+++ b/lanelift/policy/probing.py
@@ -5,9 +5,9 @@
 little time has passed, a few others are probed, once. Reason: with many replicas, a replica's own counts say
 little about an upstream.
 
-Each upstream has at most one probe in flight, and its report serves all requests that wait for it. Otherwise
-each request would need a connection where requests arrive faster than reports. An upstream that has not
-reported within the timeout is skipped.
+Each upstream has at most one probe in flight, and its report serves all requests that wait for it. Otherwise,
+if requests arrive faster than reports, the probes of each request would need further connections. An upstream
+that has not reported within the timeout is skipped.
 """
 
 from __future__ import annotations
--- a/lanelift/policy/rate_control.py
+++ b/lanelift/policy/rate_control.py
@@ -151,7 +151,7 @@
     def _raise(self, excess: float) -> None:
         """Raise R, by more the further responses are from congestion.
 
-        After a cut, R itself is the bottleneck.
+        After a cut, it is R itself that limits the goodput.
         """
         growth = GROWTH + GROWTH_PER_SLACK * max(0.0, -excess - TOLERATED_EXCESS)
         self.rate_per_s = min(INITIAL_RATE_PER_S, self.rate_per_s * growth + MIN_GROWTH_PER_S)
@@ -169,7 +169,7 @@
     def _water_fill(self, left: float) -> list[float]:
         """Return the share of each bank in a rate that is divided by weight.
 
-        No share is above the bank's demand at first; what is left over is then added to each share.
+        At first, no share is above its bank's demand; all that is left over is then added to each share.
         """
         shares, weights = [0.0] * len(self.banks), sum(bank.weight for bank in self.banks)
         by_demand = sorted(
--- a/lanelift/policy/registry.py
+++ b/lanelift/policy/registry.py
@@ -21,7 +21,7 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-MIN_REPORTED_EJECTION_NS = SECOND_NS // 2  # shorter ones are pauses between attempts, and not in metrics
+MIN_REPORTED_EJECTION_NS = SECOND_NS // 2  # shorter ones are brief pauses, which metrics do not count
 
 
 class UpstreamRegistry:
--- a/lanelift/policy/requests.py
+++ b/lanelift/policy/requests.py
@@ -1,4 +1,4 @@
-"""The policy's record of one open request: its attempts, its limits, and where it waits.
+"""The policy's record of one open request: its attempts, its deadlines, and where it waits.
 
 `legality.py` decides which steps are legal for it. `lanelift/net/requests.py` has the daemon's table of open
 requests.
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True, eq=False)
 class KeyQueue:
-    """Rule 5: the open requests of one ordering key, in the order in which they arrived.
+    """The open requests of one ordering key, in the order in which they arrived (rule 5 of `legality.py`).
 
     Attributes:
         key: The key.
--- a/lanelift/policy/service_time.py
+++ b/lanelift/policy/service_time.py
@@ -4,9 +4,9 @@
 times are in nanoseconds. Reason: queued work is the sum of these estimates, and a request that takes longer
 than its client waits is shed.
 
-The service time need not be proportional to the hint. Where twice the hint is not twice the time, work that
-is summed from the hints themselves is wrong by as much, and requests would be shed that can be served in
-time. The estimate by hint is therefore a regression.
+The service time need not be proportional to the hint. If it is not, a sum of the hints themselves differs
+from the queued work, and requests that can be served in time would be shed. The estimate by hint is therefore
+a regression.
 """
 
 from __future__ import annotations
@@ -16,9 +16,7 @@
 from lanelift.policy.attempts import Attempt
 from lanelift.policy.settings import RequestClass
 
-DURATION_MARGIN = (
-    1.3  # factor of the estimate; a request that takes longer, with the deviation added, is late
-)
+DURATION_MARGIN = 1.3  # multiple of the expected time, plus the deviation, after which a request is late
 MIN_SAMPLE_WEIGHT = 0.01  # least weight of a new sample of the regression
 PRIOR_SAMPLES = 8.0  # number of samples that the prior slope counts as
 PRIOR_SLOPE = 0.5  # slope with few samples: half of what the hint says
--- a/lanelift/policy/settings.py
+++ b/lanelift/policy/settings.py
@@ -15,7 +15,7 @@
 class Idempotency(Enum):
     """Whether a request of a class may be executed more than once."""
 
-    IDEMPOTENT = "safe"  # may be retried and rejected freely
+    IDEMPOTENT = "safe"  # may be retried, or rejected, even if it has run
     IDEMPOTENCY_KEY = "keyed"  # carries a key, by which one group of upstreams drops repeats for a while
     NON_IDEMPOTENT = "unsafe"  # must never be executed twice
 
--- a/lanelift/policy/slow_start.py
+++ b/lanelift/policy/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start, rule 4 of the protocol: attempts at a newly started upstream are paced until it has warmed up.
 
 Inputs: when the upstream started, its initial share of capacity and its warm-up time (`Rules`), how many
-replicas share it, and the rate of attempts that a warm upstream sustains. No attempt is sent to it before its
-pacing interval has passed since the last attempt. Reason: an upstream fails if all replicas together send it
-more than it can handle while it warms up.
+replicas share it, and the rate of attempts that a warm upstream sustains. An upstream that is warming up gets
+no attempt before its pacing interval has passed since the last one. Reason: an upstream fails if all replicas
+together send it more than it can handle while it warms up.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-BUDGET_SHARE = 0.7  # share of the rate that a warming upstream can handle that is used
+BUDGET_SHARE = 0.7  # used share of the rate that an upstream can handle while it warms up
 SUSTAINED_RATE_SMOOTHING = 0.2
 
 
@@ -22,7 +22,8 @@
 
     Attributes:
         sharing_replicas: How many replicas send to one upstream.
-        sustained_rate_per_s: This replica's observed attempts per second that a warm upstream sustains.
+        sustained_rate_per_s: This replica's attempts per second at one upstream, smoothed; a warm upstream
+            sustains this rate.
     """
 
     __slots__ = ("concurrency", "duration_ns", "rules", "sharing_replicas", "sustained_rate_per_s")
--- a/lanelift/policy/subsets.py
+++ b/lanelift/policy/subsets.py
@@ -64,7 +64,7 @@
         order: The ready upstreams: this replica's subset, then the others in this replica's own order.
         size: The number of upstreams in the subset.
         degree: The number of replicas that have each upstream in their subset.
-        members: These replicas, by upstream.
+        members: The replicas that have each upstream in their subset, by upstream number.
         width: How many upstreams of `order` are drawn from now: the subset, or more.
     """
 
--- a/lanelift/policy/timers.py
+++ b/lanelift/policy/timers.py
@@ -38,7 +38,7 @@
         heapq.heappush(self.calls, (at_ns, self.added, function, arguments))
 
     def wake_at(self, at_ns: int, *about: Any) -> None:
-        """Schedule a run of the queues; `about` is the request that needs it, if it is only one."""
+        """Schedule a run of the queues; `about` is the request that needs the run, if only one does."""
         self.added += 1
         heapq.heappush(self.calls, (at_ns, self.added, None, about))
 
--- a/lanelift/policy/token_bank.py
+++ b/lanelift/policy/token_bank.py
@@ -18,7 +18,7 @@
 
 from lanelift.policy.units import SECOND_NS
 
-INITIAL_RATE_PER_S = 10_000.0  # initial R, above the capacity of any one replica
+INITIAL_RATE_PER_S = 10_000.0  # initial and highest R, above the capacity of any one replica
 BANK_CAPACITY_S = 0.5  # C_T, as seconds of the bank's rate
 BUFFER_SHARE = 0.2  # C_J as a share of C_T
 MIN_BANK_CAPACITY = 4  # tokens
--- a/lanelift/policy/upstreams.py
+++ b/lanelift/policy/upstreams.py
@@ -1,7 +1,7 @@
 """The policy's state of one upstream: load estimates, ejection and its place in the subsets.
 
-`lanelift/net/upstreams.py` sends the attempts and load probes. No rule is here: each field names the module
-that sets it.
+`lanelift/net/upstreams.py` sends the attempts and load probes. This module has no rules: the modules in
+brackets set the attributes.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
         consecutive_ejections: How many failures ejected it, or would have, since its last success
             (`ejection.py`).
         unreachable: Whether the last attempt failed to connect to it (`outcomes.py`).
-        ejected_until_ns: It gets no attempt before this time (`ejection.py`, `slow_start.py`).
+        ejected_until_ns: It gets no attempt before this time, the end of its ejection (`ejection.py`) or its
+            pacing interval (`forwarding.py`, `registry.py`).
         ejected_at_ns: When it was last ejected (`ejection.py`).
         peak_in_flight: The most attempts that this replica has had in flight there (`forwarding.py`).
         error_rate: The recent share of its responses that were errors (`ejection.py`).
--- a/lanelift/settings.py
+++ b/lanelift/settings.py
@@ -25,7 +25,7 @@
 
 Json = dict[str, Any]
 
-# The platform's names on the left, ours on the right. No other module uses the platform's names.
+# The platform's names on the left, the policy's on the right. No other module uses the platform's names.
 CLASS_FIELDS = {
     "window_ns": "deduplication_window_ns",
     "aim_ns": "latency_objective_ns",
@@ -71,7 +71,7 @@
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 DISCOVERY_PUSH = {"push": True, "ask": False}
-SHOWN_CHARACTERS = 80  # of a wrong value that are shown in a message
+SHOWN_CHARACTERS = 80  # length to which a message cuts a wrong value
 TYPE_NAMES = {
     int: "a whole number",
     float: "a number",
@@ -88,7 +88,7 @@
 
 
 def require(row: Json, key: str, kind: type) -> Any:
-    """Return a field that must be present and of this type; a bool is no whole number.
+    """Return a field that must be present and of this type; a bool does not count as a whole number.
 
     Raises:
         SettingsError: The field is absent or of another type.
@@ -99,7 +99,7 @@
 
 
 def optional(row: Json, key: str, kind: type, default: Any) -> Any:
-    """Return a field of this type that may be absent or null, and then has the default.
+    """Return a field of this type, or the default if the field is absent or null.
 
     Raises:
         SettingsError: The field is of another type.
@@ -120,7 +120,7 @@
 
 
 def choice(row: Json, key: str, choices: Mapping[Any, Any], default: Any = None) -> Any:
-    """Return the value of `choices` that a field's value, one of a few words or numbers, stands for.
+    """Return the entry of `choices` for a field's value, which must be one of its keys.
 
     Raises:
         SettingsError: The value is not among the choices.
@@ -133,7 +133,7 @@
 
 
 def _read_known(row: Json, settings_type: type, names: Mapping[str, str]) -> Json:
-    """Return the known settings among the given ones, under this program's names."""
+    """Return the given fields that are known, under the policy's names."""
     types = {f.name: type(f.default) for f in dataclasses.fields(settings_type)}
     return {
         own_name: check_type(row[platform_name], platform_name, types[own_name])
--- a/lanelift/wirehost.py
+++ b/lanelift/wirehost.py
@@ -185,7 +185,7 @@
         The events of each balancer are collected and handled together, so that it sees the whole batch.
 
         Returns:
-            The reply, as one line without its end.
+            The reply, as one line without the line break.
 
         Raises:
             SettingsError: The line is not a batch.
@@ -264,7 +264,7 @@
 
 
 def _fault(number: int, error: Exception) -> Json:
-    """Return the command that reports an exception of the decision code, with the place that raised it."""
+    """Return the command that reports a balancer's exception, with the function and line that raised it."""
     traceback = error.__traceback__
     while traceback is not None and traceback.tb_next is not None:
         traceback = traceback.tb_next
