--- a/tests/policy/checked_balancer.py
+++ b/tests/policy/checked_balancer.py
@@ -153,7 +153,7 @@
         balancer: The balancer under test.
         classes: The request class of each request.
         deadline: When the client of each request gives up.
-        answer: The final answer of each request, or that it ended without one.
+        answer: The final answer of each request; "broken" or "disconnected" if it ended without one.
         notified_complete: Requests that were reported to the balancer as complete.
         body_pending: Requests whose body is still being received, so that their time is not counted.
         body_consumed: Requests that can't be sent again, as part of their body was consumed.
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -130,7 +130,7 @@
                 getattr(self, f"_{what}")(details)
 
     def _arrive(self, details: tuple[str, int, str, int, int]) -> None:
-        """A request arrives at its replica."""
+        """Deliver a request to its replica."""
         tenant, work_ns, class_name, wait_ns, replica = details
         name = f"r{len(self.tenant)}/{work_ns}"
         self.tenant[name], self.deadline[name] = tenant, self.now + wait_ns
@@ -141,19 +141,19 @@
         )
 
     def _tenant_update(self, event: Event) -> None:
-        """The first replica receives an update from a directory."""
+        """Deliver an update from a directory to the first replica."""
         self._handle([event], 0)
 
     def _update(self, details: tuple[int, Event]) -> None:
-        """An event reaches a replica."""
+        """Deliver an event to a replica."""
         self._handle([details[1]], details[0])
 
     def _timer(self, details: tuple[int, str]) -> None:
-        """A timer of a replica fires."""
+        """Fire a timer of a replica."""
         self._handle([TimerFired(details[1])], details[0])
 
     def _reach(self, details: tuple[str, int, int]) -> None:
-        """An attempt reaches its upstream, which may reject it."""
+        """Deliver an attempt to its upstream, which may reject it."""
         name, attempt, number = details
         if number in self.unresponsive:
             return  # the attempt will time out
@@ -161,21 +161,21 @@
             self._ended(name, attempt, AttemptResult.REJECTED)
 
     def _answered(self, details: tuple[str, int]) -> None:
-        """A response reaches its replica."""
+        """Deliver a response to its replica."""
         name, _, attempt = details[0].partition("#")
         if details[1] in self.unresponsive:
             return
         self._ended(name, int(attempt), AttemptResult.OK)
 
     def _expire(self, details: tuple[str, int]) -> None:
-        """An attempt times out, unless it has ended."""
+        """Time out an attempt, unless it has ended."""
         name, attempt = details
         if details in self.sent:
             self.emulators[self.sent[details][0]].drop(f"{name}#{attempt}", self.now)
             self._ended(name, attempt, AttemptResult.TIMEOUT)
 
     def _probe(self, details: tuple[int, int]) -> None:
-        """A load probe reaches its upstream, which sends a load report."""
+        """Deliver a load probe to its upstream, which sends a load report."""
         replica, number = details
         if number in self.unresponsive:
             return
@@ -184,7 +184,7 @@
         self.schedule(self.now + ONE_WAY_NS, "update", (replica, result))
 
     def _cancel(self, details: tuple[str, int]) -> None:
-        """An attempt is cancelled, unless it has ended."""
+        """Cancel an attempt, unless it has ended."""
         name, attempt = details
         if details in self.sent:
             self.emulators[self.sent[details][0]].drop(f"{name}#{attempt}", self.now)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -26,7 +26,7 @@
 )
 
 
-def test_requests_with_much_time_do_not_fill_the_queue_of_those_with_little() -> None:
+def test_requests_with_much_time_do_not_fill_the_queue_for_requests_with_little() -> None:
     """Incident i31aba8: requests with two seconds to spare filled the queue, and short ones were always
     shed.
     """
@@ -49,8 +49,8 @@
 def test_a_request_that_is_handled_too_late_is_rejected_immediately(
     waited_ms: int, answer: str | None
 ) -> None:
-    """The replica is late itself: it handles a request long after it was received, and its answer would be
-    too late.
+    """The replica is late itself: it handles a request long after receiving it, and an answer would come too
+    late.
     """
     checked = CheckedBalancer()
     received_ns = checked.now - waited_ms * MS
@@ -59,7 +59,7 @@
     assert all(a.retry_after_ns > 0 for a in actions_of_type(Reject, actions) if isinstance(a, Reject))
 
 
-def test_no_tenants_and_an_unknown_class_work() -> None:
+def test_requests_are_handled_without_listed_tenants_and_with_an_unknown_class() -> None:
     """No tenant is listed, and a request names a class that is not in the settings."""
     checked = CheckedBalancer(settings(tenants={}))
     checked.handle(arrival(1, checked.now, tenant=""))
@@ -76,7 +76,7 @@
 
 def test_a_request_with_no_allowed_upstream_is_rejected_immediately() -> None:
     """No upstream in the zones of a class is listed: its requests are rejected without a token."""
-    checked = CheckedBalancer()  # all in the zone east
+    checked = CheckedBalancer()  # all upstreams are in the zone east
     tokens = checked.balancer.state.tenants.banks["ash"].balance
     checked.handle(arrival(1, checked.now, WEST_ONLY))
     assert (
--- a/tests/policy/test_churn.py
+++ b/tests/policy/test_churn.py
@@ -1,6 +1,4 @@
-"""What a balancer keeps in memory over days in which upstreams, peers, clients, tenants and keys all
-change.
-"""
+"""Memory use of a balancer over days of changing upstreams, peers, clients, tenants and keys."""
 
 from __future__ import annotations
 
@@ -168,7 +166,7 @@
     }
 
 
-def test_days_of_churn_leave_nothing_behind() -> None:
+def test_no_type_of_object_grows_in_number_over_days_of_churn() -> None:
     """In three days of churn, no type of object may grow in number from day to day."""
     assert not growing_types(simulate_days(3, 240))
 
--- a/tests/policy/test_full_size.py
+++ b/tests/policy/test_full_size.py
@@ -1,4 +1,4 @@
-"""Behaviour that shows only with two hundred replicas.
+"""Behaviour that shows only with many replicas, up to a thousand.
 
 All replicas start at the same time, most of them are killed, a zone is cut off, endpoint lists change all the
 time, and replicas with little traffic run beside busy ones.
@@ -104,7 +104,8 @@
     first = [t for t in at if t <= START + within // 4]
     tenths = Counter((t - START) * 10 // (within // 4) for t in first)
     assert len(tenths) >= 10 and max(tenths.values()) <= 3 * len(first) / 10
-    # Nor do later calls, however often they fail: no tenth of a second has more than a tenth of all replicas.
+    # Later calls come in no bursts either, however often calls fail: in no tenth of a second do more than a
+    # tenth of all replicas call.
     assert max(Counter((t - START) // (SECOND // 10) for t in at).values()) <= 20
 
 
@@ -146,7 +147,7 @@
 # ---- killed replicas and cut-off zones --------------------------------------------------------------------
 
 
-def test_after_seven_in_ten_are_killed_the_others_serve_within_every_budget() -> None:
+def test_after_seven_in_ten_replicas_are_killed_the_others_reach_nearly_all_upstreams() -> None:
     """Forty-two of sixty replicas are killed: the others reach nearly all upstreams, with no burst of
     peer messages.
     """
@@ -193,7 +194,7 @@
         assert not [t for t in to if t > 6 * SECOND]
     tried = [t for t in to if t > 5 * SECOND]
     sent = [t for t, _, _ in simulation.attempt_log if t > 5 * SECOND]
-    assert len(tried) <= 0.15 * len(sent)  # a quarter of all upstreams; most attempts avoid them
+    assert len(tried) <= 0.15 * len(sent)  # they are a quarter of all upstreams, and most attempts avoid them
     cut = set(simulation.unresponsive)
     simulation.unresponsive = set()
     if list_is_updated:
@@ -230,7 +231,7 @@
         )
 
 
-# ---- causes of losses in the standing test ----------------------------------------------------------------
+# ---- faults that lost requests when a zone was cut off -----------------------------------------------------
 
 
 def finish_attempts(checked: CheckedBalancer, result: AttemptResult, seconds: int) -> None:
@@ -264,7 +265,7 @@
     served_share = sum(checked.answer.get(name) == "served" for name in late) / len(late)
     assert served_share > 0.9 or not replaced
     finish_attempts(checked, AttemptResult.OK, 8)
-    assert pool.subset.width == pool.subset.size  # and the subset narrows again
+    assert pool.subset.width == pool.subset.size  # the subset has narrowed again
 
 
 @pytest.mark.parametrize("count_unplaceable", [True, False])
--- a/tests/policy/test_legality.py
+++ b/tests/policy/test_legality.py
@@ -36,8 +36,8 @@
 
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CANCELLED])
 def test_a_non_idempotent_request_that_may_have_run_fails(result: AttemptResult) -> None:
-    """An attempt ends and its upstream may have run the request: there is no retry, and no promise to
-    the client.
+    """An attempt ends and its upstream may have run the request: there is no retry, and the client is not
+    told that it may retry.
     """
     checked = CheckedBalancer()
     checked.handle(arrival(1, checked.now, PAY))
@@ -47,8 +47,8 @@
 
 
 def test_attempts_are_capped() -> None:
-    """Upstreams reject each attempt: there are as many as the limits allow, and then the request is
-    rejected.
+    """Upstreams reject each attempt: there are at most as many attempts as the limits allow, and then the
+    request is rejected.
     """
     checked = CheckedBalancer()
     checked.handle(arrival(1, checked.now, READ))
--- a/tests/policy/test_module.py
+++ b/tests/policy/test_module.py
@@ -24,7 +24,7 @@
     return sum(bool(line.strip()) for line in lines)
 
 
-def test_length() -> None:
+def test_modules_and_lines_are_short() -> None:
     assert max(map(nonblank_lines, MODULES.values())) <= LONGEST_MODULE
     assert max(map(len, LINES)) <= 110
 
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("name", sorted(MODULES))
 def test_no_function_is_long(name: str) -> None:
-    """A function that needs more lines does more than one thing."""
+    """A function with more lines than the limit does more than one thing."""
     long = [
         node.name for node in functions(name) if (node.end_lineno or 0) - node.lineno + 1 > LONGEST_FUNCTION
     ]
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -50,7 +50,7 @@
     return simulation
 
 
-def test_an_attempt_is_announced_to_the_replicas_that_share_its_upstream_only() -> None:
+def test_an_attempt_is_announced_only_to_the_replicas_that_share_its_upstream() -> None:
     """One attempt: a message goes to each replica that has its upstream in its subset, and to no other."""
     checked = sharing_balancer()
     actions = checked.handle(arrival(1, checked.now))
@@ -146,7 +146,7 @@
         *(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 0xFFFF)) for _ in range(1000))
     )
     assert len(upstream.reservations) <= 64
-    assert upstream.queued_work_ns(checked.now, 0) <= SECOND  # and it is not left idle for hours
+    assert upstream.queued_work_ns(checked.now, 0) <= SECOND  # so the upstream is not left idle for hours
 
 
 def test_no_request_is_rejected_by_its_hint_before_responses_confirm_hints() -> None:
@@ -231,7 +231,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_announcements_raise_the_served_share_and_lost_messages_cost_little(seed: int) -> None:
-    """Two draws by own counts alone say nearly nothing if each replica has one request in flight."""
+    """A replica with one request in flight knows nearly nothing of two drawn upstreams by its own counts."""
     without_messages, announcing, with_losses = (
         simulate_busy_replicas(seed, False),
         simulate_busy_replicas(seed, True),
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -38,8 +38,8 @@
     return [LoadProbeFinished(u, AttemptResult.OK, MS, {"inflight": in_flight}) for u in upstreams]
 
 
-def test_probes_a_few_upstreams_and_forwards_to_the_least_loaded() -> None:
-    """With many replicas, own counts say little: the load reports of upstreams decide."""
+def test_a_few_upstreams_are_probed_and_the_least_loaded_is_chosen() -> None:
+    """With many replicas, a replica's own counts say little: the load reports of upstreams decide."""
     checked = probing_balancer()
     probed = [a.upstream for a in checked.handle(arrival(1, checked.now)) if isinstance(a, ProbeLoad)]
     assert probed and "r1" not in checked.attempts
@@ -50,7 +50,7 @@
     assert checked.attempts["r1"][0][0].id == probed[0]
 
 
-def test_does_not_wait_for_a_lost_report() -> None:
+def test_a_request_does_not_wait_long_for_a_lost_report() -> None:
     """No load report is received: the request is forwarded without one."""
     checked = probing_balancer()
     checked.handle(arrival(1, checked.now))
@@ -58,7 +58,7 @@
     assert len(checked.attempts["r1"]) == 1
 
 
-def test_rejects_when_all_probed_upstreams_would_answer_late() -> None:
+def test_a_request_is_rejected_if_all_probed_upstreams_would_answer_late() -> None:
     """All upstreams, including those of the second round, report far too much work: the request is
     rejected.
     """
@@ -70,7 +70,7 @@
     assert checked.answer["r1"] == "rejected"
 
 
-def test_probes_others_before_it_waits_behind_work() -> None:
+def test_other_upstreams_are_probed_before_a_request_waits_behind_work() -> None:
     """The reports of four busy upstreams say nothing about a fifth.
 
     A third of all requests waited behind work while the fifth of five upstreams was idle.
@@ -85,7 +85,7 @@
     assert checked.attempts["r1"][0][0].id == others[0]
 
 
-def test_probes_others_once_and_then_takes_the_least_loaded_of_all() -> None:
+def test_other_upstreams_are_probed_once_and_then_the_least_loaded_of_all_is_chosen() -> None:
     """Both rounds of probes report work: there is no third, and the least loaded of all is chosen."""
     checked = probing_balancer(upstream_count=8)
     first = probed_by(checked.handle(arrival(1, checked.now)))
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(("upstream_count", "in_flight"), [(8, 0.0), (3, 1.0)])
-def test_no_second_round_of_probes_if_one_is_idle_or_all_were_probed(
+def test_there_is_no_second_round_of_probes_if_an_upstream_is_idle_or_all_were_probed(
     upstream_count: int, in_flight: float
 ) -> None:
     """A second round of probes can find nothing better and would cost time, so there is none."""
@@ -133,7 +133,7 @@
 
 
 def test_expensive_or_uninformative_probes_are_not_used() -> None:
-    """Probes cost too much, or do not report requests in flight: none is sent."""
+    """Probes cost too much, or load reports lack the requests in flight: no probe is sent."""
     limits = Limits(max_attempts=3, load_probes=True)
     expensive = settings(limits=limits, load_report_fields=("inflight",), prices=Prices(probe=0.05))
     for config in (expensive, settings(limits=limits, load_report_fields=("util",))):
--- a/tests/policy/test_subscription.py
+++ b/tests/policy/test_subscription.py
@@ -18,7 +18,7 @@
 )
 
 
-def test_without_push_it_subscribes_and_backs_off() -> None:
+def test_a_balancer_without_push_subscribes_and_backs_off() -> None:
     """Each call to discovery fails: the calls come at growing intervals, within the notification deadline."""
     checked = CheckedBalancer(settings(discovery_push=False))
     assert not actions_of_type(Subscribe, checked.log)
@@ -36,7 +36,7 @@
     assert gaps[0] < gaps[2] and max(gaps) <= checked.config.rules.notification_deadline_ns
 
 
-def test_first_calls_are_spread() -> None:
+def test_the_first_calls_of_replicas_that_start_together_are_spread() -> None:
     """Replicas start at the same time: their first calls to discovery are spread."""
     delays = set()
     for seed in range(10):
@@ -45,7 +45,7 @@
     assert len(delays) > 5
 
 
-def test_with_push_it_never_calls_discovery() -> None:
+def test_a_balancer_with_push_never_calls_discovery() -> None:
     """The endpoint list is pushed: no call is made."""
     checked = CheckedBalancer()
     checked.advance(5 * SECOND)
--- a/tests/policy/test_subsets.py
+++ b/tests/policy/test_subsets.py
@@ -58,4 +58,4 @@
         new = [subset_of(replica, 40, listed) for replica in range(40)]
         moved += sum(len(b - a) for a, b in zip(subsets, new, strict=True))
         subsets = new
-    assert moved / 36 <= 8  # six subsets get the new upstream; the smallest ones are filled up
+    assert moved / 36 <= 8  # six subsets get the new upstream; subsets below the minimum size are filled up
--- a/tests/policy/test_tenants.py
+++ b/tests/policy/test_tenants.py
@@ -20,8 +20,9 @@
 
 
 def simulate(rates: dict[str, float], length_s: float = 20.0, seed: int = 1) -> Simulation:
-    """Simulate four upstreams (80 requests per second) and Poisson streams; `*` is a flood under always new
-    names.
+    """Simulate four upstreams (80 requests per second) and a Poisson stream of requests for each tenant.
+
+    Each request of the tenant `*` has a tenant name of its own, which the settings do not list.
     """
     rng = random.Random(seed)
     simulation = Simulation(SETTINGS, 4, seed)
@@ -54,7 +55,7 @@
     unknown_served = sum(
         n for (tenant, what), n in flood.counts.items() if what == "served" and "nobody" in tenant
     )
-    assert unknown_served > 50  # they have a share of their own, but nothing is lent to them
+    assert unknown_served > 50  # unknown tenants have a share of their own, but nothing is lent to them
 
 
 def test_few_requests_of_unknown_tenants_are_admitted() -> None:
--- a/tests/sim/test_wirehost.py
+++ b/tests/sim/test_wirehost.py
@@ -152,8 +152,8 @@
 
 
 def test_power_off_forgets_the_balancer() -> None:
-    """An event is received for a balancer that was powered off: it is unknown, and the host ends with a plain
-    message.
+    """The host receives an event for a balancer that was powered off: the balancer is unknown, and the host
+    ends with a plain message.
     """
     now = 2 * 10**9
     done = run(
@@ -232,7 +232,7 @@
     assert done.returncode == 2 and says in done.stderr and "Traceback" not in done.stderr
 
 
-def test_bad_utf_8_is_malformed() -> None:
+def test_invalid_utf_8_is_reported_like_other_bad_input() -> None:
     """A line is not UTF-8: it is reported like any other bad input, without a traceback."""
     done = subprocess.run(
         [sys.executable, "-m", "lanelift.wirehost"],
@@ -245,8 +245,8 @@
 
 
 def test_an_exception_in_a_balancer_is_reported_as_its_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The decision code raises an exception: it is reported as that balancer's fault, with its place, and the
-    host goes on.
+    """The decision code raises an exception: it is reported as that balancer's fault, with the function that
+    raised it, and the host goes on.
     """
 
     def broken(self: Balancer, now: int, events: object) -> list[Action]:
