--- a/lanelift/tenants/__init__.py
+++ b/lanelift/tenants/__init__.py
@@ -20,5 +20,6 @@
 | `sync_messages` | messages between the balancer and the sync process, and their JSON |
 | `sync_process` | the balancer's side: keeps the sync process running and posts updates to the dispatcher |
 
-All modules but the last six are pure: they use no socket, clock, file or process.
+`client`, `replica_reader`, `sync_worker` and `sync_process` use sockets, clocks, files, threads or processes.
+All other modules are pure.
 """
--- a/lanelift/tenants/client.py
+++ b/lanelift/tenants/client.py
@@ -1,7 +1,7 @@
 """One connection to an LDAP directory, by `ldap3`.
 
-It blocks, so it runs in threads of the sync process. Referrals are reported and never followed; nothing is
-retried here.
+The calls of this module block, so threads of the sync process make them. A referral to another server is an
+error and is never followed. Nothing is retried here.
 """
 
 from __future__ import annotations
@@ -152,13 +152,13 @@
                 return
 
     def _require_complete(self, result: dict[str, Any], response: Sequence[dict[str, Any]]) -> None:
-        """Raise DirectoryError if the server did not send the whole page, or refers to other servers."""
+        """Raise DirectoryError if the page is incomplete, or if the server refers to other servers."""
         if any(row["type"] == "searchResRef" for row in response):
-            raise self._error("it refers to other directories for a part, which is not followed")
+            raise self._error("a referral to other directories for a part, which is not followed")
         code = result["result"]
         if code == REFERRAL:
             servers = ", ".join(result["referrals"] or ["?"])
-            raise self._error(f"it refers to {servers}, which is not followed")
+            raise self._error(f"a referral to {servers}, which is not followed")
         if code in INCOMPLETE:
             raise self._error(f"search: {INCOMPLETE[code]} was reached")
         if code != SUCCESS:
--- a/lanelift/tenants/entries.py
+++ b/lanelift/tenants/entries.py
@@ -223,6 +223,7 @@
         return found
 
     def single(self, attribute: str, what: str) -> str | None:
+        """Return the only value of an attribute; None: it has no value. Several values are a problem."""
         found = self.texts(attribute)
         if len(found) > 1:
             self.add_problem(attribute, ", ".join(found), f"one {what}")
--- a/lanelift/tenants/notices.py
+++ b/lanelift/tenants/notices.py
@@ -17,7 +17,8 @@
 class Notices:
     """Remembers the last message on each subject, so that the next reading does not repeat it.
 
-    There is at most one subject for each entry read, one for each tenant, and three others.
+    There is at most one subject for each entry read, one for each tenant, and the subjects "bound", "behind"
+    and "removals".
 
     Attributes:
         notify: Logs a message; its arguments are the level and the text.
--- a/lanelift/tenants/removals.py
+++ b/lanelift/tenants/removals.py
@@ -15,7 +15,7 @@
 from lanelift.tenants.entries import Record
 
 MAX_TOMBSTONES = 10_000
-FREE_REMOVALS = 3  # never too many, so that a few agents can be removed from a small directory
+FREE_REMOVALS = 3  # within the window, unless no entry is left: a small directory can lose a few tenants
 WINDOW_S = 3600.0  # removals within this time are added up, to detect a tree that shrinks in small steps
 
 
@@ -24,7 +24,7 @@
     """Decides whether missing tenants may be removed.
 
     Attributes:
-        removal_part: Part of all tenants, 0 to 1, that may be removed within the window.
+        removal_part: Part of all tenants, 0 to 1, that may be removed within the window without confirmation.
         confirmed: Ids of the removals that the operator has confirmed.
         recent: Time in seconds and number of tenants of each removal within the window.
         pending: Id of the removal that waits for confirmation; empty: none.
@@ -41,17 +41,17 @@
             self.recent.popleft()
         return sum(count for _, count in self.recent)
 
-    def allows(self, names: Sequence[str], total: int, recently: int, empty: bool) -> bool:
+    def allows(self, names: Sequence[str], total: int, removed_recently: int, empty: bool) -> bool:
         """Return whether these tenants may be removed; if not, set `pending` to the id of their removal.
 
         Args:
             names: The missing tenants, sorted.
             total: Number of all tenants, including those removed within the window.
-            recently: Number of tenants removed within the window.
+            removed_recently: Number of tenants removed within the window.
             empty: Whether the directory shows no entry at all. This always needs confirmation, however few
                 tenants there were, as it indicates a wrong base, a lost permission or an emptied tree.
         """
-        if not empty and len(names) + recently <= max(FREE_REMOVALS, self.removal_part * total):
+        if not empty and len(names) + removed_recently <= max(FREE_REMOVALS, self.removal_part * total):
             return True
         removal_id = hashlib.blake2s("\n".join(names).encode(), digest_size=4).hexdigest()
         if removal_id in self.confirmed:
@@ -80,8 +80,8 @@
     def covers(self, record: Record, source: int) -> bool:
         """Return whether an entry was removed, and this directory has not received the removal yet.
 
-        The removal no longer applies, and the tombstone is dropped, if the entry is shown by the directory
-        that it was removed from, or with a later change by any directory.
+        The tombstone is dropped if the directory that the entry was removed from shows the entry again, or if
+        any directory shows it with a later stamp.
         """
         stamp_us, removed_from = self.stamps.get(record.id, (-1, source))
         if record.stamp_us <= stamp_us and source != removed_from:
--- a/lanelift/tenants/replica_reader.py
+++ b/lanelift/tenants/replica_reader.py
@@ -88,7 +88,8 @@
         self.events = events
         self.on_page = on_page
         self.on_result = on_result
-        # At most one order, as the schedule gives none while a reading runs, and None to end the thread.
+        # Holds at most one order, as the schedule begins no reading while one of the same kind runs. None
+        # ends the thread.
         self.orders: queue.SimpleQueue[ReadOrder | None] = queue.SimpleQueue()
         self.session: Session | None = None
         self.source = NO_SOURCE
--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -12,11 +12,12 @@
 from enum import StrEnum
 
 BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 10.0)  # by the number of consecutive rounds in which all directories failed
-PAGE_TIMEOUT_S = 10.0  # longest wait for a page of changes, for directories that send a byte now and then
+# Longest wait for a page of changes: single bytes now and then exceed no timeout of a receive.
+PAGE_TIMEOUT_S = 10.0
 OVERLAP_S = 60.0  # a search for changes begins this long before the latest stamp: replication may be late
 LARGE_OVERLAP_ENTRIES = 2000  # an overlap with more entries, none of them new, is not read again
 NO_CLOCK_US = 1 << 62  # a time of day that is later than any stamp
-MAX_INVALIDATIONS = 2  # consecutive reads of changes without an expected entry, before no more are made
+MAX_INVALID_READS = 2  # consecutive invalid reads of changes, before the directory is only read in full
 
 
 class ReadKind(StrEnum):
@@ -50,7 +51,7 @@
     """State of the readings of one kind.
 
     Attributes:
-        due_s: When the next reading begins; None: not before some event.
+        due_s: When the next reading begins; None: none is planned.
         source: The directory that the next reading uses.
         failed_sources: Number of directories that failed in this round.
         failed_rounds: Number of consecutive rounds in which all directories failed.
@@ -77,10 +78,10 @@
         now_s: When the schedule begins.
         full: State of the full reads.
         changes: State of the reads of changes.
-        invalidations: By directory: consecutive reads of changes that lacked an expected entry.
+        invalid_reads: By directory: number of consecutive reads of changes that lacked an expected entry.
         mark_us: The latest stamp seen.
         marked_s: When `mark_us` was first seen.
-        reread_mark_us: The mark whose large overlap was read again without any change.
+        reread_mark_us: The mark of a large overlap that changed no tenant when it was read again.
     """
 
     directories: int
@@ -91,7 +92,7 @@
     now_s: float = 0.0
     full: ReadState = field(init=False)
     changes: ReadState = field(init=False)
-    invalidations: dict[int, int] = field(default_factory=dict)
+    invalid_reads: dict[int, int] = field(default_factory=dict)
     mark_us: int = 0
     marked_s: float = 0.0
     reread_mark_us: int = 0
@@ -148,7 +149,7 @@
             self.changes.order = replace(running, until_s=now_s + self._page_timeout_s())
 
     def next_s(self) -> float | None:
-        """Return when the next reading is to begin or to be given up; None: not before some event."""
+        """Return when a reading is to begin or to be given up next; None: nothing is planned."""
         states = (self.full, self.changes)
         times = [state.order.until_s if state.order else state.due_s for state in states]
         return min((time_s for time_s in times if time_s is not None), default=None)
@@ -165,7 +166,7 @@
             order: The reading.
             now_s: The time.
             found: Number of entries that the reading returned.
-            any_new: Whether the reading changed any tenant.
+            any_new: For changes: whether the reading changed any tenant.
         """
         state = self._end(order)
         if state is None:
@@ -180,7 +181,7 @@
 
     def _full_read_done(self, order: ReadOrder, now_s: float) -> None:
         self.full.source, self.full.due_s = 0, now_s + self.full_interval_s
-        if not self.has_stamps or self.invalidations.get(order.source, 0) >= MAX_INVALIDATIONS:
+        if not self.has_stamps or self.invalid_reads.get(order.source, 0) >= MAX_INVALID_READS:
             # The directory can't be searched for changes: it is read in full, at the interval of changes.
             self.full.due_s = now_s + self.change_interval_s
             self.changes.due_s = None
@@ -204,8 +205,8 @@
             if state is self.full:
                 state.source = 0
 
-    def invalidate(self, order: ReadOrder, now_s: float, any_found: bool) -> bool:
-        """Check a read of changes that must return an entry, as its directory is known to have a match.
+    def validate_changes(self, order: ReadOrder, now_s: float, any_found: bool) -> bool:
+        """Check a read of changes that must return an entry, as its directory has shown such a change before.
 
         Args:
             order: The reading.
@@ -213,17 +214,17 @@
             any_found: Whether the reading returned an entry; otherwise it is invalid.
 
         Returns:
-            Whether this invalid reading is the last one: the directory is no longer searched for changes.
+            Whether this reading was invalid, and from now on the directory is only read in full.
         """
         if any_found:
-            self.invalidations.pop(order.source, None)
+            self.invalid_reads.pop(order.source, None)
             return False
-        count = self.invalidations[order.source] = self.invalidations.get(order.source, 0) + 1
+        count = self.invalid_reads[order.source] = self.invalid_reads.get(order.source, 0) + 1
         if self.full.order is None:
             self.full.due_s = now_s  # the latest change may have been a removal: a full read shows it
-        if count >= MAX_INVALIDATIONS:
+        if count >= MAX_INVALID_READS:
             self.changes.due_s = None
-        return count == MAX_INVALIDATIONS
+        return count == MAX_INVALID_READS
 
     def _end(self, order: ReadOrder) -> ReadState | None:
         """Mark a reading as ended, and return the state of its kind.
--- a/lanelift/tenants/store.py
+++ b/lanelift/tenants/store.py
@@ -17,7 +17,7 @@
 from lanelift.tenants.validity import ValidityTimer
 
 MAX_TENANTS = 200_000  # stored entries, about 600 bytes each
-SETTINGS_SOURCE = -1  # the source of tenants that no directory has shown
+SEED_SOURCE = -1  # the source of tenants that no directory has shown
 FORMER_SOURCE = -2  # the source of entries from directories of an earlier configuration
 
 
@@ -61,7 +61,7 @@
         notices: Logs messages without repetitions.
         entries: By id: at most `MAX_TENANTS` entries.
         claims: By tenant: ids of the entries with its name; the first one determines the tenant's state.
-        sent: By tenant: the state last returned in `Changes`; None: the tenant of the settings.
+        sent: By tenant: the state last returned in `Changes`; None: none yet; the tenant was seeded.
         tombstones: Removed entries.
         marks_us: By directory: the latest stamp seen there, in microseconds since 1970.
         validity: When a tenant's validity begins or ends next.
@@ -78,7 +78,8 @@
         """Create a store without tenants.
 
         Args:
-            removal_part: Part of all tenants, 0 to 1, that may be removed without confirmation.
+            removal_part: Part of all tenants, 0 to 1, that may be removed within the guard's window without
+                confirmation.
             confirmed: Ids of the removals that the operator has confirmed.
             notify: Logs a message; its arguments are the level and the text.
         """
@@ -94,13 +95,15 @@
         self.remapped = False
 
     def seed(self, tenants: Iterable[tuple[str, bool, float]]) -> None:
-        """Add tenants from another source, which stay unchanged until a directory shows them.
+        """Add the tenants that the balancer has already.
+
+        They stay unchanged until a directory shows them, or until a complete reading lacks them.
 
         Args:
             tenants: The folded name of each, whether it is suspended, and its share.
         """
         for name, suspended, share in tenants:
-            self._put(Record(f"seed:{name}", name, suspended, share), SETTINGS_SOURCE)
+            self._put(Record(f"seed:{name}", name, suspended, share), SEED_SOURCE)
             self.sent[name] = None
 
     def merge(self, reading: Reading, now_s: float) -> Changes:
@@ -145,7 +148,7 @@
         self.remapped = True
         self.marks_us.clear()
         for stored in self.entries.values():
-            if stored.source != SETTINGS_SOURCE:
+            if stored.source != SEED_SOURCE:
                 stored.source = FORMER_SOURCE
 
     def latest_stamp_us(self) -> int:
@@ -196,6 +199,7 @@
             return parsed.record
         accepted = self._reconciled(stored, parsed.record, source, parsed.dn)
         if accepted == stored.record:
+            # An entry of a former configuration belongs to this directory from now on.
             stored.source = source if stored.source < 0 else stored.source
             return None
         return accepted
@@ -229,8 +233,8 @@
         ids = self.claims.setdefault(record.name, [])
         if record.id in ids:
             return
-        # An entry of a directory replaces the one that was only known from the settings.
-        for other in [known for known in ids if self.entries[known].source == SETTINGS_SOURCE]:
+        # An entry of a directory replaces the seeded entry of its tenant.
+        for other in [known for known in ids if self.entries[known].source == SEED_SOURCE]:
             ids.remove(other)
             del self.entries[other]
         ids.append(record.id)
@@ -278,9 +282,9 @@
             self.notices.notify("info", f"{len(names)} tenants removed: {listed(names)}")
 
     def _may_remove(self, names: Sequence[str], now_s: float, empty: bool) -> bool:
-        recently = self.guard.recently_removed(now_s)
-        total = len(self.claims) + recently
-        if self.guard.allows(names, total, recently, empty):
+        removed_recently = self.guard.recently_removed(now_s)
+        total = len(self.claims) + removed_recently
+        if self.guard.allows(names, total, removed_recently, empty):
             return True
         limit = f"over {self.guard.removal_part:.0%} within {WINDOW_S / 60:.0f} min"
         why = "no entry is left" if empty else limit
--- a/lanelift/tenants/sync_config.py
+++ b/lanelift/tenants/sync_config.py
@@ -71,7 +71,8 @@
         change_interval_s: Interval between two reads of changes, in seconds.
         full_interval_s: Interval between two full reads, in seconds.
         full_timeout_s: Longest duration of a full read, in seconds.
-        removal_part: Part of all tenants, 0 to 1, that may be removed without confirmation.
+        removal_part: Part of all tenants, 0 to 1, that may be removed within the guard's window without
+            confirmation (`removals.py`).
         confirmed: Ids of the removals that the operator has confirmed.
     """
 
--- a/lanelift/tenants/sync_messages.py
+++ b/lanelift/tenants/sync_messages.py
@@ -16,11 +16,11 @@
 Json = dict[str, Any]
 KnownTenant = tuple[str, bool, float]  # folded name, whether it is suspended, share
 
-# Tenants in one line, where each class and each limit of a tenant counts as one more. The balancer handles
-# one line in each iteration of its event loop. The last tenant may exceed this number, so that a line has at
-# most 229 values of 256 characters (`entries.py`).
+# Values in one line: each tenant counts as one, and each of its classes and limits as one more. The balancer
+# handles one line in each iteration of its event loop. The last tenant of a line may exceed this number, so a
+# line has at most 229 values of 256 characters (`entries.py`).
 MAX_BATCH_VALUES = 100
-MAX_LINE_BYTES = 2**20  # 229 values of 256 characters, 12 bytes each in JSON
+MAX_LINE_BYTES = 2**20  # 229 values of 256 characters, with up to 12 bytes in JSON for a character
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
     Attributes:
         config: The new configuration.
-        known: The tenants that stay unchanged until a directory shows them; None: none are added.
+        known: The tenants that the balancer has already (`TenantStore.seed`); None: none are added.
     """
 
     config: SyncConfig
--- a/lanelift/tenants/sync_process.py
+++ b/lanelift/tenants/sync_process.py
@@ -1,8 +1,8 @@
 """The balancer's side of tenants from directories.
 
-It keeps the sync process (`sync_worker.py`) running, and posts the changes that the process sends to the
-dispatcher as `TenantUpdate`. Nothing here blocks, whatever the directories do: only the sync process connects
-to them, and one of its lines is handled in each iteration of the event loop.
+`SyncProcess` keeps the sync process (`sync_worker.py`) running, and posts the changes that it receives from
+that process to the dispatcher, as `TenantUpdate`. Nothing here blocks, whatever the directories do: only the
+sync process connects to them, and each iteration of the event loop handles at most one line from it.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 # Wait before an ended process is started again, by the number of consecutive ends without an update. Normally
 # the process does not end.
 RESTART_BACKOFF_S = (0.2, 1.0, 5.0, 30.0)
-MAX_SHARED_SETS = 4096  # cached sets of classes, and of limits, as most tenants have one of a few
+MAX_SHARED_SETS = 4096  # cached sets of classes, and of limits, as most tenants share a few of them
 LOG_LEVELS = {"info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
@@ -128,7 +128,7 @@
             except Exception:  # after any error tenants stay as they are, and the process is restarted
                 log.exception("the reader of directories failed")
             ends_in_a_row = 1 if self.updates > updates else ends_in_a_row + 1
-            log.error("the reader of directories has ended; tenants stay as they are until it is back")
+            log.error("the reader of directories has ended; tenants stay as they are until it runs again")
             await asyncio.sleep(RESTART_BACKOFF_S[min(ends_in_a_row, len(RESTART_BACKOFF_S)) - 1])
 
     async def _run(self) -> None:
--- a/lanelift/tenants/sync_worker.py
+++ b/lanelift/tenants/sync_worker.py
@@ -226,7 +226,7 @@
         if order.kind is ReadKind.FULL or order.since_us > self.store.marks_us.get(order.source, 0):
             return
         # The directory has an entry with a stamp in this range, so a read of changes must return one.
-        if self.schedule.invalidate(order, now_s, bool(found)):
+        if self.schedule.validate_changes(order, now_s, bool(found)):
             server = self.config.directories[order.source] if self.config else "?"
             self._log("warning", f"{server} does not find changes by their time: it is read in full")
 
--- a/lanelift/tenants/validity.py
+++ b/lanelift/tenants/validity.py
@@ -25,8 +25,8 @@
 
     def schedule(self, record: Record, now_s: float) -> None:
         """Store when the validity of a record's tenant begins or ends next."""
-        limits = (record.valid_from_s, record.valid_until_s)
-        ahead = [limit_s for limit_s in limits if limit_s is not None and limit_s > now_s]
+        bounds = (record.valid_from_s, record.valid_until_s)
+        ahead = [bound_s for bound_s in bounds if bound_s is not None and bound_s > now_s]
         if not ahead:
             self.clear(record.name)
             return
--- a/tests/tenants/test_schedule.py
+++ b/tests/tenants/test_schedule.py
@@ -120,29 +120,29 @@
 
 
 def test_a_directory_that_does_not_order_times_gets_full_reads() -> None:
-    """A directory accepts the search for changes and returns none, though it has some. After the second such
-    search it is always read in full.
+    """A directory accepts the search for changes and returns none, though it has matching entries. After the
+    second such search it is always read in full.
     """
     schedule = after_first_full_read(new_schedule())
     order = only(schedule.orders(1.0, 0))
     schedule.done(order, 1.0)
-    assert not schedule.invalidate(order, 1.0, False)
+    assert not schedule.validate_changes(order, 1.0, False)
     full_read = only(schedule.orders(1.0, 0))  # due now, as the last change may have been a removal
     assert full_read.kind == ReadKind.FULL
     schedule.done(full_read, 1.1)
     order = only(schedule.orders(2.1, 0))
     schedule.done(order, 2.1)
-    assert schedule.invalidate(order, 2.1, False)
+    assert schedule.validate_changes(order, 2.1, False)
     schedule.done(only(schedule.orders(2.1, 0)), 2.2)
     assert [o.kind for o in schedule.orders(3.2, 0)] == [ReadKind.FULL]
 
 
-def test_a_read_that_shows_an_entry_clears_invalidations() -> None:
+def test_a_read_that_returns_an_entry_clears_the_invalid_reads() -> None:
     schedule = after_first_full_read(new_schedule())
     order = only(schedule.orders(1.0, 0))
-    schedule.invalidate(order, 1.0, False)
-    schedule.invalidate(order, 1.0, True)
-    assert not schedule.invalidations
+    schedule.validate_changes(order, 1.0, False)
+    schedule.validate_changes(order, 1.0, True)
+    assert not schedule.invalid_reads
 
 
 def test_entries_at_an_old_mark_are_not_read_again() -> None:
