--- a/lanelift/cli/config.py
+++ b/lanelift/cli/config.py
@@ -33,7 +33,9 @@
         else f"discovery at {read.discovery.address}"
     )
     directories = (
-        f" and {len(read.directory.directories)} directories of them" if read.directory is not None else ""
+        f" and {len(read.tenant_directories.directories)} directories of them"
+        if read.tenant_directories is not None
+        else ""
     )
     click.echo(
         f"{file}: good. Listens on {read.serve.listen}; {len(read.classes)} classes, "
--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -127,13 +127,13 @@
     state = (
         f"held by {latest.holder} under token {latest.token}, {votes} of {voters} votes"
         if latest and votes >= majority(voters)
-        else "free, or nobody has a majority"
+        else "free, or no holder has a majority"
     )
     return f"{name}: {state}; {waiters} waiting"
 
 
 def _described(pages: list[LeaseList] | None, name: str) -> str:
-    """Returns the state of a lease in the response of one voter, as text."""
+    """Returns the state of a lease as text, from the response of one voter; None: it did not respond."""
     if pages is None:
         return "no answer"
     if pages[0].quiet_ns:
--- a/lanelift/cli/tenants.py
+++ b/lanelift/cli/tenants.py
@@ -62,7 +62,7 @@
     Exit code 0: all were read whole and no entry has a mistake. 1: something is wrong.
     """
     source = _source(path)
-    before = _before(source, against)
+    before = _tenants_before(source, against)
     all_valid = True
     for number in range(len(source.config.directories)):
         valid = _check_directory(source.config, number, before)
@@ -73,11 +73,11 @@
 def _check_directory(config: SyncConfig, number: int, before: dict[str, TenantState]) -> bool:
     """Print a directory's problems, and its changes from `before`; return whether it has no problems."""
     found, failure = _read(config, number)
-    incomplete = f"; not whole: {failure}" if failure else ""
+    incomplete = f"; incomplete: {failure}" if failure else ""
     click.echo(f"{config.directories[number]}: {len(found)} entries{incomplete}")
     if failure and not found:
         return False
-    # Seeded with the present tenants, so that too many removals are detected as in a balancer.
+    # The store is seeded with the present tenants, so that it holds back mass removals as in a balancer.
     notices: list[str] = []
     store = TenantStore(config.removal_part, config.confirmed, lambda _, text: notices.append(text))
     store.seed((tenant.name, tenant.denial_reason == "suspended", tenant.share) for tenant in before.values())
@@ -115,7 +115,7 @@
 
 
 def _read(config: SyncConfig, number: int) -> ReadResult:
-    # Imported only here: without the extra `tenants` there is no LDAP client, which `_source` has reported.
+    # Imported only here: if the LDAP client is not installed, `_source` has reported that before.
     from lanelift.tenants.client import DirectoryError, Session
     from lanelift.tenants.replica_reader import ReadResult, read_all
 
@@ -129,17 +129,17 @@
         session.close()
 
 
-def _before(source: TenantSource, against: Path | None) -> dict[str, TenantState]:
+def _tenants_before(source: TenantSource, against: Path | None) -> dict[str, TenantState]:
     """Return the tenants to compare with, by name, from a file or from the settings."""
     if against is None:
-        listed = source.settings.values()
+        listed = source.configured_tenants.values()
         return {tenant.name: TenantState(tenant.name, "", tenant.share, None, (), ()) for tenant in listed}
     try:
         rows = json.loads(against.read_text(encoding="utf-8"))["tenants"]
         return {row["name"]: _from_json(row) for row in rows}
     except (OSError, ValueError, KeyError, TypeError) as error:
         exit_with_bad_input(
-            f"{against}: found no tenants ({error!r}); allowed: what `lanelift tenants show --json` wrote"
+            f"{against}: found no tenants ({error!r}); allowed: the output of `lanelift tenants show --json`"
         )
 
 
--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -54,8 +54,8 @@
     def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
         """Return the problems that concern several keys of the file.
 
-        The argument is raw input, as this is called even if single keys are invalid. Values of the wrong type
-        are ignored here; the checks of single keys report them.
+        The argument is raw input, as this method is called even if single keys are invalid. Values of the
+        wrong type are ignored here; the checks of single keys report them.
         """
         return ()
 
@@ -83,6 +83,11 @@
 def read_file(path: Path, model: type[T], changes: Mapping[str, Any] | None = None) -> T:
     """Return the content of a file as an instance of `model`.
 
+    Args:
+        path: The file.
+        model: The model that validates the file.
+        changes: Values that replace those of the file, by the path of their key.
+
     Raises:
         FileValidationError: The file has problems, can't be read or is not TOML.
     """
@@ -146,7 +151,8 @@
 def number(row: dict[str, Any], key: str, default: float) -> float:
     """Return a number of raw input, or the default if it is missing.
 
-    The result for a value of another type is NaN, for which every comparison is false.
+    The result for a value of another type is NaN. Comparisons with NaN are false, so such a value gives no
+    second problem.
     """
     value = row.get(key, default)
     fits = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
@@ -234,6 +240,7 @@
 
 
 def _tags(annotation: Any) -> list[str]:
+    """Return the tags of a union of tables: the values that their key `kind` allows."""
     tags = []
     for member in _members(annotation):
         kind = member.model_fields.get("kind")
@@ -249,6 +256,7 @@
 
 
 def _annotation(model: type[BaseModel], loc: Sequence[int | str]) -> Any:
+    """Return the annotation of the value at one of pydantic's paths; None: there is no such field."""
     annotation: Any = model
     for part in loc:
         if isinstance(part, int):
@@ -269,5 +277,6 @@
 
 
 def _keys_at(model: type[BaseModel], loc: Sequence[int | str]) -> list[str]:
+    """Return the known keys of the table at one of pydantic's paths."""
     members = _members(_annotation(model, loc))
     return sorted({field.alias or name for m in members for name, field in m.model_fields.items()})
--- a/lanelift/config/directories.py
+++ b/lanelift/config/directories.py
@@ -80,7 +80,7 @@
 
 
 class LdapDirectory(Table):
-    """One directory server; the file lists them in the order of preference."""
+    """One directory server. The file lists the servers in the order of preference."""
 
     url: Annotated[str, AfterValidator(_ldap_url)]
     tls: Literal["verify", "unverified", "off"] = "verify"
@@ -91,7 +91,7 @@
 
 
 class Tenants(Table):
-    """`[tenants]`: tenants read from directories. Times are in seconds."""
+    """`[tenants]`: the directories that list tenants, how they are read, and how their entries apply."""
 
     directories: Annotated[list[LdapDirectory], Field(min_length=1, max_length=8, alias="directory")]
     base: Annotated[str, Field(max_length=1024)]
--- a/lanelift/config/operator.py
+++ b/lanelift/config/operator.py
@@ -138,7 +138,7 @@
     rules: Rules = Rules()
     upstreams: Annotated[list[UpstreamServer], Field(alias="upstream", max_length=MAX_UPSTREAMS)] = []  # noqa: RUF012  pydantic copies defaults
     discovery: Discovery | None = None
-    directory: Annotated[Tenants | None, Field(alias="tenants")] = None
+    tenant_directories: Annotated[Tenants | None, Field(alias="tenants")] = None
     fleet: Fleet | None = None
 
     @classmethod
@@ -204,7 +204,7 @@
     def _tenants(self) -> Iterable[policy.Tenant]:
         for row in self.tenants:
             # If directories list tenants, names are compared as directories compare them.
-            name = row.name if self.directory is None else folded(row.name)
+            name = row.name if self.tenant_directories is None else folded(row.name)
             yield policy.Tenant(name, row.share, row.quota_per_s)
 
     def endpoints(self) -> list[ResolvedEndpoint]:
@@ -246,7 +246,9 @@
             None,
             [],
             None,
-            None if self.directory is None else self.directory.source(dict(settings.tenants)),
+            None
+            if self.tenant_directories is None
+            else self.tenant_directories.source(dict(settings.tenants)),
             None if self.serve.operator is None else split_address(self.serve.operator),
             fleet=self.fleet_source(),
         )
--- a/lanelift/routes/check.py
+++ b/lanelift/routes/check.py
@@ -5,10 +5,11 @@
 are three verdicts: the statement holds; it fails, with the smallest example and the responsible rule; or it
 is not decided, with a reason. A statement that is not decided never counts as one that holds.
 
-Whether a pool is short depends on the boxes that the decision module avoids at the time, and any box may fail
-at any time. So for a claim with `never` or `always`, each pool that can spill may be short or not, unless the
-statement says which. A claim that counts boxes uses the boxes that the file lists, changed by the conditions
-of the statement.
+A pool is short if it has too few available boxes; its requests then spill to another pool. This depends on
+the boxes that the decision module avoids at the time, and any box may fail at any time. So for a claim with
+`never` or `always`, each pool that can spill is considered both short and not short, unless the statement
+says which. A claim that counts boxes uses the boxes that the file lists, changed by the conditions of the
+statement.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 from lanelift.routes.routing import Routing
 from lanelift.routes.table import Entry, Request, Rule
 
-# Combinations of boxes that are down. They are enumerated if the pools of a chain overlap, as there is no
-# formula for that. This takes some seconds; with more combinations the verdict is "not decided".
-MAX_CHOICES = 100_000
+# Sets of boxes that are down together. If the pools of a chain overlap, all sets are tried, as there is
+# no formula for that. This many take some seconds; with more, the verdict is "not decided".
+MAX_DOWN_SETS = 100_000
 
 
 class Verdict(Enum):
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Flow:
-    """The requests of a subject that one rule matches, as their representative, and one of their pools."""
+    """A rule that matches requests of a subject, a representative of these requests, and one of its pools."""
 
     rule: Rule
     request: Request
@@ -89,11 +90,11 @@
     any_down: int  # number of further boxes that may be down
     short: frozenset[str]  # pools that spill
     well: frozenset[str]  # pools that do not spill
-    down: frozenset[str]  # the unusable boxes that a condition makes so
+    down: frozenset[str]  # boxes that only a condition makes unusable
 
 
 class Checker:
-    """Checks statements against one routing. `cold`: whether boxes are cold after their start."""
+    """Checks statements against one routing. `cold` is whether boxes are cold after their start."""
 
     def __init__(self, routing: Routing, cold: bool = True) -> None:
         self.routing = routing
@@ -182,7 +183,7 @@
             "always reaches": self._always_reaches,
             "never shares": self._never_shares,
         }[kind](statement)
-        return found or Finding(statement, Verdict.HOLDS, "in every state")
+        return found or Finding(statement, Verdict.HOLDS, "in every scenario")
 
     def _no_route(self, statement: Statement) -> Finding:
         flows = self.flows(statement.subject)
@@ -195,7 +196,7 @@
     def _reachable_boxes(
         self, statement: Statement
     ) -> Iterator[tuple[Flow, Scenario, Pool, tuple[str, ...], Box]]:
-        """Yield each box that a request of the subject may be sent to, and how it gets there."""
+        """Yield each box that a request of the subject may reach, after its flow, scenario and pools."""
         for scenario in self.scenarios(statement.when):
             for flow in self.flows(statement.subject):
                 for pool, short in self.candidate_pools(flow, scenario):
@@ -262,39 +263,39 @@
                 return Finding(statement, Verdict.FAILS, "no rule matches it", "", Example(request, ()))
             return self._check_minimum(statement, lambda ready, listed: ready >= 1) or _satisfied(statement)
 
-        def enough(ready: int, listed: int) -> bool:
-            wanted = claim.amount * listed / 100 if claim.percent else claim.amount
-            return ready >= wanted if claim.kind == "at least" else ready <= wanted
+        def satisfies(ready: int, listed: int) -> bool:
+            amount = claim.amount * listed / 100 if claim.percent else claim.amount
+            return ready >= amount if claim.kind == "at least" else ready <= amount
 
         found = (
-            self._check_minimum(statement, enough)
+            self._check_minimum(statement, satisfies)
             if claim.kind == "at least"
-            else self._check_maximum(statement, enough)
+            else self._check_maximum(statement, satisfies)
         )
         return found or _satisfied(statement)
 
-    def _check_minimum(self, statement: Statement, enough: Callable[[int, int], bool]) -> Finding | None:
-        return self._check_worst_case(statement, enough, min)
+    def _check_minimum(self, statement: Statement, satisfies: Callable[[int, int], bool]) -> Finding | None:
+        return self._check_worst_case(statement, satisfies, min)
 
-    def _check_maximum(self, statement: Statement, enough: Callable[[int, int], bool]) -> Finding | None:
-        return self._check_worst_case(statement, enough, max)
+    def _check_maximum(self, statement: Statement, satisfies: Callable[[int, int], bool]) -> Finding | None:
+        return self._check_worst_case(statement, satisfies, max)
 
     def _check_worst_case(
         self,
         statement: Statement,
-        enough: Callable[[int, int], bool],
+        satisfies: Callable[[int, int], bool],
         worst: Callable[[Iterable[tuple[int, tuple[str, ...]]]], tuple[int, tuple[str, ...]]],
     ) -> Finding | None:
-        """Check the number of boxes that are left in the worst case of each scenario."""
+        """Check the number of boxes left in the worst case of each scenario; None: it satisfies the claim."""
         for scenario in self.scenarios(statement.when):
             for flow in self.flows(statement.subject):
                 states = self._box_counts(self.routing.chain(flow.pool), scenario)
                 if states is None:
-                    reason = f"pools overlap, and more than {MAX_CHOICES} combinations of boxes may be down"
+                    reason = f"pools overlap, and more than {MAX_DOWN_SETS} combinations of boxes may be down"
                     return Finding(statement, Verdict.NOT_DECIDED, reason, flow.rule.name)
                 ready, down = worst(states)
                 listed = len(self.members[flow.pool.name])
-                if not enough(ready, listed):
+                if not satisfies(ready, listed):
                     boxes = "box is" if ready == 1 else "boxes are"
                     names = tuple(sorted(scenario.down)) + down
                     example = Example(flow.request, (flow.pool.name,), down=names)
@@ -305,9 +306,9 @@
     def _box_counts(
         self, chain: Sequence[Pool], scenario: Scenario
     ) -> list[tuple[int, tuple[str, ...]]] | None:
-        """Return the number of boxes for a request, for each combination of boxes that are down.
+        """Return the number of boxes left for a request, for each combination of boxes that are down.
 
-        Each number comes with the boxes that are down. None: there are too many combinations.
+        Each number is paired with the names of the boxes that are down. None: too many combinations.
         """
         usable = [self._usable(pool, scenario) for pool in chain]
         disjoint = _disjoint(usable)
@@ -315,7 +316,7 @@
             return list(self._disjoint_box_counts(chain, usable, scenario, 0, scenario.any_down))
         box_names = sorted({box.name for boxes in usable for box in boxes})
         down_count = min(scenario.any_down, len(box_names))
-        if math.comb(len(box_names), down_count) > MAX_CHOICES:
+        if math.comb(len(box_names), down_count) > MAX_DOWN_SETS:
             return None
         return [
             (self._serving_box_count(chain, usable, scenario, frozenset(down)), down)
@@ -330,7 +331,7 @@
         at: int,
         down_count: int,
     ) -> Iterator[tuple[int, tuple[str, ...]]]:
-        """Yield the same for pools that don't overlap: only the number of boxes down in each one matters."""
+        """Yield the pairs of `_box_counts` for disjoint pools: only the number down in each pool matters."""
         pool, boxes = chain[at], usable[at]
         for down in range(min(down_count, len(boxes)) + 1):
             names = tuple(box.name for box in boxes[:down])
@@ -387,7 +388,7 @@
     def problems(self, statements: Iterable[Statement]) -> Iterator[str]:
         """Yield the problems of statements: unknown names, subjects without requests, and contradictions.
 
-        Statements contradict each other if they can't both hold, for any routing.
+        Statements contradict each other if there is no routing for which both hold.
         """
         statements = list(statements)
         boxes = self.routing.boxes
@@ -414,7 +415,7 @@
 
 
 def _satisfied(statement: Statement) -> Finding:
-    return Finding(statement, Verdict.HOLDS, "in every state")
+    return Finding(statement, Verdict.HOLDS, "in every scenario")
 
 
 def _target(claim: Claim) -> Target:
--- a/lanelift/routes/expect.py
+++ b/lanelift/routes/expect.py
@@ -2,7 +2,7 @@
 
 The grammar is `expect.lark`, and the parser is lark (a maintained parser generator without dependencies,
 whose errors have the line, the column and the allowed tokens). This module converts its trees to statements,
-and its errors to the form that problems of all files have: the place, the text found, and what is allowed.
+and its errors to the form of the problems of other files: the place, the text found, and what is allowed.
 """
 
 from __future__ import annotations
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One expectation, with its line number and its text."""
+    """One expectation, with its line number, its text and its label (empty if it has none)."""
 
     line: int
     text: str
@@ -115,7 +115,7 @@
         )
     statements: list[Statement] = []
     found: list[str] = []
-    for number, line in enumerate(text.splitlines(), 1):  # separately, so that an error hides no other
+    for number, line in enumerate(text.splitlines(), 1):  # separately, so that all errors are found
         if not line.split("#")[0].strip():
             continue
         try:
--- a/lanelift/routes/match_sets.py
+++ b/lanelift/routes/match_sets.py
@@ -9,8 +9,8 @@
 
 Wherever the set leaves a value open, each condition of such a rule matches a value that the rule cannot name,
 so it matches every value; the values that the set fixes are the same for all of its requests. So a whole set
-belongs to one rule if and only if a single rule matches it. Several rules that only together would cover the
-set do not match its representative request, since there are always more names, paths and methods than rules.
+belongs to one rule if and only if a single rule matches it. Several rules can't cover a set together unless
+one of them covers it alone, since there are always more names, paths and methods than rules.
 `docs/design/routes.md` has the full argument; `tests/routes/test_match_sets.py` checks it with random tables.
 """
 
@@ -21,7 +21,7 @@
 
 from lanelift.routes.table import Entry, Request
 
-# Reserved names: an expectation or a rule that contains one is refused when it is read.
+# Reserved names. `expect.py` refuses an expectation with UNUSED_NAME, and its grammar has no UNUSED_METHOD.
 UNUSED_NAME = "zz--any"
 UNUSED_METHOD = "ZZ-ANY"
 
@@ -31,7 +31,7 @@
     """The requests that match all of these conditions; an empty condition matches all requests."""
 
     host: str = ""
-    wildcard: bool = False  # any subdomain of `host`
+    wildcard: bool = False  # whether any subdomain of `host` matches, and not `host` itself
     segments: tuple[str, ...] = ()
     exact: bool = False  # whether `segments` is the whole path, not a prefix
     method: str = ""
--- a/lanelift/routes/normalization.py
+++ b/lanelift/routes/normalization.py
@@ -9,7 +9,7 @@
 import re
 
 MAX_HOST = 253  # characters of a host name (RFC 1035, 2.3.4)
-MAX_SEGMENTS = 32  # of a rule's path, to limit the cost of a lookup; longer paths match only by their prefix
+MAX_SEGMENTS = 32  # of a rule's path, to limit the cost of a lookup; longer paths of requests match by prefix
 PORTS = range(65536)
 
 _LABEL = re.compile(r"[a-z0-9_]([a-z0-9_-]{0,61}[a-z0-9_])?\Z")
--- a/lanelift/routes/pools.py
+++ b/lanelift/routes/pools.py
@@ -55,6 +55,7 @@
 
     def required_boxes(self, listed: int) -> int:
         """Return the number of available boxes, of those listed, below which the pool spills."""
+        # 1e-9 is more than the rounding error of the product, which must not require one more box.
         return math.ceil(self.spill_below * listed - 1e-9) if self.spill else 0
 
 
@@ -67,7 +68,7 @@
     by: str = "tenant"  # the source of the key: "tenant", "request" or "header:NAME"
 
     def pool(self, key: str) -> str:
-        """Return the pool of a key. If shares change, keys move only as far as the bounds between them do."""
+        """Return the pool of a key. If shares change, only keys between the old and the new bounds move."""
         # This hash is the same in all processes, while Python's own differs by process.
         digest = hashlib.blake2b(f"{self.name}\0{key}".encode(), digest_size=8).digest()
         point = int.from_bytes(digest, "big") / 2**64
@@ -112,7 +113,7 @@
             if name not in names:
                 yield f"split {split.name!r}: {name!r} is not a pool"
             if not part >= 0:
-                yield f"split {split.name!r}: a share of {part:g}"
+                yield f"split {split.name!r}: a share of {part:g}; allowed: 0 or more"
         if len({name for name, _ in split.shares}) < len(split.shares):
             yield f"split {split.name!r}: a pool is listed twice"
         if split.by not in ("tenant", "request") and not split.by.startswith("header:"):
--- a/lanelift/routes/table.py
+++ b/lanelift/routes/table.py
@@ -21,7 +21,7 @@
 from lanelift.routes.normalization import MAX_SEGMENTS, NormalizationError, host, path
 
 MAX_RULES = 20_000  # some tens of megabytes; far more than can be maintained by hand
-# Different sets of other conditions for one host and path (a method; two headers and a tenant; ...): each set
+# Sets of conditions besides one host and path (a method; two headers and a tenant; ...): each different set
 # costs a lookup of its own.
 MAX_SHAPES = 16
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Conditions that must all match, and the class and pool of the requests; an empty one matches all."""
+    """Conditions that must all match (an empty one matches all), and the class and pool of the requests."""
 
     name: str
     host: str = ""  # an exact name, or `*.` and a name for all of its subdomains
@@ -75,7 +75,7 @@
 
 
 Specificity = tuple[int, int]  # of a host or path pattern: its kind, its length
-Key = tuple[Specificity, Specificity, bool, int, bool, int]
+Key = tuple[Specificity, Specificity, bool, int, bool, int]  # host, path, method, headers, tenant, position
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
 
 
 Shape = tuple[bool, tuple[str, ...], bool]  # whether there is a method, which headers, whether a tenant
-Values = tuple[str, tuple[str, ...], str]
+Values = tuple[str, tuple[str, ...], str]  # the method, the values of these headers, the tenant
 
 
 class ShapeIndex:
@@ -244,7 +244,7 @@
         return found.rule if found is not None else None
 
     def first_match(self, request: Request) -> Rule | None:
-        """Return the same rule by testing all rules in order. Used by tests and explanations."""
+        """Return the same rule by testing all rules in order. Used by tests and benchmarks."""
         return next((entry.rule for entry in self.entries if entry.matches(request)), None)
 
 
--- a/lanelift/tenants/sync_process.py
+++ b/lanelift/tenants/sync_process.py
@@ -51,13 +51,13 @@
         config: The configuration of the sync process.
         unknown_tenants: How the requests of a tenant that no directory shows are treated.
         wait_s: How long /ready waits for the first reading, in seconds; 0: not at all.
-        settings: The tenants of the settings, by name, which apply until a directory is read.
+        configured_tenants: The tenants of the settings, by name, which apply until a directory is read.
     """
 
     config: SyncConfig
     unknown_tenants: UnknownTenants
     wait_s: float
-    settings: Mapping[str, Tenant] = field(default_factory=dict)
+    configured_tenants: Mapping[str, Tenant] = field(default_factory=dict)
 
     def attach(self, dispatcher: Dispatcher) -> SyncProcess:
         """Return a `SyncProcess`, not yet started, that reads these directories for a dispatcher."""
--- a/tests/config/test_tenants.py
+++ b/tests/config/test_tenants.py
@@ -102,7 +102,7 @@
     assert (second.host, second.tls, second.user) == ("ldap-2.example", "starttls", "cn=x")
     assert source.config.map.suspended == {"blocked", "off"}
     assert source.unknown_tenants is UnknownTenants.SHARE and source.wait_s == 0
-    assert config.settings.tenants.keys() == {"miami desk"} == source.settings.keys()
+    assert config.settings.tenants.keys() == {"miami desk"} == source.configured_tenants.keys()
     assert SyncConfig.from_json(source.config.to_json()) == source.config
 
 
