--- a/tests/config/test_tenants.py
+++ b/tests/config/test_tenants.py
@@ -114,7 +114,7 @@
         ("ldaps://a:1", "unverified", "ldaps"),
     ],
 )
-def test_tls(url: str, tls: str, security: str) -> None:
+def test_the_url_and_the_key_tls_determine_the_security(url: str, tls: str, security: str) -> None:
     changed = VALID.replace('url = "ldaps://[::1]:636"', f'url = "{url}"\ntls = "{tls}"')
     first = config_of(changed).tenants.config.directories[0]
     assert (first.tls, first.verify) == (security, False)
@@ -127,6 +127,6 @@
         config_of(VALID)
 
 
-def test_without_directories_nothing_changes() -> None:
+def test_without_directories_names_are_not_folded() -> None:
     config = config_of(VALID[: VALID.index("[tenants]")])
     assert config.tenants is None and config.settings.tenants.keys() == {"Miami  Desk"}
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -139,13 +139,13 @@
         kept.append(dataclasses.replace(rule, name=f"r{i}"))
     if table is None:
         return
-    table, draw = Table(kept), random.Random(seed)
+    table, rng = Table(kept), random.Random(seed)
     for _ in range(40):
         request_ = make_request(
-            draw.choice(["a.example", "b.a.example", "d.b.a.example", "x.example", "other"]),
-            draw.choice(["/", "/q", "/q/", "/q/r", "/q/r/", "/q/r/s", "/q/r/s/u", "/t/x"]),
-            draw.choice(["", "ash", "birch", "cedar"]),
-            draw.choice(["GET", "POST", "PUT"]),
-            **{name: draw.choice("123") for name in "xyz" if draw.random() < 0.5},
+            rng.choice(["a.example", "b.a.example", "d.b.a.example", "x.example", "other"]),
+            rng.choice(["/", "/q", "/q/", "/q/r", "/q/r/", "/q/r/s", "/q/r/s/u", "/t/x"]),
+            rng.choice(["", "ash", "birch", "cedar"]),
+            rng.choice(["GET", "POST", "PUT"]),
+            **{name: rng.choice("123") for name in "xyz" if rng.random() < 0.5},
         )
         assert table.find(request_) == table.first_match(request_)
--- a/tests/tenants/test_client.py
+++ b/tests/tenants/test_client.py
@@ -1,4 +1,4 @@
-"""The LDAP client with a directory that fails in many ways, and whose answers are cut after each byte."""
+"""The LDAP client, with an emulated directory that fails in many ways, or is cut off after any byte."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
     run(test())
 
 
-def test_a_certificate_is_not_verified_where_configured_so(tmp_path: Path) -> None:
+def test_the_verification_of_certificates_can_be_disabled(tmp_path: Path) -> None:
     async def test() -> None:
         with certificates(tmp_path, "elsewhere.example") as (server, _):
             directory = Directory(town("ash"), tls=server, ldaps=True)
@@ -151,11 +151,11 @@
         directory = Directory(town("ash"))
         await directory.start()
         bad = b"\x30\x84\xff\xff\xff\xff" + b"x" * 40
-        troubles = [NetworkFaults(silent=True), NetworkFaults(cut_after=0), NetworkFaults(garbage=bad)]
-        for trouble in [*troubles, NetworkFaults(garbage=b"HTTP/1.1 400 Bad Request\r\n\r\n")]:
-            directory.network_faults = trouble
+        faults = [NetworkFaults(silent=True), NetworkFaults(cut_after=0), NetworkFaults(garbage=bad)]
+        for fault in [*faults, NetworkFaults(garbage=b"HTTP/1.1 400 Bad Request\r\n\r\n")]:
+            directory.network_faults = fault
             found, failure = await read(directory_config(directory, timeout_s=0.2))
-            assert not found and failure, trouble
+            assert not found and failure, fault
         directory.network_faults = NetworkFaults()
         directory.stop()
         found, failure = await read(directory_config(directory))
@@ -206,7 +206,7 @@
         await directory.start()
         session = Session(directory_config(directory))
 
-        def go() -> str:
+        def read_all_pages() -> str:
             try:
                 session.open()
                 list(session.pages(search()))
@@ -214,7 +214,7 @@
                 return str(error)
             return "read"
 
-        failed = asyncio.ensure_future(asyncio.to_thread(go))
+        failed = asyncio.ensure_future(asyncio.to_thread(read_all_pages))
         while not directory.clients or not directory.accepted:
             await asyncio.sleep(0)
         began = time.monotonic()
--- a/tests/tenants/test_schedule.py
+++ b/tests/tenants/test_schedule.py
@@ -119,7 +119,7 @@
     assert only(schedule.orders(1.0, 0)).kind == ReadKind.FULL
 
 
-def test_a_directory_that_does_not_order_times_gets_full_reads() -> None:
+def test_a_directory_that_finds_no_changes_by_time_gets_full_reads() -> None:
     """A directory accepts the search for changes and returns none, though it has matching entries. After the
     second such search it is always read in full.
     """
@@ -179,7 +179,7 @@
         schedule.done(order, now, LARGE_OVERLAP_ENTRIES + 1, any_new)
 
 
-def test_each_page_of_changes_has_its_own_time() -> None:
+def test_each_page_of_changes_has_its_own_timeout() -> None:
     """A read of changes has many pages. Each page has its own timeout. The result of a reading that was given
     up is ignored.
     """
--- a/tests/tenants/test_sync_worker.py
+++ b/tests/tenants/test_sync_worker.py
@@ -194,7 +194,7 @@
     run(test())
 
 
-def test_a_directory_that_does_not_order_times_gets_full_reads() -> None:
+def test_a_directory_that_finds_no_changes_by_time_gets_full_reads() -> None:
     """A directory does not find changes by their time. This is logged, the directory is read in full instead,
     and a suspension in it is found.
     """
--- a/tests/tenants/town.py
+++ b/tests/tenants/town.py
@@ -1,8 +1,8 @@
 """Helpers for the tests of directories.
 
-A small tree of agents under one base (`town`, `agent`), the configuration of an emulated directory that
-serves it (`directory_config`), of a search (`search`) and of the sync process (`sync_config`), one full read
-of the directory (`read`), and certificates.
+An agent is the entry of a tenant. There are builders of a tree of agents (`town`, `agent`), of the
+configurations of an emulated directory (`directory_config`), of a search (`search`) and of the sync process
+(`sync_config`), and of certificates; `read` performs one full read of a directory.
 """
 
 from __future__ import annotations
@@ -88,20 +88,20 @@
     return SyncConfig(directories, **(given | changes))
 
 
-async def read(at: Directory, found: Search | None = None) -> tuple[list[Parsed], str]:
-    """Read a directory with the client; in a thread, as the emulated directory runs in this event loop."""
+async def read(config: Directory, given: Search | None = None) -> tuple[list[Parsed], str]:
+    """Read a directory with the client, in a thread, as the emulated directory runs in this event loop."""
 
-    def go() -> tuple[list[Parsed], str]:
-        session = Session(at)
+    def read_once() -> tuple[list[Parsed], str]:
+        session = Session(config)
         try:
             session.open()
-            return read_all(session, found or search(), MAP)
+            return read_all(session, given or search(), MAP)
         except DirectoryError as error:
             return [], str(error)
         finally:
             session.close()
 
-    return await asyncio.to_thread(go)
+    return await asyncio.to_thread(read_once)
 
 
 @contextmanager
