--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,10 +1,11 @@
-"""What a start and a request cost the plain daemon, two revisions in turn: processor time of its own process.
+"""Compares two revisions: processor time of the plain daemon for its start and for each request.
 
     python -m benchmarks.cost --before REV [--rounds 7] [--requests 1500]
 
-Each round starts the daemon of both trees against stand-ins in this process, alone or as one of forty
-balancers that hear of three sends for each of their own. Times are the processor's, so that the load which
-this process makes is in none of them; the rounds go back and forth: a slow minute of the machine meets both.
+Each round starts the daemon of both revisions, against stand-ins that run in this process: alone, or as one
+of forty balancers, which receives three messages of peers for each request. Only the processor time of the
+daemon is counted, without the load that this process causes. The order of the revisions alternates, so that a
+slow minute of the machine affects both.
 """
 
 from __future__ import annotations
@@ -38,8 +39,8 @@
 }
 
 
-async def played(tree: Path, folder: Path, requests: int, fleet: bool) -> tuple[float, float]:
-    """Milliseconds of a start until ready, and microseconds of a request."""
+async def measure(tree: Path, folder: Path, requests: int, fleet: bool) -> tuple[float, float]:
+    """Return the processor time of a start until ready, in ms, and of a request, in us."""
     boxes = [FakeUpstream(f"s-{i}") for i in range(UPSTREAMS)]
     for box in boxes:
         await box.start()
@@ -48,14 +49,14 @@
     sockets = [socket.socket(type=socket.SOCK_DGRAM) for _ in range(PEERS - 1)] if fleet else []
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
-    own, port = f"127.0.0.1:{free_port()}", free_port()
-    peers = [own, *(f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets)]
+    own_peer_address, port = f"127.0.0.1:{free_port()}", free_port()
+    peers = [own_peer_address, *(f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets)]
     settings = {**SETTINGS, "me": 0, "replicas_of_me": PEERS if fleet else 1}
     config = {
         "listen": f"127.0.0.1:{port}",
         "discovery": "{}:{}".format(*discovery.socket_address),
         "seed": "7",
-        "peer_listen": own,
+        "peer_listen": own_peer_address,
         "peers": peers,
         "known": discovery.snapshot(),
         "settings": settings,
@@ -70,7 +71,7 @@
     )
     try:
         until = time.monotonic() + 10
-        while True:  # a benchmark may poll; the daemon is asked once in a while
+        while True:  # a benchmark may poll: the requests are few
             try:
                 client = await Client.to(("127.0.0.1", port))
                 if (await client.raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200:
@@ -79,21 +80,21 @@
                 if time.monotonic() > until:
                     raise
             await asyncio.sleep(0.01)
-        spent = psutil.Process(process.pid).cpu_times
-        start = sum(spent()[:2])
-        heard = struct.Struct(">BQH").pack(1, 1, 300)
-        to = ("127.0.0.1", int(own.rpartition(":")[2]))
+        cpu_times = psutil.Process(process.pid).cpu_times
+        start = sum(cpu_times()[:2])
+        peer_message = struct.Struct(">BQH").pack(1, 1, 300)
+        peer_address = ("127.0.0.1", int(own_peer_address.rpartition(":")[2]))
 
-        async def ask(number: int) -> None:
-            one = await Client.to(("127.0.0.1", port))
+        async def send_requests(number: int) -> None:
+            client = await Client.to(("127.0.0.1", port))
             for i in range(requests // CLIENTS):
-                await one.request(f"r{number}-{i}", X_Cost_Hint=30_000)
+                await client.request(f"r{number}-{i}", X_Cost_Hint=30_000)
                 for sock in sockets[:3]:
-                    sock.sendto(heard, to)
-            one.close()
+                    sock.sendto(peer_message, peer_address)
+            client.close()
 
-        await asyncio.gather(*map(ask, range(CLIENTS)))
-        return 1e3 * start, 1e6 * (sum(spent()[:2]) - start) / requests
+        await asyncio.gather(*map(send_requests, range(CLIENTS)))
+        return 1e3 * start, 1e6 * (sum(cpu_times()[:2]) - start) / requests
     finally:
         process.kill()
         process.wait()
@@ -120,15 +121,15 @@
             for fleet in (False, True):
                 rows: dict[str, list[tuple[float, float]]] = {"before": [], "after": []}
                 for i in range(args.rounds + 1):
-                    for which, tree in [("before", old), ("after", ROOT)][:: 1 if i % 2 else -1]:
-                        row = asyncio.run(played(tree, folder, args.requests, fleet))
-                        if i:  # the first makes the bytecode
-                            rows[which].append(row)
-                for which, measured in rows.items():
+                    for tree_name, tree in [("before", old), ("after", ROOT)][:: 1 if i % 2 else -1]:
+                        row = asyncio.run(measure(tree, folder, args.requests, fleet))
+                        if i:  # the first round is not counted, as it compiles the bytecode
+                            rows[tree_name].append(row)
+                for tree_name, measured in rows.items():
                     for what, column in (("start, ms", 0), ("request, us", 1)):
                         values = sorted(row[column] for row in measured)
                         print(
-                            f"{'one of forty' if fleet else 'alone':14}{which:8}{what:13}"
+                            f"{'one of forty' if fleet else 'alone':14}{tree_name:8}{what:13}"
                             f"median {statistics.median(values):8.1f}   {values[0]:8.1f} to {values[-1]:8.1f}"
                         )
         finally:
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,10 +1,11 @@
-"""Do two revisions decide alike? Digests of every action over the same simulated days.
+"""Compares the decisions of two revisions: digests of all actions over the same simulated days.
 
     python -m benchmarks.decisions [--before REV]
 
-One line a day: how many actions there were and a digest of them, with their times and replicas. With
-`--before` that revision plays the same days in a process of its own, and what differs is named;
-the exit code is 1 then. A change that is to be no change of behaviour is proved by this, and by nothing less.
+Prints a line for each day: the number of actions, and a digest of them with their times and replicas. With
+`--before`, that revision plays the same days in a process of its own. The lines that differ are printed, and
+the exit code is 1 if there are any. A change that is meant to keep the behaviour must pass this comparison;
+no weaker check is enough.
 """
 
 from __future__ import annotations
@@ -38,8 +39,9 @@
 }
 CHEAP_PROBES = {"limits": Limits(3, False, True, True, retry_after=True), "load_report_fields": ("inflight",)}
 PEERS = {"limits": Limits(3, False, True, peer_messages=True, retry_after=True)}
-# The names of the days are those of older revisions, whose output is compared line by line: announced
-# attempts, load probes, own counts only, one attempt only. The load is a share of what the upstreams can do.
+# The names of the days must not change, as the output is compared line by line with that of older revisions.
+# The days are: attempts announced to peers ("told"), load probes ("asked"), own counts only, and one attempt
+# only. The load is a share of the upstreams' capacity.
 DAYS: dict[str, tuple[dict[str, Any], int, int, float]] = {  # settings, replicas, upstreams, load
     "told": (PEERS, 12, 18, 0.6),
     "told, crowded": (PEERS, 12, 12, 1.1),
@@ -50,8 +52,8 @@
 }
 
 
-# The names that e44f7ed and earlier gave to actions and their fields: digests are of these, so that they can
-# be compared with those of any revision.
+# The names of actions and their fields in revisions up to e44f7ed. Digests are made with these names, so that
+# they can be compared with those of any revision.
 FORMER_NAMES: dict[type, tuple[str, tuple[str, ...]]] = {
     actions.StartAttempt: ("Send", ("request", "upstream", "timeout_ns")),
     actions.Reject: ("Refuse", ("request", "retry_after_ns", "limited")),
@@ -66,15 +68,15 @@
 }
 
 
-def former(action: Any) -> str:
-    """Return an action as the revisions before the names changed would print it."""
+def former_text(action: Any) -> str:
+    """Return an action as text with its former names."""
     name, fields = FORMER_NAMES[type(action)]
     values = ", ".join(f"{field}={value!r}" for field, value in zip(fields, action, strict=True))
     return f"{name}({values})"
 
 
-class Recorded:
-    """Wraps a balancer, and digests its actions."""
+class RecordingBalancer:
+    """Wraps a balancer, and adds its actions to a digest."""
 
     def __init__(self, balancer: Any, name: object, digest: Any) -> None:
         self.balancer, self.name, self.digest, self.actions = balancer, name, digest, 0
@@ -86,22 +88,31 @@
         found: list[Action] = self.balancer.handle(now, events)
         self.actions += len(found)
         if found:
-            text = ", ".join(map(former, found))
+            text = ", ".join(map(former_text, found))
             self.digest.update(f"{now} {self.name} [{text}]\n".encode())
         return found
 
 
-def played_day(changes: dict[str, Any], replicas: int, upstream_count: int, load: float) -> tuple[int, str]:
-    """Play ten seconds in which a third of the upstreams stops, drains, or starts anew."""
+def play_day(changes: dict[str, Any], replicas: int, upstream_count: int, load: float) -> tuple[int, str]:
+    """Play ten seconds in which a third of the upstreams stops, drains or restarts.
+
+    Returns the count of actions and a digest.
+    """
     config = settings(classes=TWO_CLASSES, replica_count=replicas, **changes)
-    day, rng, digest = Simulation(config, upstream_count, 1, lost=0.1), random.Random(2), hashlib.sha256()
-    recorded = [Recorded(balancer, replica, digest) for replica, balancer in enumerate(day.balancers)]
-    day.balancers = recorded  # type: ignore[assignment]
+    simulation, rng, digest = (
+        Simulation(config, upstream_count, 1, lost=0.1),
+        random.Random(2),
+        hashlib.sha256(),
+    )
+    recorded = [
+        RecordingBalancer(balancer, replica, digest) for replica, balancer in enumerate(simulation.balancers)
+    ]
+    simulation.balancers = recorded  # type: ignore[assignment]
     now = 0.0
     while now < 10:
         now += rng.expovariate(load * upstream_count / 0.040)
         work, name = max(1, int(rng.lognormvariate(3.5, 0.6) * MS)), rng.choice(("quote", "quote", "pay"))
-        day.schedule_request(
+        simulation.schedule_request(
             int(now * SECOND), rng.choice(("ash", "birch")), work, name, 500 * MS, rng.randrange(replicas)
         )
     updates = [
@@ -110,23 +121,23 @@
     ]
     for second, entries in updates:
         for replica in range(replicas):
-            day.schedule(
+            simulation.schedule(
                 second * SECOND + replica * MS,
                 "update",
                 (replica, EndpointUpdate(EndpointUpdateKind.DELTA, entries)),
             )
-    day.run_until(2 * SECOND)
-    day.unresponsive = {3, 4, 5}
-    day.run_until(5 * SECOND)
-    day.unresponsive = set()
-    day.run_until(11 * SECOND)
+    simulation.run_until(2 * SECOND)
+    simulation.unresponsive = {3, 4, 5}
+    simulation.run_until(5 * SECOND)
+    simulation.unresponsive = set()
+    simulation.run_until(11 * SECOND)
     return sum(one.actions for one in recorded), digest.hexdigest()[:16]
 
 
-def played_churn() -> tuple[int, str]:
-    """Play four hours of the churn of `tests/policy/test_churn.py`: tenants, keys, every outcome."""
+def play_churn() -> tuple[int, str]:
+    """Play four hours of the churn of `tests/policy/test_churn.py`. Returns the same as `play_day`."""
     churn, digest = Churn(5), hashlib.sha256()
-    recorded = Recorded(churn.balancer, 0, digest)
+    recorded = RecordingBalancer(churn.balancer, 0, digest)
     churn.balancer = recorded  # type: ignore[assignment]
     for _ in range(240):
         churn.run_minute()
@@ -134,12 +145,12 @@
 
 
 def lines() -> list[str]:
-    """Play all days; return a line for each."""
-    found = {name: played_day(*day) for name, day in DAYS.items()} | {"churn": played_churn()}
+    """Play all days. Returns a line for each."""
+    found = {name: play_day(*day) for name, day in DAYS.items()} | {"churn": play_churn()}
     return [f"{name:16}{count:9} actions  {digest}" for name, (count, digest) in found.items()]
 
 
-def played_by(revision: str) -> list[str]:
+def lines_of_revision(revision: str) -> list[str]:
     """Return the lines that a revision's own copy of this program prints for the same days."""
     with tempfile.TemporaryDirectory() as folder:
         archive = subprocess.run(
@@ -162,7 +173,7 @@
 
 
 def main() -> int:
-    """Print the digests; return 1 if the revision named with `--before` decides otherwise."""
+    """Print the digests; return 1 if the revision given with `--before` has other ones."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--before", metavar="REV", type=revision, help="a revision to compare with")
     args = parser.parse_args()
@@ -170,10 +181,10 @@
     print("\n".join(now))
     if args.before is None:
         return 0
-    differ = [(a, b) for a, b in zip(now, played_by(args.before), strict=True) if a != b]
+    differ = [(a, b) for a, b in zip(now, lines_of_revision(args.before), strict=True) if a != b]
     for here, there in differ:
         print(f"{args.before} differs: {there}\n{'':>{len(args.before)}}    not as: {here}")
-    print(f"{len(now) - len(differ)} of {len(now)} days are decided alike by {args.before}")
+    print(f"{len(now) - len(differ)} of {len(now)} days have the same decisions in {args.before}")
     return int(bool(differ))
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,11 +1,11 @@
-"""Who notices a death when, whom it accuses wrongly, and what it costs: over sizes and losses, in simulated
-time.
+"""Compares failure detectors in simulated time, by size and loss: delays, false detections and cost.
 
     python -m benchmarks.membership [--sizes 8 40 200 1000] [--seeds 3] [--jobs 4]
 
-A tenth of the members is killed after 20 s of 90, with all others in reach. Beside it plain heartbeats: each
-member tells all others each period, and whoever was not heard for three periods is silent; up to 200
-members, as their messages grow with the square.
+A tenth of the members is killed after 20 s of 90; all others stay reachable. The baseline is plain
+heartbeats: each member sends a message to all others in each period, and a member that sent none for three
+periods counts as unreachable. The baseline is run with up to 200 members, as its messages grow with the
+square of their number.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 UNTIL_S, KILLED_S = 90, 20
 LOSSES = (0.0, 0.05, 0.3)
-MOST_BEATING, MISSED = 200, 3
+MAX_HEARTBEAT_MEMBERS, MISSED_PERIODS = 200, 3
 FIGURES = ("messages", "bytes", "cpu_us")
 
 
 class HeartbeatSender:
-    """Plain heartbeats: the baseline."""
+    """A member that sends plain heartbeats: the baseline."""
 
     def __init__(self, world: HeartbeatSimulation, me: int, now: int) -> None:
         self.world, self.me, self.period_ns = world, me, world.timing.period_ns
@@ -45,7 +45,7 @@
     def tick(self, now: int) -> Outgoing:
         self.due_ns = now + self.period_ns
         for n, at in self.received_ns.items():
-            if n not in self.unreachable and now - at > MISSED * self.period_ns:
+            if n not in self.unreachable and now - at > MISSED_PERIODS * self.period_ns:
                 self.unreachable.add(n)
                 change = StateChange(self.world.now, self.me, n, MemberState.UNREACHABLE)
                 self.world.changes.append(change)
@@ -53,13 +53,17 @@
 
 
 class HeartbeatSimulation(MembershipSimulation):
+    """A simulation whose members send plain heartbeats."""
+
     def start_node(self, name: str, slot: NodeSlot, now: int) -> Any:
         self.deaths.pop(int(name), None)
         return HeartbeatSender(self, int(name), now)
 
 
 class Row(NamedTuple):
-    way: str
+    """The result of one run; messages and bytes are per second and member."""
+
+    detector: str
     count: int
     loss: float
     noticed_ns: list[int]
@@ -69,18 +73,26 @@
     cpu_us: float
 
 
-def played(way: str, count: int, loss: float, seed: int) -> Row:
+def play(detector: str, count: int, loss: float, seed: int) -> Row:
+    """Run one simulation."""
     steps = [Step(KILLED_S * 1000, "kill", str(n)) for n in range(max(1, count // 10))]
-    kind = HeartbeatSimulation if way == "heartbeats" else MembershipSimulation
+    world_class = HeartbeatSimulation if detector == "heartbeats" else MembershipSimulation
     schedule = membership_schedule(count, seed, UNTIL_S * 1000, loss, steps)
-    world = kind(schedule, ["abc"[i % 3] for i in range(count)], ProbeTiming())
+    world = world_class(schedule, ["abc"[i % 3] for i in range(count)], ProbeTiming())
     began = time.process_time()
     world.play()
     cpu_us = (time.process_time() - began) * 1e6 / max(1, world.messages)
-    each = UNTIL_S * count
+    member_seconds = UNTIL_S * count
     found = world.detection_delays_ns()
     return Row(
-        way, count, loss, found, world.false_detections(), world.messages / each, world.bytes / each, cpu_us
+        detector,
+        count,
+        loss,
+        found,
+        world.false_detections(),
+        world.messages / member_seconds,
+        world.bytes / member_seconds,
+        cpu_us,
     )
 
 
@@ -90,23 +102,23 @@
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--jobs", type=int, default=4)
     args = parser.parse_args()
-    plays = [
-        (way, count, loss, seed)
+    runs = [
+        (detector, count, loss, seed)
         for count in args.sizes
         for loss in LOSSES
-        for way in ("swim", "heartbeats")
-        if way == "swim" or count <= MOST_BEATING
+        for detector in ("swim", "heartbeats")
+        if detector == "swim" or count <= MAX_HEARTBEAT_MEMBERS
         for seed in range(args.seeds)
     ]
     with multiprocessing.Pool(args.jobs) as pool:
-        rows = pool.starmap(played, plays, chunksize=1)
+        rows = pool.starmap(play, runs, chunksize=1)
     print(
-        "| way | members | loss | noticed after s: p50, p99, most | not within 70 s | accused wrongly in a "
-        "member-hour | messages a second and member | bytes | us of CPU a message |"
+        "| detector | members | loss | detected after s: p50, p99, max | not within 70 s | false detections "
+        "per member-hour | messages per second and member | bytes | us of CPU per message |"
     )
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for key in dict.fromkeys((r.way, r.count, r.loss) for r in rows):
-        mine = [r for r in rows if (r.way, r.count, r.loss) == key]
+    for key in dict.fromkeys((r.detector, r.count, r.loss) for r in rows):
+        mine = [r for r in rows if (r.detector, r.count, r.loss) == key]
         times = sorted(t for r in mine for t in r.noticed_ns if t >= 0)
         missing = sum(t < 0 for r in mine for t in r.noticed_ns)
         hours = len(mine) * key[1] * UNTIL_S / 3600
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -1,7 +1,8 @@
-"""Measures the rehearsal kit: `python benchmarks/rehearsal.py repeat|sensitive|cheap --out FILE.json`.
+"""Measures the rehearsal kit: `python benchmarks/rehearsal.py COMMAND --out FILE.json`. The commands are
+repeat, sensitive, calm and cheap.
 
-Each measurement plays rehearsals through the command line, as an operator would, and writes what it saw as
-JSON. The machine should do nothing else. What was found stands in benchmarks/rehearsal.md.
+Each measurement runs rehearsals through the command line, as an operator would, and writes the results as
+JSON. The machine should do nothing else. The findings are in benchmarks/rehearsal.md.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 PARTS = ("figure", "whole", "worst_window", "worst_class", "worst_tenant")
 
 
-def report_of(scenario: str | Path, *words: str, cores: str | None = None) -> dict[str, Any]:
-    """The report of one rehearsal. `cores`: it may use only these (as taskset names them)."""
+def run_rehearsal(scenario: str | Path, *words: str, cores: str | None = None) -> dict[str, Any]:
+    """Run one rehearsal, only on `cores` if they are given (as taskset names them). Returns its report."""
     with tempfile.TemporaryDirectory() as folder:
         pinned = ["taskset", "-c", cores] if cores else []
         done = subprocess.run(
@@ -38,9 +39,9 @@
     return found
 
 
-def play(scenario: str, *words: str, cores: str | None = None) -> dict[str, Any]:
-    """What matters of it."""
-    v = report_of(scenario, *words, cores=cores)["verdict"]
+def play_and_summarize(scenario: str, *words: str, cores: str | None = None) -> dict[str, Any]:
+    """Run one rehearsal. Returns the figures of its verdict that these measurements use."""
+    v = run_rehearsal(scenario, *words, cores=cores)["verdict"]
     late = [v["kit"]["due_late_ms"]["p99"], *(p["p99_ms"] for p in v["kit"]["lateness"].values())]
     return {
         "worth": v["worth"] and {part: round(v["worth"][part], 4) for part in PARTS},
@@ -59,7 +60,7 @@
     return click.option("--out", type=click.Path(path_type=Path), required=True)(command)
 
 
-def write(out: Path, found: Any) -> None:
+def write_json(out: Path, found: Any) -> None:
     out.write_text(json.dumps(found, indent=1) + "\n")
 
 
@@ -71,14 +72,14 @@
 @main.command()
 @out_option
 @click.option("--times", default=5)
-@click.option("--at-once", default=1, help="Rehearsals side by side: two take about three cores.")
+@click.option("--at-once", default=1, help="Number of concurrent rehearsals; two take about three cores.")
 def repeat(out: Path, times: int, at_once: int) -> None:
-    """The same seed again and again: how far the shares of worth lie apart."""
+    """Repeat the same seed, and show how far the shares of worth differ."""
     jobs = [name for name in ("month-end", "quarter-dies") for _ in range(times)]
     with ThreadPoolExecutor(at_once) as pool:
-        rows = list(zip(jobs, pool.map(play, jobs), strict=True))
+        rows = list(zip(jobs, pool.map(play_and_summarize, jobs), strict=True))
     found = {name: [run for job, run in rows if job == name] for name in ("month-end", "quarter-dies")}
-    write(out, found)  # before anything is made of it: it took minutes
+    write_json(out, found)  # before the evaluation, as the runs took minutes
     for name, runs in found.items():
         for part in PARTS if any(not run["void"] for run in runs) else ():
             shares = [run["worth"][part] for run in runs if not run["void"]]
@@ -94,38 +95,40 @@
 @out_option
 @click.option("--times", default=2)
 def sensitive(out: Path, times: int) -> None:
-    """The daemon beside a round-robin relay, on the same days."""
+    """Compare the daemon with a round-robin relay, on the same days."""
     found: dict[str, Any] = {}
     for name in ("carnival", "quarter-dies"):
         for who, words in (("lanelift", []), ("relay", ["--command", RELAY])):
-            found[f"{name} {who}"] = [play(name, *words) for _ in range(times)]
+            found[f"{name} {who}"] = [play_and_summarize(name, *words) for _ in range(times)]
             for run in found[f"{name} {who}"]:
                 click.echo(f"{name:14}{who:10}{run['worth']}  broken {run['broken']}  {run['void']}")
-    write(out, found)
+    write_json(out, found)
 
 
 @main.command()
 @out_option
 @click.option("--seeds", default=6)
 def calm(out: Path, seeds: int) -> None:
-    """Calm days of the bench's shape: 8 boxes, 3 balancers, 29 requests a second, 23 s."""
+    """Run calm days of the bench's shape: 8 boxes, 3 balancers, 29 requests a second, 23 s."""
     shape = ("--boxes", "8", "--balancers", "3", "--rate", "29", "--length", "23")
-    found = {str(seed): play("calm", *shape, "--seed", str(seed)) for seed in range(1, seeds + 1)}
+    found = {
+        str(seed): play_and_summarize("calm", *shape, "--seed", str(seed)) for seed in range(1, seeds + 1)
+    }
     for seed, run in found.items():
         click.echo(f"seed {seed}: {run['worth']}  broken {run['broken']}  {run['void']}")
-    write(out, found)
+    write_json(out, found)
 
 
 @main.command()
 @out_option
 @click.option("--rates", default="200,400,800,1200,1600")
 def cheap(out: Path, rates: str) -> None:
-    """At which rate the kit's own 99th percentile of lateness passes 5 ms, on one core and on four. The
-    balancers run on the same cores, as they do in a rehearsal."""
+    """Find the rate from which the kit's 99th percentile of lateness exceeds 5 ms, on one core and on four.
+    The balancers run on the same cores, as they do in a rehearsal."""
     found: dict[str, Any] = {}
     for cores, pinned, workers in ((1, "0", "1"), (4, "0-3", "2")):
         for rate in map(int, rates.split(",")):
-            run = play(
+            run = play_and_summarize(
                 "calm",
                 "--rate",
                 str(rate),
@@ -146,7 +149,7 @@
                 f"{cores} cores {rate:5}/s: lateness p99 {run['kit_late_p99_ms']:7.1f} ms, "
                 f"kit {run['kit_us']} us a request, balancers {run['balancer_us']} us"
             )
-    write(out, found)
+    write_json(out, found)
 
 
 if __name__ == "__main__":
--- a/benchmarks/revisions.py
+++ b/benchmarks/revisions.py
@@ -1,4 +1,4 @@
-"""Revisions of this repository, as arguments of the benchmarks that compare with one."""
+"""Revisions of this repository, as arguments of benchmarks that compare two of them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 def revision(text: str) -> str:
-    """A revision that git knows here; argparse's own error otherwise."""
+    """Return a revision of this repository. Raises ArgumentTypeError if git does not know it."""
     known = ["git", "rev-parse", "-q", "--verify", f"{text}^{{commit}}"]
     if subprocess.run(known, cwd=ROOT, stdout=subprocess.DEVNULL).returncode:
-        raise argparse.ArgumentTypeError(f"{text!r} is no revision of this repository")
+        raise argparse.ArgumentTypeError(f"{text!r} is not a revision of this repository")
     return text
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -1,7 +1,7 @@
-"""Measures tenants from directories: `python benchmarks/tenants.py WHAT --out FILE.json`, WHAT being
-suspensions, outage, large or change.
+"""Measures tenants from directories: `python benchmarks/tenants.py COMMAND --out FILE.json`. The commands are
+suspensions, outage, large and change.
 
-The machine should do nothing else. What was found stands in benchmarks/tenants.md.
+The machine should do nothing else. The findings are in benchmarks/tenants.md.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 import click
 import psutil
-from rehearsal import out_option, report_of, write
+from rehearsal import out_option, run_rehearsal, write_json
 
 from lanelift.net.dispatch import Dispatcher
 from lanelift.net.upstreams import Upstreams
@@ -39,10 +39,10 @@
 
 BASE = "ou=agents,dc=trust,dc=example"
 MAP = AttributeMap(standing="agentStanding", share="agentShare", quota="agentQuota", classes="agentClass")
-TICK_S = 0.001  # between two looks at the loop's lateness
+TICK_S = 0.001  # between two measurements of the event loop's lateness
 STEADY_S = 10.0
-IDLE_S = 20.0  # as long as a first reading takes: what the machine alone makes late in that time
-SETTLE_S = 45.0  # after the first reading: what was loaded in one second is read once again meanwhile
+IDLE_S = 20.0  # as long as a first reading takes: measures the lateness that the machine alone causes
+SETTLE_S = 45.0  # after the first reading: entries that were loaded in one second are read again meanwhile
 
 
 @click.group()
@@ -57,10 +57,10 @@
 @out_option
 @click.option("--times", default=2)
 def suspensions(out: Path, times: int) -> None:
-    """50 suspensions under load, while the preferred directory fails twice."""
+    """Measure 50 suspensions under load, while the preferred directory fails twice."""
     found = []
     for seed in range(1, times + 1):
-        v = report_of("suspension", "--seed", str(seed))["verdict"]
+        v = run_rehearsal("suspension", "--seed", str(seed))["verdict"]
         found.append({key: v[key] for key in ("void", "worth", "suspensions", "rules", "requests")})
         s = v["suspensions"]
         click.echo(
@@ -68,7 +68,7 @@
             f"median, {s['max_s']:.2f} s at most; void {bool(v['void'])}, rules kept {v['rules']['kept']}, "
             f"{v['requests']}"
         )
-    write(out, found)
+    write_json(out, found)
 
 
 DAY = """
@@ -89,16 +89,16 @@
 
 @main.command()
 @out_option
-@click.option("--at-once", default=2, help="Rehearsals side by side.")
+@click.option("--at-once", default=2, help="Number of concurrent rehearsals.")
 def outage(out: Path, at_once: int) -> None:
-    """The same day with directories that answer, twice, and with ones that fail for 30 of its 40 s."""
+    """Run the same day twice with directories that answer, and with ones that fail for 30 of its 40 s."""
     kinds = ["none", "none again", "refused", "silent", "slow", "garbage", "trickle", "empty"]
     with tempfile.TemporaryDirectory() as folder:
 
         def one(kind: str) -> dict[str, Any]:
             path = Path(folder, f"{kind.replace(' ', '-')}.toml")
             path.write_text(DAY + ("" if kind.startswith("none") else FAULT.format(kind)))
-            return report_of(path)
+            return run_rehearsal(path)
 
         with ThreadPoolExecutor(at_once) as pool:
             reports = dict(zip(kinds, pool.map(one, kinds), strict=True))
@@ -110,7 +110,7 @@
         found[kind] = {"differ": differ, "outcomes": counts, "void": v["void"], "kept": v["rules"]["kept"]}
         click.echo(f"{kind:12}{differ:5} of {len(first)} outcomes differ from the first run's; {counts}; "
                    f"void {bool(v['void'])}, rules kept {v['rules']['kept']}")  # fmt: skip
-    write(out, found)
+    write_json(out, found)
 
 
 # ---- 50,000 tenants --------------------------------------------------------------------------------------
@@ -123,7 +123,7 @@
 @main.command(hidden=True)
 @click.argument("count", type=int)
 def standin(count: int) -> None:
-    """A stand-in directory of so many agents, as a process. A line on its input changes so many of them."""
+    """Run a stand-in directory with COUNT agents. Each line of its input suspends that number of them."""
 
     async def serve() -> None:
         tree = Tree(BASE)
@@ -149,16 +149,16 @@
     asyncio.run(serve())
 
 
-class Loop:
-    """How late the loop is between two readings of it, and how long its own work took between two ticks: the
-    second is free of what the machine does meanwhile."""
+class EventLoopProbe:
+    """Measures how late the event loop's ticks are, and the processor time of its thread between two ticks.
+    The processor time does not depend on the machine's other work."""
 
     def __init__(self) -> None:
         self.late_ms: list[float] = []
         self.work_ms: list[float] = []
-        self.skip = False  # the tick that runs is the measurement's own doing
+        self.skip = False  # whether to leave out the running tick, which the measurement itself has delayed
 
-    async def beat(self) -> None:
+    async def measure_ticks(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             due, worked = loop.time() + TICK_S, time.thread_time()
@@ -169,10 +169,10 @@
             self.late_ms.append(1000 * max(0.0, loop.time() - due))
             self.work_ms.append(1000 * (time.thread_time() - worked))
 
-    def taken(self) -> dict[str, float]:
+    def summary(self) -> dict[str, float]:
         late, self.late_ms = sorted(self.late_ms), []
         work, self.work_ms = sorted(self.work_ms), []
-        self.skip = True  # sorting so much takes ten milliseconds itself
+        self.skip = True  # sorting this many values takes ten milliseconds
         return {
             "late_max_ms": round(late[-1], 2),
             "late_p99_ms": round(late[int(0.99 * len(late))], 2),
@@ -186,8 +186,8 @@
     return SyncConfig((at,), search, MAP, 1.0, 3600.0, 300.0, 0.1, frozenset())
 
 
-class InThread(SyncProcess):
-    """The other way that was weighed: the reader as a thread of the balancer's own process."""
+class InThreadSync(SyncProcess):
+    """The alternative that was considered: the sync worker as a thread of the balancer's process."""
 
     def start(self) -> None:
         from lanelift.tenants.sync_worker import SyncWorker
@@ -213,7 +213,7 @@
         threading.Thread(target=work, daemon=True).start()
 
 
-async def one_large(count: int, changed: int, kind: type[SyncProcess], settle_s: float) -> dict[str, Any]:
+async def measure_large(count: int, changed: int, kind: type[SyncProcess], settle_s: float) -> dict[str, Any]:
     process = await asyncio.create_subprocess_exec(
         sys.executable, __file__, "standin", str(count),
         stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
@@ -227,24 +227,24 @@
     gc.freeze()  # as the balancer does at its start
     before = me.memory_info().rss
     sync = kind(dispatcher, TenantSource(sync_config(port), UnknownTenants.DENY, 0.0))
-    beat = Loop()
-    task = asyncio.create_task(beat.beat())
+    probe = EventLoopProbe()
+    task = asyncio.create_task(probe.measure_ticks())
     await asyncio.sleep(IDLE_S)
-    found: dict[str, Any] = {"idle": beat.taken()}
+    found: dict[str, Any] = {"idle": probe.summary()}
     began = time.monotonic()
     sync.start()
     while not sync.first_read_complete:
         await asyncio.sleep(0.02)
     await asyncio.sleep(0.2)
     found["first_reading_s"] = round(time.monotonic() - began - 0.2, 2)
-    found["first_reading"] = beat.taken()
+    found["first_reading"] = probe.summary()
     found["memory_kb_per_10000"] = round((me.memory_info().rss - before) / 1024 / count * 10_000)
     reader = psutil.Process(sync.process.pid) if sync.process else None
     await asyncio.sleep(settle_s + 0.1)
-    found["after"] = beat.taken()
+    found["after"] = probe.summary()
     if reader:
         found["reader_mb"] = round(reader.memory_info().rss / 2**20, 1)
-    task.cancel()  # its own beat would pass for the balancer's work
+    task.cancel()  # its ticks would be counted as work of the balancer
     used = (me.cpu_times(), reader.cpu_times() if reader else None)
     await asyncio.sleep(STEADY_S)
     later = (me.cpu_times(), reader.cpu_times() if reader else None)
@@ -253,14 +253,14 @@
         for name, a, b in zip(("balancer", "reader"), used, later, strict=True)
         if a and b
     }
-    task = asyncio.create_task(beat.beat())
+    task = asyncio.create_task(probe.measure_ticks())
     process.stdin.write(b"%d\n" % changed)
     await process.stdout.readline()
     began = time.monotonic()
     while sum(t.denial_reason != "" for t in dispatcher.tenants.values()) < changed:
         await asyncio.sleep(0.05)
     found["change_s"] = round(time.monotonic() - began, 2)
-    found["change"] = beat.taken()
+    found["change"] = probe.summary()
     task.cancel()
     sync.close()
     process.kill()
@@ -274,29 +274,29 @@
 @click.option("--changed", default=5_000)
 @click.option("--times", default=3)
 @click.option("--settle-s", default=SETTLE_S)
-@click.option("--thread", is_flag=True, help="The reader as a thread of the same process.")
+@click.option("--thread", is_flag=True, help="Run the sync worker as a thread of the same process.")
 def large(out: Path, count: int, changed: int, times: int, thread: bool, settle_s: float) -> None:
-    """A first reading of so many entries, a steady state, and a change of some: what the loop feels."""
+    """Measure the event loop during a first reading, in a steady state, and while some tenants change."""
     logging.disable(logging.WARNING)
     found = []
     for _ in range(times):
-        if thread:  # each in a process of its own: memory counts
-            found.append(asyncio.run(one_large(count, changed, InThread, settle_s)))
+        if thread:  # run with `--times 1`, in a process for each run, as memory is counted
+            found.append(asyncio.run(measure_large(count, changed, InThreadSync, settle_s)))
         else:
-            found.append(asyncio.run(one_large(count, changed, SyncProcess, settle_s)))
+            found.append(asyncio.run(measure_large(count, changed, SyncProcess, settle_s)))
         click.echo(json.dumps(found[-1]))
-    write(out, found)
-    os._exit(0)  # threads of the other way go on
+    write_json(out, found)
+    os._exit(0)  # the threads of the alternative still run
 
 
-# ---- what a change costs the others ----------------------------------------------------------------------
+# ---- effect of changes on other tenants ------------------------------------------------------------------
 
 
 @main.command()
 @out_option
 @click.option("--seeds", default=10)
 def change(out: Path, seeds: int) -> None:
-    """The module in simulated time: two tenants beside one that comes, goes, grows and is suspended."""
+    """Simulate two tenants beside one that is added, removed, changed and suspended; compare their shares."""
     sys.path.insert(0, str(Path(__file__).parents[1]))
     from tests.policy.test_directory import simulate as day
     from tests.policy.test_directory import tenant_update
@@ -320,7 +320,7 @@
             f"{mean(row[name][1] for row in found):.4f} with; change {min(changes):+.4f} to "
             f"{max(changes):+.4f}, median {median(changes):+.4f}"
         )
-    write(out, found)
+    write_json(out, found)
 
 
 if __name__ == "__main__":
--- a/lanelift/routes/pools.py
+++ b/lanelift/routes/pools.py
@@ -113,7 +113,7 @@
             if name not in names:
                 yield f"split {split.name!r}: {name!r} is not a pool"
             if not part >= 0:
-                yield f"split {split.name!r}: a share of {part:g}; allowed: 0 or more"
+                yield f"split {split.name!r}: a share must be 0 or more, found {part:g}"
         if len({name for name, _ in split.shares}) < len(split.shares):
             yield f"split {split.name!r}: a pool is listed twice"
         if split.by not in ("tenant", "request") and not split.by.startswith("header:"):
