--- a/tests/tenants/test_schedule.py
+++ b/tests/tenants/test_schedule.py
@@ -119,30 +119,30 @@
     assert only(schedule.orders(1.0, 0)).kind == ReadKind.FULL
 
 
-def test_a_directory_that_does_not_order_times_gets_full_reads() -> None:
-    """A directory accepts the search for changes and returns none, though it has some. After the second such
-    search it is always read in full.
+def test_a_directory_that_finds_no_changes_by_time_gets_full_reads() -> None:
+    """A directory accepts the search for changes and returns none, though it has matching entries. After the
+    second such search it is always read in full.
     """
     schedule = after_first_full_read(new_schedule())
     order = only(schedule.orders(1.0, 0))
     schedule.done(order, 1.0)
-    assert not schedule.invalidate(order, 1.0, False)
+    assert not schedule.validate_changes(order, 1.0, False)
     full_read = only(schedule.orders(1.0, 0))  # due now, as the last change may have been a removal
     assert full_read.kind == ReadKind.FULL
     schedule.done(full_read, 1.1)
     order = only(schedule.orders(2.1, 0))
     schedule.done(order, 2.1)
-    assert schedule.invalidate(order, 2.1, False)
+    assert schedule.validate_changes(order, 2.1, False)
     schedule.done(only(schedule.orders(2.1, 0)), 2.2)
     assert [o.kind for o in schedule.orders(3.2, 0)] == [ReadKind.FULL]
 
 
-def test_a_read_that_shows_an_entry_clears_invalidations() -> None:
+def test_a_read_that_returns_an_entry_clears_the_invalid_reads() -> None:
     schedule = after_first_full_read(new_schedule())
     order = only(schedule.orders(1.0, 0))
-    schedule.invalidate(order, 1.0, False)
-    schedule.invalidate(order, 1.0, True)
-    assert not schedule.invalidations
+    schedule.validate_changes(order, 1.0, False)
+    schedule.validate_changes(order, 1.0, True)
+    assert not schedule.invalid_reads
 
 
 def test_entries_at_an_old_mark_are_not_read_again() -> None:
@@ -179,7 +179,7 @@
         schedule.done(order, now, LARGE_OVERLAP_ENTRIES + 1, any_new)
 
 
-def test_each_page_of_changes_has_its_own_time() -> None:
+def test_each_page_of_changes_has_its_own_timeout() -> None:
     """A read of changes has many pages. Each page has its own timeout. The result of a reading that was given
     up is ignored.
     """
