--- a/lanelift/daemon.py
+++ b/lanelift/daemon.py
@@ -25,8 +25,8 @@
 if TYPE_CHECKING:
     from lanelift.net.hot_restart import HotRestart
 
-# The environment variable with the folder in which the processes of a hot restart find each other.
-HOT_RESTART_FOLDER = "TMPDIR"
+# The environment variable that names the folder in which the processes of a hot restart find each other.
+HOT_RESTART_FOLDER_VARIABLE = "TMPDIR"
 
 
 class Daemon:
@@ -60,7 +60,7 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     async def _start_sources(self) -> None:
-        """Starts the parts that notify the balancer. The fleet is first, as an error in it ends the start."""
+        """Starts the parts that notify the balancer; the fleet is first, as its failure aborts the start."""
         config, dispatcher = self._config, self._dispatcher
         self._fleet = config.fleet.attach(dispatcher) if config.fleet is not None else None
         if self._fleet is not None:
@@ -88,14 +88,14 @@
         self._frontend = Frontend(self._dispatcher, self._listener, self._max_clients, lifecycle)
 
     async def _start_hot_restart(self) -> None:
-        folder = os.environ.get(HOT_RESTART_FOLDER)
+        folder = os.environ.get(HOT_RESTART_FOLDER_VARIABLE)
         if self._config.inherited is not None and folder:
             from lanelift.net.hot_restart import HotRestart  # only loaded if a hot restart is possible
 
-            self._hot_restart = HotRestart(Path(folder), self._share_sockets)
+            self._hot_restart = HotRestart(Path(folder), self._apply_connection_caps)
             await self._hot_restart.start()
 
-    def _share_sockets(self, processes: int) -> None:
+    def _apply_connection_caps(self, processes: int) -> None:
         max_clients, max_connections = connection_caps(self._config.sockets, processes)
         self._frontend.set_max_clients(max_clients)
         self._upstreams.pool.set_max_connections(max_connections)
--- a/lanelift/daemon_config.py
+++ b/lanelift/daemon_config.py
@@ -21,15 +21,18 @@
 
 
 class Source(Protocol):
-    """A configured source of upstreams, tenants or leases other than the address of a discovery server."""
+    """The configuration of a source of upstreams, tenants or leases.
+
+    A discovery server is configured by its address alone, and needs no `Source`.
+    """
 
     def attach(self, dispatcher: Dispatcher) -> Any:
-        """Returns the part of the daemon that follows this source."""
+        """Returns the part of the daemon that serves this source, connected to the dispatcher."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """The configuration of one process. The log line of a reload names these fields.
+    """The configuration of one process. The names of these fields appear in the log line of a reload.
 
     Attributes:
         listen: Where clients connect.
--- a/lanelift/lifecycle.py
+++ b/lanelift/lifecycle.py
@@ -60,11 +60,13 @@
     def reports_ready(self, can_serve: bool) -> bool:
         """Returns what `/ready` reports: whether new connections may be routed to this address.
 
+        On a shared address it stays ready during a shutdown, as the successor serves there.
+
         Args:
             can_serve: Whether this process is able to serve requests.
         """
-        shares_shutdown = self.stage is Stage.SHUTTING_DOWN and self.shared_address
-        return can_serve and (self.stage is Stage.SERVING or shares_shutdown)
+        successor_serves = self.stage is Stage.SHUTTING_DOWN and self.shared_address
+        return can_serve and (self.stage is Stage.SERVING or successor_serves)
 
     def accepts_connections(self, can_serve: bool) -> bool:
         """Returns whether to accept connections. On a shared address they are accepted only if this process
--- a/lanelift/reload.py
+++ b/lanelift/reload.py
@@ -11,7 +11,8 @@
 from lanelift.daemon_config import Config
 
 APPLIED_FIELDS = frozenset({"discovery", "tenants"})
-# These are used at the start only, and may differ each time the configuration is read.
+# These are used at the start only; a change of them needs no warning, as they may differ each time the
+# configuration is read.
 START_FIELDS = frozenset({"seed", "cached_endpoints"})
 
 
