--- a/lanelift/net/admin.py
+++ b/lanelift/net/admin.py
@@ -2,9 +2,9 @@
 
 | call | effect |
 | --- | --- |
-| GET /api/ready | succeeds from when this process can serve until it shuts down |
+| GET /api/ready | succeeds while this process can serve and is not shutting down |
 | GET /api/telemetry | returns the metrics (`net/metrics.py`) |
-| POST /api/evacuate | drains the balancer: `/ready` fails, connections end; the process keeps running |
+| POST /api/evacuate | drains the balancer: `/ready` fails, connections are closed; the process runs on |
 | POST /api/rejoin | ends the drain |
 | GET /api/leases | returns this fleet member's view of the leases, as JSON; exists only in a fleet |
 """
@@ -34,13 +34,13 @@
 
 
 class FleetMember(Protocol):
-    """What the operators' calls use of a fleet member."""
+    """The part of a fleet member that operators' calls use."""
 
     def view(self) -> bytes:
-        """Returns its view of the leases, as JSON."""
+        """Returns the member's view of the leases, as JSON."""
 
     def metrics(self) -> str:
-        """Returns its metrics, in the text format of `net/metrics.py`."""
+        """Returns the member's metrics, in the text format of `net/metrics.py`."""
 
 
 class AdminServer:
@@ -141,13 +141,13 @@
         self._parser.feed(data)
         error = self._parser.error
         if self._parser.messages:
-            self._answer(*self._carry_out(self._parser.messages.popleft()))
+            self._answer(*self._execute(self._parser.messages.popleft()))
         elif error is not None:
             self._answer(error.status, [], f"{error}\n".encode())
         elif self._received_bytes > MAX_CALL_BYTES:
             self._answer(413, [], b"the call is too large\n")
 
-    def _carry_out(self, call: Request) -> Answer:
+    def _execute(self, call: Request) -> Answer:
         try:
             return self._server.answer(call)
         except Exception:
--- a/lanelift/net/attempts.py
+++ b/lanelift/net/attempts.py
@@ -33,14 +33,15 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt in progress; it receives its exchange's streamed response and outcome.
+    """An attempt in progress, which receives the streamed response and the outcome of its exchange.
 
     Attributes:
-        runner: The runner that started it.
-        request: The request that it tries to serve.
+        runner: The runner that started the attempt.
+        request: The request that is being attempted.
         number: Its index among the request's attempts, from 0.
         upstream: The upstream's number.
-        started_ns: When it was sent (monotonic clock); with a streamed body, when the body's last byte came.
+        started_ns: When the attempt was started (monotonic clock); with a streamed body, when the client sent
+            the body's last byte.
     """
 
     runner: AttemptRunner
@@ -50,7 +51,7 @@
     started_ns: int
 
     def duration_ns(self) -> int:
-        """Returns how long it took, without the time that the response waited unread in this process."""
+        """Returns the duration, without the time that the response waited unread in this process."""
         exchange = self.request.attempts[self.number]
         unread_ns = exchange.unread_ns if exchange is not None else 0
         return max(0, time.monotonic_ns() - self.started_ns - unread_ns)
@@ -85,7 +86,11 @@
     def finish(
         self, result: AttemptResult, response: Response | None = None, report: LoadReport = None
     ) -> None:
-        """Ends the attempt: answers the request if the outcome allows it, and notifies the balancer."""
+        """Ends the attempt, and notifies the balancer.
+
+        The request is answered here if the attempt succeeded or its response was being streamed; otherwise
+        the balancer decides what happens to it.
+        """
         request, number, duration_ns = self.request, self.number, self.duration_ns()
         requests = self.runner.requests
         request.attempts[number] = None
--- a/lanelift/net/client_connection.py
+++ b/lanelift/net/client_connection.py
@@ -31,9 +31,9 @@
     from lanelift.net.frontend import Frontend
 
 ANSWER_MARGIN_NS = 3_000_000  # subtracted from each deadline, for the response's transfer to the client
-# The parser is fed this much at a time: pipelined requests wait as raw bytes, which take less memory.
+# The parser is fed this much at a time, as pipelined requests take less memory while they are raw bytes.
 PARSE_SLICE_BYTES = 16 * 1024
-# The time-out of a streamed body starts again only if at least this much came in meanwhile.
+# The time-out of a body starts again only if at least this much was received since it last started.
 MIN_BODY_PROGRESS_BYTES = 16 * 1024
 
 
@@ -74,10 +74,11 @@
     def data_received(self, data: bytes) -> None:
         """Receives bytes from the client.
 
-        Deadlines count from when the client sent the request, which may have waited in the backlog or for a
-        late event loop. Work for a client that has disconnected would delay the clients behind it until they
-        disconnect, too. So the kernel is queried for when the bytes came and whether the client is still
-        connected. Bytes that a client sends while its request is open are bounded, as they use memory.
+        The kernel is queried for when the bytes came and whether the client is still connected. Deadlines
+        count from when the client sent the request, and the request may have waited in the backlog or for a
+        late event loop. Work for a client that has disconnected would delay other clients until they
+        disconnect, too. The bytes that a client may send while its request is open are limited, as they are
+        kept in memory.
         """
         if self.ignores_input:
             return
@@ -101,14 +102,15 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Ends the open request and leaves the frontend after the connection has ended."""
+        """Ends the open request, and removes the connection from the frontend."""
         self._disconnected()
         self.parser.close()
         self.frontend.client_lost(self)
 
     def _is_connected(self) -> bool:
-        """Returns whether the open request still has a client. While reading is paused, asyncio does not
-        report a disconnection, so the kernel is queried.
+        """Returns whether the client of the open request is still connected, and ends the request if not.
+
+        While reading is paused, asyncio does not report a disconnection, so the kernel is queried.
         """
         if (
             self.reading_paused
@@ -127,12 +129,12 @@
         source, self.source = self.source, None
         self.upload = None
         if source is not None:
-            source.resume()  # it no longer waits for the client: the rest of the response is discarded here
+            source.resume()  # the rest of the response is read and discarded, without waiting for the client
         if request is not None:
             self.dispatcher.client_disconnected(request)
 
     def phase_timed_out(self) -> None:
-        """Handles the end of the time that the current phase may last."""
+        """Handles the time-out of the current phase."""
         if self.phase is Phase.READING_HEAD and self.has_data:
             self._reject_input(408, "the request did not come in time")
         elif self.phase is Phase.READING_BODY and (
@@ -181,7 +183,7 @@
         return False
 
     def _await_rest(self) -> None:
-        """Starts the time-out for the missing part of a request, once all received bytes are parsed."""
+        """Starts the time-out for the rest of an incomplete request, after all received bytes were parsed."""
         if self.phase is Phase.IDLE and self.has_data:
             self.table.enter(self, Phase.READING_HEAD)
         partial = self.parser.partial
@@ -273,7 +275,7 @@
         return not self.reading_paused and self._parse_slice()
 
     def _set_reading(self, enabled: bool) -> None:
-        """Resumes or pauses reading, as the upstream accepts more of the body or not."""
+        """Resumes reading when the upstream accepts more of the body, and pauses it when it does not."""
         if self.upload is None or self.reading_paused is not enabled or self.transport is None:
             return
         self.reading_paused = not enabled
@@ -284,7 +286,7 @@
             self.transport.pause_reading()
 
     def _abandon_request(self, status: int, reason: str) -> None:
-        """Rejects a request that will never be complete, and cancels what was forwarded of it."""
+        """Rejects a request whose body will never be complete, and cancels its attempt."""
         request, self.request = self.request, None
         if request is not None:
             self.dispatcher.client_disconnected(request)
--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -11,15 +11,16 @@
 from lanelift.net.headers import end_to_end_headers
 from lanelift.net.http_messages import Headers, Response, encode_message, encode_status
 from lanelift.net.requests import OpenRequest
-from lanelift.net.socket_options import abort_with_reset, bound_kernel_buffers, has_unread_data
+from lanelift.net.socket_options import abort_with_reset, has_unread_data, limit_kernel_buffers
 from lanelift.net.upload import LAST_CHUNK, Upload
 
 if TYPE_CHECKING:
     from lanelift.net.frontend import Frontend
 
-# The fractions of the cap on clients above which a connection is closed after an answer: one that belongs to
-# no open request (`/ready`, an error), and any answer. Idle connections are kept for some seconds, so with
-# many clients they would take up the whole cap while new clients wait.
+# When clients use at least this fraction of the cap, a connection is closed after its answer. `MAX_FILL` is
+# for the answer to an open request, `MAX_FILL_FOR_OWN_ANSWERS` for `/ready` and for the answer to invalid
+# input. Idle connections are kept for some seconds, so with many clients they would take up the whole cap
+# while new clients wait.
 MAX_FILL_FOR_OWN_ANSWERS, MAX_FILL = 0.75, 0.9
 
 
@@ -27,12 +28,13 @@
     """Writes the responses to one client; `ClientConnection` is the reading half.
 
     Attributes:
-        frontend: The frontend that it belongs to.
+        frontend: The frontend that the connection belongs to.
         table: The table of all clients' connections.
         transport: The transport; None while the connection is being set up.
         request: The open request.
-        phase: The phase of the connection while it has no open request.
-        upload: The open request's body while that is streamed.
+        phase: What the connection is waiting for from its client; None while a response is awaited
+            or streamed.
+        upload: The body of the open request while the body is streamed.
         reading_paused: Whether reading is paused because the upstream accepts no more of the upload.
         ignores_input: Whether input is discarded: the last response was written or the client disconnected.
         write_paused: Whether the write buffer is full because the client does not read its responses.
@@ -68,7 +70,7 @@
         raise NotImplementedError
 
     def phase_timed_out(self) -> None:
-        """Handles the end of the time that the current phase may last."""
+        """Handles the time-out of the current phase."""
         raise NotImplementedError
 
     def _parse(self) -> None:
@@ -128,7 +130,7 @@
         else:
             self.keep_alive = False  # the end of the connection marks the end of the response
         self._write_head(200, rows, False, True)
-        bound_kernel_buffers(self.transport)
+        limit_kernel_buffers(self.transport)
         if self.write_paused:
             source.pause()
 
@@ -188,8 +190,8 @@
             self.transport.write(data)
 
     def _flush(self) -> None:
-        """Ends a response once all of it is passed to the transport. The time until the client has read the
-        rest belongs to the response, and does not count as idle time.
+        """Ends a response whose last byte was passed to the transport. If part of the response still waits in
+        the write buffer, the connection counts as idle only after the client has read that part.
         """
         if self.write_paused and self.transport is not None and not self.transport.is_closing():
             self.transport.set_write_buffer_limits(high=0)  # calls `resume_writing` when the buffer is empty
@@ -204,7 +206,7 @@
 
         Failure guarded against: the head of a response that was written before the drain began does not say
         that the response is the last. If its connection stayed open, requests could arrive on it until the
-        process ends. So it is closed after all, unless more input has come after the request.
+        process ends. So the connection is closed, unless more input has come after the request.
         """
         idle_closed = self.frontend.shutdown.idle_closed
         if self.is_last_response or (
--- a/lanelift/net/connection_phases.py
+++ b/lanelift/net/connection_phases.py
@@ -1,4 +1,4 @@
-"""The table of clients' connections: their cap, and their phases while they have no open request."""
+"""The table of clients' connections: the cap on their number, and their phases with time-outs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class Phase(Enum):
-    """What a connection without an open request is doing or waiting for."""
+    """What a connection is waiting for from its client.
+
+    While a complete request waits for its response, its connection is in no phase.
+    """
 
     READING_HEAD = "the head of a request is not complete yet"
     READING_BODY = "the body of a request is being received"
@@ -29,9 +32,9 @@
     Phase.FLUSHING: CLIENT_STALL_TIMEOUT_S,
     Phase.CLOSING: 1.0,
 }
-# At the cap a connection is closed to make room for a new one: the first in this order that has been in its
-# phase for at least this many seconds. Clients rely on an idle connection being kept for 2 s, and a
-# well-behaved client sends its request within 1 s.
+# At the cap a connection is closed to make room for a new one. For each entry in turn, the connection that
+# has been in the phase for longest is closed if that is at least the given number of seconds. Clients rely on
+# an idle connection being kept for 2 s, and a well-behaved client sends its request within 1 s.
 EVICTION_ORDER = (
     (Phase.CLOSING, 0.1),
     (Phase.READING_HEAD, 1.0),
@@ -41,7 +44,7 @@
 
 
 class TrackedConnection(Protocol):
-    """What the table needs of a client's connection."""
+    """The part of a client's connection that the table uses."""
 
     phase: Phase | None
     transport: asyncio.Transport | None
@@ -51,7 +54,7 @@
         """Whether part of a request has been received."""
 
     def phase_timed_out(self) -> None:
-        """Handles the end of the time that the current phase may last."""
+        """Handles the time-out of the current phase."""
 
     def abort(self) -> None:
         """Closes the connection immediately."""
@@ -63,8 +66,8 @@
     Attributes:
         clients: The connections, including those that are being set up.
         max_clients: The cap.
-        by_phase: The connections without an open request, with the time at which each entered its phase
-            (loop's clock), the oldest first, so that one timer serves them all.
+        by_phase: The connections in each phase, with the time at which they entered it (loop's clock), the
+            oldest first, so that one timer is enough for all connections.
         timer: The timer for the first phase time-out.
     """
 
@@ -81,7 +84,7 @@
         return len(self.clients) >= fraction * self.max_clients
 
     def enter(self, client: TrackedConnection, phase: Phase) -> None:
-        """Records that a connection has no open request, and so may be evicted."""
+        """Records that a connection enters a phase, and starts the phase's time-out."""
         self.leave(client)
         client.phase = phase
         self.by_phase[phase][client] = self._loop.time()
@@ -90,7 +93,7 @@
             self._on_evictable()
 
     def leave(self, client: TrackedConnection) -> None:
-        """Records that a connection has an open request, or has ended."""
+        """Records that a connection is in no phase, as its request is complete or it has ended."""
         if client.phase is not None:
             del self.by_phase[client.phase][client]
             client.phase = None
@@ -99,8 +102,8 @@
         """Closes one connection to make room. Its place is free in the next loop iteration.
 
         Returns:
-            Whether a connection was closed; if not, after how many seconds one can be. None means that a
-            connection must first enter a phase.
+            Whether a connection was closed, and if not, after how many seconds one can be evicted. None means
+            that no connection is in a phase of `EVICTION_ORDER`.
         """
         now = self._loop.time()
         due_times = []
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-# Idle connections are closed after this fraction of the time after which upstreams would close them.
+# Idle connections are closed after this fraction of the upstreams' own idle time-out.
 IDLE_TIMEOUT_FRACTION = 0.6
 SETTLE_S = 0.01  # a connection counts as settled this long after its last response
 # An unsettled connection may serve idempotent requests if responses take this many times SETTLE_S on average.
@@ -121,7 +121,11 @@
     # ---- a connection for an exchange --------------------------------------------------------------------
 
     def start(self, target: UpstreamTarget, exchange: Exchange, is_probe: bool = False) -> None:
-        """Starts an exchange on an idle or a new connection; never reports the outcome within this call."""
+        """Starts an exchange on an idle or a new connection. Its outcome is never reported within this call.
+
+        If its client has disconnected, or the cap is reached and no connection to any upstream is idle, the
+        exchange ends with NOT_SENT.
+        """
         loop = asyncio.get_running_loop()
         if _client_left(exchange):
             loop.call_soon(exchange.give_up, AttemptResult.NOT_SENT)
@@ -142,13 +146,13 @@
     def _take_idle(
         self, target: UpstreamTarget, exchange: Exchange, is_probe: bool
     ) -> UpstreamConnection | None:
-        """Takes the newest idle connection that has settled, so that the older ones can time out.
+        """Takes the newest settled idle connection, if there is one, so that the older ones can time out.
 
         Failure guarded against: bytes that a server sends after a response, such as a second copy or noise,
         would be read as the answer to the next request. They arrive within milliseconds, so a connection is
-        used only after `SETTLE_S`. If none has settled, the oldest may serve an idempotent request or a load
-        probe, as a wrong result of a probe reaches no client; for an idempotent request `distrust_until_s`
-        marks the bytes that came too early to be its response.
+        used only after `SETTLE_S`. If none has settled, the oldest may serve a load probe, as a wrong result
+        of a probe reaches no client, or an idempotent request. For that request `distrust_until_s` marks the
+        bytes that come too early to be its response.
         """
         idle = target.idle
         settled_s = asyncio.get_running_loop().time() - SETTLE_S
@@ -186,7 +190,7 @@
             async with asyncio.timeout(self.connect_timeout_s):
                 await loop.create_connection(lambda: connection, target.endpoint.host, target.endpoint.port)
         except Exception as error:  # an OSError, or any error that an invalid address raises
-            if connection.transport is None:
+            if connection.transport is None:  # else `abort` calls `_forget`, which counts it
                 self.open_connections -= 1
             connection.abort()
             # A shortage of descriptors in this process is no fault of the upstream.
@@ -200,7 +204,7 @@
         self._connected(target, connection, exchange)
 
     def _connected(self, target: UpstreamTarget, connection: UpstreamConnection, exchange: Exchange) -> None:
-        """Starts the exchange after its handshake, unless it was given up meanwhile."""
+        """Starts the exchange after its handshake, unless the exchange was given up meanwhile."""
         if connection.closed:
             exchange.give_up(AttemptResult.CONNECT_FAILED)
         elif exchange.on_finished is None or _client_left(exchange):
@@ -226,7 +230,7 @@
             self._watch_idle(target)
 
     def _watch_idle(self, target: UpstreamTarget) -> None:
-        """Sets the upstream's one idle timer for its oldest idle connection."""
+        """Sets the upstream's idle timer to when its oldest idle connection expires."""
         target.idle_timer = asyncio.get_running_loop().call_at(
             target.idle[0].idle_since + self.idle_timeout_s, self._close_expired, target
         )
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -1,4 +1,8 @@
-"""The discovery client: fetches the endpoint list, watches for changes and retries failed calls."""
+"""The discovery client: fetches the endpoint list, watches for changes and retries failed calls.
+
+An update "counts as delivered" once the platform treats this balancer as notified of the change, even if the
+balancer has not received the update (`Rules.notification_deadline_ns`).
+"""
 
 from __future__ import annotations
 
@@ -33,20 +37,20 @@
     response_s: float
 
 
-# An agent that pushes changes runs on this machine, and answers fast and cheaply; a polled discovery server
-# serves all replicas. A watch that has gone silent is noticed early enough to fetch the snapshot before the
-# updates that the watch missed count as delivered.
+# An agent that pushes changes runs on this machine, and its calls are fast and cheap; a polled discovery
+# server serves all replicas. With these limits a silent watch is noticed early enough to fetch the snapshot
+# before the updates that the watch missed count as delivered.
 PUSH_TIMING = WatchTiming(hold_ms=1_000, response_s=0.5)
 POLL_TIMING = WatchTiming(hold_ms=3_000, response_s=1.5)
-SNAPSHOT_TIMEOUT_S = 2.5  # for a call for the snapshot, which discovery does not hold
+SNAPSHOT_TIMEOUT_S = 2.5  # for a snapshot call, which discovery does not hold
 # An agent does not respond while discovery is down. The updates that it receives when discovery returns
-# count as delivered immediately, and calls from before are never answered. So a new call is made at least
-# this often, each on its own connection: the return is noticed well within the shortest drain grace period,
-# 500 ms. Older calls stay open, as a slow agent may still answer them.
+# count as delivered immediately, and calls that were made before are never answered. So a new call is made at
+# least this often, each on its own connection: the return is noticed well within the shortest drain grace
+# period, 500 ms. Older calls stay open, as a slow agent may still answer them.
 RETRY_INTERVAL_S = 0.25
-START_TIMEOUT_S = 0.25  # how long a start waits for the agent before it serves from the cached list
-MAX_PARALLEL_CALLS = 4  # a working agent responds in the time that this leaves to each call
-MIN_CALL_INTERVAL_S = 0.02  # after any response; well below the pause that a watch may make
+START_TIMEOUT_S = 0.25  # after this wait for the agent, a starting process serves from the cached list
+MAX_PARALLEL_CALLS = 4  # then the oldest call is cancelled; an agent that works responds before that
+MIN_CALL_INTERVAL_S = 0.02  # from a response to the next call; well below the longest allowed pause
 MAX_LIST_BYTES = 4 * 1024 * 1024
 LIST_TARGET = b"/v1/endpoints"
 
@@ -58,7 +62,7 @@
 class DiscoveryTimeoutError(DiscoveryError):
     """A call had no response within its time-out.
 
-    When discovery is down its calls are ended, so here discovery may be up and the watch broken.
+    Discovery that is down ends its calls. So after a time-out discovery may be up, and only the watch broken.
     """
 
 
@@ -70,7 +74,7 @@
         address: The server's address.
         push: Whether an agent pushes changes; otherwise the server is polled.
         version: The newest version received; -1 if none came from this address.
-        connection: The connection for calls, one at a time.
+        connection: The connection for calls, which are made one at a time.
         watch_task: The task of the watch.
         fetch_task: The task of a snapshot fetch.
     """
@@ -92,7 +96,8 @@
 
         The server that responds may number versions differently from the source of the cached list, so its
         first snapshot is always accepted. Updates that an agent has sent count as delivered from the start
-        of the process on, so no request is forwarded before the agent's list is there.
+        of the process on, so no request is forwarded before the agent has sent its list or
+        `START_TIMEOUT_S` is over.
         """
         if cached is not None:
             self.dispatcher.update_endpoints(EndpointUpdateKind.CACHED, read_endpoint_list(cached).endpoints)
@@ -141,8 +146,8 @@
         """Runs the watch: fetches the snapshot, then makes each call right after the previous response.
 
         After a failure the old list stays in use. With polling, the balancer is notified and decides when to
-        try again, except that a poll that times out after a successful call is repeated here. An agent's
-        updates count as delivered already, so a watch of an agent that has worked is reopened immediately.
+        subscribe again, except that a watch which times out after its snapshot is reopened here. An agent's
+        updates count as delivered already, so a watch that an agent has answered is reopened immediately.
         """
         timing = PUSH_TIMING if self.push else POLL_TIMING
         while True:
@@ -162,20 +167,20 @@
                 if not self.push and not (has_snapshot and isinstance(error, DiscoveryTimeoutError)):
                     self.dispatcher.update_endpoints(EndpointUpdateKind.FAILED, [])
                     return
-                at_once = self.push and has_update
+                is_immediate = self.push and has_update
                 await asyncio.sleep(
-                    MIN_CALL_INTERVAL_S if at_once else self._random.uniform(0.0, RETRY_INTERVAL_S)
+                    MIN_CALL_INTERVAL_S if is_immediate else self._random.uniform(0.0, RETRY_INTERVAL_S)
                 )
 
     async def _reach_agent(self) -> None:
-        """Calls the agent for the snapshot until it responds, with several calls in parallel."""
+        """Requests the snapshot from the agent until it responds, with several calls in parallel."""
         loop = asyncio.get_running_loop()
         calls: list[asyncio.Task[tuple[UpstreamConnection, Response]]] = []
         try:
             while True:
                 if len(calls) == MAX_PARALLEL_CALLS:
                     calls.pop(0).cancel()
-                calls.append(loop.create_task(self._call_anew()))
+                calls.append(loop.create_task(self._call_on_new_connection()))
                 next_call_s = loop.time() + self._random.uniform(0.5, 1.0) * RETRY_INTERVAL_S
                 while calls and loop.time() < next_call_s:
                     done, _ = await asyncio.wait(
@@ -240,9 +245,10 @@
     # ---- calls -------------------------------------------------------------------------------------------
 
     async def _call(self, target: bytes, timeout_s: float) -> None:
-        """Makes a call on the watch's own connection, one at a time, and applies the response.
+        """Makes a call on `connection`, one at a time, and applies the response.
 
-        An agent either accepts a connection soon or is better called several times (`_reach_agent`).
+        The connect time-out is short for an agent: one that does not accept soon is reached earlier by
+        several parallel calls (`_reach_agent`), which follow the failure of this one.
         """
         async with self._lock:
             if self.connection is None or self.connection.closed:
@@ -250,8 +256,8 @@
             response = await self._get(self.connection, target, timeout_s)
         self._apply(response)
 
-    async def _call_anew(self) -> tuple[UpstreamConnection, Response]:
-        """Calls for the snapshot on a new connection, and returns the connection with the response."""
+    async def _call_on_new_connection(self) -> tuple[UpstreamConnection, Response]:
+        """Fetches the snapshot on a new connection, and returns the connection with the response."""
         connection = await self._connect(SNAPSHOT_TIMEOUT_S)
         try:
             return connection, await self._get(connection, LIST_TARGET, SNAPSHOT_TIMEOUT_S)
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -69,10 +69,10 @@
         pending_events: The events that wait for the next hand-over.
         pending_peer_messages: The messages of other replicas since the last hand-over.
         timer: The balancer's one timer.
-        resolve_tenant: Returns the name of the tenant that an `X-Tenant` header's value means.
-        awaits_tenants: Whether no request is served until a directory has listed tenants.
-        endpoint_list_timer: Limits the wait for discovery's first list, before which no request is served;
-            None if there is no wait.
+        resolve_tenant: Returns the name of the tenant for the value of an `X-Tenant` header.
+        awaits_tenants: Whether this process is not ready because no directory has listed tenants yet.
+        endpoint_list_timer: Limits the wait for discovery's first list, during which no connection is
+            accepted; None if there is no wait.
     """
 
     def __init__(self, settings: Settings, seed: int, upstreams: Upstreams) -> None:
@@ -145,7 +145,7 @@
         self.on_ready_changed()
 
     def await_endpoint_list(self, seconds: float) -> None:
-        """Serves no request until discovery has sent its list, or until the given time is over."""
+        """Lets no connection be accepted until discovery has sent its list or the given time is over."""
         self.endpoint_list_timer = self.loop.call_later(seconds, self._end_endpoint_list_wait)
 
     def _end_endpoint_list_wait(self) -> None:
@@ -165,17 +165,17 @@
     def receive_peer_message(self, sender: int, data: bytes) -> None:
         """Queues a message of another replica.
 
-        A message needs no decision by itself, and is handed over with the next event, ahead of it: handing
-        over each message in a loop iteration of its own would cost more than its information is worth. At
-        the bound messages are handed over without an event; the test is for equality, as beyond the bound a
-        hand-over is scheduled already.
+        A message needs no decision by itself. It waits for the next event and is handed over just before
+        that event: a hand-over for each message would cost more than the message's information is worth. At
+        `MAX_PENDING_PEER_MESSAGES` the messages are handed over without an event; the check is for equality,
+        as a hand-over is already scheduled when there are more.
         """
         self.pending_peer_messages.append(PeerMessageReceived(sender, data, time.monotonic_ns()))
         if len(self.pending_peer_messages) == MAX_PENDING_PEER_MESSAGES and not self.pending_events:
             self.loop.call_soon(self._hand_over)
 
     def receive_request(self, request: OpenRequest) -> None:
-        """Takes a client's request. If too many are open it is rejected without notifying the balancer."""
+        """Opens a client's request, or rejects it without notifying the balancer if too many are open."""
         limits = self.settings.limits
         requests = self.requests
         if requests.awaiting_answer >= limits.max_open_requests:
@@ -239,7 +239,7 @@
                 self._executors[type(action)](action, now)
             except Exception:
                 self.requests.fail_after_exception("an action failed", [action])
-        # Not earlier: the balancer may act on a request until it has been notified of the request's end.
+        # Not before the actions: the balancer may act on a request until it is notified of the request's end.
         for event in events:
             if isinstance(event, AttemptFinished | ClientDisconnected):
                 self.requests.forget(event.request)
--- a/lanelift/net/exchange.py
+++ b/lanelift/net/exchange.py
@@ -1,7 +1,7 @@
 """An HTTP/1.1 request to a server and its one outcome.
 
-An exchange is sent only once; this module never repeats a request. It records when the last byte was written:
-a connection that breaks before that proves that the request never ran.
+An exchange is sent only once; this module never repeats a request. An exchange records whether its last byte
+was written: if the connection breaks before that, the request certainly never ran.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 UPSTREAM_SILENCE_TIMEOUT_S = 10.0
 # A client that reads nothing of its response for this long is given up.
 CLIENT_STALL_TIMEOUT_S = 30.0
-# After its time-out, a streamed response without a stated length must bring this many bytes in each such
-# interval, until it is longer than `MAX_BUFFERED_BODY_BYTES`.
+# After the attempt's time-out, a streamed response without a stated length must deliver `MIN_PROGRESS_BYTES`
+# in each `MIN_PROGRESS_INTERVAL_S`, until the response is longer than `MAX_BUFFERED_BODY_BYTES`.
 MIN_PROGRESS_BYTES = 1600
 MIN_PROGRESS_INTERVAL_S = 0.2
 
@@ -66,7 +66,7 @@
         streaming: Whether the response is being streamed.
         paused: Whether the sink accepts no more of the streamed response for now.
         last_progress_s: When part of the response was last forwarded, on the loop's clock.
-        progress_due_s: When the response has to be complete or have made progress, on the loop's clock.
+        progress_due_s: When the response must be complete or must have made progress, on the loop's clock.
         distrust_until_s: Bytes that came before this time (loop's clock) are not accepted as the response:
             they may belong to the previous response on the connection.
         streamed_bytes: The number of bytes forwarded so far.
@@ -137,7 +137,10 @@
             self.timer = None
 
     def expire(self) -> None:
-        """Times out. A request not fully written has not run, and closing its connection ensures that."""
+        """Ends the exchange at its time-out.
+
+        A request whose last byte was not written has not run, and as its connection is closed it never will.
+        """
         self.give_up(AttemptResult.TIMEOUT if self.written else AttemptResult.CONNECT_FAILED)
 
     def give_up(self, result: AttemptResult) -> None:
--- a/lanelift/net/frontend.py
+++ b/lanelift/net/frontend.py
@@ -1,4 +1,4 @@
-"""The client-facing side of the balancer: listener, connections and shutdown."""
+"""The client-facing side of the balancer, which combines listener, connections and shutdown."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     Attributes:
         dispatcher: The dispatcher that receives requests.
-        lifecycle: Whether this balancer serves, drains or shuts down.
+        lifecycle: The stage of this balancer: whether it serves, drains or shuts down.
         table: The table of clients' connections.
         listener: The listener that accepts connections.
         shutdown: Drains and closes the connections.
@@ -39,7 +39,7 @@
         self.listener.resume()
 
     def set_max_clients(self, max_clients: int) -> None:
-        """Changes the cap; connections above it are closed after their answers."""
+        """Changes the cap on clients; connections above it are closed after their answers."""
         self.table.max_clients = max_clients
         self.listener.resume()
 
--- a/lanelift/net/hot_restart.py
+++ b/lanelift/net/hot_restart.py
@@ -1,9 +1,9 @@
 """Hot restart: two processes of one balancer detect each other and share its limit on descriptors.
 
-Each process listens on a Unix socket in a folder that both are given (`$TMPDIR`), and a new process connects
-to the sockets that it finds there. Nothing is sent on these connections: an open connection means that the
-other process runs, and the kernel closes it with the process, however that ends. So there is no state file
-that might be stale or not be removed in time.
+Each process listens on a Unix socket in a folder that both know (`$TMPDIR`), and a new process connects to
+the sockets that it finds there. Nothing is sent on these connections: an open connection means that the other
+process runs, and the kernel closes the connection when that process ends, for whatever reason. So there is no
+state file that might be stale or not be removed in time.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 SOCKET_PREFIX, SOCKET_SUFFIX = "lanelift-", ".sock"
 CONNECT_TIMEOUT_S = 0.2  # the kernel connects immediately; a full backlog must not delay the start
-MAX_PATH_BYTES = 100  # a Unix socket's address has 108 (unix(7))
+MAX_PATH_BYTES = 100  # a Unix socket's address has room for 108 (unix(7))
 
 
 class HotRestart:
@@ -43,7 +43,9 @@
 
     @property
     def processes(self) -> int:
-        """How many processes share the limits: two in a hot restart; if more run, all but one are leaving."""
+        """How many processes share the limits: two in a hot restart. If more run, all but one are shutting
+        down, and still two are counted.
+        """
         return 2 if self.links else 1
 
     async def start(self) -> None:
@@ -76,14 +78,14 @@
             link.abort()
 
     def link_opened(self, link: ProcessLink) -> None:
-        """Adds a link; with the first one, the limits are shared."""
+        """Adds a link to another process; the first one means that the limits are shared."""
         self.links.add(link)
         if len(self.links) == 1:
             log.info("another process of this balancer is running: limits are shared")
             self.on_processes_changed(self.processes)
 
     def link_closed(self, link: ProcessLink) -> None:
-        """Removes a link; without any, this process has the limits to itself."""
+        """Removes a link; if none is left, this process no longer shares the limits."""
         self.links.discard(link)
         if not self.links:
             log.info("no other process of this balancer is running: limits are not shared")
--- a/lanelift/net/http_parser.py
+++ b/lanelift/net/http_parser.py
@@ -49,7 +49,7 @@
         self.partial.target += target
 
     def on_headers_complete(self) -> None:
-        """Checks the headers for what applies to requests only."""
+        """Checks the complete head of a request."""
         super().on_headers_complete()
         assert self.partial is not None and self.parser is not None
         counts = Counter(name for name, _ in self.partial.headers)
@@ -91,7 +91,12 @@
         self._ends_with_connection = False
 
     def expect_response(self, max_body_bytes: int, may_stream: bool = False) -> None:
-        """Sets the longest body of the next response, which may be longer if it may be streamed."""
+        """Prepares for the next response.
+
+        Args:
+            max_body_bytes: The longest body that is buffered.
+            may_stream: Whether a longer body is streamed; if not, it is an error.
+        """
         self.max_body_bytes = max_body_bytes
         self.may_stream = may_stream
         self._interim_responses = 0
@@ -99,7 +104,7 @@
 
     @property
     def length_unknown(self) -> bool:
-        """Whether the head is complete, of a response whose length is unknown until its end."""
+        """Whether the head of a response is complete, and does not state the length of the response."""
         partial = self.partial
         return (
             partial is not None
@@ -118,9 +123,9 @@
         """Checks that the end of the response can be recognized.
 
         Only a response that states its end, and in one way only, can be distinguished from a truncated one.
-        A response whose stated length is too large is not read at all. Without a length a response ends with
-        its connection (RFC 9112, 6.3). That is accepted only if the response has `Connection: close`: the
-        connection of a corrupt one may stay open, so that it never ends.
+        The body of a response is not read if its stated length is too large. A response without a length
+        ends with its connection (RFC 9112, 6.3). Such a response is accepted only with `Connection: close`:
+        a corrupt one without it may leave its connection open, and never end.
         """
         super().on_headers_complete()
         assert self.partial is not None and self.parser is not None
--- a/lanelift/net/listener.py
+++ b/lanelift/net/listener.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 256
-ACCEPT_RETRY_S = 0.05  # after an accept that failed, mostly because no descriptor was free
+ACCEPT_RETRY_S = 0.05  # the wait after an accept that failed, usually because no descriptor was free
 
 
 class Listener:
@@ -41,10 +41,10 @@
         bound_socket.listen(BACKLOG)
 
     def resume(self) -> None:
-        """Accepts again if that is possible now; called after any change that may allow it."""
+        """Resumes accepting if that is possible now. Called after each change that may make it possible."""
         frontend = self._frontend
         if self.stopping:
-            self._loop.call_soon(frontend.shutdown.stop_listening)  # accepts what still waits in the backlog
+            self._loop.call_soon(frontend.shutdown.stop_listening)  # this accepts the rest of the backlog
         elif (
             not self.listening
             and not self.closed
@@ -55,7 +55,7 @@
             self._loop.add_reader(self.socket, self.accept)
 
     def pause(self, seconds: float | None = None) -> None:
-        """Stops accepting for the given time, or (None) until `resume` is called after a change."""
+        """Stops accepting, for the given time or, if that is None, until the next call of `resume`."""
         paused = self.listening or self.stopping
         if self.listening:
             self.listening = False
@@ -66,13 +66,13 @@
     def accept(self) -> bool:
         """Accepts the connections in the backlog, up to the cap.
 
-        At the cap a connection without an open request is evicted. If none can be evicted yet, new
-        connections stay in the backlog: each accepted connection is owed an answer, so none is accepted only
-        to be dropped. Whether connections wait beyond the cap is checked in the next loop iteration, or when
-        the next place is free.
+        At the cap one connection is evicted (`ConnectionTable.evict`), and its place is used in the next loop
+        iteration. If none can be evicted yet, new connections stay in the backlog until one can be or a
+        client disconnects: each accepted connection must get an answer, so none is accepted only to be
+        dropped.
 
         Returns:
-            Whether the backlog is empty.
+            Whether the backlog is known to be empty; False at the cap, where the backlog is not checked.
         """
         table = self._frontend.table
         if len(table.clients) >= table.max_clients:
@@ -100,8 +100,8 @@
     def _set_up(self, sock: socket.socket) -> None:
         """Creates the client's connection for an accepted socket.
 
-        It counts towards the cap from here on, and only once: if it counted twice until its transport is
-        ready, another client would be evicted needlessly.
+        The connection counts towards the cap from here on, and only once: if it counted twice until its
+        transport is ready, another client would be evicted needlessly.
         """
         sock.setblocking(False)
         client = ClientConnection(self._frontend)
--- a/lanelift/net/load_reports.py
+++ b/lanelift/net/load_reports.py
@@ -11,8 +11,8 @@
 def read_load_report(text: bytes | None, fields: Collection[str]) -> LoadReport:
     """Parses a load report: returns the valid values of the configured fields, or None without any.
 
-    A value that is negative or not finite must not reach the balancer: every comparison with not-a-number is
-    false, so the upstream would count as neither more nor less loaded than any other.
+    A value that is negative or not finite must not reach the balancer: each comparison with a NaN is false,
+    so the upstream would count as neither more nor less loaded than any other.
     """
     report = {}
     for part in (text or b"").decode("latin-1").split(","):
--- a/lanelift/net/message_parser.py
+++ b/lanelift/net/message_parser.py
@@ -18,7 +18,8 @@
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed, or rejected
 MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024
 MAX_HEAD_BYTES = 16 * 1024  # httptools has no limit of its own
-# A whole message may be this many times as long as the longest body, as small chunks are mostly framing.
+# A message with its framing may be this many times as long as the longest body: small chunks are mostly
+# framing.
 MAX_FRAMING_FACTOR = 8
 MAX_NUMBER_DIGITS = 15
 
@@ -33,8 +34,9 @@
         target: The request target so far.
         headers: The headers so far.
         body: The body so far, if it is buffered.
-        size_bytes: The number of bytes read for it, without a read that also held the previous message's end.
-        head_complete: Whether all headers have come; a later header is a trailer.
+        size_bytes: The number of bytes read for the message, without those that came in the same read as the
+            end of the previous message.
+        head_complete: Whether all headers were received; a later header is a trailer.
     """
 
     target: bytearray = field(default_factory=bytearray)
@@ -129,7 +131,7 @@
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def finish_streamed(self) -> None:
-        """Ends the streaming of a message, and may start that of the next one."""
+        """Ends the streaming of a message, and starts to stream the next one if its body is too long."""
         self.streamed_head, self._streamed_bytes = None, 0
         if self.partial is not None and self.partial.head_complete and self._needs_streaming():
             self.start_streaming()
--- a/lanelift/net/peers.py
+++ b/lanelift/net/peers.py
@@ -19,7 +19,7 @@
 class Peers:
     """The socket for messages between replicas.
 
-    It is used without a transport, as asyncio's datagram transport allocates 256 KiB for each message that it
+    The socket is read directly, as asyncio's datagram transport allocates 256 KiB for each message that it
     reads, and there are many messages.
 
     Attributes:
@@ -44,7 +44,7 @@
     def _read(self) -> None:
         try:
             data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
-        except OSError:  # a peer that is down refused the last message sent, or no message is there
+        except OSError:  # a peer that is down refused the last message sent, or there is no message
             return
         sender = self._numbers.get(address)
         if sender is not None and len(data) <= MAX_DATAGRAM_BYTES:
--- a/lanelift/net/request_head.py
+++ b/lanelift/net/request_head.py
@@ -56,7 +56,7 @@
 def read_wait_ns(headers: Mapping[bytes, bytes], request_class: RequestClass) -> int:
     """Returns how long the client waits, in ns: `X-Deadline-Ms`, limited to the deadline of the class.
 
-    The shutdown relies on that limit.
+    The shutdown relies on this limit when it sets the end of the process.
     """
     longest_ns = request_class.deadline_ns
     default_ms = longest_ns // NS_PER_MS
--- a/lanelift/net/requests.py
+++ b/lanelift/net/requests.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-OVERDUE_S = 0.008  # this long after its deadline an unanswered request gets a 504 here
+OVERDUE_S = 0.008  # this long after its deadline a request without an answer is failed with 504
 NS_PER_S = 1e9
 
 
@@ -39,10 +39,10 @@
         upload: The streamed body.
         attempts: The exchanges of its attempts by number; None for one that has ended or was never sent.
         unfinished_attempts: The number of attempts without an outcome.
-        closed: Whether it was answered or its client has disconnected.
+        closed: Whether the request was answered or its client has disconnected.
         last_attempt_timed_out: Whether the attempt that ended last timed out.
         streaming_attempt: The number of the attempt whose response is streamed.
-        overdue_timer: The timer that fails the request if it has no answer by then.
+        overdue_timer: The timer that fails the request if it has no answer soon after its deadline.
     """
 
     arrival: RequestArrived
@@ -88,20 +88,25 @@
         )
         return left_s
 
-    def answer(self, request: OpenRequest, outcome: str, give: Callable[[Client], None]) -> bool:
+    def answer(self, request: OpenRequest, outcome: str, write: Callable[[Client], None]) -> bool:
         """Closes a request with its final answer.
 
-        An exception while the answer is written is logged, and the connection is closed: events that follow
-        must not be lost because of it.
+        If writing the answer raises an exception, it is logged and the connection is closed, so that the
+        caller still handles the events that follow.
+
+        Args:
+            request: The request.
+            outcome: The outcome that the metrics count.
+            write: Writes the answer to the client.
 
         Returns:
-            False, without an answer, if the request was closed already.
+            Whether this call closed the request; False, without an answer, if it was closed already.
         """
         if not self.close(request):
             return False
         self._metrics.requests_ended[request.arrival.class_name][outcome] += 1
         try:
-            give(request.client)
+            write(request.client)
         except Exception:
             log.exception("request %s: writing the answer failed", request.arrival.request)
             request.client.abort()
@@ -110,8 +115,8 @@
     def close(self, request: OpenRequest) -> bool:
         """Marks a request as closed; returns False if it was closed already.
 
-        Attempts whose last byte was not written yet are given up. They have not run, so that needs no
-        permission to cancel attempts in the settings.
+        Attempts whose last byte was not written yet are given up, even if the settings do not allow attempts
+        to be cancelled: these attempts have not run.
         """
         if request.closed:
             return False
@@ -132,10 +137,13 @@
         if request is not None and request.closed and not request.unfinished_attempts:
             del self.by_id[request_id]
 
-    def fail_after_exception(self, what: str, about: Sequence[Event | Action]) -> None:
-        """Logs the current exception and fails the requests that it concerns; for `except` blocks."""
-        names = [name for name in (getattr(item, "request", None) for item in about) if name is not None]
-        log.exception("%s; requests %s", what, " ".join(names) or "-")
+    def fail_after_exception(self, message: str, concerned: Sequence[Event | Action]) -> None:
+        """Logs the current exception and fails the requests of the events or actions that it concerns.
+
+        Called in `except` blocks.
+        """
+        names = [name for name in (getattr(item, "request", None) for item in concerned) if name is not None]
+        log.exception("%s; requests %s", message, " ".join(names) or "-")
         for name in names:
             request = self.by_id.get(name)
             if request is not None and self.answer(request, FAULTED, lambda client: client.fail(502)):
@@ -155,8 +163,8 @@
         """Waits for one more loop iteration.
 
         Failure guarded against: after the loop was blocked, the attempt's time-out is due in the same loop
-        iteration as this timer, and waits to be handed over. Without one more iteration the client would get
-        a 504 in place of a rejection with its Retry-After.
+        iteration as this timer, and its event waits to be handed over. Without one more iteration the client
+        would get a 504 instead of the balancer's rejection with a Retry-After.
         """
         self._loop.call_soon(self._end_overdue, request)
 
--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -2,14 +2,18 @@
 
 The steps after SIGTERM, in order:
 
-1. Each connection is closed after its next answer, and `/ready` answers 503, unless another process shares
-   the address (`Lifecycle`). SIGINT has the same effect.
-2. After `ACCEPT_WHILE_DRAINING_S` the listener stops: it closes once its backlog is empty.
-3. `CLOSE_IDLE_DELAY_S` after it stopped, and again after it closed, idle connections are closed; connections
-   with an open request are closed after the answer.
-4. When no connection is left, `finished` is set and the process ends.
-5. The process ends at the latest `EXIT_AFTER_DEADLINE_S` after the longest deadline, which counts as
-   `LONGEST_DEADLINE_S` at most; requests that are still open shortly before get a 504.
+1. Each connection is closed after its next answer. `/ready` answers 503, but still 200 if another process
+   shares the address (`Lifecycle.reports_ready`).
+2. After `ACCEPT_WHILE_DRAINING_S` the listener stops: it accepts the rest of its backlog, and then closes. On
+   a shared address it closes immediately, and leaves the rest to the other process.
+3. Idle connections are closed `CLOSE_IDLE_DELAY_S` after the listener has stopped, and again that long after
+   it has closed. Connections with an open request are closed after the answer.
+4. When the listener is closed and no connection is open, `finished` is set and the process ends.
+5. The process ends at the latest at `ends_s`: `EXIT_AFTER_DEADLINE_S` after the longest deadline of any
+   class, which counts as `LONGEST_DEADLINE_S` at most. Half of `FINAL_ANSWER_MARGIN_S` before that, requests
+   that are still open get a 504, and streamed responses are reset.
+
+SIGINT has the same effect as SIGTERM.
 """
 
 from __future__ import annotations
@@ -28,13 +32,14 @@
 
 log = logging.getLogger(__name__)
 
-# New connections keep coming for this long after `/ready` first fails, until the front tier has noticed. Idle
-# connections are closed only after that, as their clients would reconnect immediately.
+# New connections arrive for this long after `/ready` has begun to fail, until the front tier, which routes
+# clients to balancers, has noticed. Idle connections are closed only after that, as their clients would
+# reconnect immediately.
 ACCEPT_WHILE_DRAINING_S = 0.5
-LONGEST_DEADLINE_S = 3.0  # longer deadlines are cut to this at SIGTERM
+LONGEST_DEADLINE_S = 3.0  # longer deadlines count as this long when the end of the process is set
 # The process ends this long after the longest deadline; SIGKILL comes 0.7 s after it.
 EXIT_AFTER_DEADLINE_S = 0.6
-FINAL_ANSWER_MARGIN_S = 0.03  # deadlines are cut to end at the latest this long before the process
+FINAL_ANSWER_MARGIN_S = 0.03  # deadlines of requests after SIGTERM are at least this long before the end
 CLOSE_IDLE_DELAY_S = 0.02  # between the listener's stop and the closing of idle connections
 
 
@@ -45,8 +50,8 @@
         started: Set when SIGTERM has come.
         finished: Set when the listener is closed and no connection is open.
         ends_s: When the process ends at the latest, on the loop's clock.
-        idle_closed: Whether idle connections have been closed; from then on a connection that becomes idle
-            is closed, too.
+        idle_closed: Whether idle connections have been closed. From then on, each connection that becomes
+            idle is closed as well.
     """
 
     def __init__(self, frontend: Frontend) -> None:
@@ -93,8 +98,8 @@
             classes = dispatcher.settings.classes.values()
             longest_s = max((c.deadline_ns for c in classes), default=0) / 1e9
             self.ends_s = self._loop.time() + min(longest_s, LONGEST_DEADLINE_S) + EXIT_AFTER_DEADLINE_S
-            # One loop iteration later than ordinary time-outs that are due at the same time: their rejections
-            # (503) are better than these failures (504).
+            # One loop iteration after the ordinary time-outs that are due at the same time: a rejection (503)
+            # after a time-out is better for the client than the failure (504) that it would get here.
             self._loop.call_at(
                 self.ends_s - FINAL_ANSWER_MARGIN_S / 2, self._loop.call_soon, dispatcher.requests.fail_all
             )
@@ -119,7 +124,7 @@
             self._loop.call_later(CLOSE_IDLE_DELAY_S, self.close_idle)
 
     def close_idle(self) -> None:
-        """Closes connections on which no part of a request has come, so that no request is lost."""
+        """Closes the connections on which no part of a request was received, so that no request is lost."""
         self.idle_closed = True
         for phase in (Phase.READING_HEAD, Phase.IDLE):
             for client in list(self._frontend.table.by_phase[phase]):
--- a/lanelift/net/socket_options.py
+++ b/lanelift/net/socket_options.py
@@ -14,14 +14,14 @@
 
 # Fields of Linux's `struct tcp_info`: the connection's state, and the milliseconds since data last came.
 TCP_INFO = struct.Struct("B51xI")
-TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8  # linux/tcp_states.h: reset by the peer, or the peer has ended its sending
+TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8  # linux/tcp_states.h: the peer has reset, or has ended its sending
 ENDED_STATES = (TCP_CLOSE, TCP_CLOSE_WAIT)
 NS_PER_MS = 1_000_000
 KERNEL_BUFFER_BYTES = 128 * 1024  # for a connection with a streamed body; the kernel doubles the value
 
 
 class Socket(Protocol):
-    """The part of a socket, or of asyncio's wrapper of one, that this module uses."""
+    """The part of a socket, or of asyncio's wrapper around one, that this module uses."""
 
     def getsockopt(self, level: int, option: int, length: int, /) -> bytes:
         """Returns an option of the socket, as bytes."""
@@ -30,11 +30,12 @@
 def peer_state(sock: Socket) -> tuple[bool, int]:
     """Returns whether the peer has ended the connection, and how many ns ago data last came in.
 
-    A late event loop sees both with a delay, in which an old request looks new and its client connected.
-    The kernel's resolution is about 4 ms.
+    An event loop that is late learns of both only after a delay, so that an old request looks new to it, and
+    a client that has disconnected looks connected. The kernel's resolution is about 4 ms.
 
     Returns:
-        (False, 0), as if the peer were connected and had just sent data, if the kernel does not say.
+        The two values; (False, 0) if the kernel does not provide them, as if the peer were connected and had
+        just sent data.
     """
     if sys.platform != "linux":
         return False, 0
@@ -60,13 +61,13 @@
 def is_quiescent(transport: asyncio.BaseTransport) -> bool:
     """Returns whether the connection has no unread data and the peer has not ended it.
 
-    The loop reports both only in its next iteration. A request that is written before that may be lost, or
-    the unread data may be read as its response.
+    The loop reports unread data and the peer's end only in its next iteration. A request that is written
+    before that may be lost, or the unread data may be read as its response.
     """
     return not peer_state(transport.get_extra_info("socket"))[0] and not has_unread_data(transport)
 
 
-def bound_kernel_buffers(transport: asyncio.BaseTransport) -> None:
+def limit_kernel_buffers(transport: asyncio.BaseTransport) -> None:
     """Limits the kernel's buffers of a connection in each direction.
 
     By default they grow to some megabytes, which many streamed bodies would fill at the same time.
--- a/lanelift/net/static_endpoints.py
+++ b/lanelift/net/static_endpoints.py
@@ -1,4 +1,4 @@
-"""A static endpoint list from the operator's own file, which changes only on a reload."""
+"""A static endpoint list, which the operator's own file contains and which changes only on a reload."""
 
 from __future__ import annotations
 
--- a/lanelift/net/upload.py
+++ b/lanelift/net/upload.py
@@ -15,16 +15,16 @@
     """A streamed request body.
 
     Until a connection is attached, the received part is buffered here and reading from the client is paused;
-    the request can still go to another upstream. After that each piece is written as it comes, and reading
-    follows the upstream's pace.
+    the request can still go to another upstream. After that each piece is written as it comes, and reading is
+    paused whenever the upstream accepts no more.
 
     Attributes:
         set_reading: Called with True to resume reading from the client, and with False to pause it.
         is_client_connected: Returns whether the client is still connected, as a disconnection is not reported
             while reading is paused.
         length_bytes: The stated length; None if the body is sent in chunks.
-        buffered: The received part before a connection is attached; at most the longest buffered body and one
-            read.
+        buffered: The part received before a connection is attached: at most the longest body that is
+            buffered, and one read.
         complete: Whether the last byte has come.
         consumed: Whether a connection was attached, after which the request can't be sent again.
         connection: The attached connection.
--- a/lanelift/net/upstream_connection.py
+++ b/lanelift/net/upstream_connection.py
@@ -9,7 +9,7 @@
 from lanelift.net.exchange import Exchange
 from lanelift.net.http_messages import Response
 from lanelift.net.http_parser import ResponseParser
-from lanelift.net.socket_options import bound_kernel_buffers, peer_state, shut_down_now
+from lanelift.net.socket_options import limit_kernel_buffers, peer_state, shut_down_now
 from lanelift.net.upload import Upload
 from lanelift.policy.events import AttemptResult
 
@@ -29,7 +29,7 @@
         parser: The parser of its responses.
         transport: The transport; None while the connection is being established.
         exchange: The exchange in progress.
-        hold_timer: The timer that ends the holding of a response without a stated length.
+        hold_timer: The timer after which a response without a stated length is streamed.
         idle_since: When the connection was last released, on the loop's clock.
         closed: Whether the connection has ended.
         write_paused: Whether part of the written data still waits in the write buffer.
@@ -66,7 +66,7 @@
         self.parser.expect_response(exchange.max_body_bytes, exchange.sink is not None)
         upload = exchange.upload
         if upload is not None:
-            bound_kernel_buffers(self.transport)
+            limit_kernel_buffers(self.transport)
             self.write_body(exchange.request + upload.attach(self))
             return
         exchange.written = True  # `pause_writing` resets this if `write` leaves data in the buffer
@@ -83,10 +83,13 @@
             return
         self.write_paused = False  # `pause_writing` sets this if `write` leaves data in the buffer
         self.transport.write(data)
-        self._follow_upload(exchange, exchange.upload)
+        self._update_upload(exchange, exchange.upload)
 
-    def _follow_upload(self, exchange: Exchange, upload: Upload) -> None:
-        """Resumes or pauses reading from the client, as the server accepts more of the body or not."""
+    def _update_upload(self, exchange: Exchange, upload: Upload) -> None:
+        """Resumes reading from the client when the server accepts more of the body, and pauses it when not.
+
+        After the body's last byte was written, records that the request is written.
+        """
         assert self.transport is not None
         if self.transport.is_closing():
             return  # nothing was written: the end of the connection is reported in the next loop iteration
@@ -112,7 +115,7 @@
         if exchange is None:
             return
         if exchange.upload is not None:
-            self._follow_upload(exchange, exchange.upload)
+            self._update_upload(exchange, exchange.upload)
         else:
             exchange.request_written()
 
@@ -125,10 +128,11 @@
     def buffer_updated(self, count: int) -> None:
         """Receives bytes from the server.
 
-        Failure guarded against: a response that a server sent twice, or noise after a response, is read as
-        the answer to the next request. Bytes without an exchange end the connection. If an exchange was
-        started soon after another, bytes that the kernel received before `distrust_until_s` are not its
-        response, as no server answers that fast: they end the connection, and with it the exchange.
+        Failure guarded against: a response that a server sent twice, or noise after a response, would be read
+        as the response to the next request. So bytes that come without an exchange in progress end the
+        connection. If an exchange was started soon after another, bytes that the kernel received before
+        `distrust_until_s` are not its response, as no server answers that fast: they end the connection, and
+        with it the exchange.
         """
         exchange = self.exchange
         if exchange is None:
@@ -154,7 +158,7 @@
                 return
             self._stream(exchange, parser.streamed_head)
         if exchange.on_finished is None:
-            return  # it was given up while it was streamed
+            return  # the exchange was given up while its response was streamed
         if parser.messages:
             self._complete(exchange, parser.messages.popleft())
         elif parser.error is not None:
@@ -177,7 +181,7 @@
         if not exchange.streaming:
             assert self.transport is not None
             exchange.unread_ns = peer_state(self.transport.get_extra_info("socket"))[1]
-            bound_kernel_buffers(self.transport)
+            limit_kernel_buffers(self.transport)
             exchange.start_streaming(head)
         data = self.parser.take_body()
         if data and exchange.on_finished is not None:
@@ -217,11 +221,11 @@
     # ---- the end -----------------------------------------------------------------------------------------
 
     def abort(self) -> None:
-        """Closes the connection immediately. An exchange in progress ends as broken.
+        """Closes the connection immediately. An exchange in progress ends with RESET or CONNECT_FAILED.
 
         Failure guarded against: the transport closes its socket only in the next loop iteration, after
-        another attempt for the same request may have been sent, so that the server would have the request
-        twice. So the socket is shut down here, in both directions.
+        another attempt for the same request may have been sent, so that two attempts could run at the
+        same time. So the socket is shut down here, in both directions.
         """
         if not self.closed and self.transport is not None:
             shut_down_now(self.transport)
--- a/lanelift/net/upstreams.py
+++ b/lanelift/net/upstreams.py
@@ -17,7 +17,7 @@
 from lanelift.policy.settings import Limits
 
 NOT_RUN_STATUSES = (503, 504)  # with `X-Not-Run: 1` they state that the request never ran
-RESPONSE_TIME_SMOOTHING = 16  # the mean changes by each difference divided by this
+RESPONSE_TIME_SMOOTHING = 16  # each response moves the mean by its difference from the mean, divided by this
 AttemptCallback = Callable[[AttemptResult, Response | None, LoadReport], None]
 
 
@@ -122,7 +122,7 @@
 def encode_attempt(
     method: bytes, target: bytes, headers: Headers, body: bytes, wait_ms: int, upload: Upload | None = None
 ) -> bytes:
-    """Encodes a client's request for an upstream, with the body's length and the time this balancer waits."""
+    """Encodes a client's request for an upstream, with the body's length and the deadline `wait_ms`."""
     rows = [*headers, (b"X-Deadline-Ms", b"%d" % wait_ms)]
     if upload is not None:
         rows.append(
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -40,7 +40,7 @@
             watcher = discovery.Discovery(
                 Dispatcher(SETTINGS, 1, Upstreams(SETTINGS.limits, 1, ())), ("127.0.0.1", 1), seed
             )
-            watcher._call_anew = fails  # type: ignore[method-assign, assignment]
+            watcher._call_on_new_connection = fails  # type: ignore[method-assign, assignment]
             with pytest.MonkeyPatch.context() as patch, suppress(asyncio.CancelledError):
                 patch.setattr(asyncio, "sleep", sleeps)
                 await watcher._watch()
