--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -1,4 +1,4 @@
-"""Helpers that several test modules share: forced orders of events, message framings, and settings."""
+"""Helpers that several test modules share, to force the order of events and to frame messages; settings."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 async def shutting_down_balancer(
     monkeypatch: pytest.MonkeyPatch, **more: Any
 ) -> AsyncIterator[tuple[InProcessBalancer, asyncio.Event]]:
-    """Runs a balancer in which SIGTERM stops the listener immediately; the event is set when it does."""
+    """Runs a balancer in which SIGTERM stops the listener immediately; the event is set when it stops."""
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 2 * TEST_S)
     stopped = asyncio.Event()
     stop = GracefulShutdown.stop_listening
 
-    def watched(shutting_down_balancer: GracefulShutdown) -> None:
-        stop(shutting_down_balancer)
+    def watched(graceful_shutdown: GracefulShutdown) -> None:
+        stop(graceful_shutdown)
         stopped.set()
 
     monkeypatch.setattr(GracefulShutdown, "stop_listening", watched)
@@ -87,15 +87,15 @@
 
 
 class StepwiseResponse:
-    """A response that an upstream writes step by step, on the connection `link`."""
+    """A response that the first upstream writes step by step, on its newest connection `link`."""
 
     def __init__(self, lb: InProcessBalancer) -> None:
         self.lb = lb
-        self.asked = asyncio.Event()
+        self.requested = asyncio.Event()
         lb.upstreams[0].script = [self._reply]
 
     async def _reply(self) -> bytes:
-        self.asked.set()
+        self.requested.set()
         await asyncio.Event().wait()
         return b""
 
@@ -104,7 +104,7 @@
         return self.lb.upstreams[0].links[-1]
 
     async def write(self, data: bytes) -> None:
-        await self.asked.wait()
+        await self.requested.wait()
         assert self.link.transport is not None
         self.link.transport.write(data)
 
@@ -165,8 +165,8 @@
     script_balancer(monkeypatch, recorded, acts)
 
 
-def request_ids(seen: FakeUpstream) -> list[str]:
-    return [m.headers["x-request-id"] for m in seen.seen]
+def request_ids(upstream: FakeUpstream) -> list[str]:
+    return [m.headers["x-request-id"] for m in upstream.seen]
 
 
 DISCONNECTS = {"end": lambda client: client.close(), "reset": lambda client: client.reset()}
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -84,8 +84,8 @@
     recorded: EventRecorder, reply: Any, result: AttemptResult, kind: str
 ) -> None:
     """An upstream answers with an error, breaks the connection, sends an invalid response, or does not
-    answer. Each attempt has exactly one outcome, and the client gets a rejection if the request can't have
-    run, else a failure.
+    answer. Each attempt has exactly one outcome. The client gets a rejection if the request is idempotent or
+    can't have run, else a failure.
     """
 
     async def test() -> None:
@@ -200,7 +200,7 @@
 
 @pytest.mark.usefixtures("settled")
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid_response",
     [
         b"\x00noise",
         b"HTTP/1.1 500 X\r\nContent-Length: 900000\r\n\r\n",
@@ -208,10 +208,10 @@
     ],
 )
 def test_an_attempts_connection_is_closed_before_the_next_attempt_is_sent(
-    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, spoilt: bytes
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, invalid_response: bytes
 ) -> None:
     """An upstream's response is invalid, and the request is retried at another upstream. The failed attempt
-    may run for as long as its connection is open, so that two would run at the same time. So its
+    may run for as long as its connection is open, and then two attempts would run at the same time. So its
     connection is closed before the next attempt is sent.
     """
     retry_on_second_upstream(monkeypatch, recorded)
@@ -221,8 +221,8 @@
     async def test() -> None:
         async with in_process_balancer(2, settings=NO_CANCEL) as lb:
             first, second = lb.upstreams
-            first.script = [b"\x00", spoilt]
-            assert (await lb.request("r1")).body == second.name.encode()  # its connection is open from now on
+            first.script = [b"\x00", invalid_response]
+            assert (await lb.request("r1")).body == second.name.encode()  # `second` has a connection now
 
             def watched(connection: UpstreamConnection, exchange: Exchange) -> None:
                 if b"X-Request-Id: r2" in exchange.request or b"x-request-id: r2" in exchange.request:
--- a/tests/net/test_backlog_at_shutdown.py
+++ b/tests/net/test_backlog_at_shutdown.py
@@ -23,9 +23,9 @@
 def test_clients_in_the_backlog_at_sigterm_are_answered_at_the_cap(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGTERM comes at the cap on clients, while more clients wait in the backlog. They wait for as long
-    as requests are open, and closing the listener would reset them. The listener stays open until each
-    of them is answered.
+    """SIGTERM comes at the cap on clients, while more clients wait in the backlog. They can't be accepted
+    before an open request ends, and closing the listener would reset them. The listener stays open until
+    each of them is answered.
     """
 
     async def test() -> None:
@@ -52,7 +52,7 @@
             for client in waiting:
                 assert (await client.answer()).status == 200
             with pytest.raises(ConnectionRefusedError):
-                await refused(lb)
+                await connect_until_refused(lb)
 
     run(test())
 
@@ -64,15 +64,15 @@
     process closes its copy immediately, and the other process serves the client.
     """
     listeners: list[socket.socket] = []
-    fronts: list[Frontend] = []
-    made = Frontend.__init__
+    frontends: list[Frontend] = []
+    init = Frontend.__init__
 
-    def seen(front: Frontend, driver: Any, listener: socket.socket, *more: Any) -> None:
+    def recording_init(frontend: Frontend, dispatcher: Any, listener: socket.socket, *more: Any) -> None:
         listeners.append(listener.dup())
-        fronts.append(front)
-        made(front, driver, listener, *more)
+        frontends.append(frontend)
+        init(frontend, dispatcher, listener, *more)
 
-    monkeypatch.setattr(Frontend, "__init__", seen)
+    monkeypatch.setattr(Frontend, "__init__", recording_init)
 
     async def test() -> None:
         async with shutting_down_balancer(monkeypatch, sockets=TWO_PLACES, inherited=9) as (lb, stopped):
@@ -81,7 +81,7 @@
             waiting.send("w")
             send_sigterm()
             await stopped.wait()
-            assert fronts[0].listener.closed
+            assert frontends[0].listener.closed
             for client in held:
                 client.close()
             with listeners[0] as shared:
@@ -92,8 +92,8 @@
     run(test())
 
 
-async def refused(lb: InProcessBalancer) -> None:
-    """Connects until the listener is closed, and the error of that is raised."""
+async def connect_until_refused(lb: InProcessBalancer) -> None:
+    """Connects until the listener is closed, which raises ConnectionRefusedError."""
     while True:
         client = await lb.client()
         await client.ended()
@@ -103,9 +103,9 @@
 def test_a_client_in_the_backlog_behind_disconnected_ones_is_answered_at_sigterm(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGTERM comes when the first clients in the backlog have disconnected, as many as the cap allows. No
-    client is connected whose end would make the listener accept again. The client behind them in the
-    backlog is answered nevertheless.
+    """SIGTERM comes when the first clients in the backlog, as many as the cap allows, have disconnected. No
+    client is connected, so no disconnection makes the listener accept again. The next client in the backlog
+    is answered nevertheless.
     """
     monkeypatch.setattr(discovery, "START_TIMEOUT_S", 2 * TEST_S)
 
@@ -128,12 +128,12 @@
     run(test())
 
 
-@pytest.mark.parametrize("rest", [True, False])
+@pytest.mark.parametrize("idle", [True, False])
 def test_a_client_in_the_backlog_at_sigterm_is_answered_though_silent_clients_fill_the_cap(
-    monkeypatch: pytest.MonkeyPatch, rest: bool
+    monkeypatch: pytest.MonkeyPatch, idle: bool
 ) -> None:
-    """SIGTERM comes at the cap, with clients connected that send nothing and are not evicted. They are
-    closed after the listener has stopped, and the client in the backlog is answered.
+    """SIGTERM comes at the cap, while the connected clients send nothing and can't be evicted. Their
+    connections are closed after the listener has stopped, and the client in the backlog is answered.
     """
     monkeypatch.setattr(
         connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 2 * TEST_S), (Phase.READING_HEAD, 2 * TEST_S))
@@ -146,7 +146,7 @@
             # No connection is closed after an answer because of the cap.
             monkeypatch.setattr(client_responses, "MAX_FILL", 9.0)
             silent = [await lb.client() for _ in range(2)]
-            if rest:
+            if idle:
                 for number, client in enumerate(silent):
                     assert (await client.request(f"r{number}")).status == 200
             waiting = await lb.client()
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -90,12 +90,12 @@
     run(test())
 
 
-@pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
+@pytest.mark.skipif(sys.platform != "linux", reason="only Linux has this TCP_INFO")
 def test_a_client_that_disconnected_before_its_request_was_read_is_not_served(
     recorded: EventRecorder,
 ) -> None:
     """A client sends a request and disconnects before the loop reads it, on a new connection or one that
-    was used before. Work for it would delay the clients behind it. Its request is not begun.
+    was used before. Work for its request would delay other clients, so the request is not begun.
     """
 
     async def test() -> None:
@@ -116,7 +116,7 @@
     run(test())
 
 
-@pytest.mark.skipif(sys.platform != "linux", reason="other kernels do not tell")
+@pytest.mark.skipif(sys.platform != "linux", reason="only Linux has this TCP_INFO")
 def test_a_deadline_counts_from_when_the_request_came_not_from_when_it_was_read(
     recorded: EventRecorder,
 ) -> None:
--- a/tests/net/test_client_responses.py
+++ b/tests/net/test_client_responses.py
@@ -27,28 +27,28 @@
     the connection, and the last response is lost. So only the sending side is closed, and the client
     reads its response whether the bytes come before or after that.
     """
-    leave = ClientConnection._close_after_response
+    close_after_response = ClientConnection._close_after_response
     peers: list[socket.socket] = []
 
-    def crossed(client: ClientConnection) -> None:
+    def send_while_closing(client: ClientConnection) -> None:
         if when == "before":
             peers[0].send(b"GET /quote HTTP/1.1\r\n")
-        leave(client)
+        close_after_response(client)
         if when == "behind":
             peers[0].send(b"GET /quote HTTP/1.1\r\n")
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with in_process_balancer() as lb:
-            monkeypatch.setattr(ClientConnection, "_close_after_response", crossed)
+            monkeypatch.setattr(ClientConnection, "_close_after_response", send_while_closing)
             with socket.create_connection(lb.address) as sock:
                 peers.append(sock)
                 sock.setblocking(False)
                 await loop.sock_sendall(sock, b"GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
-                came = b""
+                received = b""
                 while data := await loop.sock_recv(sock, 65536):
-                    came += data
-                assert came.startswith(b"HTTP/1.1 200 ") and came.endswith(b"ready\n")
+                    received += data
+                assert received.startswith(b"HTTP/1.1 200 ") and received.endswith(b"ready\n")
 
     run(test())
 
@@ -75,11 +75,11 @@
     run(test())
 
 
-def test_no_answers_pile_up_for_a_client_that_does_not_read(
+def test_answers_do_not_accumulate_for_a_client_that_does_not_read(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """A client sends request after request and reads no responses, which would pile up in memory. Its
-    further requests are not begun, and its connection is closed.
+    """A client sends request after request and reads no responses, which would accumulate in memory.
+    Its further requests are not begun, and its connection is closed.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.5)
 
@@ -105,7 +105,7 @@
     run(test())
 
 
-def test_a_last_answer_can_be_read_to_its_end_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_may_read_its_last_answer_slowly_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client reads its last response slowly. The connection is closed after the response, but the part
     that is still in the buffers is not discarded, however long the client takes.
     """
--- a/tests/net/test_connection_phases.py
+++ b/tests/net/test_connection_phases.py
@@ -59,8 +59,8 @@
     async def test() -> None:
         async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as lb:
             silent = [await lb.client() for _ in range(20)]
-            asking = await lb.client()
-            assert (await asking.request("r1")).status == 200
+            client = await lb.client()
+            assert (await client.request("r1")).status == 200
             for client in silent:
                 client.close()
 
@@ -69,7 +69,7 @@
 
 def test_at_the_cap_an_idle_client_keeps_its_minimum_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """The cap is reached, and new clients that send nothing keep coming. An idle client is not evicted for
-    them before its time is over.
+    them before its minimum time is over.
     """
     monkeypatch.setattr(
         connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 1000.0), (Phase.READING_HEAD, 0.0))
@@ -90,13 +90,13 @@
 
 
 def test_near_the_cap_a_connection_is_closed_after_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """There are more clients than the cap allows. Idle connections are kept for some seconds, so each new
-    client would wait for that. Above a fraction of the cap a connection is closed after its answer, and all
-    clients are served soon.
+    """There are more clients than the cap allows. Idle connections are kept for some seconds, and each new
+    client would wait that long. So above a fraction of the cap each connection is closed after its answer,
+    and all clients are served soon.
     """
     # Idle connections are kept for 2 s, which each client above the cap would have to wait.
-    (leaving,) = (row for row in connection_phases.EVICTION_ORDER if row[0] is Phase.CLOSING)
-    monkeypatch.setattr(connection_phases, "EVICTION_ORDER", (leaving, (Phase.IDLE, 1000.0)))
+    (closing,) = (row for row in connection_phases.EVICTION_ORDER if row[0] is Phase.CLOSING)
+    monkeypatch.setattr(connection_phases, "EVICTION_ORDER", (closing, (Phase.IDLE, 1000.0)))
 
     async def test() -> None:
         async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as lb:
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -50,26 +50,27 @@
 
 
 @pytest.mark.usefixtures("settled")
-@pytest.mark.parametrize("comes", ["end", "noise"])
+@pytest.mark.parametrize("unread", ["end", "noise"])
 def test_an_idle_connection_with_an_unread_end_or_data_is_not_used(
-    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, comes: str
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, unread: str
 ) -> None:
     """An idle connection ends, or noise comes on it, in the same loop iteration in which it is taken for a
-    request. The loop has not read that yet. A request written there would be lost, and might not be
-    repeated. So the kernel is queried first, and another connection is used.
+    request. The loop has not read the end or the noise yet. A request that is written there would be lost,
+    and it may be one that must not be repeated. So the kernel is queried first, and another connection is
+    used.
     """
 
     async def test() -> None:
         async with in_process_balancer(settings=NO_CANCEL) as lb:
-            box = lb.upstreams[0]
+            upstream = lb.upstreams[0]
 
             def acts(event: Event, to: int) -> list[Action]:
                 if not isinstance(event, RequestArrived):
                     return []
                 if event.request == "r2":
-                    transport = box.links[0].transport
+                    transport = upstream.links[0].transport
                     assert transport is not None
-                    if comes == "end":
+                    if unread == "end":
                         transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
                     else:
                         transport.write(b"x" * 200)  # sent immediately, as the write buffer is empty
@@ -80,7 +81,7 @@
             )
             assert (await lb.request("r1", "pay", "POST", b"x")).status == 200
             assert (await lb.request("r2", "pay", "POST", b"x")).status == 200
-            assert [m.link for m in box.seen] == [1, 2] and recorded.results() == [R.OK, R.OK]
+            assert [m.link for m in upstream.seen] == [1, 2] and recorded.results() == [R.OK, R.OK]
 
     script_balancer(monkeypatch, recorded, lambda event, to: [])
     run(test())
@@ -103,11 +104,12 @@
     links: list[int],
 ) -> None:
     """An upstream sends a second response after its first, while the next request is in progress on the same
-    connection. Only its time distinguishes it from that request's response. A connection that has not
-    settled is used for idempotent requests only, and bytes that come on it too early are not accepted.
+    connection. Only the time at which it comes distinguishes it from that request's response. A connection
+    that has not settled is used for idempotent requests only, and bytes that come on it too early are not
+    accepted.
     """
     assert connection_pool.SETTLE_S >= 0.01  # some milliseconds, with a margin
-    monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)  # never over, however slow the machine is
+    monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)  # longer than the test, on any machine
     monkeypatch.setattr(connection_pool, "MIN_RESPONSE_TO_SETTLE_RATIO", 0 if slow else 1)
 
     def acts(event: Event, to: int) -> list[Action]:
@@ -121,16 +123,16 @@
 
     async def test() -> None:
         async with in_process_balancer(settings=NO_CANCEL) as lb:
-            box = lb.upstreams[0]
+            upstream = lb.upstreams[0]
 
-            async def behind_the_first_s() -> bytes | None:
-                box.links[0].write(answer(200, b"again"))
+            async def second_response_to_r1() -> bytes | None:
+                upstream.links[0].write(answer(200, b"again"))
                 return await never() if slow and method == "GET" else answer(200, b"second")
 
-            box.script = [answer(200, b"first"), behind_the_first_s, answer(200, b"second")]
+            upstream.script = [answer(200, b"first"), second_response_to_r1, answer(200, b"second")]
             assert (await lb.request("r1")).body == b"first"
             assert (await lb.request("r2", kind, method, b"x" if method == "POST" else b"")).body == b"second"
-            assert [m.link for m in box.seen] == links
+            assert [m.link for m in upstream.seen] == links
 
     run(test())
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -23,7 +23,7 @@
 
 def test_an_outage_keeps_the_old_list_until_a_snapshot_comes(recorded: EventRecorder) -> None:
     """Discovery is down, and the list changes meanwhile. The old list stays in use, calls are repeated, and
-    the snapshot when discovery returns brings the missed change.
+    the snapshot that comes when discovery returns contains the missed change.
     """
 
     async def test() -> None:
@@ -49,7 +49,7 @@
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """A watch call hangs, and its update never comes. After some seconds updates count as delivered, whether
-    or not they came. The watch is given up before that, and a fetch of the snapshot brings the update.
+    or not they came. The watch is given up before that, and the snapshot that is fetched contains the update.
     """
     for hold_ms, answer_s in (discovery.PUSH_TIMING, discovery.POLL_TIMING):
         assert hold_ms / 1000 + answer_s < 5  # which leaves a second to reopen the watch
@@ -109,12 +109,12 @@
 
 
 def install_balancer_that_only_subscribes(monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder) -> None:
-    """Installs a balancer that only subscribes once: further calls are made without an action of it."""
-    asked: list[Event] = []
+    """Installs a balancer whose only action is to subscribe once: further calls are made without it."""
+    events: list[Event] = []
 
     def acts(event: Event, _: int) -> list[Action]:
-        asked.append(event)
-        return [Subscribe(True)] if len(asked) == 1 else []
+        events.append(event)
+        return [Subscribe(True)] if len(events) == 1 else []
 
     script_balancer(monkeypatch, recorded, acts)
 
@@ -154,11 +154,11 @@
     watchers: list[discovery.Discovery] = []
     start = discovery.Discovery.start
 
-    def seen(watcher: discovery.Discovery, known: Any) -> None:
+    def recording_start(watcher: discovery.Discovery, known: Any) -> None:
         watchers.append(watcher)
         start(watcher, known)
 
-    monkeypatch.setattr(discovery.Discovery, "start", seen)
+    monkeypatch.setattr(discovery.Discovery, "start", recording_start)
 
     async def test() -> None:
         async with in_process_balancer(settings=POLLED) as lb:
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -64,19 +64,19 @@
     async def test() -> None:
         async with in_process_balancer(2) as lb:
             await lb.until_watching()
-            tell, lost, back = lb.discovery.reply, asyncio.Event(), False
+            respond, called, is_back = lb.discovery.reply, asyncio.Event(), False
 
             async def reply(message: Message) -> bytes | None:
-                if back:
-                    return await tell(message)
-                lost.set()
+                if is_back:
+                    return await respond(message)
+                called.set()
                 return await never()
 
             lb.discovery.reply = reply
             lb.discovery.close_links()
-            await lost.wait()
+            await called.wait()
             lb.discovery.change(lb.upstreams[0].row("Terminating"))
-            back = True
+            is_back = True
             back_s = asyncio.get_running_loop().time()
             await recorded.until(
                 lambda: any(
@@ -101,7 +101,7 @@
     async def test() -> None:
         async with in_process_balancer() as lb:
             await lb.until_watching()
-            late, told = asyncio.Event(), [e.kind for e in recorded.of(EndpointUpdate)]
+            late, updates = asyncio.Event(), [e.kind for e in recorded.of(EndpointUpdate)]
 
             async def reply(message: Message) -> bytes | None:
                 await late.wait()
@@ -116,7 +116,7 @@
             # Two connections that were given up may not have ended yet.
             assert len(lb.discovery.connections) <= discovery.MAX_PARALLEL_CALLS + 2
             late.set()
-            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) > len(told))
+            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) > len(updates))
             await lb.discovery.until(lambda: len(lb.discovery.connections) == 1)
 
     run(test())
@@ -126,19 +126,19 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A balancer starts with a cached list, and its agent knows of a drain. The agent's updates count as
-    delivered from the start of the process on, however it numbers versions. No request is sent to an
-    upstream before the agent has answered.
+    delivered from the start of the process on, in whatever way it numbers versions. No request is sent to
+    an upstream before the agent has answered.
     """
     monkeypatch.setattr(discovery, "START_TIMEOUT_S", TEST_S)
 
     async def test() -> None:
         async with in_process_balancer(2) as lb:
             drains, stays = lb.upstreams
-            told = asyncio.Event()
+            may_answer = asyncio.Event()
             reply = lb.discovery.reply
 
             async def slow(message: Message) -> bytes | None:
-                await told.wait()
+                await may_answer.wait()
                 return await reply(message)
 
             lb.discovery.reply = slow
@@ -149,18 +149,18 @@
             for _ in range(100):
                 await asyncio.sleep(0)  # loop iterations in which the request could be sent
             assert not drains.seen and not stays.seen
-            told.set()
+            may_answer.set()
             assert (await client.answer()).body == stays.name.encode()
             assert not drains.seen
 
     known = {"version": 50, "full": True, "servers": []}
 
-    async def counted_otherwise() -> None:
+    async def other_version_numbers() -> None:
         async with in_process_balancer(cached_endpoints=known) as lb:
             assert (await lb.request("r1")).body == lb.upstreams[0].name.encode()
 
     run(test())
-    run(counted_otherwise())
+    run(other_version_numbers())
 
 
 def test_a_watch_whose_connection_is_reset_is_reopened_immediately(
@@ -200,26 +200,26 @@
         loop = asyncio.get_running_loop()
         connect, hangs = loop.create_connection, [False]
 
-        async def once(factory: Any, host: str, port: int) -> Any:
+        async def connect_or_hang(factory: Any, host: str, port: int) -> Any:
             if hangs[0]:
                 hangs[0] = False
                 await asyncio.Event().wait()
             return await connect(factory, host, port)
 
-        loop.create_connection = once  # type: ignore[method-assign, assignment]
+        loop.create_connection = connect_or_hang  # type: ignore[method-assign, assignment]
         async with in_process_balancer() as lb:
             await lb.until_watching()
-            tell = lb.discovery.reply
+            respond = lb.discovery.reply
 
             async def last(message: Message) -> bytes | None:
-                told = await tell(message)
-                lb.discovery.reply = tell
+                response = await respond(message)
+                lb.discovery.reply = respond
                 hangs[0] = True
-                return told and told.replace(b"\r\n", b"\r\nConnection: close\r\n", 1)
+                return response and response.replace(b"\r\n", b"\r\nConnection: close\r\n", 1)
 
             lb.discovery.reply = last
             lb.discovery.close_links()  # the open watch call would still be answered by the old `reply`
-            await lb.discovery.until(lambda: lb.discovery.reply == tell)
+            await lb.discovery.until(lambda: lb.discovery.reply == respond)
             lb.discovery.change(lb.upstreams[0].row("Terminating"))
             await recorded.until(
                 lambda: any(
--- a/tests/net/test_dispatch.py
+++ b/tests/net/test_dispatch.py
@@ -26,7 +26,7 @@
 
     def acts(event: Event, upstream: int) -> list[Action]:
         if isinstance(event, RequestArrived) and event.request == "bad":
-            raise RuntimeError("out of its mind")
+            raise RuntimeError("a fault in the balancer")
         return [StartAttempt(event.request, upstream)] if isinstance(event, RequestArrived) else []
 
     script_balancer(monkeypatch, EventRecorder(), acts)
@@ -45,11 +45,11 @@
     """Upstreams come and go all the time, each with a new identifier. If anything were kept of removed
     upstreams, memory and connections would grow without bound.
     """
-    built: list[Dispatcher] = []
+    dispatchers: list[Dispatcher] = []
 
     def build(*args: Any) -> Dispatcher:
-        built.append(Dispatcher(*args))
-        return built[-1]
+        dispatchers.append(Dispatcher(*args))
+        return dispatchers[-1]
 
     monkeypatch.setattr(daemon, "Dispatcher", build)
 
@@ -60,7 +60,7 @@
                 assert (await lb.request(f"r{number}", obj=number)).status == 200
                 before, upstream.name = upstream.row("Gone"), f"new-{number}"
                 await lb.change_endpoints(before, upstream.row())
-            (balancer,) = built
+            (balancer,) = dispatchers
             await upstream.until(lambda: upstream.ended >= 30)
             assert (await lb.request("last")).status == 200
             assert len(balancer.upstreams.pool.targets) == len(balancer.balancer.registry.upstreams) == 1
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -56,9 +56,11 @@
             await lb.until_watching()
             caplog.clear()
             bad = [{**good, "id": f"b-{number}", "addr": "nowhere"} for number in range(1000)]
-            told = {"version": 9, "full": True, "servers": [*bad, good, good, 7, {}]}
+            full_list = {"version": 9, "full": True, "servers": [*bad, good, good, 7, {}]}
             lb.discovery.version = 9
-            lb.discovery.reply = _only(answer(200, json.dumps(told, indent=4).encode()), lb.discovery.reply)
+            lb.discovery.reply = _only(
+                answer(200, json.dumps(full_list, indent=4).encode()), lb.discovery.reply
+            )
             lb.discovery.close_links()
             await recorded.until(lambda: len(recorded.of(EndpointUpdate)) == 3)  # cached, first, this one
             assert {u.id for u in recorded.of(EndpointUpdate)[2].endpoints} == {upstream_number("s-0")}
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -40,40 +40,39 @@
 
 @pytest.mark.usefixtures("settled")
 def test_a_late_handshake_is_recorded_and_its_connection_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An upstream's handshakes suddenly take longer than requests wait for one. If a handshake were ended
-    when its request stops waiting, its time would not be recorded, and the upstream never be reached. So the
+    """An upstream's handshakes suddenly take longer than a request waits for one. If a handshake ended when
+    its request stops waiting, its time would not be recorded, and the upstream would never be reached. So the
     handshake continues, its time is recorded, and its connection serves the next request.
     """
 
-    # A handshake goes on after its request has stopped waiting for it.
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        connect, open_way = loop.create_connection, asyncio.Event()
+        connect, may_connect = loop.create_connection, asyncio.Event()
 
-        async def far(*args: Any, **more: Any) -> Any:
-            await open_way.wait()
+        async def delayed_connect(*args: Any, **more: Any) -> Any:
+            await may_connect.wait()
             return await connect(*args, **more)
 
-        monkeypatch.setattr(loop, "create_connection", far)
-        box = FakeUpstream("s-1")
-        await box.start()
+        monkeypatch.setattr(loop, "create_connection", delayed_connect)
+        upstream = FakeUpstream("s-1")
+        await upstream.start()
         upstreams = Upstreams(replace(SETTINGS.limits, connect_timeout_ns=60_000_000_000), 8, ())
         upstreams.pool.handshakes.record(0.001)
-        upstreams.pool.update_endpoints([ResolvedEndpoint(Endpoint(1), "127.0.0.1", box.port)], True)
+        upstreams.pool.update_endpoints([ResolvedEndpoint(Endpoint(1), "127.0.0.1", upstream.port)], True)
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
         request = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
         upstreams.start_attempt(1, request, None, lambda result, *_: results.put_nowait(result))
         assert await results.get() is AttemptResult.CONNECT_FAILED
         assert upstreams.pool.open_connections == 1  # the handshake is still in progress
-        open_way.set()
+        may_connect.set()
         await asyncio.gather(*upstreams.pool.connect_tasks)
         assert upstreams.pool.handshakes.mean_s is not None and upstreams.pool.handshakes.mean_s > 0.001
-        assert len(upstreams.pool.targets[1].idle) == 1 and not box.seen  # nothing was sent on it
+        assert len(upstreams.pool.targets[1].idle) == 1 and not upstream.seen  # nothing was sent on it
         upstreams.start_attempt(1, request, None, lambda result, *_: results.put_nowait(result))
         assert await results.get() is AttemptResult.OK
         assert upstreams.pool.open_connections == 1
         upstreams.close()
-        box.stop()
+        upstream.stop()
 
     run(test())
 
--- a/tests/net/test_http_parser.py
+++ b/tests/net/test_http_parser.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 1_000_000])
-def test_requests_are_parsed_alike_in_pieces_of_any_size(step: int) -> None:
+def test_requests_are_parsed_the_same_in_pieces_of_any_size(step: int) -> None:
     data = (
         HEAD
         + b"X-Odd:  a b\t\r\nContent-Length: 4\r\n\r\nbody"
@@ -105,15 +105,15 @@
 
 
 def test_an_upgrade_is_ignored_in_a_request_and_an_error_in_a_response() -> None:
-    """A request that asks for another protocol is parsed as if it did not, and is the last on its
-    connection. A response that claims to change the protocol is an error.
+    """A request asks for another protocol. It is parsed as if it did not, and is the last on its connection.
+    A response that claims to change the protocol is an error.
     """
-    wish = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
+    upgrade = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader = RequestParser()
-    reader.feed(HEAD + wish)
+    reader.feed(HEAD + upgrade)
     assert reader.error is None and [r.keep_alive for r in reader.messages] == [False]
     answers = ResponseParser()
-    answers.feed(b"HTTP/1.1 101 X\r\n" + wish + OK + b"Content-Length: 0\r\n\r\n")
+    answers.feed(b"HTTP/1.1 101 X\r\n" + upgrade + OK + b"Content-Length: 0\r\n\r\n")
     assert answers.error is not None and not answers.messages
 
 
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize(
-    ("head", "believed"),
+    ("head", "is_complete"),
     [
         (b"Connection: close\r\n", True),
         (b"Connection: Keep-Alive, Close\r\n", True),
@@ -208,7 +208,7 @@
     ],
 )
 def test_the_end_of_a_connection_ends_a_response_only_with_connection_close(
-    head: bytes, believed: bool
+    head: bytes, is_complete: bool
 ) -> None:
     """A response has no length, and its connection ends. It may be complete or truncated. It counts as
     complete only if it announced that the connection would close.
@@ -217,7 +217,7 @@
     reader.expect_response(MAX_BUFFERED_BODY_BYTES, True)
     reader.feed(OK + head + b"\r\nabc")
     reader.connection_ended()
-    assert [r.body for r in reader.messages] == ([b"abc"] if believed else [])
+    assert [r.body for r in reader.messages] == ([b"abc"] if is_complete else [])
 
 
 @given(
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""Which connections are accepted."""
+"""The listener does not serve clients that have disconnected in its backlog."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
             for number, client in enumerate(busy):
                 client.send(f"b{number}")
             await recorded.until(lambda: len(recorded.of(RequestArrived)) == 2)
-            leaves, stays = await lb.client(), await lb.client()
-            leaves.send("gone")
-            DISCONNECTS[how](leaves)
+            disconnects, stays = await lb.client(), await lb.client()
+            disconnects.send("gone")
+            DISCONNECTS[how](disconnects)
             stays.send("last")
             go_on.set()
             assert (await stays.answer()).status == 200
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -46,22 +46,25 @@
 
 
 def test_a_message_is_sent_to_one_peer_or_to_all(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Teller(Balancer):
+    class SendingBalancer(Balancer):
         def handle(self, now: int, events: object) -> list[Action]:
             return [SendPeerMessage(b"one", 0), SendPeerMessage(b"all")]
 
-    monkeypatch.setattr(dispatch, "Balancer", Teller)
+    monkeypatch.setattr(dispatch, "Balancer", SendingBalancer)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        with socket.socket(type=socket.SOCK_DGRAM) as peer, socket.socket(type=socket.SOCK_DGRAM) as everyone:
-            for sock in (peer, everyone):
+        with (
+            socket.socket(type=socket.SOCK_DGRAM) as peer,
+            socket.socket(type=socket.SOCK_DGRAM) as broadcast,
+        ):
+            for sock in (peer, broadcast):
                 sock.bind(("127.0.0.1", 0))
                 sock.setblocking(False)
             async with in_process_balancer(
-                peer_listen=("127.0.0.1", 0), peers=[peer.getsockname()], peers_all=everyone.getsockname()
+                peer_listen=("127.0.0.1", 0), peers=[peer.getsockname()], peers_all=broadcast.getsockname()
             ):
                 assert await loop.sock_recv(peer, 300) == b"one"
-                assert await loop.sock_recv(everyone, 300) == b"all"
+                assert await loop.sock_recv(broadcast, 300) == b"all"
 
     run(test())
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -17,7 +17,7 @@
 from tests.net.support import R
 
 
-def test_more_open_requests_than_allowed_are_rejected() -> None:
+def test_requests_above_the_limit_of_open_requests_are_rejected() -> None:
     """More requests come than may be open at the same time. Those above the limit are rejected immediately
     with a Retry-After, and the balancer is not notified of them.
     """
@@ -76,12 +76,12 @@
     """
     from lanelift.net.client_connection import ClientConnection
 
-    served = ClientConnection.respond
+    respond = ClientConnection.respond
 
     def fails(self: ClientConnection, response: Response) -> None:
         if response.body == b"bad":
             raise RuntimeError("no")
-        served(self, response)
+        respond(self, response)
 
     monkeypatch.setattr(ClientConnection, "respond", fails)
 
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -103,11 +103,11 @@
 
 
 @pytest.mark.parametrize(
-    "begins", [CHUNKED + b"3\r\none\r\n", CHUNKED, CLOSES + b"one", CHUNKED + b"7d0\r\n" + b"x" * 2000]
+    "beginning", [CHUNKED + b"3\r\none\r\n", CHUNKED, CLOSES + b"one", CHUNKED + b"7d0\r\n" + b"x" * 2000]
 )
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_a_response_that_never_ends_is_aborted_after_its_timeout(
-    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, begins: bytes, may_cancel: bool
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, beginning: bytes, may_cancel: bool
 ) -> None:
     """A response without a stated length begins and never ends. It is streamed as a long one would be, and
     its client would wait for ever. It is aborted when it makes no progress after its time-out.
@@ -118,7 +118,7 @@
     async def test() -> None:
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=may_cancel))
         async with in_process_balancer(settings=settings) as lb:
-            lb.upstreams[0].script = [begins]
+            lb.upstreams[0].script = [beginning]
             client = await lb.client()
             client.send("r1", X_Deadline_Ms=150)
             with suppress(ConnectionError):
@@ -144,26 +144,26 @@
 
     async def test() -> None:
         async with in_process_balancer() as lb:
-            box = lb.upstreams[0]
-            box.script = [CHUNKED, CHUNKED]
+            upstream = lb.upstreams[0]
+            upstream.script = [CHUNKED, CHUNKED]
             slow, steady = await lb.client(), await lb.client()
             steady.send("r1", X_Deadline_Ms=400)
-            await box.until(lambda: len(box.seen) == 1)
+            await upstream.until(lambda: len(upstream.seen) == 1)
             slow.send("r2", X_Deadline_Ms=400)
             await recorded.until(lambda: len(recorded.of(ResponseStarted)) == 2)
 
-            async def bring(link: int, size: int) -> None:
-                while not box.links[link].closed:
-                    box.links[link].write(b"%x\r\n%b\r\n" % (size, b"y" * size))
+            async def send_chunks(link: int, size: int) -> None:
+                while not upstream.links[link].closed:
+                    upstream.links[link].write(b"%x\r\n%b\r\n" % (size, b"y" * size))
                     await asyncio.sleep(0.01)
 
-            brings = [asyncio.create_task(bring(0, 1000)), asyncio.create_task(bring(1, 1))]
+            senders = [asyncio.create_task(send_chunks(0, 1000)), asyncio.create_task(send_chunks(1, 1))]
             await recorded.until(lambda: recorded.results() == [R.TIMEOUT])
-            brings[0].cancel()
-            box.links[0].write(b"0\r\n\r\n")
+            senders[0].cancel()
+            upstream.links[0].write(b"0\r\n\r\n")
             await recorded.until(lambda: recorded.results() == [R.TIMEOUT, R.OK])
             assert recorded.of(AttemptFinished)[0].request == "r2"
-            await brings[1]
+            await senders[1]
 
     run(test())
 
@@ -192,19 +192,19 @@
 
 def test_a_response_that_was_paused_beyond_its_timeout_is_not_aborted_for_lack_of_progress() -> None:
     """A client does not read its response, so reading from the upstream is paused beyond the response's
-    time-out. The response could make no progress meanwhile, and received bytes are still unread: it is not
-    aborted when reading resumes.
+    time-out. The response could make no progress meanwhile, and received bytes are still unread. The response
+    is not aborted when reading resumes.
     """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         ended: list[AttemptResult] = []
-        held = asyncio.Event()
+        paused = asyncio.Event()
 
-        class Held:
+        class PausingSink:
             def start_response(self, head: object) -> None:
-                attempt.pause()
-                held.set()
+                exchange_.pause()
+                paused.set()
 
             def forward(self, data: bytes) -> None:
                 pass
@@ -214,15 +214,17 @@
             await loop.create_connection(lambda: connection, *listener.getsockname())
             server, _ = listener.accept()
             with server:
-                attempt = Exchange(b"GET / HTTP/1.1\r\n\r\n", lambda r, _: ended.append(r), sink=Held())
-                connection.start(attempt)
-                attempt.expire_in(0.1)
+                exchange_ = Exchange(
+                    b"GET / HTTP/1.1\r\n\r\n", lambda r, _: ended.append(r), sink=PausingSink()
+                )
+                connection.start(exchange_)
+                exchange_.expire_in(0.1)
                 server.sendall(CHUNKED + b"3\r\none\r\n")
-                await held.wait()
-                while loop.time() < attempt.progress_due_s:
+                await paused.wait()
+                while loop.time() < exchange_.progress_due_s:
                     await asyncio.sleep(0.01)
-                attempt.resume()
-                assert attempt.on_finished is not None and not ended
+                exchange_.resume()
+                assert exchange_.on_finished is not None and not ended
                 connection.abort()
 
     run(test())
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -1,4 +1,4 @@
-"""Which requests are retried after an attempt."""
+"""Whether a request is retried, by its class and by how its attempt ended."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 
 
 class AttemptObserver:
-    """Records the attempts at all upstreams, and ends the first one in a given way."""
+    """Records the attempts at all upstreams, and ends the first attempt in the way `how`."""
 
     def __init__(self, lb: InProcessBalancer, how: Any) -> None:
         self.lb = lb
@@ -91,16 +91,16 @@
         self.received: list[str] = []
         self.link: Connection | None = None  # of the previous attempt
         self.overlapped = False
-        for box in lb.upstreams:
-            box.reply = partial(self.reply, box)
+        for upstream in lb.upstreams:
+            upstream.reply = partial(self.reply, upstream)
 
-    async def reply(self, box: FakeUpstream, message: Message) -> bytes | None:
+    async def reply(self, upstream: FakeUpstream, message: Message) -> bytes | None:
         if self.link is not None and self.link.transport is not None and not self.link.transport.is_closing():
             self.overlapped |= not peer_state(self.link.transport.get_extra_info("socket"))[0]
         self.received.append(message.headers["x-request-id"])
         if len(self.received) > 1:
             return answer(200, b"served")
-        self.link = box.links[message.link - 1]
+        self.link = upstream.links[message.link - 1]
         if isinstance(self.how, bytes):
             if b"\r\n\r\n" in self.how and not self.how.startswith(b"HTTP/1.1 200"):
                 self.link = None  # a complete response ends the attempt
@@ -168,8 +168,8 @@
     async def test() -> None:
         limits = replace(LIMITS, max_attempts=50)  # both ejections may end during a pause of the machine
         async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=limits)) as lb:
-            for box in lb.upstreams[:2]:
-                box.stop()  # its port refuses connections from now on
+            for upstream in lb.upstreams[:2]:
+                upstream.stop()  # its port refuses connections from now on
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
             for number in range(8):
                 got = await lb.request(f"r{number}", effect.value, method, body)
@@ -181,21 +181,21 @@
 
 def test_a_response_that_waits_unread_when_its_timeout_is_due_is_served() -> None:
     """The loop is late, and finds a response and its attempt's time-out in the same iteration. Received data
-    is handled before timers, and the client gets the response.
+    is handled before timers, so the client gets the response.
     """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with in_process_balancer(settings=replace(SETTINGS, classes=CLASSES, limits=LIMITS)) as lb:
-            box = lb.upstreams[0]
-            box.script = [never]
+            upstream = lb.upstreams[0]
+            upstream.script = [never]
             client = await lb.client()
             client.send("r1", "safe", X_Deadline_Ms=200)
-            await box.until(lambda: len(box.seen) == 1)
+            await upstream.until(lambda: len(upstream.seen) == 1)
             exchanges = [o for o in gc.get_objects() if isinstance(o, Exchange) and b"r1" in o.request]
             assert len(exchanges) == 1 and exchanges[0].timer is not None
             due = exchanges[0].timer.when()
-            box.links[0].write(answer(200, b"there"))  # in the kernel's buffer, while the loop is blocked
+            upstream.links[0].write(answer(200, b"there"))  # into the kernel's buffer; the loop is blocked
             while loop.time() < due + 10 * MS / SECOND:
                 pass
             assert (await client.answer()).body == b"there"
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -28,9 +28,9 @@
 def test_a_request_with_a_deadline_beyond_the_end_is_answered_before_it(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, begun: bytes
 ) -> None:
-    """SIGTERM comes, and a client's deadline is later than the end of the process: SIGKILL counts longer
-    deadlines as 3 s, and so must the process. The client gets a 504 before the end, or, if its response is
-    in progress, a reset that shows that it is incomplete.
+    """SIGTERM comes, and a client's deadline is later than the end of the process: the time of SIGKILL counts
+    longer deadlines as 3 s, and so must the process. The client gets a 504 before the end, or, if its
+    response is in progress, a reset that shows that it is incomplete.
     """
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 0.1 - LONGEST_DEADLINE_S)
     quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
@@ -62,21 +62,21 @@
     """
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 2 * TEST_S)
-    emptied: list[GracefulShutdown] = []
-    close_idle, fronts = GracefulShutdown.close_idle, []
-    made = Frontend.__init__
+    idle_closed: list[GracefulShutdown] = []
+    close_idle, frontends = GracefulShutdown.close_idle, []
+    init = Frontend.__init__
 
-    def watched(ending: GracefulShutdown) -> None:
-        close_idle(ending)
-        emptied.append(ending)
+    def watched(graceful_shutdown: GracefulShutdown) -> None:
+        close_idle(graceful_shutdown)
+        idle_closed.append(graceful_shutdown)
         recorded.notify()
 
-    def seen(front: Frontend, *args: Any, **more: Any) -> None:
-        made(front, *args, **more)
-        fronts.append(front)
+    def recording_init(frontend: Frontend, *args: Any, **more: Any) -> None:
+        init(frontend, *args, **more)
+        frontends.append(frontend)
 
     monkeypatch.setattr(GracefulShutdown, "close_idle", watched)
-    monkeypatch.setattr(Frontend, "__init__", seen)
+    monkeypatch.setattr(Frontend, "__init__", recording_init)
 
     async def test() -> None:
         async with in_process_balancer() as lb:
@@ -84,12 +84,12 @@
             client = await lb.client()
             client.send("r1")
             await client.reader.readuntil(b"one\r\n")
-            fronts[0].shutdown.drain()
-            await recorded.until(lambda: emptied)
+            frontends[0].shutdown.drain()
+            await recorded.until(lambda: idle_closed)
             lb.upstreams[0].links[0].write(b"0\r\n\r\n")
             assert await client.reader.readuntil(b"0\r\n\r\n") == b"0\r\n\r\n"
             await client.ended()
-            assert fronts[0].shutdown.rejoin()
+            assert frontends[0].shutdown.rejoin()
             kept = await lb.client()
             assert (await kept.request("r2")).status == 200
             assert (await kept.request("r3")).status == 200
@@ -101,15 +101,15 @@
 import os, signal, socket, sys
 from lanelift.net.frontend import Frontend
 import lanelift.__main__ as main
-made = Frontend.__init__
-def ended(front, driver, listener, *args, **more):
-    made(front, driver, listener, *args, **more)
+init = Frontend.__init__
+def init_and_sigterm(frontend, dispatcher, listener, *args, **more):
+    init(frontend, dispatcher, listener, *args, **more)
     with socket.create_connection(listener.getsockname()) as early:
         early.sendall(b"GET /ready HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n")
         kept.append(early.dup())
     os.kill(os.getpid(), signal.SIGTERM)
 kept = []
-Frontend.__init__ = ended
+Frontend.__init__ = init_and_sigterm
 code = main.main()
 if kept:
     print(kept[0].recv(12).decode(), flush=True)
@@ -155,10 +155,12 @@
 
 
 @asynccontextmanager
-async def leaving(monkeypatch: pytest.MonkeyPatch, ends_s: float) -> AsyncIterator[InProcessBalancer]:
-    """Runs a balancer in which SIGTERM closes the listener, and ends the process `ends_s` + 3 s later."""
+async def balancer_with_exit_time(
+    monkeypatch: pytest.MonkeyPatch, exit_s: float
+) -> AsyncIterator[InProcessBalancer]:
+    """Runs a balancer in which SIGTERM stops the listener immediately; the end is `exit_s` + 3 s later."""
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
-    monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", ends_s)
+    monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", exit_s)
     async with in_process_balancer() as lb:
         yield lb
 
@@ -171,7 +173,7 @@
     """
 
     async def test() -> None:
-        async with leaving(monkeypatch, -2.0) as lb:
+        async with balancer_with_exit_time(monkeypatch, -2.0) as lb:
             lb.upstreams[0].script = [never]
             client = await lb.client()
             client.writer.write(b"GET /quote HTTP/1.1\r\nHost: origin.svc\r\n")
@@ -195,7 +197,7 @@
 
     async def test() -> None:
         monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, connection_phases.Phase.IDLE, 2 * TEST_S)
-        async with leaving(monkeypatch, 2 * TEST_S) as lb:
+        async with balancer_with_exit_time(monkeypatch, 2 * TEST_S) as lb:
             lb.upstreams[0].script = [CHUNKED + b"3\r\none\r\n"]
             client = await lb.client()
             client.send("r1")
@@ -203,8 +205,8 @@
             closed = asyncio.Event()
             close_idle = shutdown.GracefulShutdown.close_idle
 
-            def watched(ending: shutdown.GracefulShutdown) -> None:
-                close_idle(ending)
+            def watched(graceful_shutdown: shutdown.GracefulShutdown) -> None:
+                close_idle(graceful_shutdown)
                 closed.set()
 
             monkeypatch.setattr(shutdown.GracefulShutdown, "close_idle", watched)
--- a/tests/net/test_upload.py
+++ b/tests/net/test_upload.py
@@ -79,8 +79,8 @@
 
 
 def test_the_deadline_applies_once_the_body_is_complete(recorded: EventRecorder) -> None:
-    """A long body is complete, and its upstream never answers. The deadline applies from then on, and the
-    client gets a 504, as the request may have run.
+    """A long body is complete, and its upstream never answers. The deadline applies from then on. The client
+    gets a 504, as the request may have run.
     """
 
     async def test() -> None:
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -66,11 +66,11 @@
     """A client disconnects while its upstream accepts no more of the request. The last byte has not been
     written, so the request never ran, and it is given up even if attempts may not be cancelled.
     """
-    made = UpstreamConnection.connection_made
+    connection_made = UpstreamConnection.connection_made
 
-    def narrow(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+    def limit_send_buffer(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        made(connection, transport)
+        connection_made(connection, transport)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -82,7 +82,7 @@
             async with in_process_balancer(settings=NO_CANCEL) as lb:
                 lb.upstreams[0].port = busy.getsockname()[1]
                 await lb.change_endpoints(lb.upstreams[0].row())
-                monkeypatch.setattr(UpstreamConnection, "connection_made", narrow)
+                monkeypatch.setattr(UpstreamConnection, "connection_made", limit_send_buffer)
                 client = await lb.client()
                 client.send("r1", "pay", "POST", b"x" * MAX_BUFFERED_BODY_BYTES)
                 taken, _ = await loop.sock_accept(busy)
@@ -163,7 +163,7 @@
             link.transport.abort()
 
 
-async def at(lb: InProcessBalancer, address: tuple[str, int]) -> None:
+async def move_upstream(lb: InProcessBalancer, address: tuple[str, int]) -> None:
     row = lb.upstreams[0].row() | {"addr": f"{address[0]}:{address[1]}"}
     await lb.change_endpoints(row)
 
@@ -178,7 +178,7 @@
 
     async def test() -> None:
         async with in_process_balancer() as lb, server_that_never_reads() as address:
-            await at(lb, address)
+            await move_upstream(lb, address)
             client = await lb.client()
             size = 30_000_000
             client.writer.write(request_head("r1", "pay", f"Content-Length: {size}"))
@@ -203,7 +203,7 @@
 def test_a_body_is_sent_to_another_upstream_only_if_none_of_it_was_written(recorded: EventRecorder) -> None:
     """An upstream refuses the connection for a long body: nothing was written, and the request goes to
     another upstream. A connection breaks when part of a body was written: the request can't be sent again,
-    and as it never ran it is rejected.
+    and it is rejected, as it never ran.
     """
 
     async def test() -> None:
@@ -217,13 +217,14 @@
             assert not any(
                 o.body_consumed for o in recorded.of(AttemptFinished) if o.result is R.CONNECT_FAILED
             )
-            # The connection breaks after part of the body: rejected, as it never ran, and not retried.
+            # The connection breaks after part of the body: the request never ran, and is rejected, not
+            # retried.
             client = await lb.client()
             client.writer.write(chunked_request("last", LONG_BODY, "book")[:200_000])
             links = lb.upstreams[1].links
             while not any(
                 link.partial_request is not None for link in links
-            ):  # no event tells of part of a request
+            ):  # no event reports part of a request
                 await asyncio.sleep(0.001)
             before = len(recorded.results())
             next(link for link in links if link.partial_request is not None).abort()
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -62,11 +62,11 @@
 
 
 @pytest.mark.parametrize(("size", "result"), [(10, R.RESET), (50_000_000, R.CONNECT_FAILED)])
-def test_a_connection_that_breaks_before_the_last_byte_was_written_is_no_reset(
+def test_a_connection_that_breaks_before_the_last_byte_was_written_does_not_count_as_reset(
     size: int, result: AttemptResult
 ) -> None:
-    """An upstream's connection breaks. If the last byte of the request was not written the request can't
-    have run, and the outcome says so; else it may have run.
+    """An upstream's connection breaks. If the last byte of the request was not written, the request can't
+    have run, and the outcome is CONNECT_FAILED; else it may have run, and the outcome is RESET.
     """
 
     async def test() -> None:
