--- a/lanelift/leases/client.py
+++ b/lanelift/leases/client.py
@@ -89,7 +89,7 @@
         """Returns the messages to send now: a renewal, a new attempt, or none."""
         active = self.state in (ClientState.ACQUIRING, ClientState.HOLDING)
         if active and self.proposer.has_expired(now):
-            self._end(ClientState.LOST, "it could not be renewed in time")
+            self._end(ClientState.LOST, "the lease could not be renewed in time")
         if self.state is ClientState.HOLDING:
             self._schedule_renewal(now)
             return [(None, self.proposer.accept(now))]
@@ -191,7 +191,7 @@
         if held:
             self.reason = f"held by {held[0].holder} under token {held[0].token}"
         elif queued:
-            self.reason = "others come first"
+            self.reason = "other proposers come first"
         jitter_range_ns = max(1, self.timing.response_timeout_ns // 4)
         if self.wait_timeout_ns == 0 and len(held) > self.voters - majority(self.voters):
             self._end(ClientState.REJECTED, self.reason)
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -93,9 +93,9 @@
         """Returns the rule that a state violates; empty for none."""
         holding = [i for i in PROPOSERS if self.nodes.holds(i, state.proposers[i], state.tick)]
         if len(holding) > 1:
-            return "two hold at once"
+            return "two proposers hold the lease"
         if state.holder == TOKEN_FELL:
-            return f"a token that is not above {state.highest_token}"
+            return f"a new token is not above {state.highest_token}"
         return ""
 
     # Steps by kind.
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -72,7 +72,7 @@
 
     @property
     def due_ns(self) -> int | None:
-        """When `tick` is due on its clock."""
+        """When `tick` is due on the node's clock."""
         return self.member.due_ns
 
     def receive(self, message: Any, source: str, now: int) -> Outgoing:
@@ -132,7 +132,7 @@
 
     @property
     def due_ns(self) -> int | None:
-        """When `tick` is due on its clock."""
+        """When `tick` is due on the node's clock."""
         due = [at for at in (self.client.due_ns, self.ends_ns) if at is not None]
         if self.seen_token is not None or self.client.state is ClientState.HOLDING:
             due.append(self.act_ns)
@@ -304,7 +304,7 @@
                 self._check_new_holding(name, token)
         if len(held) > 1:
             named = " and ".join(f"{name} (token {token})" for name, token in held.items())
-            self._breach(f"{named} hold at once")
+            self._breach(f"{named} hold the lease at the same time")
         self.held_tokens = held
 
     def _written(self, node: VoterNode, state: PersistentState, incarnation: int) -> None:
