--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,4 +1,4 @@
-"""Leases under faults: the small model in full, seeded schedules in simulated time, and runs of processes.
+"""Checks leases under faults: a small model in full, schedules in simulated time, and runs of processes.
 
     python -m benchmarks.leases model
     python -m benchmarks.leases mistakes
@@ -7,7 +7,8 @@
     python -m benchmarks.leases idle [--seconds 20]
     python -m benchmarks.leases play FILE [--world simulated|processes]
 
-Each prints what it saw; the exit code is 1 where two held at once, a token fell, or a task acted too late.
+Each command prints its results. The exit code is 1 if two held the lease at the same time, a token decreased,
+or a task acted too late; for `mistakes` it is the number of planted mistakes that were not found.
 """
 
 from __future__ import annotations
@@ -58,7 +59,7 @@
 
 
 def model() -> int:
-    """The small model within each of `BOUNDS`; returns 1 where something is wrong."""
+    """Explores the small model within each of `BOUNDS`; returns 1 if it violates a rule."""
     wrong = 0
     for name, bounds in BOUNDS.items():
         began = time.monotonic()
@@ -66,7 +67,7 @@
         found = explore(small.initial_states(), small.successors, small.violation_in, 4_000_000)
         print(
             f"{name:28}{found.states:10,} states {found.steps:12,} steps {time.monotonic() - began:7.1f} s  "
-            f"{'whole' if found.complete else 'not whole'}  {found.violation or 'nothing wrong'}",
+            f"{'complete' if found.complete else 'incomplete'}  {found.violation or 'no violation'}",
             flush=True,
         )
         wrong += bool(found.violation)
@@ -74,7 +75,7 @@
 
 
 def mistakes() -> int:
-    """Each planted mistake's shortest story in the model."""
+    """Prints the shortest counterexample for each planted mistake; returns how many were not found."""
     from tests.leases.mistakes import MEMBERS, PROPOSERS
     from tests.leases.test_model import BOUNDS_BY_MISTAKE, HOLDS, NOT_EXPLORED_HERE
 
@@ -98,14 +99,14 @@
 
 
 def schedule(seed: int) -> Schedule:
-    """Every fourth has its list of voters changed on the way."""
+    """Returns the schedule of a seed. In every fourth schedule, the list of voters changes."""
     return random_schedule(
         seed, 3 + 2 * (seed % 2), 2 + seed % 3, UNTIL_MS, 1000, TIMING.drift, plans=seed % 4 == 0
     )
 
 
-def one(seed: int) -> tuple[int, list[str], int, int, int, int, int, float]:
-    """Plays one schedule; returns what is summed up of it."""
+def schedule_row(seed: int) -> tuple[int, list[str], int, int, int, int, int, float]:
+    """Plays the schedule of a seed; returns the seed, the breaches, five counts and the length in seconds."""
     world = LeaseSimulation(schedule(seed), TIMING)
     world.play()
     found = world.findings
@@ -122,7 +123,7 @@
 
 
 class Waiting(LeaseSimulation):
-    """All wait, and the holder is killed once the others do; nothing else is wrong."""
+    """Kills the holder when all other contenders are waiting for the lease; there are no other faults."""
 
     wait_timeouts = (None,)
     killed_ns = 0
@@ -141,16 +142,16 @@
             self._apply_step(Step(self.now // MS, "kill", holder))
 
 
-def death(seed: int) -> int | None:
-    """Nanoseconds without holder after a death; None: none died."""
+def failover_ns(seed: int) -> int | None:
+    """Returns the nanoseconds without a holder after a holder was killed; None: there is no such time."""
     world = Waiting(Schedule(seed, tuple("abcde"), ("p1", "p2", "p3"), UNTIL_MS), TIMING)
     world.play()
     after = [at for at, *_ in world.findings.holdings if at > world.killed_ns]
     return after[0] - world.killed_ns if world.killed_ns and after else None
 
 
-class Held(LeaseSimulation):
-    """One holder, for ever, and nothing wrong: what holding costs."""
+class SteadyHolderSimulation(LeaseSimulation):
+    """One holder keeps the lease, without faults: measures the cost of holding."""
 
     wait_timeouts = (None,)
     task = (1e6, 1e6)
@@ -161,10 +162,12 @@
         super()._send(sender, recipient, message)
 
 
-def holding(voters: int, timing: LeaseTiming) -> tuple[float, float]:
-    """Messages and bytes a second, of all together, while one holds."""
+def holding_cost(voters: int, timing: LeaseTiming) -> tuple[float, float]:
+    """Returns the messages and the bytes of all nodes per second, while one of them holds the lease."""
     lease_s = timing.lease_ns / 1e9
-    world = Held(Schedule(1, tuple("abcdefghi"[:voters]), ("p1",), int(40_000 * lease_s)), timing)
+    world = SteadyHolderSimulation(
+        Schedule(1, tuple("abcdefghi"[:voters]), ("p1",), int(40_000 * lease_s)), timing
+    )
     world.schedule = replace(world.schedule, until_ms=int(10_000 * lease_s))
     world.play()
     messages, size = world.messages, world.bytes
@@ -174,15 +177,17 @@
 
 
 def schedules(count: int, jobs: int) -> int:
-    """Seeded schedules, deaths, and what holding costs; returns 1 where a rule was broken."""
+    """Runs seeded schedules, kills holders, measures the cost of holding; returns 1 if a rule was broken."""
     began = time.monotonic()
     with multiprocessing.Pool(jobs) as pool:
-        rows = pool.map(one, range(count), chunksize=20)
-        waits = sorted(w for w in pool.map(death, range(min(count, 2000)), chunksize=20) if w is not None)
+        rows = pool.map(schedule_row, range(count), chunksize=20)
+        waits = sorted(
+            w for w in pool.map(failover_ns, range(min(count, 2000)), chunksize=20) if w is not None
+        )
     for voters in (3, 5):
-        messages, size = holding(voters, LeaseTiming())
+        messages, size = holding_cost(voters, LeaseTiming())
         print(
-            f"holding, {voters} voters, a lease of 10 s: {messages:.2f} messages, {size:.0f} bytes a second"
+            f"holding, {voters} voters, a lease of 10 s: {messages:.2f} messages, {size:.0f} bytes per second"
         )
     breached = [row for row in rows if row[1]]
     seconds = sum(row[7] for row in rows)
@@ -191,14 +196,14 @@
         f"{sum(row[2] for row in rows):,} holdings, {len(breached)} schedules with a breach"
     )
     print(
-        f"{sum(row[3] for row in rows):,} acts, {sum(row[4] for row in rows)} after the lease's end (stood "
-        f"still between look and act), {sum(row[5] for row in rows)} of these refused for their token"
+        f"{sum(row[3] for row in rows):,} acts, {sum(row[4] for row in rows)} after the lease's end (stopped "
+        f"between check and act), {sum(row[5] for row in rows)} of these refused because of their token"
     )
-    print(f"{sum(row[6] for row in rows) / seconds:.1f} messages a second of all together, under faults")
+    print(f"{sum(row[6] for row in rows) / seconds:.1f} messages per second of all nodes, under faults")
     if waits:
         print(
-            f"without holder after {len(waits)} deaths: p50 {statistics.median(waits) / MS:.0f}, p99 "
-            f"{waits[int(0.99 * (len(waits) - 1))] / MS:.0f}, most {waits[-1] / MS:.0f} ms; bound "
+            f"without a holder after {len(waits)} deaths: p50 {statistics.median(waits) / MS:.0f}, p99 "
+            f"{waits[int(0.99 * (len(waits) - 1))] / MS:.0f}, max {waits[-1] / MS:.0f} ms; bound "
             f"{TIMING.failover_bound_ns / MS:.0f} ms"
         )
     for row in breached[:3]:
@@ -208,56 +213,58 @@
     return int(bool(breached))
 
 
-def steps(rng: random.Random, voters: str, contenders: list[str], until_ms: int) -> Iterator[Step]:
-    """Faults of processes, about one in each half lease; what is done is undone within three leases."""
+def process_faults(rng: random.Random, voters: str, contenders: list[str], until_ms: int) -> Iterator[Step]:
+    """Yields faults of processes, about one in each half lease; each fault is undone within three leases."""
     at = 2500
     while (at := at + int(rng.expovariate(1 / 500))) < until_ms:
         who, other = rng.choice([*voters, *contenders]), rng.choice(voters)
-        long = int(1000 * rng.choice((0.1, 0.5, 0.95, 1.05, 2.0)))
+        duration_ms = int(1000 * rng.choice((0.1, 0.5, 0.95, 1.05, 2.0)))
         what = rng.choice(("kill", "stop", "stop", "cut", "isolate", "delay", "drop", "all", "roll"))
         if what == "kill":
-            yield from (Step(at, "kill", who), Step(at + long, "start", who))
+            yield from (Step(at, "kill", who), Step(at + duration_ms, "start", who))
         elif what == "stop":
-            yield from (Step(at, "stop", who), Step(at + long, "go", who))
+            yield from (Step(at, "stop", who), Step(at + duration_ms, "go", who))
         elif what in ("cut", "isolate"):
-            whom = other if what == "cut" else ""
-            yield from (Step(at, "cut", who, whom), Step(at + long, "heal", who, whom))
+            other_node = other if what == "cut" else ""
+            yield from (Step(at, "cut", who, other_node), Step(at + duration_ms, "heal", who, other_node))
         elif what == "delay":
-            yield from (Step(at, "delay", who, ms=long // 2), Step(at + long, "heal", who))
+            yield from (Step(at, "delay", who, ms=duration_ms // 2), Step(at + duration_ms, "heal", who))
         elif what == "drop":
-            yield from (Step(at, "drop", who, part=0.5), Step(at + long, "heal", who))
+            yield from (Step(at, "drop", who, part=0.5), Step(at + duration_ms, "heal", who))
         else:
             gap = 0 if what == "all" else 120
             for i, voter in enumerate(voters):
                 yield from (Step(at + i * gap, "kill", voter), Step(at + i * gap + 60, "start", voter))
 
 
-def run(seed: int, until_ms: int) -> dict[str, object]:
-    """Runs processes once under random faults; returns what was counted."""
+def run_processes(seed: int, until_ms: int) -> dict[str, object]:
+    """Runs processes once under random faults; returns the counts."""
     rng = random.Random(seed)
     voters, contenders = "abcde", [f"p{i}" for i in range(1, rng.randint(3, 8) + 1)]
-    plan = tuple(sorted(steps(rng, voters, contenders, until_ms), key=lambda s: s.at_ms))
+    plan = tuple(sorted(process_faults(rng, voters, contenders, until_ms), key=lambda s: s.at_ms))
 
     async def whole(folder: Path) -> dict[str, object]:
         rates = {name: rng.choice((-1000, 0, 1000)) for name in (*voters, *contenders)}
         fleet = ProcessCluster(folder, voters, contenders, ClusterTimings(), seed, rates)
         async with fleet:
             await fleet.play(Schedule(seed, tuple(voters), tuple(contenders), until_ms, plan))
-        stays = read_intervals(folder)
+        intervals = read_intervals(folder)
         late = 0
         for log in folder.glob("p*.log"):
             for line in log.read_text().splitlines():
                 if '"lease_task_ended"' in line:
                     row = json.loads(line)
-                    beats = [s for s in stays if s.file == f"{log.stem}.beats" and s.token == row["token"]]
+                    beats = [
+                        s for s in intervals if s.file == f"{log.stem}.beats" and s.token == row["token"]
+                    ]
                     late += sum(s.last_ns > row["until_ns"] for s in beats)
         return {
             "seed": seed,
             "steps": len(plan),
-            "stays": len(stays),
-            "beats": sum(s.actions for s in stays),
-            "overlaps": len(overlapping_pairs(stays)),
-            "falls": len(token_regressions(stays)),
+            "stays": len(intervals),
+            "beats": sum(s.actions for s in intervals),
+            "overlaps": len(overlapping_pairs(intervals)),
+            "falls": len(token_regressions(intervals)),
             "late": late,
         }
 
@@ -266,10 +273,12 @@
 
 
 def processes(count: int, jobs: int, until_ms: int, first: int) -> int:
-    """Runs of processes; returns 1 for an overlap, a token that fell, or a late act."""
+    """Runs processes `count` times; returns 1 after an overlap, a decreased token, or a late act."""
     began = time.monotonic()
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
-        rows = pool.starmap(run, [(seed, until_ms) for seed in range(first, first + count)], chunksize=1)
+        rows = pool.starmap(
+            run_processes, [(seed, until_ms) for seed in range(first, first + count)], chunksize=1
+        )
     total = {key: sum(row[key] for row in rows) for key in rows[0] if key != "seed"}  # type: ignore[misc]
     print(f"{count} runs of {until_ms / 1000:g} s in {time.monotonic() - began:.0f} s: {total}")
     bad = [row for row in rows if row["overlaps"] or row["falls"] or row["late"]]
@@ -279,7 +288,7 @@
 
 
 def idle(seconds: float) -> int:
-    """CPU and messages of three members with nothing to do."""
+    """Prints the CPU time and the messages of three idle members."""
 
     async def whole(folder: Path) -> None:
         async with ProcessCluster(folder, "abc", ()) as fleet:
@@ -307,7 +316,7 @@
 
 
 def play(file: Path, world: str) -> int:
-    """One schedule, which is read from a file, in one of the two worlds."""
+    """Plays a schedule from a file, in simulated time or with processes; returns 1 if a rule was broken."""
     given = from_json(file.read_bytes())
     if world == "simulated":
         leases = LeaseSimulation(given, TIMING, keep_trace=True)
@@ -322,9 +331,9 @@
             folder, given.voters, given.contenders, ClusterTimings(), given.seed, rates
         ) as fleet:
             await fleet.play(given)
-        stays = read_intervals(folder)
-        print("\n".join(map(str, stays)))
-        return int(bool(overlapping_pairs(stays) or token_regressions(stays)))
+        intervals = read_intervals(folder)
+        print("\n".join(map(str, intervals)))
+        return int(bool(overlapping_pairs(intervals) or token_regressions(intervals)))
 
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(whole(Path(folder)))
@@ -333,7 +342,7 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("what", choices=["model", "mistakes", "schedules", "processes", "idle", "play"])
-    parser.add_argument("file", nargs="?", type=Path, help="a schedule, for play")
+    parser.add_argument("file", nargs="?", type=Path, help="a schedule, for the command play")
     parser.add_argument("--world", choices=["simulated", "processes"], default="simulated")
     parser.add_argument("--count", type=int, default=0)
     parser.add_argument("--jobs", type=int, default=0)
