--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -122,7 +122,7 @@
     )
 
 
-class Waiting(LeaseSimulation):
+class HolderKillSimulation(LeaseSimulation):
     """Kills the holder when all other contenders are waiting for the lease; there are no other faults."""
 
     wait_timeouts = (None,)
@@ -144,7 +144,7 @@
 
 def failover_ns(seed: int) -> int | None:
     """Returns the nanoseconds without a holder after a holder was killed; None: there is no such time."""
-    world = Waiting(Schedule(seed, tuple("abcde"), ("p1", "p2", "p3"), UNTIL_MS), TIMING)
+    world = HolderKillSimulation(Schedule(seed, tuple("abcde"), ("p1", "p2", "p3"), UNTIL_MS), TIMING)
     world.play()
     after = [at for at, *_ in world.findings.holdings if at > world.killed_ns]
     return after[0] - world.killed_ns if world.killed_ns and after else None
--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.leases import Waiting
+from benchmarks.leases import HolderKillSimulation
 from lanelift.faults.random_schedule import random_schedule
 from lanelift.faults.schedule import Schedule, ScheduleError, Step, from_json, to_json
 from lanelift.faults.shrinking import shrink
@@ -180,7 +180,7 @@
     """
     waits = []
     for seed in range(40):
-        world = Waiting(replace(calm(voters=5), seed=seed), TIMING)
+        world = HolderKillSimulation(replace(calm(voters=5), seed=seed), TIMING)
         world.play()
         following = [at for at, *_ in world.findings.holdings if at > world.killed_ns]
         if world.killed_ns and following:
