--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -101,8 +101,8 @@
         self.full = ReadState(self.now_s)
         self.changes = ReadState(None)  # there is no mark to search from before the first full read
 
-    def orders(self, now_s: float, mark_us: int, clock_us: int = NO_CLOCK_US) -> list[ReadOrder]:
-        """Return the readings to begin now, and mark them as running.
+    def start_due(self, now_s: float, mark_us: int, clock_us: int = NO_CLOCK_US) -> list[ReadOrder]:
+        """Mark the readings that are due as running, and return their orders.
 
         Args:
             now_s: The time.
--- a/lanelift/tenants/sync_worker.py
+++ b/lanelift/tenants/sync_worker.py
@@ -136,7 +136,7 @@
             for order in self.schedule.overdue(now_s):
                 self._give_up(order)
             clock_us = round(self.wall_clock() * 1e6)
-            for order in self.schedule.orders(now_s, self.store.latest_stamp_us(), clock_us):
+            for order in self.schedule.start_due(now_s, self.store.latest_stamp_us(), clock_us):
                 self._begin(order)
         self._send_changes(self.store.tick(self.wall_clock()))
         try:
