--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.leases import Waiting
+from benchmarks.leases import HolderKillSimulation
 from lanelift.faults.random_schedule import random_schedule
 from lanelift.faults.schedule import Schedule, ScheduleError, Step, from_json, to_json
 from lanelift.faults.shrinking import shrink
@@ -181,7 +181,7 @@
     """
     delays_ns = []
     for seed in range(40):
-        simulation = Waiting(replace(calm(voters=5), seed=seed), TIMING)
+        simulation = HolderKillSimulation(replace(calm(voters=5), seed=seed), TIMING)
         simulation.play()
         following = [at for at, *_ in simulation.findings.holdings if at > simulation.killed_ns]
         if simulation.killed_ns and following:
