--- a/tests/operate/test_admin.py
+++ b/tests/operate/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' calls: silent callers, metrics, and the drain of a balancer."""
+"""Operators' calls: answers, silent callers, metrics, and the drain of a balancer."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
             upstream = lb.upstreams[0]
             assert (await lb.request("r1")).status == 200
             upstream.script = [answer(500)]
-            assert (await lb.request("r2")).status == 503  # one attempt is all that is allowed
+            assert (await lb.request("r2")).status == 503  # only one attempt is allowed
             upstream.script = [answer(500)]
             assert (await lb.request("r3", "pay", "POST", b"x")).status == 502
             assert (await lb.request("r4", "unheard-of")).status == 404
@@ -164,8 +164,8 @@
             front = await lb.client()
             assert (await front.request("f", path="/ready")).status == 200
             assert (await call(address, "evacuate", "POST")).status == 200
-            said = await front.request("f", path="/ready")
-            assert (said.status, said.headers["connection"]) == (503, "close")
+            ready = await front.request("f", path="/ready")
+            assert (ready.status, ready.headers["connection"]) == (503, "close")
             assert (await call(address, "ready")).status == 200  # it can still serve
             late = await lb.client()
             got = await late.request("r2")  # routed here before the front tier noticed
@@ -196,7 +196,7 @@
             assert (await idle.request("r1")).status == 200
             await call(address, "evacuate", "POST")
             await call(address, "rejoin", "POST")
-            await asyncio.sleep(0.1)  # past the time at which it would have been closed
+            await asyncio.sleep(0.1)  # past the time at which `idle` would have been closed
             assert (await idle.request("r2")).status == 200
 
     assert ACCEPT_WHILE_DRAINING_S > 0.3  # the front tier checks every 0.1 s, and routes for 0.2 s more
@@ -218,14 +218,16 @@
             loop = asyncio.get_running_loop()
             later = loop.call_later
 
-            def crossing(delay: float, callback: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
+            def send_before_close(
+                delay: float, callback: Callable[..., None], *args: Any
+            ) -> asyncio.TimerHandle:
                 # Idle connections are closed when the bytes are in the kernel's buffer and not read yet.
                 if getattr(callback, "__name__", "") == "close_idle":
                     idle.send("r2")
                     callback()
                 return later(delay, callback, *args)
 
-            monkeypatch.setattr(loop, "call_later", crossing)
+            monkeypatch.setattr(loop, "call_later", send_before_close)
             await call(address, "evacuate", "POST")
             got = await idle.answer()
             assert (got.status, got.headers["connection"]) == (200, "close")
--- a/tests/operate/test_hot_restart.py
+++ b/tests/operate/test_hot_restart.py
@@ -15,7 +15,7 @@
 
 
 class ProcessCounter(Observable):
-    """Records the number of processes that one process is notified of."""
+    """Records the numbers of running processes that `HotRestart` reports to one process."""
 
     def __init__(self, folder: Path, number: int) -> None:
         super().__init__()
@@ -39,12 +39,12 @@
         await new.hot_restart.start()
         await old.until(lambda: old.counts == [2])
         assert new.counts == [2]
-        new.hot_restart.close()  # it failed, and the old process has the whole limit again
+        new.hot_restart.close()  # the new process failed; the old one has the whole limit again
         await old.until(lambda: old.counts == [2, 1])
         again = ProcessCounter(tmp_path, 3)
         await again.hot_restart.start()
         await old.until(lambda: old.counts == [2, 1, 2])
-        old.hot_restart.close()  # it has left
+        old.hot_restart.close()  # the old process has ended
         await again.until(lambda: again.counts == [2, 1])
         again.hot_restart.close()
         assert list(tmp_path.iterdir()) == []
@@ -58,8 +58,8 @@
     """
 
     async def test() -> None:
-        with socket.socket(socket.AF_UNIX) as left:
-            left.bind(str(tmp_path / "lanelift-9.sock"))
+        with socket.socket(socket.AF_UNIX) as abandoned:
+            abandoned.bind(str(tmp_path / "lanelift-9.sock"))
         (tmp_path / "lanelift-8.sock").write_text("no socket at all")
         counter = ProcessCounter(tmp_path, 1)
         await counter.hot_restart.start()
@@ -74,7 +74,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The other process hangs, and its backlog is full. The start continues after a time-out, and the other
-    socket is kept, as its process may run.
+    process's socket is not removed, as that process may still run.
     """
     monkeypatch.setattr(hot_restart, "CONNECT_TIMEOUT_S", 0.05)
 
@@ -89,7 +89,7 @@
             counter = ProcessCounter(tmp_path, 1)
             await counter.hot_restart.start()
             assert counter.hot_restart.server is not None
-            assert (tmp_path / "lanelift-9.sock").exists()  # its process may run
+            assert (tmp_path / "lanelift-9.sock").exists()  # its process may still run
             counter.hot_restart.close()
             for sock in waiting:
                 sock.close()
--- a/tests/operate/test_lifecycle.py
+++ b/tests/operate/test_lifecycle.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("stage", "call", "after", "said"),
+    ("stage", "call", "after", "result"),
     [
         (Stage.SERVING, "drain", Stage.DRAINING, True),
         (Stage.SERVING, "rejoin", Stage.SERVING, True),
@@ -25,11 +25,11 @@
         (Stage.SHUTTING_DOWN, "shut_down", Stage.SHUTTING_DOWN, False),
     ],
 )
-def test_every_call_in_every_stage(stage: Stage, call: str, after: Stage, said: bool) -> None:
-    life = Lifecycle()
-    life.stage = stage
-    assert getattr(life, call)() is said
-    assert life.stage is after
+def test_every_call_in_every_stage(stage: Stage, call: str, after: Stage, result: bool) -> None:
+    lifecycle = Lifecycle()
+    lifecycle.stage = stage
+    assert getattr(lifecycle, call)() is result
+    assert lifecycle.stage is after
 
 
 @given(st.lists(st.sampled_from(CALLS)), st.booleans(), st.booleans())
@@ -39,26 +39,26 @@
     """Operators' calls and SIGTERM come in any order. A shutdown is never undone, and `/ready` never succeeds
     if the balancer can't serve.
     """
-    life = Lifecycle(shared)
+    lifecycle = Lifecycle(shared)
     for number, call in enumerate(calls):
-        getattr(life, call)()
-        assert (life.stage is Stage.SHUTTING_DOWN) == ("shut_down" in calls[: number + 1])
-        assert serves or not life.reports_ready(serves)
+        getattr(lifecycle, call)()
+        assert (lifecycle.stage is Stage.SHUTTING_DOWN) == ("shut_down" in calls[: number + 1])
+        assert serves or not lifecycle.reports_ready(serves)
         # A connection is kept after an answer exactly while the front tier may use it further.
-        assert life.closes_connections == (life.stage is not Stage.SERVING)
+        assert lifecycle.closes_connections == (lifecycle.stage is not Stage.SERVING)
         if not shared:
-            assert life.reports_ready(True) != life.closes_connections
+            assert lifecycle.reports_ready(True) != lifecycle.closes_connections
 
 
 def test_on_a_shared_address_ready_succeeds_during_shutdown() -> None:
-    """Two processes share the clients' address. `/ready` still succeeds in one that shuts down, as its
-    successor serves there; one that can't serve accepts no connections.
+    """Two processes share the clients' address. `/ready` still succeeds in the one that shuts down, as
+    its successor serves there. A process that can't serve accepts no connections.
     """
     for shared in (False, True):
-        life = Lifecycle(shared)
-        assert life.accepts_connections(True) and life.accepts_connections(False) is not shared
-        life.shut_down()
-        assert life.reports_ready(True) is shared
-    life = Lifecycle(True)
-    life.drain()
-    assert not life.reports_ready(True)
+        lifecycle = Lifecycle(shared)
+        assert lifecycle.accepts_connections(True) and lifecycle.accepts_connections(False) is not shared
+        lifecycle.shut_down()
+        assert lifecycle.reports_ready(True) is shared
+    lifecycle = Lifecycle(True)
+    lifecycle.drain()
+    assert not lifecycle.reports_ready(True)
--- a/tests/program/test_end.py
+++ b/tests/program/test_end.py
@@ -11,7 +11,7 @@
 from tests.program.test_program import config, connect, listen_address, program
 
 DEADLINE_S = 0.6
-ACCEPT_WHILE_DRAINING_S = 0.4  # how long clients still connect; old connections are used up to SIGKILL
+ACCEPT_WHILE_DRAINING_S = 0.4  # how long clients connect after SIGTERM; they use connections up to SIGKILL
 KILL_S = DEADLINE_S + 0.7
 SETTINGS = {
     "profiles": [
@@ -23,7 +23,7 @@
 
 
 class ClientLoad:
-    """Clients that send one request after another, and counts of the outcomes."""
+    """Runs clients that send one request after another, and counts the outcomes."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
@@ -42,7 +42,7 @@
             try:
                 client = await Client.to(self.address)
             except OSError:
-                self.outcomes["turned back"] += self.may_connect
+                self.outcomes["connection refused"] += self.may_connect
                 return
             used = 0
             while await self.request(client, kind, used):
@@ -66,8 +66,8 @@
             got = await client.answer()
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             begun = isinstance(error, asyncio.IncompleteReadError) and error.partial
-            # A balancer may close a connection between requests, just when this one is sent on it.
-            self.outcomes["cut" if begun else "crossed" if used else "closed new"] += 1
+            # A balancer may close a used connection just when the next request is sent on it ("crossed").
+            self.outcomes["truncated" if begun else "crossed" if used else "closed unused"] += 1
             return False
         self.outcomes[str(got.status)] += 1
         return got.headers.get("connection") != "close"
@@ -81,10 +81,10 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        boxes = [FakeUpstream(f"s-{i}") for i in range(4)]
-        for box in boxes:
-            await box.start()
-        discovery = FakeDiscovery(box.row() for box in boxes)
+        upstreams = [FakeUpstream(f"s-{i}") for i in range(4)]
+        for upstream in upstreams:
+            await upstream.start()
+        discovery = FakeDiscovery(upstream.row() for upstream in upstreams)
         await discovery.start()
         raw = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.snapshot(), settings=SETTINGS)
         async with program(tmp_path / "config.json", raw) as process:
@@ -103,8 +103,8 @@
             async def hang(message: Message) -> bytes | None:
                 return await never()
 
-            for box in boxes[:2]:
-                box.reply = hang
+            for upstream in upstreams[:2]:
+                upstream.reply = hang
             load.term_s = loop.time()
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), KILL_S) == 0
@@ -112,9 +112,9 @@
             await asyncio.gather(*clients)
             assert set(+load.outcomes) <= {"200", "502", "503", "504", "crossed"}, load.outcomes
             assert sum(load.outcomes.values()) == load.sent
-            seen = Counter(m.headers["x-request-id"] for box in boxes for m in box.seen)
+            seen = Counter(m.headers["x-request-id"] for upstream in upstreams for m in upstream.seen)
             assert max(count for name, count in seen.items() if name.startswith("pay")) == 1
-        for server in (*boxes, discovery):
+        for server in (*upstreams, discovery):
             server.stop()
 
     run(test())
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -49,8 +49,10 @@
         json.dumps(config(known={"version": 1})),
     ],
 )
-def test_an_invalid_configuration_is_one_line_and_exit_code_2(tmp_path: Path, text: str | None) -> None:
-    """The configuration can't be read or is invalid. The process says so in one line, with exit code 2."""
+def test_an_invalid_configuration_ends_the_process_with_one_line_and_exit_code_2(
+    tmp_path: Path, text: str | None
+) -> None:
+    """The configuration can't be read or is invalid. The process reports it in one line, with exit code 2."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -66,8 +68,8 @@
     assert done.stderr.startswith("lanelift: ") and done.stderr.count("\n") == 1
 
 
-def test_a_missing_configuration_is_one_line_and_exit_code_2() -> None:
-    """BALANCER_CONFIG is not set. The process says so in one line and exits with code 2."""
+def test_a_missing_configuration_ends_the_process_with_one_line_and_exit_code_2() -> None:
+    """BALANCER_CONFIG is not set. The process reports that in one line and exits with code 2."""
     environ = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
     done = subprocess.run(
         [sys.executable, "-m", "lanelift"],
@@ -127,7 +129,7 @@
         raw_config = config(discovery=f"127.0.0.1:{discovery.port}", known=discovery.snapshot())
         async with program(tmp_path / "config.json", raw_config) as process:
             address = listen_address(raw_config)
-            # It has called discovery, so it listens or is about to.
+            # The process has called discovery, so it listens or is about to listen.
             await discovery.until(lambda: any("from=" in m.start[1] for m in discovery.seen))
             open_one, kept = await connect(address), await connect(address)
             assert (await kept.request("r", path="/ready")).status == 200
@@ -150,7 +152,7 @@
 
 @pytest.mark.parametrize("old", ["holds a watch", "holds its first call", "refuses"])
 def test_sighup_changes_the_discovery_address(tmp_path: Path, old: str) -> None:
-    """Discovery moves, and the old server hangs or refuses connections. After SIGHUP the new one is used
+    """Discovery moves, and the old server hangs or refuses connections. After SIGHUP the new server is used
     immediately, though its versions are lower. An invalid file changes nothing and is logged.
     """
 
@@ -189,7 +191,7 @@
             assert (await (await connect(address)).request("r3")).body == b"s-1"
             process.send_signal(signal.SIGTERM)
             late = await connect(address)
-            process.send_signal(signal.SIGHUP)  # it neither ends nor restarts the drain
+            process.send_signal(signal.SIGHUP)  # this neither ends nor restarts the drain
             check_closing(await late.request("r4"), b"s-1")
             assert await process.wait() == 0
         for server in (first, second, before, after):
@@ -199,11 +201,11 @@
 
 
 @pytest.mark.parametrize("descriptor", ["seven", "-1", "99", "0", "datagrams"])
-def test_a_descriptor_that_is_no_tcp_socket_is_one_line_and_exit_code_2(
+def test_a_descriptor_that_is_not_a_tcp_socket_ends_the_process_with_one_line_and_exit_code_2(
     tmp_path: Path, descriptor: str
 ) -> None:
-    """BALANCER_FD is not the descriptor of a TCP socket. The process says so in one line and exits with
-    code 2.
+    """BALANCER_FD is not the descriptor of a TCP socket. The process reports that in one line and exits
+    with code 2.
     """
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config()))
@@ -228,9 +230,9 @@
 
 
 def test_a_hot_restart_loses_no_request(tmp_path: Path) -> None:
-    """Two processes share one inherited socket during a hot restart. The second accepts no connection until
-    it can serve; the first gets SIGTERM while clients send request after request, on connections to both and
-    on new ones. Every request is answered.
+    """Two processes share one inherited socket during a hot restart. The new one accepts no connection until
+    it can serve; the old one gets SIGTERM while clients send request after request, on connections to both
+    and on new connections. Every request is answered.
     """
 
     async def test() -> None:
@@ -273,14 +275,14 @@
                 stop = asyncio.Event()
                 clients = [asyncio.create_task(send_requests(stop)) for _ in range(8)]
                 await upstream.until(lambda: len(upstream.seen) > 20)
-                discovery.silent = True  # the new one can't serve yet
+                discovery.silent = True  # the new process can't serve yet
                 async with started(*command, fds=[fd], **write_config(tmp_path / "new.json")) as new:
                     operators = (
                         "127.0.0.1",
                         int(json.loads((tmp_path / "new.json").read_text())["operator"].rpartition(":")[2]),
                     )
                     assert await ready(operators) == 503
-                    for _ in range(20):  # the old process accepts them all: the new one would answer 503
+                    for _ in range(20):  # the old process accepts all of them: the new one would answer 503
                         fresh = await Client.to(address)
                         assert (await fresh.request("front", path="/ready")).status == 200
                         fresh.close()
--- a/tests/program/test_serve.py
+++ b/tests/program/test_serve.py
@@ -86,11 +86,11 @@
             else:
                 operator_file(path, port, new, more='zone = "east"')
             process.send_signal(signal.SIGHUP)
-            said = (await process.stderr.readline()).decode()
+            line = (await process.stderr.readline()).decode()
             if mistake:
-                assert "not reloaded" in said and "not TOML" in said
+                assert "not reloaded" in line and "not TOML" in line
             else:
-                assert "a change of settings needs a restart" in said
+                assert "a change of settings needs a restart" in line
                 assert b"1 upstreams listed" in await process.stderr.readline()
             client = await Client.to(("127.0.0.1", port))
             assert (await client.request("r1")).body == (b"old" if mistake else b"new")
@@ -105,15 +105,15 @@
 
 
 def test_a_change_of_the_kind_of_source_needs_a_restart(tmp_path: Path) -> None:
-    """The file names a discovery server in place of a list of upstreams. That is not applied to a running
-    balancer: it is logged, and the old list stays in use.
+    """The file is changed to name a discovery server in place of a list of upstreams. A running balancer does
+    not apply that: the change is logged, and the old list stays in use.
     """
 
     async def test() -> None:
-        box = FakeUpstream("box")
-        await box.start()
+        upstream = FakeUpstream("box")
+        await upstream.start()
         port = free_port()
-        path = operator_file(tmp_path / "f.toml", port, box)
+        path = operator_file(tmp_path / "f.toml", port, upstream)
         async with started(LANELIFT, "serve", "--config", path) as process:
             assert process.stderr is not None
             client = await connect(("127.0.0.1", port))
@@ -121,6 +121,6 @@
             process.send_signal(signal.SIGHUP)
             assert b"a change of discovery needs a restart" in await process.stderr.readline()
             assert (await client.request("r1")).body == b"box"
-        box.stop()
+        upstream.stop()
 
     run(test())
--- a/tests/program/test_tenants.py
+++ b/tests/program/test_tenants.py
@@ -1,4 +1,4 @@
-"""`lanelift serve` with directories, as a process: standing, limits and outages under load."""
+"""A process of `lanelift serve` that reads tenants from directories: standing, limits and outages."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def operator_file(
-    path: Path, port: int, box: FakeUpstream, *urls: str, more: str = "", top: str = ""
+    path: Path, port: int, upstream: FakeUpstream, *urls: str, more: str = "", top: str = ""
 ) -> Path:
     secret = path.parent / "secret"
     secret.write_text(SECRET)
@@ -42,7 +42,7 @@
 name = "Ash"
 [[upstream]]
 name = "box"
-address = "127.0.0.1:{box.port}"
+address = "127.0.0.1:{upstream.port}"
 [tenants]
 base = "{BASE}"
 every_s = 0.1
@@ -77,13 +77,13 @@
 
     process: asyncio.subprocess.Process
     client: Client
-    box: FakeUpstream
+    upstream: FakeUpstream
     path: Path  # of the operator's file
     port: int
     count: int = 0
 
-    async def said(self, words: str) -> None:
-        await logged(self.process, words)
+    async def until_logged(self, words: str) -> None:
+        await read_log_until(self.process, words)
 
     async def request(self, tenant: str, kind: str = "quote") -> Message:
         self.count += 1
@@ -94,7 +94,7 @@
         return message.status, message.body.decode().strip()
 
     async def until_not_served(self, tenant: str) -> tuple[int, str]:
-        """Sends requests until one is not answered with 200; returns that answer."""
+        """Sends requests until one is not answered with 200; returns that answer's status and body."""
         while (found := await self.status_and_body(tenant))[0] == 200:
             pass
         return found
@@ -104,19 +104,19 @@
 async def shop(
     folder: Path, *directories: Directory, top: str = "", begun: str = "tenants read from a directory"
 ) -> AsyncIterator[ServeProcess]:
-    """Runs a balancer process from when its log has `begun`; without `directories` its file names one
-    that is unreachable.
+    """Runs a balancer process, and yields it once its log contains `begun`. Without `directories` its file
+    names a directory that is unreachable.
     """
-    box = FakeUpstream("box")
-    await box.start()
+    upstream = FakeUpstream("box")
+    await upstream.start()
     for directory in directories:
         await directory.start()
     urls = [address(directory) for directory in directories] or [f"ldap://127.0.0.1:{free_port()}"]
     port = free_port()
-    path = operator_file(folder / "f.toml", port, box, *urls, top=top)
+    path = operator_file(folder / "f.toml", port, upstream, *urls, top=top)
     async with started(LANELIFT, "serve", "--config", path) as process:
-        await logged(process, begun)
-        yield ServeProcess(process, await connect(("127.0.0.1", port)), box, path, port)
+        await read_log_until(process, begun)
+        yield ServeProcess(process, await connect(("127.0.0.1", port)), upstream, path, port)
         children = psutil.Process(process.pid).children()
         process.send_signal(signal.SIGTERM)
         await process.wait()
@@ -124,14 +124,14 @@
         assert not alive  # the reader has ended with its balancer
     for directory in directories:
         directory.stop()
-    box.stop()
+    upstream.stop()
 
 
-async def logged(process: asyncio.subprocess.Process, words: str) -> None:
-    """Reads the process's log until a line has these words."""
+async def read_log_until(process: asyncio.subprocess.Process, words: str) -> None:
+    """Reads the process's log until a line contains `words`."""
     assert process.stderr is not None
     while words.encode() not in (line := await process.stderr.readline()):
-        assert line, f"it ended before it said {words!r}"
+        assert line, f"the process ended before it logged {words!r}"
 
 
 def address(directory: Directory) -> str:
@@ -146,7 +146,7 @@
         with certificates(tmp_path, "127.0.0.1") as (context, _):
             directory = Directory(tree, {READER: SECRET}, context, ldaps=True)
             async with shop(tmp_path, directory, top='unknown = "deny"\nstart = "wait"') as s:
-                assert (await s.status_and_body("ASH"))[0] == 200  # in any case
+                assert (await s.status_and_body("ASH"))[0] == 200  # names are compared without case
                 assert await s.status_and_body("oak") == (403, "class not allowed")
                 assert (await s.status_and_body("oak", "history"))[0] == 200
                 assert await s.status_and_body("nobody") == (403, "unknown tenant")
@@ -172,7 +172,7 @@
                 directory.network_faults = NetworkFaults(silent=trouble == "silent", garbage=b"\x00garbage")
             for _ in range(50):
                 assert (await s.status_and_body("elm"))[0] == 200
-            await s.said(f"directory {address(directory)}")
+            await s.until_logged(f"directory {address(directory)}")
             assert (await s.status_and_body("ash"))[0] == 200
 
     run(test())
@@ -184,21 +184,21 @@
     async def test() -> None:
         async with shop(tmp_path, top='unknown = "deny"', begun="connect") as s:
             for name in ("ash", "nobody"):
-                assert (await s.status_and_body(name))[0] == 200  # never everyone refused by accident
+                assert (await s.status_and_body(name))[0] == 200  # an outage must not deny all tenants
 
     run(test())
 
 
 def test_a_start_that_waits_is_not_ready_until_tenants_are_read_or_the_wait_times_out(tmp_path: Path) -> None:
-    """A balancer is configured to wait for its directory, which is late. `/ready` fails until tenants have
-    been read or the wait has timed out.
+    """A balancer is configured to wait for its directory, which is unreachable. `/ready` fails until tenants
+    have been read or the wait has timed out; requests that arrive meanwhile are served.
     """
 
     async def test() -> None:
         async with shop(tmp_path, top='start = "wait"\nwait_s = 1.0', begun="connect") as s:
             assert (await s.client.request("r", path="/ready")).status == 503
-            assert (await s.status_and_body("ash"))[0] == 200  # whoever comes all the same
-            await s.said("no directory was read within 1 s")
+            assert (await s.status_and_body("ash"))[0] == 200  # requests are served nevertheless
+            await s.until_logged("no directory was read within 1 s")
             assert (await s.client.request("r", path="/ready")).status == 200
 
     run(test())
@@ -213,10 +213,10 @@
         async with shop(tmp_path, Directory(tree, {READER: SECRET}), top='unknown = "deny"') as s:
             (reader,) = psutil.Process(s.process.pid).children()
             reader.kill()
-            await s.said("the reader of directories has ended")
+            await s.until_logged("the reader of directories has ended")
             assert (await s.status_and_body("ash"))[0] == 200
             assert await s.status_and_body("elm") == (403, "suspended")
-            await s.said("tenants read from a directory: 2")
+            await s.until_logged("tenants read from a directory: 2")
             assert await s.status_and_body("elm") == (403, "suspended")
 
     run(test())
@@ -229,10 +229,10 @@
         async with shop(tmp_path, old) as s:
             assert (await s.status_and_body("nobody"))[0] == 200
             top = 'unknown = "deny"\nremoval_part = 1.0'
-            operator_file(s.path, s.port, s.box, address(new), top=top)
+            operator_file(s.path, s.port, s.upstream, address(new), top=top)
             s.process.send_signal(signal.SIGHUP)
             assert await s.until_not_served("elm") == (403, "unknown tenant")
-            await s.said("1 tenants removed: elm")
+            await s.until_logged("1 tenants removed: elm")
             assert (await s.status_and_body("oak"))[0] == 200
         new.stop()
 
@@ -240,8 +240,8 @@
 
 
 def test_a_request_sent_before_a_suspension_gets_its_own_answer(tmp_path: Path) -> None:
-    """A tenant is suspended while a request of it is at an upstream. That request gets its own answer; the
-    next one is rejected.
+    """A tenant is suspended while one of its requests is at an upstream. That request gets its own answer;
+    the next one is rejected.
     """
 
     async def test() -> None:
@@ -253,10 +253,10 @@
 
         tree = town("ash")
         async with shop(tmp_path, Directory(tree, {READER: SECRET})) as s:
-            s.box.script = [slow]
+            s.upstream.script = [slow]
             first = await connect(("127.0.0.1", s.port))
             first.send("first")
-            await s.box.until(lambda: s.box.seen)
+            await s.upstream.until(lambda: s.upstream.seen)
             tree.change(dn("ash"), at(50), agentStanding="suspended")
             await s.until_not_served("ash")
             go_on.set()
@@ -279,14 +279,14 @@
 
 def test_the_show_and_check_commands(tmp_path: Path) -> None:
     async def test() -> None:
-        box = FakeUpstream("box")
-        await box.start()
+        upstream = FakeUpstream("box")
+        await upstream.start()
         tree = town("ash", "elm")
         agent(tree, "oak", agentQuota="2.5", agentStanding="suspended")
         directory = Directory(tree, {READER: SECRET})
         await directory.start()
         url = f"ldap://127.0.0.1:{directory.port}"
-        path = operator_file(tmp_path / "f.toml", free_port(), box, url)
+        path = operator_file(tmp_path / "f.toml", free_port(), upstream, url)
         code, text = await command("show", "--config", path)
         assert code == 0 and "3 tenants, 1 of them not served" in text and "at most 2.5/s" in text
         code, text = await command("show", "--config", path, "--json")
@@ -304,7 +304,7 @@
         assert code == 1 and "connect" in text
         code, text = await command("check", "--config", path, "--against", path)
         assert code == 2 and "tenants show --json" in text
-        box.stop()
+        upstream.stop()
 
     run(test())
 
