--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of several test modules: recorded events and settled connections; and pytest's options."""
+"""Fixtures that several test modules share (recorded events, settled connections), and pytest's options."""
 
 from __future__ import annotations
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -50,7 +50,7 @@
     start: list[str]  # the parts of the first line
     headers: dict[str, str]
     body: bytes
-    link: int = 0  # the number of the connection it came on, from 1
+    link: int = 0  # the number of the connection on which it came, from 1
 
     @property
     def status(self) -> int:
@@ -70,7 +70,7 @@
 
 
 class ScriptedServer(Observable, http.Server):
-    """A server that writes what `reply` returns for each request; None resets the connection."""
+    """A server that writes what `reply` returns for each request, or resets the connection for None."""
 
     def __init__(self, reply: Callable[[Message], Awaitable[bytes | None]]) -> None:
         Observable.__init__(self)
@@ -136,8 +136,9 @@
 
 
 class FakeUpstream(ScriptedServer):
-    """Answers 200 with its name, or with the entries of `script`, one for each request: bytes to write,
-    `never` to give no answer, or None to reset the connection."""
+    """Answers 200 with its name, or with the entries of `script`, one for each request: bytes to write, a
+    coroutine function that returns them (`never` never returns), or None to reset the connection.
+    """
 
     def __init__(self, name: str) -> None:
         super().__init__(self._next)
@@ -170,7 +171,7 @@
     """Serves a list and its changes; with `down` it resets every call, with `silent` it never answers."""
 
     def __init__(self, rows: Iterable[Json]) -> None:
-        super().__init__(self._tell)
+        super().__init__(self._respond)
         self.rows = list(rows)
         self.version = 1
         self.changes: list[Json] = []
@@ -187,7 +188,7 @@
     def snapshot(self) -> Json:
         return {"version": self.version, "full": True, "servers": self.rows}
 
-    async def _tell(self, message: Message) -> bytes | None:
+    async def _respond(self, message: Message) -> bytes | None:
         if self.down:
             return None
         if self.silent:
@@ -258,21 +259,21 @@
 
 @contextmanager
 def unresponsive_listener() -> Iterator[tuple[str, int]]:
-    """Gives the address of a listener whose backlog is full: it does not answer a new handshake."""
-    full, *waiting = (socket.socket() for _ in range(5))
-    full.bind(("127.0.0.1", 0))
-    full.listen(0)
-    for sock in waiting:
+    """Yields the address of a listener whose backlog is full, so that it does not answer new handshakes."""
+    listener, *clients = (socket.socket() for _ in range(5))
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(0)
+    for sock in clients:
         sock.setblocking(False)
-        sock.connect_ex(full.getsockname())
-    yield full.getsockname()
-    for sock in (full, *waiting):
+        sock.connect_ex(listener.getsockname())
+    yield listener.getsockname()
+    for sock in (listener, *clients):
         sock.close()
 
 
 def free_port() -> int:
     """Returns a loopback port on which no socket listens."""
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        port: int = taken.getsockname()[1]
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        port: int = sock.getsockname()[1]
         return port
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -1,7 +1,7 @@
 """A complete balancer in the test's process, with scripted upstreams and discovery.
 
 `in_process_balancer` starts and ends one. The fixture `recorded` records the events that the `Balancer` gets;
-with `script_balancer` a test makes the decisions in its place.
+with `script_balancer` a test makes the decisions in place of the `Balancer`.
 """
 
 from __future__ import annotations
@@ -61,9 +61,9 @@
 
         class Recording(base):  # type: ignore[misc, valid-type]
             def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-                taken = list(events)
-                actions: list[Action] = super().handle(now, taken)
-                recorded.events += taken
+                handled = list(events)
+                actions: list[Action] = super().handle(now, handled)
+                recorded.events += handled
                 recorded.notify()
                 return actions
 
@@ -82,7 +82,10 @@
 def script_balancer(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, acts: Callable[[Event, int], list[Action]]
 ) -> None:
-    """Lets `acts` choose the actions; it gets the event and the number of the first listed upstream."""
+    """Installs a balancer for which `acts` chooses the actions.
+
+    `acts` is called with each event and the number of the first listed upstream.
+    """
     known: list[int] = []
 
     def decide(event: Event) -> list[Action]:
@@ -106,7 +109,7 @@
         return await Client.to(self.address)
 
     async def client_with_open_request(self, name: str, **more: Any) -> Client:
-        """Returns a client whose request is at the first upstream, which does not answer it."""
+        """Returns a client whose request was received by the first upstream, which does not answer it."""
         upstream = self.upstreams[0]
         upstream.script, before = [never], len(upstream.seen)
         client = await self.client()
@@ -149,10 +152,12 @@
     listener = listening_socket(("127.0.0.1", 0))
     listener.listen()  # clients can connect before the balancer has started
     lb.address = listener.getsockname()
-    plain = Config(
+    default_config = Config(
         lb.address, discovery.socket_address, 7, sockets, settings, discovery.snapshot(), None, [], None
     )
-    task = asyncio.create_task(serve(replace(plain, **config), listener, lambda: plain, operators))
+    task = asyncio.create_task(
+        serve(replace(default_config, **config), listener, lambda: default_config, operators)
+    )
     try:
         yield lb
     finally:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Handling of tests that fail for a known fault: KNOWN-RED.txt lists them, and they are skipped and retried.
+"""Handling of tests that fail for a known fault, which KNOWN-RED.txt lists: they are deselected and retried.
 
 As a pytest plugin (see `tests/conftest.py`) this module deselects the listed tests and prints them at the end
 of the run. As a program (`python -m tests.known_red FILE`, run by `./test`) it runs the command of each
@@ -98,8 +98,10 @@
     def pytest_collection_modifyitems(
         self, config: pytest.Config, items: list[pytest.Item]
     ) -> Generator[None]:
-        """Runs as the outermost hook: before `yield` all collected tests are in `items`, and after it only
-        those that options such as `-k` have left.
+        """Deselects the listed tests.
+
+        This wrapper is the outermost hook: before `yield` all collected tests are in `items`, and after it
+        only those that options such as `-k` have left.
         """
         collected = {item.nodeid for item in items}
         missing = [e.test for e in self.entries if e.test not in collected and is_covered(config, e.test)]
@@ -117,7 +119,7 @@
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
         if self.deselected:
-            terminalreporter.section(f"known to fail, and passed over ({FILE_NAME})")
+            terminalreporter.section(f"known to fail, and not run ({FILE_NAME})")
             for entry in self.deselected:
                 terminalreporter.write_line(str(entry))
 
@@ -128,7 +130,7 @@
 
 
 def is_covered(config: pytest.Config, test: str) -> bool:
-    """Returns whether this run would collect the test if it existed; only then can it be called missing."""
+    """Returns whether this run would collect the test if it existed; else it is not called missing."""
     option = config.option
     if option.ignore or option.ignore_glob or option.pyargs:
         return False
@@ -173,16 +175,16 @@
 
 
 def main(path: str) -> int:
-    """Retries the deselected tests, whose ids the file at `path` has, one a line; returns the exit code."""
+    """Retries the deselected tests, whose ids are the lines of the file at `path`; returns the exit code."""
     names = Path(path).read_text(encoding="utf-8").splitlines()
     if not names:
         return 0
     entries = read_entries(Path(FILE_NAME).read_text(encoding="utf-8"))
     exit_code = 0
     for entry in [entry for entry in entries if entry.test in names]:
-        wrong = retry(entry)
-        print(f"{entry.test}: {wrong or 'still fails'}", file=sys.stderr if wrong else sys.stdout)
-        exit_code = 1 if wrong else exit_code
+        problem = retry(entry)
+        print(f"{entry.test}: {problem or 'still fails'}", file=sys.stderr if problem else sys.stdout)
+        exit_code = 1 if problem else exit_code
     return exit_code
 
 
