--- a/lanelift/daemon.py
+++ b/lanelift/daemon.py
@@ -101,7 +101,7 @@
         self._upstreams.pool.set_max_connections(max_connections)
 
     async def run(self) -> None:
-        """Serves until SIGTERM has come and no connection is open, or the shutdown has timed out."""
+        """Serves until SIGTERM was received and no connection is open, or the shutdown has timed out."""
         shutdown = self._frontend.shutdown
         try:
             await shutdown.started.wait()
@@ -134,7 +134,7 @@
     read: Callable[[], Config],
     admin_socket: socket.socket | None = None,
 ) -> None:
-    """Serves clients until SIGTERM has come and the balancer has shut down.
+    """Serves clients until SIGTERM was received and the balancer has shut down.
 
     Args:
         config: The configuration at the start.
--- a/lanelift/net/client_connection.py
+++ b/lanelift/net/client_connection.py
@@ -44,7 +44,7 @@
         dispatcher: The dispatcher that receives its requests.
         parser: The parser of its requests.
         unparsed: Received bytes that are not parsed yet.
-        received_ns: When the bytes that are being parsed came in (monotonic clock).
+        received_ns: When the bytes that are being parsed were received (monotonic clock).
         wait_ns: How long the client waits after the last byte of its request.
         received_bytes: The number of bytes received so far.
         received_bytes_at_check: That number at the last check of the body's progress.
@@ -74,7 +74,7 @@
     def data_received(self, data: bytes) -> None:
         """Receives bytes from the client.
 
-        The kernel is queried for when the bytes came and whether the client is still connected. Deadlines
+        The kernel is queried for when the bytes arrived and whether the client is still connected. Deadlines
         count from when the client sent the request, and the request may have waited in the backlog or for a
         late event loop. Work for a client that has disconnected would delay other clients until they
         disconnect, too. The bytes that a client may send while its request is open are limited, as they are
--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -206,7 +206,7 @@
 
         Failure guarded against: the head of a response that was written before the drain began does not say
         that the response is the last. If its connection stayed open, requests could arrive on it until the
-        process ends. So the connection is closed, unless more input has come after the request.
+        process ends. So the connection is closed, unless more input was received after the request.
         """
         idle_closed = self.frontend.shutdown.idle_closed
         if self.is_last_response or (
@@ -221,7 +221,7 @@
     def _close_after_response(self) -> None:
         """Ends the connection once its last response has been read (RFC 9112, 9.6).
 
-        Failure guarded against: closing a socket with unread bytes, or just as bytes come in, resets the
+        Failure guarded against: closing a socket with unread bytes, or just as bytes arrive, resets the
         connection, and the response is lost. So only the sending side is closed, and input is ignored.
         """
         self.ignores_input = True
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -152,7 +152,7 @@
         would be read as the answer to the next request. They arrive within milliseconds, so a connection is
         used only after `SETTLE_S`. If none has settled, the oldest may serve a load probe, as a wrong result
         of a probe reaches no client, or an idempotent request. For that request `distrust_until_s` marks the
-        bytes that come too early to be its response.
+        bytes that arrive too early to be its response.
         """
         idle = target.idle
         settled_s = asyncio.get_running_loop().time() - SETTLE_S
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -73,7 +73,7 @@
         dispatcher: The dispatcher that receives the updates.
         address: The server's address.
         push: Whether an agent pushes changes; otherwise the server is polled.
-        version: The newest version received; -1 if none came from this address.
+        version: The newest version received; -1 if none was received from this address.
         connection: The connection for calls, which are made one at a time.
         watch_task: The task of the watch.
         fetch_task: The task of a snapshot fetch.
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -1,7 +1,7 @@
 """The dispatcher, the only caller of `Balancer.handle`.
 
-Events are handed over in the order in which they came, with times of the monotonic clock; all events of one
-loop iteration are handed over together. Actions are executed in order.
+Events are handed over in the order in which they occurred, with times of the monotonic clock; all events of
+one loop iteration are handed over together. Actions are executed in order.
 """
 
 from __future__ import annotations
@@ -157,7 +157,7 @@
     # ---- events ------------------------------------------------------------------------------------------
 
     def post(self, event: Event) -> None:
-        """Hands an event over in the next loop iteration, together with all others that come until then."""
+        """Hands an event over in the next loop iteration, together with all others until then."""
         if not self.pending_events:
             self.loop.call_soon(self._hand_over)
         self.pending_events.append(event)
--- a/lanelift/net/exchange.py
+++ b/lanelift/net/exchange.py
@@ -67,7 +67,7 @@
         paused: Whether the sink accepts no more of the streamed response for now.
         last_progress_s: When part of the response was last forwarded, on the loop's clock.
         progress_due_s: When the response must be complete or must have made progress, on the loop's clock.
-        distrust_until_s: Bytes that came before this time (loop's clock) are not accepted as the response:
+        distrust_until_s: Bytes received before this time (loop's clock) are not accepted as the response:
             they may belong to the previous response on the connection.
         streamed_bytes: The number of bytes forwarded so far.
         streamed_bytes_at_check: That number at the last check of progress.
--- a/lanelift/net/http_messages.py
+++ b/lanelift/net/http_messages.py
@@ -34,7 +34,7 @@
         body: The body; empty if it is streamed.
         keep_alive: Whether the connection can carry another request.
         accepts_chunks: Whether the sender accepts responses with chunked coding (HTTP/1.1).
-        streamed: Whether the body was passed on in pieces as it came in, and is not in `body`.
+        streamed: Whether the body was passed on in pieces as it was received, and is not in `body`.
     """
 
     method: bytes
@@ -55,7 +55,7 @@
         headers: Names in lower case, with their values.
         body: The body; empty if it is streamed.
         keep_alive: Whether the connection can carry another request.
-        streamed: Whether the body was passed on in pieces as it came in, and is not in `body`.
+        streamed: Whether the body was passed on in pieces as it was received, and is not in `body`.
     """
 
     status: int
--- a/lanelift/net/message_parser.py
+++ b/lanelift/net/message_parser.py
@@ -34,8 +34,8 @@
         target: The request target so far.
         headers: The headers so far.
         body: The body so far, if it is buffered.
-        size_bytes: The number of bytes read for the message, without those that came in the same read as the
-            end of the previous message.
+        size_bytes: The number of bytes read for the message, without those in the same read as the end of the
+            previous message.
         head_complete: Whether all headers were received; a later header is a trailer.
     """
 
@@ -52,8 +52,8 @@
     An invalid message is the last one: it sets `error`, and no further input is parsed.
 
     A body that is too long to be buffered can be streamed. `streamed_head` is then the message without its
-    body, `take_body` returns the body as it comes in, and the complete message in `messages` has no body. No
-    other message is streamed until `finish_streamed` is called.
+    body, `take_body` returns the body as it is received, and the complete message in `messages` has no body.
+    No other message is streamed until `finish_streamed` is called.
 
     Attributes:
         messages: Complete messages, the oldest first.
@@ -126,7 +126,7 @@
                 self._fail(413, "the body is too large")
 
     def take_body(self) -> bytes:
-        """Returns the part of the streamed body that has come since the last call."""
+        """Returns the part of the streamed body that was received since the last call."""
         parts, self._body_parts = self._body_parts, []
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
@@ -194,7 +194,7 @@
                 self._fail(413, "the body is too large")
 
     def _needs_streaming(self) -> bool:
-        """Returns whether the body must be streamed, by its stated length or by the part that has come."""
+        """Returns whether the body must be streamed, by its stated length or by the part received."""
         assert self.partial is not None
         if self.error is not None or not self.may_stream:
             return False
--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -37,7 +37,7 @@
 # reconnect immediately.
 ACCEPT_WHILE_DRAINING_S = 0.5
 LONGEST_DEADLINE_S = 3.0  # longer deadlines count as this long when the end of the process is set
-# The process ends this long after the longest deadline; SIGKILL comes 0.7 s after it.
+# The process ends this long after the longest deadline; SIGKILL follows 0.7 s after it.
 EXIT_AFTER_DEADLINE_S = 0.6
 FINAL_ANSWER_MARGIN_S = 0.03  # deadlines of requests after SIGTERM are at least this long before the end
 CLOSE_IDLE_DELAY_S = 0.02  # between the listener's stop and the closing of idle connections
@@ -47,7 +47,7 @@
     """Performs the drain, rejoin and shutdown of one balancer.
 
     Attributes:
-        started: Set when SIGTERM has come.
+        started: Set at SIGTERM.
         finished: Set when the listener is closed and no connection is open.
         ends_s: When the process ends at the latest, on the loop's clock.
         idle_closed: Whether idle connections have been closed. From then on, each connection that becomes
@@ -65,7 +65,7 @@
 
     @property
     def shutting_down(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether SIGTERM was received."""
         return self._frontend.lifecycle.stage is Stage.SHUTTING_DOWN
 
     def drain(self) -> None:
--- a/lanelift/net/socket_options.py
+++ b/lanelift/net/socket_options.py
@@ -12,7 +12,7 @@
 import termios
 from typing import Protocol
 
-# Fields of Linux's `struct tcp_info`: the connection's state, and the milliseconds since data last came.
+# Fields of Linux's `struct tcp_info`: the connection's state, and the milliseconds since data last arrived.
 TCP_INFO = struct.Struct("B51xI")
 TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8  # linux/tcp_states.h: the peer has reset, or has ended its sending
 ENDED_STATES = (TCP_CLOSE, TCP_CLOSE_WAIT)
@@ -28,7 +28,7 @@
 
 
 def peer_state(sock: Socket) -> tuple[bool, int]:
-    """Returns whether the peer has ended the connection, and how many ns ago data last came in.
+    """Returns whether the peer has ended the connection, and how many ns ago data last arrived.
 
     An event loop that is late learns of both only after a delay, so that an old request looks new to it, and
     a client that has disconnected looks connected. The kernel's resolution is about 4 ms.
--- a/lanelift/net/upload.py
+++ b/lanelift/net/upload.py
@@ -15,8 +15,8 @@
     """A streamed request body.
 
     Until a connection is attached, the received part is buffered here and reading from the client is paused;
-    the request can still go to another upstream. After that each piece is written as it comes, and reading is
-    paused whenever the upstream accepts no more.
+    the request can still go to another upstream. After that each piece is written as it arrives, and reading
+    is paused whenever the upstream accepts no more.
 
     Attributes:
         set_reading: Called with True to resume reading from the client, and with False to pause it.
@@ -25,7 +25,7 @@
         length_bytes: The stated length; None if the body is sent in chunks.
         buffered: The part received before a connection is attached: at most the longest body that is
             buffered, and one read.
-        complete: Whether the last byte has come.
+        complete: Whether the last byte was received.
         consumed: Whether a connection was attached, after which the request can't be sent again.
         connection: The attached connection.
     """
--- a/lanelift/net/upstream_connection.py
+++ b/lanelift/net/upstream_connection.py
@@ -129,7 +129,7 @@
         """Receives bytes from the server.
 
         Failure guarded against: a response that a server sent twice, or noise after a response, would be read
-        as the response to the next request. So bytes that come without an exchange in progress end the
+        as the response to the next request. So bytes that arrive without an exchange in progress end the
         connection. If an exchange was started soon after another, bytes that the kernel received before
         `distrust_until_s` are not its response, as no server answers that fast: they end the connection, and
         with it the exchange.
