--- a/lanelift/rehearsal/balancer_supervisor.py
+++ b/lanelift/rehearsal/balancer_supervisor.py
@@ -1,7 +1,7 @@
-"""Supervises the balancers: starts each as in service, signals them as planned, and samples their usage.
+"""Supervises the balancers: starts each as in production, signals them as planned, and samples their usage.
 
-Balancers never outlive this process: on Linux the kernel kills them when it exits, for whatever reason
-(`PR_SET_PDEATHSIG`, which the child sets for itself and which needs no privilege).
+Balancers never outlive this process: on Linux the kernel kills them when the process exits for any reason
+(`PR_SET_PDEATHSIG`, which each child sets for itself and which needs no privilege).
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from lanelift.rehearsal.worker import Json, read_plan, rows_path, send_message
 from lanelift.standins.seeded_random import keyed_digest
 
-READY_S = 30.0  # the load starts when all balancers are ready, or after this (DEPLOY, 'Limits')
+READY_TIMEOUT_S = 30.0  # a balancer that is not ready by then counts as failed (DEPLOY, 'Limits')
 READY_POLL_S = 0.02  # interval of polling /ready, since a balancer does not announce its readiness
-SAMPLE_S = 0.5
-# SIGKILL follows SIGTERM after the longest deadline and this time (PROTOCOL, 'Figures').
+SAMPLE_INTERVAL_S = 0.5  # between two samples of the resource usage
+# SIGKILL follows SIGTERM after the longest deadline of a class plus this time (PROTOCOL, 'Figures').
 TERMINATION_GRACE_S = 0.7
-SERVE = "from lanelift.cli.main import main; main()"  # runs `lanelift` with the interpreter of the kit
+SERVE_CODE = "from lanelift.cli.main import main; main()"  # runs `lanelift` with the interpreter of the kit
 PR_SET_PDEATHSIG = 1
 LIBC = ctypes.CDLL(None)  # loaded before any fork, since nothing may be loaded between fork and exec
 
@@ -47,7 +47,7 @@
 
     process: asyncio.subprocess.Process
     started_ns: int
-    expected_end: str = ""  # how the kit ends it: kill, term, finish
+    expected_end: str = ""  # how the kit is ending it: kill, term or finish; "": the kit has not ended it
     psutil_process: psutil.Process | None = None
 
 
@@ -99,7 +99,7 @@
     async def prepare(self) -> Json:
         for balancer in self.balancers:
             await self._start(balancer)
-        ready = await asyncio.gather(*(self._wait_ready(b, READY_S) for b in self.balancers))
+        ready = await asyncio.gather(*(self._wait_ready(b, READY_TIMEOUT_S) for b in self.balancers))
         return {"ready": ready}
 
     async def start(self, start_ns: int) -> None:
@@ -117,7 +117,7 @@
         async with asyncio.TaskGroup() as self.group:
             while True:
                 self._sample()
-                await asyncio.sleep(SAMPLE_S)
+                await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def command(self, message: Json) -> None:
         """Does nothing: this role has no further commands."""
@@ -155,9 +155,9 @@
             arguments = arguments or [sys.executable, "-m", "lanelift"]
         else:
             path = folder / f"balancer-{balancer.number}.toml"
-            where = balancer.address, balancer.config["discovery"], self.job["directories"]
-            path.write_text(operator_file(self.plan, balancer.number, seed, *where))
-            arguments = arguments or [sys.executable, "-c", SERVE, "serve", "--config", str(path)]
+            addresses = balancer.address, balancer.config["discovery"], self.job["directories"]
+            path.write_text(operator_file(self.plan, balancer.number, seed, *addresses))
+            arguments = arguments or [sys.executable, "-c", SERVE_CODE, "serve", "--config", str(path)]
         balancer.starts += 1
         environment = {
             **os.environ,
@@ -183,6 +183,7 @@
         balancer.watcher = asyncio.create_task(self._watch(balancer, run))
 
     async def _watch(self, balancer: Balancer, run: RunningProcess) -> None:
+        """Records the end of a process, and reports it unless the day is over."""
         exit_code = await run.process.wait()
         self.process_runs.append(
             ProcessRun(
@@ -214,6 +215,7 @@
         return False
 
     def _execute(self, balancer: Balancer, action: str, restart_after_s: float) -> None:
+        """Executes a command of the plan, unless the balancer is down."""
         if balancer.run is None or balancer.run.process.returncode is not None:
             return
         if action == "hup":
@@ -230,10 +232,11 @@
         await self._stop(balancer, end_reason)
         await asyncio.sleep(restart_after_s)
         await self._start(balancer)
-        if await self._wait_ready(balancer, READY_S):
+        if await self._wait_ready(balancer, READY_TIMEOUT_S):
             send_message({"event": "up", "balancer": balancer.number})
 
     async def _stop(self, balancer: Balancer, end_reason: str) -> None:
+        """Ends the process of a balancer: with SIGKILL if `end_reason` is kill, else with SIGTERM."""
         run = balancer.run
         if run is None or run.process.returncode is not None:
             return
--- a/lanelift/rehearsal/client.py
+++ b/lanelift/rehearsal/client.py
@@ -1,8 +1,9 @@
 """The clients of a rehearsal: they send the requests of the plan when they are due and record the results.
 
 The load is open loop: nothing that a balancer does or fails to do changes when the next request is due. A
-connection carries one request at a time and is kept alive. Requests are retried only as the plan says, except
-that a request that crossed the close of a reused connection is sent again, as PROTOCOL specifies.
+connection carries one request at a time and is kept alive. Requests are retried only as the plan says, with
+one exception: if a reused connection is closed while a request is sent on it, the request is sent again on a
+new connection, as PROTOCOL specifies.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from lanelift.standins.seeded_random import unit
 from lanelift.standins.upstream_emulator import check_body
 
-CONNECT_S = 1.0  # a front abandons a connection attempt after this
+CONNECT_TIMEOUT_S = 1.0  # the front abandons a connection attempt after this
 MAX_ANSWER = 1 << 20  # bytes of an answer's body, so that a faulty balancer cannot exhaust the memory
 IDLE_TIMEOUT_S = 30.0  # clients close connections that have been idle for longer
 
@@ -48,23 +49,23 @@
         self.body = bytearray()
         self.retry_after_s = 0.0
         self.started = self.complete = self.closed = False
-        self.unexpected_data = False  # bytes came that answer no request
-        self.keep = True
-        self.last_request_id = ""  # the id of the request sent last
+        self.unexpected_data = False  # bytes arrived that are not part of an expected answer
+        self.keep_alive = True
+        self.last_try_id = ""  # the id of the try sent last
         self.idle_since = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def send(self, name: str, data: bytes) -> asyncio.Future[Answer]:
-        """Sends a request with this id. The returned future never fails."""
+    def send(self, try_id: str, data: bytes) -> asyncio.Future[Answer]:
+        """Sends the request of a try. The returned future always gets an Answer, never an exception."""
         assert self.transport is not None
         self.waiter = asyncio.get_running_loop().create_future()
         self.parser = httptools.HttpResponseParser(self)
         self.status, self.retry_after_s = 0, 0.0
         self.body = bytearray()
         self.started = self.complete = False
-        self.last_request_id = name
+        self.last_try_id = try_id
         self.transport.write(data)
         return self.waiter
 
@@ -105,7 +106,7 @@
         if self.complete or self.parser.get_status_code() < 200:
             return
         self.complete = True
-        self.keep = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
         self.status = self.parser.get_status_code()
         self._resolve(Answer("answer", self.status, bytes(self.body), self.retry_after_s))
 
@@ -130,10 +131,10 @@
 
 
 class Front:
-    """The front that distributes tries over the balancers of a client's room.
+    """Emulates the front, the tier that clients connect through, which chooses a balancer for each try.
 
-    It notices late that a balancer has died. If no balancer of a room is believed to be alive, those of the
-    other rooms serve it."""
+    The front chooses among the balancers of the client's room that it believes to be alive, or among those of
+    all rooms if the client's room has none. It learns only after a delay that a balancer has died."""
 
     def __init__(self, plan: Plan, addresses: Sequence[tuple[str, int]]) -> None:
         self.seed = plan.scenario.seed
@@ -165,14 +166,14 @@
         self.tries: list[Try] = []
         self.start_delays_ns: list[int] = []  # how late each first try was started
         self.counts: Counter[str] = Counter()  # for the progress line
-        self.offered = 0  # a digest of all first tries as they should be sent
+        self.offered = 0  # the combined digests of all first tries, with their due times
         # Connections that could not be opened because the kit had no descriptor or port left.
         self.connect_shortages = 0
         self.group: asyncio.TaskGroup | None = None
 
     async def run(self, start_ns: int) -> None:
-        """Sends all requests and waits until each is finished. An error in one request ends all of them,
-        since a request that the kit itself lost must not be charged to a balancer."""
+        """Sends all requests and waits until each is finished. An exception in one request ends all of them,
+        since a request that the kit itself lost must not be counted against a balancer."""
         async with asyncio.TaskGroup() as self.group:
             for request in self.requests:
                 due = start_ns + request.due_ns
@@ -180,7 +181,7 @@
                     await asyncio.sleep(wait / 1e9)
                 self.group.create_task(self._send_request(request, due))
         for balancer in range(len(self.idle)):
-            while connection := self._take_idle(balancer):  # records unexpected data
+            while connection := self._take_idle(balancer):  # _take_idle records unexpected data
                 connection.abort()
 
     async def _send_request(self, request: ScheduledRequest, due_ns: int) -> None:
@@ -211,7 +212,7 @@
         self.counts["unserved"] += 1
 
     async def _try(self, request: ScheduledRequest, number: int, wait_ns: int, abandon_ns: int) -> Answer:
-        """Makes one try. Its timeout counts from the sending, as `X-Deadline-Ms` tells the balancer."""
+        """Makes one try. Its timeout, given to the balancer in `X-Deadline-Ms`, starts once it is sent."""
         balancer = self.front.choose_balancer(request, number)
         data = self._encode(request, number, wait_ns)
         if number == 0:
@@ -236,10 +237,12 @@
                     connection.abort()
                     self._record(request, number, balancer, began, sent, deadline_ns, answer)
                     return answer
-                # The client continues; an answer within the grace time is recorded in the background.
+                # The client goes on to its next try. A background task records an answer in the grace time.
                 assert self.group is not None
                 self.group.create_task(
-                    self._watch(request, number, balancer, began, sent, deadline_ns, connection)
+                    self._record_after_deadline(
+                        request, number, balancer, began, sent, deadline_ns, connection
+                    )
                 )
                 return Answer("silent")
             answer = waiter.result()
@@ -250,9 +253,9 @@
                 self._release(balancer, connection)
             self._record(request, number, balancer, began, sent, deadline_ns, answer)
             return answer
-        raise AssertionError("a new connection is never a reused one")
+        raise AssertionError("the second round always uses a new connection")
 
-    async def _watch(
+    async def _record_after_deadline(
         self,
         request: ScheduledRequest,
         number: int,
@@ -262,6 +265,7 @@
         deadline_ns: int,
         connection: Connection,
     ) -> None:
+        """Waits for the answer until the grace time after the deadline has passed, then records the try."""
         assert connection.waiter is not None
         await asyncio.wait(
             [connection.waiter], timeout=max(0.0, (deadline_ns + GRACE_NS - time.monotonic_ns()) / 1e9)
@@ -282,13 +286,13 @@
         deadline_ns: int,
         answer: Answer,
     ) -> None:
-        name = request.try_id(number)
-        box = check_body(self.seed, name, answer.body) or "" if answer.status == 200 else ""
+        try_id = request.try_id(number)
+        box = check_body(self.seed, try_id, answer.body) or "" if answer.status == 200 else ""
         self.tries.append(
             Try(
                 request.number,
                 number,
-                name,
+                try_id,
                 balancer,
                 began,
                 sent,
@@ -302,11 +306,11 @@
 
     def _encode(self, request: ScheduledRequest, number: int, left_ns: int) -> bytes:
         cls = self.classes[request.class_name]
-        name = request.try_id(number)
+        try_id = request.try_id(number)
         body = b"q" * cls.body_bytes if cls.effect != "safe" else b""
         rows = [
             ("Host", "rehearsal.local"),
-            ("X-Request-Id", name),
+            ("X-Request-Id", try_id),
             ("X-Class", cls.name),
             ("X-Tenant", request.tenant),
             ("X-Deadline-Ms", left_ns // 1_000_000),
@@ -337,8 +341,8 @@
     def _release(self, balancer: int, connection: Connection) -> None:
         if connection.unexpected_data:
             self._record_unexpected_data(balancer, connection)
-            connection.unexpected_data = False  # recorded
-        if connection.keep and not connection.closed:
+            connection.unexpected_data = False  # so that it is not recorded again
+        if connection.keep_alive and not connection.closed:
             connection.idle_since = asyncio.get_running_loop().time()
             self.idle[balancer].append(connection)
         else:
@@ -346,11 +350,11 @@
 
     def _record_unexpected_data(self, balancer: int, connection: Connection) -> None:
         now = time.monotonic_ns()
-        self.tries.append(Try(-1, 0, connection.last_request_id, balancer, now, now, now, now, "extra"))
+        self.tries.append(Try(-1, 0, connection.last_try_id, balancer, now, now, now, now, "extra"))
 
     async def _connect(self, balancer: int, left_s: float) -> Connection | None:
         try:
-            async with asyncio.timeout(min(left_s, CONNECT_S)):
+            async with asyncio.timeout(min(left_s, CONNECT_TIMEOUT_S)):
                 _, connection = await asyncio.get_running_loop().create_connection(
                     Connection, *self.front.addresses[balancer]
                 )
--- a/lanelift/rehearsal/directory_worker.py
+++ b/lanelift/rehearsal/directory_worker.py
@@ -15,11 +15,11 @@
 
 GARBAGE = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n"
 TRICKLE_S = 1.0  # between two bytes
-CUT_AFTER = 200  # bytes of answers, within the first or second entry
+CUT_AFTER = 200  # bytes of search answers: a cut within the first or second entry
 
 
-def agent_dn(name: str) -> str:
-    """Returns the distinguished name of a tenant."""
+def tenant_dn(name: str) -> str:
+    """Returns the distinguished name of the entry of a tenant."""
     return f"cn={name},{BASE}"
 
 
@@ -29,7 +29,7 @@
 
 
 class DirectoryWorker:
-    """Runs directories that serve one shared tree, so that all of them show a change immediately."""
+    """The role that runs the directories. They share one tree, so that all show a change immediately."""
 
     def __init__(self, job: Json) -> None:
         self.job = job
@@ -54,7 +54,7 @@
                 "agentStanding": "active",
                 "agentShare": f"{share:.6f}",
             }
-            self.tree.put(agent_dn(name), rows, now)
+            self.tree.put(tenant_dn(name), rows, now)
         return {"addresses": [f"127.0.0.1:{await server.start()}" for server in self.servers]}
 
     async def start(self, start_ns: int) -> None:
@@ -69,7 +69,7 @@
             await asyncio.Event().wait()
 
     def _set_standing(self, period: SuspensionPeriod, standing: str) -> None:
-        self.tree.change(agent_dn(period.tenant), timestamp_now(), agentStanding=standing)
+        self.tree.change(tenant_dn(period.tenant), timestamp_now(), agentStanding=standing)
         self.standing_changes.append(StandingChange(time.monotonic_ns(), period.tenant, standing))
 
     def _affected(self, outage: Outage) -> list[Directory]:
--- a/lanelift/rehearsal/generator.py
+++ b/lanelift/rehearsal/generator.py
@@ -11,7 +11,7 @@
 
 
 class LoadGenerator:
-    """The role of a load process: sends every n-th request of the plan."""
+    """The role that sends every n-th request of the plan, where n is the number of load processes."""
 
     def __init__(self, job: Json) -> None:
         self.job = job
--- a/lanelift/rehearsal/html_report.py
+++ b/lanelift/rehearsal/html_report.py
@@ -28,7 +28,8 @@
         "svg.fonttype": "none",
     }
 )
-KINDS = {
+# The label and the colour of each kind of outcome.
+OUTCOME_STYLES = {
     "served": ("in time", "#009E73"),
     "late": ("late", "#E69F00"),
     "refused": ("refused", "#56B4E9"),
@@ -37,7 +38,7 @@
     "lost": ("lost", "#000000"),
     "left": ("client left", "#BBBBBB"),
 }
-FAULT = "#CC79A7"
+FAULT_COLOUR = "#CC79A7"
 WIDTH = 10.5  # inches, of each chart
 STYLE = """
 body { font: 15px/1.45 system-ui, sans-serif; margin: 2rem auto; max-width: 66rem; padding: 0 1rem; color:
@@ -94,11 +95,11 @@
     if v["void"]:
         return "<div class=verdict><div class='card bad'><b>void</b>this run is no measurement</div></div>"
     w, rules = v["worth"], v["rules"]
-    broken = sum(b["count"] for b in rules["breaches"].values())
+    breach_count = sum(b["count"] for b in rules["breaches"].values())
     cards = [
         (
             "good" if rules["kept"] else "bad",
-            "kept" if rules["kept"] else f"{broken} broken",
+            "kept" if rules["kept"] else f"{breach_count} broken",
             "the four rules",
         ),
         ("", f"{w['figure']:.3f}", "worth answered in time"),
@@ -110,7 +111,9 @@
     ]
     return (
         "<div class=verdict>"
-        + "".join(f"<div class='card {kind}'><b>{big}</b>{small}</div>" for kind, big, small in cards)
+        + "".join(
+            f"<div class='card {css_class}'><b>{big}</b>{small}</div>" for css_class, big, small in cards
+        )
         + "</div>"
     )
 
@@ -128,12 +131,16 @@
 
 
 def _mark_faults(axes: Axes, report: Json, alpha: float = 0.13) -> None:
-    """Marks the faults: a band for the duration of each, with its name above."""
-    rows: list[float] = []  # where the last label of each row of labels ends
+    """Draws a band over the duration of each fault, with its label above the axes."""
+    rows: list[float] = []  # by row of labels: the end of its last label, in seconds
     span = report["scenario"]["length_s"]
     for mark in report["marks"]:
         axes.axvspan(
-            mark["from_s"], max(mark["until_s"], mark["from_s"] + span / 400), color=FAULT, alpha=alpha, lw=0
+            mark["from_s"],
+            max(mark["until_s"], mark["from_s"] + span / 400),
+            color=FAULT_COLOUR,
+            alpha=alpha,
+            lw=0,
         )
         row = next((i for i, end in enumerate(rows) if end <= mark["from_s"]), len(rows))
         rows[row : row + 1] = [mark["from_s"] + 0.012 * span * len(mark["text"])]
@@ -150,10 +157,11 @@
 
 
 def _outcomes(report: Json) -> Figure:
+    """Draws the rate of each kind of outcome over the day, as stacked bars."""
     figure, axes = _chart(3.2)
     at = [row["at_s"] for row in report["windows"]]
     below = [0.0] * len(at)
-    for kind, (name, colour) in KINDS.items():
+    for kind, (name, colour) in OUTCOME_STYLES.items():
         rate = [row["kinds"].get(kind, 0) / CHART_WINDOW_S for row in report["windows"]]
         if any(rate):
             axes.bar(at, rate, CHART_WINDOW_S, below, align="edge", color=colour, label=name)
@@ -165,11 +173,13 @@
 
 
 def _latency(report: Json) -> Figure:
+    """Draws percentiles of the latency over the day, and the aims of the classes."""
     figure, axes = _chart(2.6)
     at = [row["at_s"] for row in report["windows"]]
+    # A latency of 0 means that a window has no answers: the line has a gap there.
     for name, colour in (("p50", "#009E73"), ("p90", "#0072B2"), ("p99", "#D55E00")):
-        shown = [row["latency_ms"][name] or math.nan for row in report["windows"]]
-        axes.plot(at, shown, color=colour, label=name, lw=1.3)
+        values = [row["latency_ms"][name] or math.nan for row in report["windows"]]
+        axes.plot(at, values, color=colour, label=name, lw=1.3)
     for aim in sorted({c["aim_ms"] for c in report["scenario"]["class"]}):
         axes.axhline(aim, color="#666666", lw=0.8, ls="--")
         axes.annotate(
@@ -189,6 +199,7 @@
 
 
 def _boxes(report: Json) -> Figure:
+    """Draws the requests held per capacity, with a row for each place and a column for each second."""
     held, capacity = report["boxes"]["held"], report["boxes"]["capacity"]
     places = sorted(held, key=int)
     figure, axes = _chart(0.9 + 0.085 * max(12, len(places)))
--- a/lanelift/rehearsal/operator_config.py
+++ b/lanelift/rehearsal/operator_config.py
@@ -1,6 +1,7 @@
-"""Generates the operator's file of a balancer, for days on which directories list the tenants.
+"""Generates the operator's file of a balancer for scenarios with directories, which list the tenants.
 
-On other days a balancer is started as on the platform (`plan.balancer_settings`). Performs no I/O.
+In other scenarios a balancer gets the configuration that the platform gives it (`plan.balancer_settings`).
+Performs no I/O.
 """
 
 from __future__ import annotations
@@ -81,5 +82,5 @@
 
 
 def _table(title: str, /, **rows: Any) -> str:
-    # Strings, booleans and these numbers have the same form in JSON and TOML.
+    # Strings, booleans and finite numbers have the same form in JSON and TOML.
     return f"[{title}]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
--- a/lanelift/rehearsal/orchestrator.py
+++ b/lanelift/rehearsal/orchestrator.py
@@ -1,7 +1,9 @@
-"""Orchestrates a rehearsal: starts the kit's processes, the balancers and the day, and collects the records.
+"""Orchestrates a rehearsal: starts the processes of the kit, which include the one that runs the balancers,
+starts the day, and collects the records.
 
-The processes read their standard input: when the orchestrator exits, by Ctrl-C, a crash or a kill, they end
-all that they have started and exit. The cleanup therefore does not depend on the orchestrator.
+Each process reads commands from its standard input, which closes when the orchestrator exits, whether by
+Ctrl-C, a crash or a kill. The process then ends everything that it has started and exits, so that the cleanup
+does not depend on the orchestrator.
 """
 
 from __future__ import annotations
@@ -31,10 +33,11 @@
 Json = dict[str, Any]
 START_DELAY_S = 0.5  # from the start command to the start of the day, so that all processes have received it
 SETTLE_S = 0.3  # after the last request, so that attempts in flight reach their boxes
-FRONT_LEAVE_S = 0.3  # how long a front still uses a balancer that is leaving (PROTOCOL: 0.2 to 0.4 s)
-READY_S = 60.0  # for a process to be ready: balancers have 30 s of it, and generating a large plan takes time
-FINISH_S = 30.0  # for writing the records; a process that takes longer is ended
-BOXES_PER_WORKER, RATE_PER_WORKER = 22, 400  # each well within a part of a core
+FRONT_LEAVE_S = 0.3  # how long the front still uses a balancer that is leaving (PROTOCOL: 0.2 to 0.4 s)
+# Limits the preparation of a process: balancers may take 30 s of it, and a large plan takes time to generate.
+READY_TIMEOUT_S = 60.0
+FINISH_TIMEOUT_S = 30.0  # for writing the records; a process that takes longer is killed
+BOXES_PER_WORKER, RATE_PER_WORKER = 22, 400  # either load uses well under one core in its process
 PORT_RANGE = (20_000, 32_000)  # for balancers: below the ephemeral ports of the kernel
 
 
@@ -47,8 +50,8 @@
     """The options of a run."""
 
     folder: Path
-    command: str = ""  # the command that starts a balancer; "": as in service
-    target: tuple[str, int] | None = None  # an external balancer; none are started
+    command: str = ""  # the command that starts a balancer; "": the one that starts it in production
+    target: tuple[str, int] | None = None  # an external balancer; if given, the kit starts none
     base_port: int | None = None  # the first port of boxes and discovery; None: any free ports
     box_workers: int = 0  # 0: as many as needed
     load_workers: int = 0
@@ -56,14 +59,14 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerProcess:
-    """A process of the kit, and its latest messages."""
+    """A process of the kit, as the orchestrator sees it. `on_message` receives the events of balancers."""
 
     name: str
     process: asyncio.subprocess.Process
     on_message: Callable[[Json], None]
     ready: asyncio.Future[Json]
-    day_over: asyncio.Event = field(default_factory=asyncio.Event)
-    finished: asyncio.Future[Json] | None = None
+    day_over: asyncio.Event = field(default_factory=asyncio.Event)  # also set when the process exits
+    finished: asyncio.Future[Json] | None = None  # its summary, sent once the records are written
     progress: Json = field(default_factory=dict)
     reader: asyncio.Task[None] | None = None
     failure: str = ""  # why it could not start
@@ -71,11 +74,11 @@
     async def wait_ready(self) -> Json:
         """Waits until the process is ready. Returns its message. Raises RehearsalError."""
         try:
-            async with asyncio.timeout(READY_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 return await self.ready
         except TimeoutError:
             raise RehearsalError(
-                f"the kit's process {self.name} was not ready within {READY_S:g} s"
+                f"the kit's process {self.name} was not ready within {READY_TIMEOUT_S:g} s"
             ) from None
 
     def send(self, message: Json) -> None:
@@ -105,7 +108,7 @@
         for future in (self.ready, self.finished):
             if not future.done():
                 future.set_exception(error)
-                future.exception()  # marks it as retrieved: possibly nobody waits for it any more
+                future.exception()  # marks it as retrieved, since the future may no longer have a waiter
         self.day_over.set()
 
 
@@ -121,7 +124,7 @@
         self.load: list[WorkerProcess] = []
 
     async def run(self) -> Day:
-        """Runs the whole day. Raises RehearsalError if that fails."""
+        """Runs the rehearsal from start to end. Raises RehearsalError if it cannot be run."""
         self.options.folder.mkdir(parents=True, exist_ok=True)
         try:
             return await self._run()
@@ -220,7 +223,9 @@
         return worker
 
     def _on_balancer_event(self, message: Json) -> None:
-        """Tells the front that a balancer is up, leaving or down, and of a death with a delay."""
+        """Forwards the up, leaving or down event of a balancer to the load processes.
+
+        `in_s` is the delay after which their front acts on it; for down it is drawn from `front_notice_s`."""
         number = message["balancer"]
         in_s = {
             "down": uniform(*self.scenario.discovery.front_notice_s, self.scenario.seed, "front", number),
@@ -231,7 +236,7 @@
             worker.send({"do": "front", "balancer": number, "alive": message["event"] == "up", "in_s": in_s})
 
     async def _wait_for_load(self, start_ns: int) -> None:
-        """Waits until each load process has finished, and reports the progress."""
+        """Waits until the load processes have played their part of the day, and reports the progress."""
         day_over = asyncio.gather(*(worker.day_over.wait() for worker in self.load))
         while not day_over.done():
             await asyncio.wait([day_over], timeout=0.5)
@@ -241,16 +246,17 @@
             self.progress((time.monotonic_ns() - start_ns) / 1e9, counts)
         for worker in self.load:
             if worker.finished is not None and worker.finished.done():
-                await worker.finished  # raises RehearsalError if it exited early
+                await worker.finished  # raises RehearsalError: the process exited early
 
     async def _finish(self, worker: WorkerProcess) -> Json:
+        """Makes a process end its part, such as the balancers, and write its records. Returns its summary."""
         worker.send({"do": "finish"})
         assert worker.finished is not None
-        async with asyncio.timeout(FINISH_S):
+        async with asyncio.timeout(FINISH_TIMEOUT_S):
             return await worker.finished
 
     async def _stop_workers(self) -> None:
-        """Ends all processes, whatever the result of the day."""
+        """Ends all processes: closes their standard input, and kills those that then do not exit in 5 s."""
         for worker in self.workers:
             if worker.process.stdin is not None:
                 worker.process.stdin.close()
@@ -266,18 +272,20 @@
                 worker.reader.cancel()
 
     def _collect(self, start_ns: int, finished: dict[str, Json], lost_workers: Sequence[str]) -> Day:
+        """Builds the day from the summaries of the processes and the files of records."""
         folder = self.options.folder
         boxes = [row for name, row in finished.items() if name.startswith("boxes")]
         load = [row for name, row in finished.items() if name.startswith("load")]
         late = [row["due_late_ms"] for row in load]
-        own_balancers = self.options.target is None  # what an external balancer was told is not known
+        # What an external balancer has learned about drains is unknown.
+        own_balancers = self.options.target is None
         return Day(
             self.plan,
             start_ns,
             list(read_rows(folder, "tries", Try)),
             list(read_rows(folder, "attempts", Attempt)),
             box_samples=list(read_rows(folder, "samples", BoxSample)),
-            cold_overloads=[tuple(fall) for row in boxes for fall in row["falls"]],
+            cold_overloads=[tuple(overload) for row in boxes for overload in row["falls"]],
             complaints=[text for row in boxes for text in row["complaints"]],
             lateness={name: row["lateness"] for name, row in finished.items()},
             due_late_ms={key: max(row[key] for row in late) for key in late[0]} if late else {},
@@ -293,7 +301,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns free loopback ports, chosen at random each time so that two rehearsals may run concurrently."""
+    """Returns free loopback ports. They are chosen at random, so that rehearsals can run concurrently."""
     rng, found = random.Random(os.urandom(8)), []
     for port in rng.sample(range(*PORT_RANGE), len(range(*PORT_RANGE))):
         with socket.socket() as probe:
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -22,6 +22,7 @@
 SHARE_BURST_S = 1.0  # seconds of its quota that a tenant may use in a burst before it is over its share
 REPLACEMENT_DELAY_S = 0.5  # from the end of a box in a deploy to the start of its replacement
 BURST_INTERVAL_S = 2.0  # a bursty load changes its rate at this interval
+# How widely cost hints vary around the true work: standard deviation divided by mean.
 HINT_CV = {"none": 0.0, "good": 0.15, "rough": 0.6}
 
 
@@ -62,9 +63,9 @@
     room: int
     spec: BoxSpec
 
-    def instance_id(self, number: int) -> str:
+    def instance_id(self, instance: int) -> str:
         """Returns the id of the instance with this number."""
-        return f"box-{self.number:03d}-{number}"
+        return f"box-{self.number:03d}-{instance}"
 
 
 class Step(NamedTuple):
@@ -91,8 +92,8 @@
 
     at_ns: int
     action: str
-    balancer: int = -1
-    back_ns: int = 0
+    balancer: int = -1  # -1: the command is for discovery
+    back_ns: int = 0  # from the end of a balancer to its restart
 
 
 class SuspensionPeriod(NamedTuple):
@@ -214,19 +215,20 @@
 def _due_times(scenario: s.Scenario) -> Iterator[int]:
     """Yields the arrivals of a Poisson process at the highest rate, thinned to the rate at each time."""
     rng = random.Random(f"{scenario.seed} arrivals")
-    top = scenario.load.rate * (1 + (0 if scenario.load.shape == "steady" else scenario.load.swing))
-    now_s = rng.expovariate(top)
+    peak_rate = scenario.load.rate * (1 + (0 if scenario.load.shape == "steady" else scenario.load.swing))
+    now_s = rng.expovariate(peak_rate)
     while now_s < scenario.length_s:
-        if rng.random() * top < _rate_at(scenario, now_s):
+        if rng.random() * peak_rate < _rate_at(scenario, now_s):
             yield _ns(now_s)
-        now_s += rng.expovariate(top)
+        now_s += rng.expovariate(peak_rate)
 
 
-def _pick(weights: Sequence[float], at: float) -> int:
-    at *= sum(weights)
+def _pick(weights: Sequence[float], position: float) -> int:
+    """Returns an index chosen by weight: the one in whose part of the total `position` (0 to 1) lies."""
+    position *= sum(weights)
     for i, weight in enumerate(weights):
-        at -= weight
-        if at < 0:
+        position -= weight
+        if position < 0:
             return i
     return len(weights) - 1
 
@@ -253,36 +255,40 @@
     seed, load, clients = scenario.seed, scenario.load, scenario.clients
     classes, tenants = scenario.classes, scenario.tenants
     shares = sum(t.share for t in tenants)
-    quotas = [_ShareBucket(load.quota_part * capacity * t.share / shares) for t in tenants]
+    buckets = [_ShareBucket(load.quota_part * capacity * t.share / shares) for t in tenants]
     heavy = [(_ns(f.at_s), _ns(f.at_s + f.len_s), f) for f in scenario.faults if isinstance(f, s.Heavy)]
     rooms = len(scenario.fleet.rooms)
     room_weights = [1 + load.room_skew * (1 - 2 * i / max(1, rooms - 1)) for i in range(rooms)]
     for number, due_ns in enumerate(_due_times(scenario)):
-        name = keyed_digest(seed, "ask", number)
-        cls = classes[_pick([c.share for c in classes], unit(seed, name, "class"))]
-        tenant = _pick([t.share * t.usage for t in tenants], unit(seed, name, "tenant"))
-        work = lognormal(cls.work_ms * MS, cls.cv, seed, name, "work")
+        request_id = keyed_digest(seed, "ask", number)
+        cls = classes[_pick([c.share for c in classes], unit(seed, request_id, "class"))]
+        tenant = _pick([t.share * t.usage for t in tenants], unit(seed, request_id, "tenant"))
+        work = lognormal(cls.work_ms * MS, cls.cv, seed, request_id, "work")
         for since, until, fault in heavy:
-            if since <= due_ns < until and cls.name == fault.name and unit(seed, name, "heavy") < fault.part:
+            if (
+                since <= due_ns < until
+                and cls.name == fault.name
+                and unit(seed, request_id, "heavy") < fault.part
+            ):
                 work *= fault.times
-        hint = 0.0 if load.hints == "none" else lognormal(work, HINT_CV[load.hints], seed, name, "hint")
-        abandons = unit(seed, name, "walk") < clients.walk_off
+        hint = 0.0 if load.hints == "none" else lognormal(work, HINT_CV[load.hints], seed, request_id, "hint")
+        abandons = unit(seed, request_id, "walk") < clients.walk_off
         yield ScheduledRequest(
             number,
             due_ns,
-            name,
+            request_id,
             cls.name,
             tenants[tenant].name,
-            _pick(room_weights, unit(seed, name, "room")),
+            _pick(room_weights, unit(seed, request_id, "room")),
             max(1, round(work)),
             round(hint / 1000),
-            not quotas[tenant].charge(round(work), due_ns),
-            f"o{unit(seed, name, 'key'):.12f}"[3:],
-            round(cls.deadline_ms * MS * uniform(*clients.try_part, seed, name, "try")),
+            not buckets[tenant].charge(round(work), due_ns),
+            f"o{unit(seed, request_id, 'key'):.12f}"[3:],
+            round(cls.deadline_ms * MS * uniform(*clients.try_part, seed, request_id, "try")),
             1 + clients.retries,
-            round(uniform(*clients.backoff_ms, seed, name, "backoff") * MS),
-            unit(seed, name, "heeds") < clients.honour,
-            round(uniform(0.05, 0.5, seed, name, "leaves") * cls.deadline_ms * MS) if abandons else 0,
+            round(uniform(*clients.backoff_ms, seed, request_id, "backoff") * MS),
+            unit(seed, request_id, "heeds") < clients.honour,
+            round(uniform(0.05, 0.5, seed, request_id, "leaves") * cls.deadline_ms * MS) if abandons else 0,
         )
 
 
@@ -290,13 +296,15 @@
 
 
 class _FaultTimeline:
-    """Expands faults into steps and commands, and into the notifications that each balancer receives."""
+    """Expands the faults of a scenario into timed events: steps of places, commands, outages, suspensions,
+    and the notifications that each balancer receives."""
 
     def __init__(self, scenario: s.Scenario, places: Sequence[Place]) -> None:
         self.scenario = scenario
         self.places = places
         self.instances = [0] * len(places)  # the number of the present instance of each place
-        # Until then a place has no box, or one that another fault has ended or will end.
+        # When each place is available to a fault that ends its box. Before that time the place has no box, or
+        # one that another fault is ending.
         self.available_ns = [0] * len(places)
         self.steps: list[Step] = []
         self.notifications: list[Notification] = []
@@ -306,6 +314,7 @@
         self.outages: list[Outage] = []
 
     def add(self, index: int, fault: s.Fault) -> None:
+        """Adds the events of a fault. Its random values are named after its index in the scenario."""
         at = _ns(fault.at_s)
         name = ("fault", index)
         text, until = str(fault.kind), at + _ns(getattr(fault, "len_s", 0.0))
@@ -369,9 +378,9 @@
         self.marks.append(FaultMark(at, max(until, at), text))
 
     def _suspend(self, fault: s.Suspend, at: int, name: tuple[object, ...]) -> None:
-        names = [t.name for t in self.scenario.tenants]
-        count = min(fault.count, len(names))
-        for tenant in [fault.tenant] if fault.tenant else self._rng(name).sample(names, count):
+        tenants = [t.name for t in self.scenario.tenants]
+        count = min(fault.count, len(tenants))
+        for tenant in [fault.tenant] if fault.tenant else self._rng(name).sample(tenants, count):
             begins = at + self._duration_ns((0.0, fault.len_s), *name, tenant)
             lasts = NEVER if fault.for_s is None else self._duration_ns(fault.for_s, *name, tenant, "for")
             self.suspension_periods.append(SuspensionPeriod(begins, min(NEVER, begins + lasts), tenant))
@@ -388,13 +397,15 @@
     def _choose_places(
         self, part: float, at: int, name: tuple[object, ...], include_unavailable: bool = False
     ) -> list[int]:
-        """Draws a share of all places, not those that another fault occupies unless `include_unavailable`."""
+        """Chooses places at random, `part` of all if enough are available. With `include_unavailable`, places
+        are also chosen that have no box or whose box another fault ends."""
         free = [p.number for p in self.places if include_unavailable or self.available_ns[p.number] <= at]
         return sorted(self._rng(name).sample(free, min(len(free), round(part * len(self.places)))))
 
     def _repeat(
         self, at: int, until: int, every_s: tuple[float, float], name: tuple[object, ...], action_at: Any
     ) -> None:
+        """Calls `action_at(time, turn)` for turns 0, 1, ..., with random intervals, until `until`."""
         turn = 0
         at += self._duration_ns((0.0, every_s[1]), *name, "first")
         while at < until:
@@ -402,24 +413,27 @@
             turn += 1
             at += max(MS, self._duration_ns(every_s, *name, "turn", turn))
 
-    def _notify(self, at: int, place: int, state: str, late_s: tuple[float, float] | None = None) -> None:
+    def _notify(self, at: int, place: int, state: str, delay_s: tuple[float, float] | None = None) -> None:
+        """Adds a notification of each balancer, after a delay from the range `delay_s` or `notice_s`."""
         instance = self.instances[place]
-        late_s = late_s or self.scenario.discovery.notice_s
+        delay_s = delay_s or self.scenario.discovery.notice_s
         # Half of the delay is discovery's own; the delivery to each balancer adds the other half.
-        noticed_ns = at + self._duration_ns(late_s, "notice", place, instance, state) // 2
+        noticed_ns = at + self._duration_ns(delay_s, "notice", place, instance, state) // 2
         for balancer in range(self.scenario.fleet.balancers):
-            delivery_ns = self._duration_ns(late_s, "way", balancer, place, instance, state) // 2
+            delivery_ns = self._duration_ns(delay_s, "way", balancer, place, instance, state) // 2
             self.notifications.append(
                 Notification(noticed_ns + delivery_ns, balancer, place, instance, state)
             )
 
     def _start(self, at: int, place: int) -> None:
+        """Adds the start of the next instance at a place."""
         self.instances[place] += 1
         self.steps.append(Step(at, "start", place))
         self._notify(at, place, "Ready")
         self.available_ns[place] = at
 
     def _drain(self, at: int, place: int, drain_s: tuple[float, float], name: tuple[object, ...]) -> int:
+        """Adds the drain and the stop of the box at a place. Returns when it stops."""
         end = at + self._duration_ns(drain_s, *name, place, "drain")
         self.steps += [Step(at, "drain", place), Step(end, "stop", place)]
         self._notify(at, place, "Terminating")
@@ -428,6 +442,7 @@
         return end
 
     def _deploy(self, fault: s.Deploy, at: int, name: tuple[object, ...]) -> int:
+        """Adds a rolling deploy. Returns when the last old box stops."""
         places = self._choose_places(fault.part, at, name)
         self._rng((*name, "order")).shuffle(places)
         size = max(1, round(fault.batch * len(self.places)))
--- a/lanelift/rehearsal/records.py
+++ b/lanelift/rehearsal/records.py
@@ -19,13 +19,14 @@
 
     answer       a complete answer with `status` came; `box` is the id of the instance that made it, proved by
                  its digest, or "" if no box made it
-    late         a complete answer came after the client's deadline, within the grace time of the rule
-    silent       no complete answer came by then
-    walked off   the client left by itself
+    late         a complete answer came after the client's deadline, within the grace time
+    silent       no complete answer came by the end of the grace time
+    walked off   the client abandoned the request before the deadline of the try
     broken       the connection ended after the request was written, without a complete answer
     garbage      the received bytes are not an HTTP response
     extra        unexpected bytes followed a complete answer
-    crossed      a reused connection was closed while the request was sent; it was sent again on a new one
+    crossed      a reused connection was closed while the request was sent, which was then sent again on a new
+                 connection
     unconnected  no connection could be established
     """
 
@@ -34,17 +35,17 @@
     id: str
     balancer: int
     began_ns: int
-    sent_ns: int  # when the last byte was written; 0: never
+    sent_ns: int  # when the request was written; 0: never
     ended_ns: int
-    deadline_ns: int  # of the client
+    deadline_ns: int  # when the client abandons the try
     result: str
     status: int = 0
     box: str = ""
 
 
 class ProcessRun(NamedTuple):
-    """One run of a balancer's process. `end_reason`: kill and term are done by the kit, finish is the end of
-    the day, and crash is any other end."""
+    """One run of a balancer's process. `end_reason` is kill or term if the kit ended it during the day,
+    finish if the kit ended it after the day, and crash otherwise."""
 
     balancer: int
     started_ns: int
@@ -72,7 +73,8 @@
 
 
 class BoxSample(NamedTuple):
-    """The state of a box: requests held, and capacity (seconds of work per second; 0 while it is stopped)."""
+    """The state of the box at a place: requests held, and capacity in seconds of work per second, which is 0
+    while the box is down, frozen or vanished."""
 
     at_ns: int
     place: int
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -15,7 +15,7 @@
 from lanelift.rehearsal.verdict import SECOND, Day, outcomes, verdict, windows
 
 SCHEMA = 1  # version of the JSON, incremented when a key changes its meaning or is removed
-CHART_WINDOW_S = 0.5  # of the windows in charts
+CHART_WINDOW_S = 0.5  # length of the windows in charts
 OUTCOME_LETTERS = {
     "served": "s",
     "late": "a",
@@ -33,10 +33,17 @@
 
 
 def make_report(day: Day) -> Json:
-    """Returns the report. Its keys are schema, program, at (when the run ended, UTC), machine, scenario (as
-    checked, with its defaults), verdict, marks (faults: from_s, until_s, text), windows (outcomes and latency
-    of each half second), boxes (requests held and capacity in seconds of work per second, by place and
-    second), and outcomes (a letter for each request in the order of the plan; see OUTCOME_LETTERS)."""
+    """Returns the report, which has these keys:
+
+    schema, program, machine   the version of the format, and where the run took place
+    at          when the run ended, in UTC
+    scenario    as validated, with its defaults filled in
+    verdict     as `verdict.verdict` returns it
+    marks       the faults, each with from_s, until_s and text
+    windows     the outcomes and the latency of each half second
+    boxes       requests held, and capacity in seconds of work per second, by place and second
+    outcomes    a letter for each request in the order of the plan (`OUTCOME_LETTERS`)
+    """
     return {
         "schema": SCHEMA,
         "program": f"lanelift {version('lanelift')}",
@@ -59,6 +66,7 @@
 
 
 def _boxes(day: Day) -> Json:
+    """Returns the mean load and capacity of each place in each second; None: it was not sampled."""
     seconds = int(day.plan.scenario.length_s) + 1
     held: dict[int, list[list[int]]] = defaultdict(lambda: [[] for _ in range(seconds)])
     capacity: dict[int, list[list[float]]] = defaultdict(lambda: [[] for _ in range(seconds)])
@@ -134,6 +142,7 @@
 
 # ---- comparison ------------------------------------------------------------------------------------------
 
+# The name of each figure in a comparison, and its section and key in the verdict.
 COMPARED = {
     "figure": ("worth", "figure"),
     "whole": ("worth", "whole"),
@@ -151,7 +160,7 @@
 
 
 def compared_figures(report: Json) -> dict[str, float]:
-    """Returns the values of a report that are compared."""
+    """Returns the figures of a report that a comparison shows."""
     return {name: report["verdict"][part][key] for name, (part, key) in COMPARED.items()}
 
 
@@ -179,7 +188,7 @@
 
 
 def differences(a: Mapping[str, Any], b: Mapping[str, Any], path: str = "") -> Iterable[str]:
-    """Yields the differences of two scenarios, as a warning when their runs are compared."""
+    """Yields the differences between two scenarios, to warn that their runs are not directly comparable."""
     for key in sorted({*a, *b}):
         left, right, key_path = a.get(key), b.get(key), f"{path}{key}"
         if isinstance(left, dict) and isinstance(right, dict):
--- a/lanelift/rehearsal/scenario.py
+++ b/lanelift/rehearsal/scenario.py
@@ -36,7 +36,7 @@
     return values
 
 
-# A list of two in the file. Strict checking would require a tuple, which TOML does not have.
+# A range, which a file gives as a list of two. Strict validation would require a tuple, which TOML lacks.
 Pair = Annotated[
     tuple[Annotated[float, Field(ge=0, le=1e6)], Annotated[float, Field(ge=0, le=1e6)]],
     Field(strict=False),
@@ -79,7 +79,7 @@
 
 
 class Load(Table):
-    """The request rate over the day, open loop."""
+    """The load: the request rate over the day (open loop), the cost hints, and the quotas of tenants."""
 
     rate: Annotated[float, Field(gt=0, le=MAX_RATE)]
     shape: Literal["steady", "ramp", "wave", "bursty"] = "steady"
@@ -137,7 +137,10 @@
 
 
 class Clients(Table):
-    """The behaviour of clients: they abandon a try after a part of the class's deadline and then retry."""
+    """The behaviour of clients: they abandon a try after a part of the class's deadline and then retry.
+
+    `honour` is the share of requests whose client waits for a Retry-After, and `walk_off` the share that is
+    abandoned early."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 3
     try_part: PartPair = (0.33, 0.55)
@@ -269,8 +272,8 @@
 
 
 class Suspend(_Fault):
-    """`count` random tenants, or the named one, are suspended at random times within `len_s`. After `for_s`
-    each is in good standing again."""
+    """`count` random tenants, or the named one, are suspended at random times within `len_s`, each for a time
+    from the range `for_s` or else until the end of the day."""
 
     kind: Literal["suspend"]
     len_s: Seconds = 0.0
@@ -319,14 +322,18 @@
         for key in ("class", "tenant"):
             yield from duplicate_name_problems(raw, key)
         length_s = number(raw, "length_s", cls.model_fields["length_s"].default)
-        names = [row.get("name") for _, row in tables(raw, "class")] or [c.name for c in CLASSES]
+        class_names = [row.get("name") for _, row in tables(raw, "class")] or [c.name for c in CLASSES]
         yield from order_problems(raw, "class", "aim_ms", "deadline_ms", ClassTable)
         for path, row in tables(raw, "fault"):
             if number(row, "at_s", 0) >= length_s:
                 yield ValidationProblem(
                     f"{path}.at_s", f"{row['at_s']:g}", f"allowed: under length_s ({length_s:g})"
                 )
-            if row.get("kind") == "heavy" and isinstance(row.get("name"), str) and row["name"] not in names:
+            if (
+                row.get("kind") == "heavy"
+                and isinstance(row.get("name"), str)
+                and row["name"] not in class_names
+            ):
                 yield ValidationProblem(
                     f"{path}.name", repr(row["name"]), "allowed: the name of one of the classes"
                 )
@@ -334,8 +341,8 @@
                 yield ValidationProblem(
                     f"{path}.kind", repr(row["kind"]), "allowed: where the file has [directory]"
                 )
-            agents = [t.get("name") for _, t in tables(raw, "tenant")] or [t.name for t in TENANTS]
-            if row.get("kind") == "suspend" and row.get("tenant", agents[0]) not in agents:
+            tenant_names = [t.get("name") for _, t in tables(raw, "tenant")] or [t.name for t in TENANTS]
+            if row.get("kind") == "suspend" and row.get("tenant", tenant_names[0]) not in tenant_names:
                 yield ValidationProblem(
                     f"{path}.tenant", repr(row["tenant"]), "allowed: the name of one of the tenants"
                 )
--- a/lanelift/rehearsal/upstream_workers.py
+++ b/lanelift/rehearsal/upstream_workers.py
@@ -13,7 +13,7 @@
 from lanelift.standins.discovery import Agent, DrainNotice, Entry, start_agents
 from lanelift.standins.upstream_emulator import SocketOptions, UpstreamEmulator
 
-SAMPLE_S = 0.25  # how often the load of each box is sampled
+SAMPLE_INTERVAL_S = 0.25  # how often the load of each box is sampled
 
 
 def call_at(when_ns: int, call: Callable[..., object], *args: Any) -> None:
@@ -23,8 +23,7 @@
 
 
 class UpstreamWorker:
-    """Runs a part of the plan's places: those whose number, modulo the number of these processes, is the
-    index of this process."""
+    """The role that runs the boxes at every n-th place, where n is the number of box processes."""
 
     def __init__(self, job: Json) -> None:
         self.job = job
@@ -39,9 +38,13 @@
             round(box.report_ms * 1e6),
             box.error_part,
         )
-        self.boxes = {
+        self.emulators = {
             place.number: UpstreamEmulator(
-                place.spec, sockets, seed, place.instance_id, lambda name: work_by_id.get(request_id_of(name))
+                place.spec,
+                sockets,
+                seed,
+                place.instance_id,
+                lambda try_id: work_by_id.get(request_id_of(try_id)),
             )
             for place in self.plan.places
             if place.number % job["count"] == job["index"]
@@ -50,44 +53,45 @@
 
     async def prepare(self) -> Json:
         base = self.job.get("base_port")
-        for number, box in self.boxes.items():
-            await box.start(False, base + number if base else 0)
-        return {"addresses": {number: box.address for number, box in self.boxes.items()}}
+        for number, emulator in self.emulators.items():
+            await emulator.start(False, base + number if base else 0)
+        return {"addresses": {number: emulator.address for number, emulator in self.emulators.items()}}
 
     async def start(self, start_ns: int) -> None:
         async with asyncio.TaskGroup() as group:
             for step in self.plan.steps:
-                if step.place in self.boxes:
+                if step.place in self.emulators:
                     call_at(
                         start_ns + step.at_ns,
                         self._apply,
                         group,
                         step.action,
-                        self.boxes[step.place],
+                        self.emulators[step.place],
                         step.value,
                     )
             while True:
-                await asyncio.sleep(SAMPLE_S)
+                await asyncio.sleep(SAMPLE_INTERVAL_S)
                 now = time.monotonic_ns()
-                for number, box in self.boxes.items():
-                    is_down = box.box.frozen or box.listener is None or box.vanished
-                    capacity = 0.0 if is_down else box.box.capacity
-                    self.samples.append(BoxSample(now, number, box.box.held, capacity))
+                for number, emulator in self.emulators.items():
+                    is_down = emulator.box.frozen or emulator.listener is None or emulator.vanished
+                    capacity = 0.0 if is_down else emulator.box.capacity
+                    self.samples.append(BoxSample(now, number, emulator.box.held, capacity))
 
-    def _apply(self, group: asyncio.TaskGroup, action: str, box: UpstreamEmulator, value: float) -> None:
+    def _apply(self, group: asyncio.TaskGroup, action: str, emulator: UpstreamEmulator, value: float) -> None:
+        """Applies a step of the plan to the emulator at its place."""
         match action:
             case "die" | "stop":
-                box.die()
+                emulator.die()
             case "start":
-                group.create_task(box.start(True))
+                group.create_task(emulator.start(True))
             case "drain":
-                box.drain()
+                emulator.drain()
             case "vanish":
-                box.vanish()
+                emulator.vanish()
             case "freeze":
-                box.freeze(int(value))
+                emulator.freeze(int(value))
             case "share":
-                box.set_stolen_share(value)
+                emulator.set_stolen_share(value)
 
     async def command(self, message: Json) -> None:
         """Does nothing: this role has no further commands."""
@@ -98,17 +102,19 @@
     async def finish(self) -> Json:
         write_rows(
             rows_path(self.job, "attempts"),
-            (row for box in self.boxes.values() for row in box.finish_attempts()),
+            (row for emulator in self.emulators.values() for row in emulator.finish_attempts()),
         )
         write_rows(rows_path(self.job, "samples"), self.samples)
         return {
-            "falls": [fall for box in self.boxes.values() for fall in box.cold_overloads],
-            "complaints": [text for box in self.boxes.values() for text in box.complaints],
+            "falls": [
+                overload for emulator in self.emulators.values() for overload in emulator.cold_overloads
+            ],
+            "complaints": [text for emulator in self.emulators.values() for text in emulator.complaints],
         }
 
     async def close(self) -> None:
-        for box in self.boxes.values():
-            box.close()
+        for emulator in self.emulators.values():
+            emulator.close()
 
 
 def entry_of(plan: Plan, place: Place, instance: int, address: str, state: str, started_ms: int) -> Entry:
@@ -123,7 +129,7 @@
 
 
 class DiscoveryWorker:
-    """Runs discovery: an agent for each balancer, which sends the notifications of the plan."""
+    """The role that runs discovery: an agent for each balancer, which sends it the plan's notifications."""
 
     def __init__(self, job: Json) -> None:
         self.job = job
@@ -150,13 +156,15 @@
         return address
 
     async def start(self, start_ns: int) -> None:
-        unix_ns = time.time_ns() - time.monotonic_ns()
+        unix_offset_ns = time.time_ns() - time.monotonic_ns()
         instances = [0] * len(self.plan.places)
         started: dict[tuple[int, int], int] = {}
         for step in self.plan.steps:
             if step.action == "start":
                 instances[step.place] += 1
-                started[step.place, instances[step.place]] = (unix_ns + start_ns + step.at_ns) // 1_000_000
+                started[step.place, instances[step.place]] = (
+                    unix_offset_ns + start_ns + step.at_ns
+                ) // 1_000_000
         for notification in self.plan.notifications:
             entry = entry_of(
                 self.plan,
--- a/lanelift/rehearsal/verdict.py
+++ b/lanelift/rehearsal/verdict.py
@@ -1,8 +1,8 @@
-"""Computes the verdict on a day from what was seen on the sockets alone. Performs no I/O.
+"""Computes the verdict on a day from what the kit itself recorded at the sockets. Performs no I/O.
 
-The four rules are defined in the project's README and PROTOCOL. As stated there, each time limit is extended
-by `GRACE_NS`. A breach names its request. Effects of the kit's own actions (a balancer that it killed) are
-not breaches.
+Rules 1 to 4 of `RULES` are defined in the project's README and PROTOCOL, and rule 5 applies to scenarios with
+directories. Each time limit on sockets is extended by `GRACE_NS`, as stated in PROTOCOL. A breach names its
+request if it has one. A try that was lost because the kit killed its balancer is not a breach.
 """
 
 from __future__ import annotations
@@ -20,18 +20,20 @@
 SECOND, MS = 1_000_000_000, 1_000_000
 WINDOW_S = 10  # length of the windows among which the worst is reported
 WEIGHTS = {"whole": 0.6, "worst_window": 0.1, "worst_class": 0.2, "worst_tenant": 0.1}  # the brief, 'Score'
-# A notification counts as received this long after discovery has it to send, whether or not it arrived.
+# A balancer counts as notified this long after the planned time of a notification, even if it never arrived.
 NOTIFICATION_LIMIT_NS = 6 * SECOND
 MAX_BREACHES_SHOWN = 20  # per rule; all are counted
-# If the kit's event loops or its sends exceed these delays, the kit was too late and the run is void. A
+# The run is void if the kit's event loops or the starts of its requests were later than this. A delay of a
 # hundredth of an aim of 264 ms does not show in a figure that itself varies by a hundredth; a stall of a
-# quarter of the aim causes late answers by itself.
+# quarter of the aim makes answers late by itself.
 LATE_P99_MS, STALL_MS = 5.0, 66.0
-# The requests of a suspended tenant must stop within this time, and resume within it after the suspension.
+# No request of a suspended tenant may be sent to a box later than this after the suspension began. When the
+# suspension ends, requests of the tenant must resume within the same time and have no worth until then.
 SUSPENSION_LIMIT_S = 5.0
 
-# The outcomes of a request.
-KINDS = ("served", "late", "refused", "denied", "failed", "lost", "left")
+# The kinds of outcomes, in this order: a 200 within the aim; a 200 after it; a 429 or 503; a 403; any other
+# answer; no answer; abandoned by the client.
+OUTCOME_KINDS = ("served", "late", "refused", "denied", "failed", "lost", "left")
 RULES = {
     1: "one final answer, in time",
     2: "no effect twice, one outstanding attempt",
@@ -52,7 +54,8 @@
 
 
 class Attempt(NamedTuple):
-    """One request as it reached a box, with the fields of `standins.upstream_emulator.Attempt`."""
+    """One request as it reached a box. Has the fields of `standins.upstream_emulator.Attempt`, a module with
+    sockets, which this one must not import."""
 
     id: str
     box: str
@@ -65,7 +68,8 @@
 
 
 class DrainNotice(NamedTuple):
-    """A balancer was told that a box drains or is gone. As `standins.discovery.DrainNotice`."""
+    """A balancer was told that a box drains or is gone. Has the fields of `standins.discovery.DrainNotice`, a
+    module with sockets, which this one must not import."""
 
     at_ns: int
     balancer: int
@@ -97,13 +101,13 @@
 
 
 class Outcome(NamedTuple):
-    """The outcome of one request over all its tries. `kind` is one of `KINDS`."""
+    """The outcome of one request over all its tries. `kind` is one of `OUTCOME_KINDS`."""
 
     request: ScheduledRequest
     kind: str
-    latency_ms: float  # from its due time to its last answer; 0 if none came
+    latency_ms: float  # from its due time to the end of the try that decided its kind; 0 without a try
     tries: int
-    box: str
+    box: str  # the id of the instance that served it, or ""
 
 
 def outcomes(day: Day) -> list[Outcome]:
@@ -116,12 +120,12 @@
     for request in day.plan.requests:
         rows = sorted(tries_by_request.get(request.number, ()), key=lambda row: row.number)
         due = day.start_ns + request.due_ns
-        accepted = next((r for r in rows if r.result == "answer" and r.status == 200 and r.box), None)
+        successful = next((r for r in rows if r.result == "answer" and r.status == 200 and r.box), None)
         tries = len({r.number for r in rows})
-        if accepted is not None:
-            latency = accepted.ended_ns - due
+        if successful is not None:
+            latency = successful.ended_ns - due
             kind = "served" if latency <= aims[request.class_name] else "late"
-            found.append(Outcome(request, kind, latency / MS, tries, accepted.box))
+            found.append(Outcome(request, kind, latency / MS, tries, successful.box))
             continue
         last = rows[-1] if rows else None
         if last is None or last.result in ("silent", "broken", "garbage", "unconnected", "crossed"):
@@ -149,7 +153,7 @@
 
     @property
     def took_s(self) -> float:
-        """The time until the requests of the tenant stopped."""
+        """The seconds until the last request of the tenant was sent; 0 if none was."""
         return max(0, self.last_sent_ns - self.at_ns) / SECOND
 
 
@@ -173,12 +177,12 @@
 def without_suspended_tenants(
     day: Day, found: Iterable[Outcome], suspended: Iterable[Suspension]
 ) -> list[Outcome]:
-    """Returns the outcomes of tenants that were certainly in good standing. The requests of suspended tenants
-    have no worth."""
+    """Returns the outcomes that count for the worth. Requests that were due between 1 s before a suspension
+    of their tenant and `SUSPENSION_LIMIT_S` after its end are left out."""
     by_tenant: dict[str, list[tuple[int, int]]] = defaultdict(list)
-    late = round(SUSPENSION_LIMIT_S * SECOND)
+    resume_ns = round(SUSPENSION_LIMIT_S * SECOND)
     for s in suspended:
-        by_tenant[s.tenant].append((s.at_ns - SECOND - day.start_ns, s.until_ns + late - day.start_ns))
+        by_tenant[s.tenant].append((s.at_ns - SECOND - day.start_ns, s.until_ns + resume_ns - day.start_ns))
     return [
         outcome
         for outcome in found
@@ -193,14 +197,14 @@
 
 
 class _WorthTotal:
-    """The worth of the requests, and the worth of those answered in time."""
+    """The total worth of some requests, and the worth of those of them that were answered in time."""
 
     def __init__(self) -> None:
         self.asked = self.served = 0.0
 
-    def add(self, worth: float, served: bool) -> None:
-        self.asked += worth
-        self.served += worth if served else 0.0
+    def add(self, amount: float, served: bool) -> None:
+        self.asked += amount
+        self.served += amount if served else 0.0
 
     @property
     def share(self) -> float:
@@ -208,8 +212,8 @@
 
 
 def worth(plan: Plan, found: Iterable[Outcome]) -> dict[str, Any]:
-    """Returns the shares of worth answered in time: in total, in the worst window, and by class and by tenant
-    within its share; and the weighted figure."""
+    """Returns the share of the worth that was answered in time: in total, in the worst window, by class, and
+    by tenant (only requests within its share). The figure is a mean of these, weighted by `WEIGHTS`."""
     load = plan.scenario.load
     value = {c.name: c.worth for c in plan.scenario.classes}
     whole = _WorthTotal()
@@ -225,23 +229,23 @@
         if not request.over_share:
             tenants[request.tenant].add(amount, outcome.kind == "served")
     length = max(1, int(plan.scenario.length_s))
-    windows = []
+    window_shares = []
     for first in range(max(1, length - WINDOW_S + 1)):
         window = _WorthTotal()
         for second in range(first, min(length, first + WINDOW_S)):
             window.asked += seconds[second].asked
             window.served += seconds[second].served
-        windows.append((window.share, first))
+        window_shares.append((window.share, first))
     parts = {
         "whole": whole.share,
-        "worst_window": min(windows)[0],
+        "worst_window": min(window_shares)[0],
         "worst_class": min((t.share for t in classes.values()), default=1.0),
         "worst_tenant": min((t.share for t in tenants.values()), default=1.0),
     }
     return {
         "figure": sum(WEIGHTS[name] * share for name, share in parts.items()),
         **parts,
-        "worst_window_at_s": min(windows)[1],
+        "worst_window_at_s": min(window_shares)[1],
         "classes": {name: total.share for name, total in sorted(classes.items())},
         "tenants": {name: total.share for name, total in sorted(tenants.items())},
     }
@@ -251,14 +255,14 @@
 
 
 class RuleChecker:
-    """Checks the records of a day for breaches of the rules."""
+    """Checks the records of a day for breaches of the rules, and for crashes of balancers."""
 
     def __init__(self, day: Day) -> None:
         self.day = day
         self.breaches: list[Breach] = []
         self.tries: dict[str, list[Try]] = defaultdict(list)
         for row in day.tries:
-            if row.result != "extra":  # reports unexpected bytes, not a try
+            if row.result != "extra":  # an "extra" row reports unexpected bytes and is not a try
                 self.tries[row.id].append(row)
         self.kills: dict[int, list[ProcessRun]] = defaultdict(list)
         for run in day.process_runs:
@@ -289,7 +293,9 @@
         )
 
     def _check_answers(self) -> None:
-        """Rule 1. A request counts as accepted once it was written to an established connection."""
+        """Rule 1: each accepted request gets one complete answer in time, and a 200 comes from a box.
+
+        A request is accepted once it has been written to an established connection."""
         answered = {(a.id, a.box) for a in self.day.attempts if a.result in ("served", "unanswered")}
         for row in self.day.tries:
             if row.result == "extra":
@@ -314,41 +320,44 @@
                     )
 
     def _check_attempts(self) -> None:
-        """Rule 2: one attempt at a time, not too many, none after the answer, no unsafe request run twice."""
-        by_id: dict[str, list[Attempt]] = defaultdict(list)
+        """Rule 2: a try has one attempt at a time, at most `max_attempts`, and none after its final answer;
+        the request of a try whose class is unsafe runs at most once."""
+        attempts_by_try: dict[str, list[Attempt]] = defaultdict(list)
         for attempt in self.day.attempts:
-            by_id[attempt.id].append(attempt)
+            attempts_by_try[attempt.id].append(attempt)
         max_attempts = self.day.plan.scenario.limits.max_attempts
         effects = {c.name: c.effect for c in self.day.plan.scenario.classes}
         classes = {request.id: request.class_name for request in self.day.plan.requests}
-        for name, attempts in by_id.items():
-            rows = self.tries.get(name, ())
+        for try_id, attempts in attempts_by_try.items():
+            rows = self.tries.get(try_id, ())
             balancer = rows[-1].balancer if rows else -1
             attempts.sort(key=lambda a: a.last_ns)
             busy_until = 0
             for a in attempts:
                 if a.last_ns < busy_until - GRACE_NS:
-                    self._breach(2, name, balancer, a.last_ns, f"sent to {a.box} while an attempt was out")
+                    self._breach(2, try_id, balancer, a.last_ns, f"sent to {a.box} while an attempt was out")
                 busy_until = max(busy_until, a.closed_ns)
             if len(attempts) > max_attempts * max(1, len(rows)):
                 self._breach(
                     2,
-                    name,
+                    try_id,
                     balancer,
                     attempts[-1].last_ns,
                     f"{len(attempts)} attempts, {max_attempts} are allowed",
                 )
-            ended = max((r.ended_ns for r in rows if r.result == "answer"), default=None)
-            if ended is not None and attempts[-1].first_ns > ended + GRACE_NS:
-                self._breach(2, name, balancer, attempts[-1].first_ns, "sent after its final answer")
-            ran = sum(a.ran for a in attempts)
-            if ran > 1 and effects.get(classes.get(request_id_of(name), "")) == "unsafe":
+            answered_ns = max((r.ended_ns for r in rows if r.result == "answer"), default=None)
+            if answered_ns is not None and attempts[-1].first_ns > answered_ns + GRACE_NS:
+                self._breach(2, try_id, balancer, attempts[-1].first_ns, "sent after its final answer")
+            run_count = sum(a.ran for a in attempts)
+            if run_count > 1 and effects.get(classes.get(request_id_of(try_id), "")) == "unsafe":
                 self._breach(
-                    2, name, balancer, attempts[-1].last_ns, f"unsafe to repeat, and run {ran} times"
+                    2, try_id, balancer, attempts[-1].last_ns, f"unsafe to repeat, and run {run_count} times"
                 )
 
     def _check_drains(self) -> None:
-        """Rule 3: no new attempt to a box once the grace time after the notification has passed."""
+        """Rule 3: no new attempt to a box once the grace time after the notification has passed.
+
+        Not checked without drain notices, as with an external balancer."""
         told_ns: dict[tuple[int, str], int] = {}
         for notice in self.day.drain_notices:
             key = notice.balancer, notice.box
@@ -371,16 +380,19 @@
                     self._breach(3, a.id, row.balancer, a.first_ns, what)
 
     def _check_cold_boxes(self) -> None:
+        """Rule 4: no box fails from overload while it is cold."""
         for at_ns, box, request in self.day.cold_overloads:
             self._breach(4, request, -1, at_ns, f"{box} was pushed over while cold")
 
     def _check_suspensions(self) -> None:
+        """Rule 5: the requests of a suspended tenant stop within `SUSPENSION_LIMIT_S`."""
         for s in suspensions(self.day):
             if s.took_s > SUSPENSION_LIMIT_S:
                 what = f"a request of {s.tenant} was sent {s.took_s:.1f} s after its suspension"
                 self._breach(5, "", -1, s.last_sent_ns, what)
 
     def _check_crashes(self) -> None:
+        """Reports each balancer that ended without the kit having ended it, as a breach with rule 0."""
         for run in self.day.process_runs:
             if run.end_reason == "crash":
                 self._breach(
@@ -396,8 +408,8 @@
 
 
 def void_reasons(day: Day) -> list[str]:
-    """Returns why this run is no valid measurement: the kit was late or lacked resources. Empty if it is
-    valid."""
+    """Returns the reasons why the run is void: a process of the kit ended early, the kit was late, or it had
+    no descriptors or ports left. The list is empty if the run is valid."""
     reasons = [f"the kit's process {name} ended early" for name in day.lost_workers]
     for name, late in day.lateness.items():
         if late["max_ms"] > STALL_MS or late["p99_ms"] > LATE_P99_MS:
@@ -424,20 +436,22 @@
 
 def verdict(day: Day) -> dict[str, Any]:
     """Returns the verdict in the form of the report's JSON."""
-    found, suspended = outcomes(day), suspensions(day)
+    all_outcomes, suspended = outcomes(day), suspensions(day)
     breaches = RuleChecker(day).check()
-    kinds: dict[str, int] = defaultdict(int)
-    for outcome in found:
-        kinds[outcome.kind] += 1
-    latency = sorted(o.latency_ms for o in found if o.kind in ("served", "late"))
+    kind_counts: dict[str, int] = defaultdict(int)
+    for outcome in all_outcomes:
+        kind_counts[outcome.kind] += 1
+    latency = sorted(o.latency_ms for o in all_outcomes if o.kind in ("served", "late"))
     reasons = void_reasons(day)
-    requests = max(1, len(found))
+    requests = max(1, len(all_outcomes))
     worked = sum(a.work_ns for a in day.attempts if a.ran)
-    useful = sum(o.request.work_ns for o in found if o.kind == "served")
+    useful = sum(o.request.work_ns for o in all_outcomes if o.kind == "served")
     return {
         "void": reasons,
-        # A void run has no worth, so that nobody uses it.
-        "worth": None if reasons else worth(day.plan, without_suspended_tenants(day, found, suspended)),
+        # A void run has no worth, so that its figure cannot be used by mistake.
+        "worth": None
+        if reasons
+        else worth(day.plan, without_suspended_tenants(day, all_outcomes, suspended)),
         "suspensions": _suspension_summary(suspended),
         "rules": {
             "kept": not breaches,
@@ -453,10 +467,10 @@
         "offered": day.offered,
         "complaints": list(day.complaints[:MAX_BREACHES_SHOWN]),
         "requests": {
-            "asked": len(found),
-            "tries": sum(o.tries for o in found),
+            "asked": len(all_outcomes),
+            "tries": sum(o.tries for o in all_outcomes),
             "attempts": len(day.attempts),
-            **{kind: kinds[kind] for kind in KINDS},
+            **{kind: kind_counts[kind] for kind in OUTCOME_KINDS},
         },
         "latency_ms": {
             f"p{part * 100:g}": round(percentile(latency, part), 1) for part in (0.5, 0.9, 0.95, 0.99, 0.999)
@@ -476,9 +490,9 @@
     }
 
 
-def _suspension_summary(found: Sequence[Suspension]) -> dict[str, Any]:
-    """Returns the times from each suspension to the last request that was sent, in seconds."""
-    took = sorted(s.took_s for s in found)
+def _suspension_summary(suspended: Sequence[Suspension]) -> dict[str, Any]:
+    """Returns the seconds from the start of each suspension to the last request sent during it."""
+    took = sorted(s.took_s for s in suspended)
     return {
         "count": len(took),
         "median_s": round(percentile(took, 0.5), 3),
@@ -488,6 +502,7 @@
 
 
 def _balancers(day: Day, requests: int) -> dict[str, Any]:
+    """Returns the resource usage of the balancers, or an empty table if none was sampled."""
     rows: dict[int, list[ResourceSample]] = defaultdict(list)
     for row in day.resource_samples:
         rows[row.balancer].append(row)
@@ -514,9 +529,9 @@
     rows: list[dict[str, Any]] = [
         {"at_s": round(i * span_s, 3), "kinds": defaultdict(int), "latency": []} for i in range(count)
     ]
-    edges = [round(i * span_s * SECOND) for i in range(count)]
+    starts = [round(i * span_s * SECOND) for i in range(count)]
     for outcome in found:
-        row = rows[bisect_right(edges, outcome.request.due_ns) - 1]
+        row = rows[bisect_right(starts, outcome.request.due_ns) - 1]
         row["kinds"][outcome.kind] += 1
         if outcome.kind in ("served", "late"):
             row["latency"].append(outcome.latency_ms)
--- a/lanelift/rehearsal/worker.py
+++ b/lanelift/rehearsal/worker.py
@@ -2,8 +2,8 @@
 
 The process reads JSON lines from standard input, first its job and then commands, and writes messages as JSON
 lines to standard output. When standard input ends, the orchestrator has exited for whatever reason: the
-process then ends all that it has started and exits, so that a kit that crashed or was killed leaves nothing
-behind.
+process then ends everything that it has started and exits, so that no process remains after the orchestrator
+has crashed or was killed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from lanelift.rehearsal.scenario import Scenario
 
 Json = dict[str, Any]
-CHECK_INTERVAL_S = 0.02  # how often a process checks whether its loop is late
+CHECK_INTERVAL_S = 0.02  # how often a process checks how late its event loop is
 PROGRESS_INTERVAL_S = 0.5  # how often a process reports its progress
 
 
@@ -31,28 +31,28 @@
     """The role of a process."""
 
     async def prepare(self) -> Json:
-        """Prepares the start. Returns what the orchestrator has to know."""
+        """Prepares the role for the day. Returns what the orchestrator needs, such as addresses."""
 
     async def start(self, start_ns: int) -> None:
-        """Runs the day, which begins at `start_ns`. Returns when this role's part is over."""
+        """Runs the role's part of the day, which begins at `start_ns`, until it is over or cancelled."""
 
     async def command(self, message: Json) -> None:
-        """Handles a command of the orchestrator."""
+        """Handles a command of the orchestrator other than start and finish."""
         ...
 
     def progress(self) -> Json:
-        """Returns the progress to report."""
+        """Returns counts for the progress line, or nothing."""
         ...
 
     async def finish(self) -> Json:
         """Writes the records at the end of the day. Returns a summary."""
 
     async def close(self) -> None:
-        """Ends immediately all that the role has started."""
+        """Ends immediately everything that the role has started."""
 
 
 class LoopMonitor:
-    """Measures how late the event loop runs: a day on which the kit itself was late is no measurement."""
+    """Measures how late the event loop runs, since a run is void if the kit itself was late."""
 
     def __init__(self) -> None:
         self.late_ms: list[float] = []
@@ -99,6 +99,7 @@
 
 
 async def _open_stdin() -> Callable[[], Awaitable[bytes]]:
+    """Returns a function that reads the next line of standard input, or b"" at its end."""
     reader = asyncio.StreamReader(limit=1 << 26)
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
@@ -134,20 +135,20 @@
         while line := await readline():
             message = json.loads(line)
             if message["do"] == "start":
-                for part in (run_day(message["at_ns"]), monitor.run(), report_progress()):
-                    running.append(group.create_task(part))
+                for coroutine in (run_day(message["at_ns"]), monitor.run(), report_progress()):
+                    running.append(group.create_task(coroutine))
             elif message["do"] == "finish":
-                for task in running:  # the day is over: nothing more is started while the records are written
+                for task in running:  # no role may act any more while the records are written
                     task.cancel()
                 await asyncio.wait(running)
                 late = monitor.summary()
                 cpu = time.process_time()
-                own = {
+                statistics = {
                     "lateness": late,
                     "cpu_s": round(cpu, 3),
                     "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
                 }
-                send_message({"finished": await role.finish() | own})
+                send_message({"finished": await role.finish() | statistics})
                 return
             else:
                 await role.command(message)
@@ -156,7 +157,7 @@
     try:
         try:
             send_message({"ready": await role.prepare()})
-        except OSError as error:  # a port in use, or a command that does not exist: reported with the reason
+        except OSError as error:  # such as a port in use, or a command that does not exist
             send_message({"failed": str(error)})
             return
         gc.collect()
@@ -164,14 +165,14 @@
         # An error in any task ends this process and is written to its log; the orchestrator notices the exit.
         async with asyncio.TaskGroup() as group:
             await receive_commands(group)
-            for task in running:  # still running if the orchestrator has exited
+            for task in running:  # they still run if the orchestrator has exited during the day
                 task.cancel()
     finally:
         await role.close()
 
 
 def rows_path(job: Json, name: str) -> Path:
-    """Returns the path of this process's file of records of one kind."""
+    """Returns the path of the file to which this process writes its records of one kind."""
     return Path(job["folder"]) / f"{name}-{job.get('index', 0)}.jsonl"
 
 
