--- a/lanelift/standins/ber.py
+++ b/lanelift/standins/ber.py
@@ -7,14 +7,13 @@
 
 from collections.abc import Iterator
 
-MAX_MESSAGE = (
-    16 * 2**20
-)  # longest accepted message: larger than a page of entries, too small to exhaust memory
+# The longest accepted message, in bytes: larger than a page of entries, too small to exhaust the memory.
+MAX_MESSAGE = 16 * 2**20
 BOOLEAN, INTEGER, OCTETS, NULL, ENUMERATED, SEQUENCE, SET = 0x01, 0x02, 0x04, 0x05, 0x0A, 0x30, 0x31
 
 
 class BerError(ValueError):
-    """The bytes are not valid in this encoding."""
+    """The bytes are not valid in the subset of BER that LDAP uses."""
 
 
 def element(tag: int, content: bytes) -> bytes:
@@ -53,19 +52,19 @@
     if len(data) < start + 2:
         return None
     if data[start] & 0x1F == 0x1F:
-        raise BerError("a tag of several bytes")
+        raise BerError("the tag has more than one byte")
     size = data[start + 1]
     if size < 0x80:
         return start + 2, start + 2 + size
     count = size & 0x7F
     if not 0 < count <= 4:
-        raise BerError("an indefinite length, or one of more than four bytes")
+        raise BerError("the length is indefinite or has more than four bytes")
     begin = start + 2 + count
     if len(data) < begin:
         return None
     length = int.from_bytes(data[start + 2 : begin], "big")
     if length > MAX_MESSAGE:
-        raise BerError(f"an element of {length} bytes; at most {MAX_MESSAGE} are taken")
+        raise BerError(f"the element has {length} bytes; at most {MAX_MESSAGE} are allowed")
     return begin, begin + length
 
 
@@ -75,7 +74,7 @@
     while at < len(data):
         found = content_span(data, at)
         if found is None or found[1] > len(data):
-            raise BerError("an element is cut short")
+            raise BerError("the element is truncated")
         yield data[at], data[found[0] : found[1]]
         at = found[1]
 
@@ -100,7 +99,7 @@
         """Returns the content of the next element, which must have this tag."""
         found, content = self.next_field()
         if found != tag:
-            raise BerError(f"tag {found:#04x} where {tag:#04x} belongs")
+            raise BerError(f"tag {found:#04x} found, {tag:#04x} expected")
         return content
 
     def optional(self, tag: int) -> bytes | None:
@@ -111,12 +110,12 @@
         """Decodes the next element as an integer."""
         content = self.expect(tag)
         if not 0 < len(content) <= 8:
-            raise BerError("an integer of no byte, or of more than eight")
+            raise BerError("an integer must have one to eight bytes")
         return int.from_bytes(content, "big", signed=True)
 
     def boolean(self) -> bool:
         """Decodes the next element as a boolean."""
         content = self.expect(BOOLEAN)
         if len(content) != 1:
-            raise BerError("a truth value that is not one byte")
+            raise BerError("a boolean must have one byte")
         return content != b"\x00"
--- a/lanelift/standins/box.py
+++ b/lanelift/standins/box.py
@@ -8,7 +8,7 @@
 The state changes only at events (a job arrives, ends or is dropped; a freeze begins or ends; the box warms up
 by a step). Between two events all running jobs progress at the same rate, so that one number, `attained`,
 holds the service that each of them has received (processor sharing in virtual time). A job ends when
-`attained` has grown by the job's work since the job was started.
+`attained` has grown by the work of the job since the job started to run.
 """
 
 from __future__ import annotations
@@ -57,27 +57,29 @@
     """The work offered within the last `span_ns`."""
 
     span_ns: int
-    sent: deque[tuple[int, int]] = field(default_factory=deque)
+    offers: deque[tuple[int, int]] = field(default_factory=deque)  # time, work
     work_ns: int = 0
 
     def add(self, work_ns: int, now: int) -> int:
-        self.sent.append((now, work_ns))
+        """Adds offered work. Returns the work offered within the last `span_ns`."""
+        self.offers.append((now, work_ns))
         self.work_ns += work_ns
-        while self.sent[0][0] <= now - self.span_ns:
-            self.work_ns -= self.sent.popleft()[1]
+        while self.offers[0][0] <= now - self.span_ns:
+            self.work_ns -= self.offers.popleft()[1]
         return self.work_ns
 
 
 class Box:
-    """One run of a box, from its start. A box that is started again is a new `Box` with a new id."""
+    """One instance of a box. When a box is started again, the next instance is a new `Box`."""
 
     def __init__(self, spec: BoxSpec, now: int, cold: bool = False) -> None:
         self.spec = spec
         self.started_ns = self.at_ns = now
         self.warm_level = 0 if cold and spec.cold_ns > 0 else WARM_STEPS
-        self.attained = 0.0  # ns of work that each running job has received since the start
+        self.attained = 0.0  # ns of work that a job would have received if it had run since the start
         self.done_ns = 0.0  # total work done by all jobs
-        self.running: list[tuple[float, int, str]] = []  # heap: `attained` at its end, arrival order, job
+        # A heap: `attained` at which the job ends, arrival order, job.
+        self.running: list[tuple[float, int, str]] = []
         self.waiting: deque[tuple[int, str, int]] = deque()  # arrival order, job, work
         self.completed: list[Completion] = []  # not yet returned by `advance`
         self.arrival_count = 0
@@ -143,7 +145,7 @@
         if self.overloaded_ns:
             return False
         if self.warm_level < WARM_STEPS:
-            # Counts work offered, whether accepted or not: the offered load is what overloads a cold box.
+            # Rejected work counts as well, since it is the offered load that overloads a cold box.
             window_capacity = self.spec.cores * self.spec.speed * self.warmth * self.spec.overload_window_ns
             if self.recent_work.add(work_ns, now) > self.spec.overload_multiple * window_capacity:
                 self.overloaded_ns = now
@@ -158,8 +160,8 @@
         return True
 
     def drop(self, job: str, now: int) -> bool:
-        """Removes a waiting job whose caller has disconnected. Returns whether it was removed; a running job
-        goes on."""
+        """Removes a waiting job whose caller has disconnected. Returns whether the job was removed; a running
+        job is not."""
         self._advance_to(now)
         if not self.spec.drops_queued:
             return False
@@ -180,7 +182,7 @@
         self.stolen_share = stolen_share
 
     def charge(self, work_ns: int, now: int) -> None:
-        """Does work outside the queue, such as answering a probe: delays the running jobs by it in total."""
+        """Does work outside the queue, such as answering a probe, by which it delays the running jobs."""
         self._advance_to(now)
         if self.running:
             self.attained -= work_ns / max(self.spec.cores, len(self.running))
@@ -194,6 +196,7 @@
     # ---- advancing the clock ----------------------------------------------------------------------------
 
     def _advance_to(self, now: int) -> None:
+        """Advances the state to `now`, event by event: jobs end, the box warms up, a freeze ends."""
         while True:
             rate_change = self._next_rate_change()
             until = now if rate_change is None else min(now, rate_change)
@@ -214,6 +217,7 @@
                 return
 
     def _accrue(self, to_ns: int, rate: float) -> None:
+        """Adds the progress of the running jobs until `to_ns`, during which the rate is constant."""
         elapsed = max(0, to_ns - self.at_ns)
         if self.running:
             self.attained += rate * elapsed
@@ -253,6 +257,7 @@
             self.warm_level += 1
 
     def _warm_work(self, level: int) -> float:
+        """Returns the total work after which a box that warms up by work has reached this level."""
         spec = self.spec
         return WARM_WORK * spec.cold_ns * spec.cores * spec.speed * level / WARM_STEPS
 
--- a/lanelift/standins/directory.py
+++ b/lanelift/standins/directory.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class Directory:
-    """The server. With `tls` it offers StartTLS or, if `ldaps` is set, expects TLS from the first byte."""
+    """A server. With `tls` it offers StartTLS or, if `ldaps` is set, expects TLS from the first byte."""
 
     tree: Tree
     users: Mapping[str, str] = field(default_factory=dict)
@@ -76,7 +76,7 @@
             directory.tls is not None and not directory.ldaps,
         )
         self.transport: asyncio.Transport | None = None
-        self.answered = 0  # bytes of answers to searches
+        self.answered = 0  # bytes of search answers that were sent
         self.task: asyncio.Task[None] | None = None  # the TLS handshake, or a slow answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -117,6 +117,7 @@
             self._send(answers, session.searches > searches)
 
     def _send(self, answers: list[bytes], is_search: bool) -> None:
+        """Sends answers, as far as the network faults let it, and closes the connection if it has to end."""
         transport, network_faults = self.transport, self.directory.network_faults
         if transport is None or transport.is_closing():
             return
--- a/lanelift/standins/discovery.py
+++ b/lanelift/standins/discovery.py
@@ -1,8 +1,8 @@
 """An emulated discovery service (PROTOCOL, 'Discovery'): the list of boxes, watches, and outages.
 
-In push mode each balancer has its own agent, a listener that serves the updates it has received. In ask mode
-the agents share one service that processes calls one after the other. The agents record when each balancer
-was told that a box drains or is gone, because the time limit of the drain rule counts from then.
+Each balancer has its own agent, a listener that serves the updates that the agent has received. In ask mode
+all agents also share one service, which processes their calls one after the other. The agents record when
+each balancer was told that a box drains or is gone, because the time limit of the drain rule starts then.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class DrainNotice(NamedTuple):
-    """A balancer was told that a box drains or is gone, at that time of the monotonic clock."""
+    """A balancer was told that a box drains or is gone. `at_ns` is a time of the monotonic clock."""
 
     at_ns: int
     balancer: int
@@ -61,7 +61,7 @@
 
 
 class Agent(Server):
-    """Discovery as seen by one balancer."""
+    """The agent of one balancer: discovery as this balancer sees it."""
 
     def __init__(
         self, balancer: int, drain_notices: list[DrainNotice], service: SerialService | None = None
@@ -70,11 +70,12 @@
         self.balancer, self.drain_notices, self.service = balancer, drain_notices, service
         self.version = 1
         self.entries: dict[str, Entry] = {}
-        self.changed: dict[str, tuple[int, Entry]] = {}  # the version of the latest change of each box
+        self.changed: dict[str, tuple[int, Entry]] = {}  # by id: the latest change of a box, and its version
         self.oldest_version = 1  # a watch from an earlier version gets the full list
         self.silent = False
+        # By connection: the request, the version from which it watches, and the timer of its hold time.
         self.watches: dict[Connection, tuple[Request, int, Timer]] = {}
-        self.held_requests: list[Request] = []  # received while silent
+        self.held_requests: list[Request] = []  # received while silent, answered afterwards
 
     # ---- updates ----------------------------------------------------------------------------------------
 
@@ -93,8 +94,8 @@
         else:
             self.entries[entry.id] = entry
         if len(self.changed) > CHANGE_HISTORY:
-            gone, (version, _) = min(self.changed.items(), key=lambda item: item[1][0])
-            del self.changed[gone]
+            oldest_id, (version, _) = min(self.changed.items(), key=lambda item: item[1][0])
+            del self.changed[oldest_id]
             self.oldest_version = version
         self._answer_watches()
 
@@ -139,6 +140,7 @@
             Timer(lambda: self._handle(request, since, hold_ms)).at(due)
 
     def _handle(self, request: Request, since: int | None, hold_ms: int) -> None:
+        """Answers a request, or holds it as a watch until there is a change after the version `since`."""
         if request.disconnected_ns:
             return
         if since is None or not self.oldest_version <= since <= self.version:
@@ -167,9 +169,10 @@
                 self._send_list(request, since)
 
     def _send_list(self, request: Request, since: int | None) -> None:
+        """Sends the changes after the version `since`, or the full list if None. Records drain notices."""
         if since is None:
             body = self.snapshot()
-            # A full list also tells the balancer which boxes are gone, since it lacks them.
+            # A full list also tells the balancer which boxes are gone, since they are not in it.
             drained = [entry for _, entry in self.changed.values() if entry.state != "Ready"]
         else:
             rows = [entry for version, entry in self.changed.values() if version > since]
@@ -189,7 +192,8 @@
 async def start_agents(
     count: int, call_ns: int | None, port: Callable[[int], int] = lambda number: 0
 ) -> tuple[list[Agent], list[DrainNotice]]:
-    """Starts an agent for each balancer. With `call_ns` they share a service whose calls take that long."""
+    """Starts an agent for each balancer. If `call_ns` is given, the agents share a service whose calls take
+    that long. Returns the agents and the list to which they add their drain notices."""
     drain_notices: list[DrainNotice] = []
     service = SerialService(call_ns) if call_ns is not None else None
     agents = [Agent(number, drain_notices, service) for number in range(count)]
--- a/lanelift/standins/http.py
+++ b/lanelift/standins/http.py
@@ -59,7 +59,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """A connection of a caller. Notifies its server of complete requests and of its end."""
+    """A connection from a caller. Notifies its server of each complete request and of the disconnection."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -67,7 +67,7 @@
         self.transport: asyncio.Transport | None = None
         self.partial_request: _PartialRequest | None = None
         self.open: list[Request] = []  # unanswered requests
-        self.count = 0
+        self.count = 0  # complete requests received
         self.last_used_ns = time.monotonic_ns()
         self.closed = False
 
@@ -105,7 +105,7 @@
         self.connection_lost(None)
 
     def write(self, data: bytes) -> None:
-        """Sends the answer to the oldest open request."""
+        """Sends `data` as the answer to the oldest open request."""
         if self.open:
             self.open.pop(0)
         self.last_used_ns = time.monotonic_ns()
--- a/lanelift/standins/ldap.py
+++ b/lanelift/standins/ldap.py
@@ -92,9 +92,9 @@
 class Tree:
     """The entries under one base, in the order in which they were added.
 
-    `put` sets the modification time of an entry to the given second (GeneralizedTime, `20261201093000Z`), as
-    a server does from its own clock. An entry keeps its UUID for as long as it exists, also when it is
-    renamed (RFC 4530)."""
+    Each change sets the modification time of the entry to `stamp` (GeneralizedTime in whole seconds,
+    `20261201093000Z`), where a server would use its own clock. An entry keeps its UUID for as long as it
+    exists, also when it is renamed (RFC 4530)."""
 
     def __init__(self, base: str) -> None:
         self.base = base
@@ -140,7 +140,7 @@
         del self.entries[parse_dn(dn)]
 
     def copy(self) -> Tree:
-        """Returns a replica of the present state, which later changes do not reach."""
+        """Returns a copy of the present state, which later changes of this tree do not affect."""
         other = Tree(self.base)
         other.entries = dict(self.entries)
         return other
@@ -164,9 +164,10 @@
 
 
 def read_filter(tag: int, content: bytes, ordering: bool = True, depth: int = 0) -> FilterTest:
-    """Decodes a search filter (RFC 4511, 4.5.1.7); >= and <= need `ordering`. Raises BerError."""
+    """Decodes a search filter (RFC 4511, 4.5.1.7) into a test of entries. `>=` and `<=` are undefined unless
+    `ordering`. Raises BerError."""
     if depth > MAX_DEPTH:
-        raise BerError("filters too deep in each other")
+        raise BerError("the filter is nested too deeply")
     if tag in (0xA0, 0xA1):
         tests = [read_filter(t, c, ordering, depth + 1) for t, c in ber.elements(content)]
         return _and_test(tests) if tag == 0xA0 else _or_test(tests)
@@ -185,12 +186,12 @@
     name, value = _decode(fields.expect(ber.OCTETS)), normalized(_decode(fields.expect(ber.OCTETS)))
     if tag in (0xA3, 0xA8):
         return lambda e: any(normalized(v) == value for v in e.values(name)) if e.values(name) else None
-    above = tag == 0xA5
+    at_least = tag == 0xA5
 
     def ordered(e: Entry) -> bool | None:
-        # Only GeneralizedTime in one time zone is ordered here; it compares like text.
+        # Only GeneralizedTime in one time zone is compared here, for which the order of texts is right.
         found = [normalized(v) for v in e.values(name)]
-        return any(v >= value if above else v <= value for v in found) if found else None
+        return any(v >= value if at_least else v <= value for v in found) if found else None
 
     return ordered
 
@@ -237,7 +238,7 @@
     try:
         return content.decode()
     except UnicodeDecodeError:
-        raise BerError("text that is not UTF-8") from None
+        raise BerError("the text is not UTF-8") from None
 
 
 @dataclass(slots=True)
@@ -247,7 +248,7 @@
 
     code: Code = Code.SUCCESS
     after: int = 0
-    referral: str = ""  # where searches are referred to, or with `references` parts of them
+    referral: str = ""  # URL that searches are referred to or, with `references`, parts of them
     references: bool = False
     empty: bool = False  # searches succeed and return no entries
     # Attributes (lower case) that are withheld, as after a lost permission.
@@ -287,7 +288,7 @@
                 if found is None or len(self.buffer) < found[1]:
                     break
                 if self.buffer[0] != ber.SEQUENCE:
-                    raise BerError("a message that is no sequence")
+                    raise BerError("the message is not a sequence")
                 message = bytes(self.buffer[found[0] : found[1]])
                 del self.buffer[: found[1]]
                 answers += self._handle(FieldReader(message))
@@ -299,36 +300,38 @@
         return answers
 
     def _handle(self, fields: FieldReader) -> Iterable[bytes]:
-        number = fields.integer()
+        message_id = fields.integer()
         tag, content = fields.next_field()
         controls = _controls(fields.optional(CONTROLS))
         if tag == UNBIND:
             self.closing = True
             return []
         if tag == ABANDON:
-            return []  # nothing to abandon: each search is answered before the next message is read
+            return []  # nothing is left to abandon: each search is answered before the next message is read
         if tag == BIND:
-            return [_encode_message(number, ber.element(BIND_DONE, self._bind(FieldReader(content))))]
+            return [_encode_message(message_id, ber.element(BIND_DONE, self._bind(FieldReader(content))))]
         if tag == SEARCH:
-            return self._search(number, FieldReader(content), controls)
+            return self._search(message_id, FieldReader(content), controls)
         if tag == EXTENDED:
-            return [_encode_message(number, ber.element(EXTENDED_DONE, self._extended(FieldReader(content))))]
+            return [
+                _encode_message(message_id, ber.element(EXTENDED_DONE, self._extended(FieldReader(content))))
+            ]
         if tag in WRITE_RESPONSES:
             return [
                 _encode_message(
-                    number, ber.element(WRITE_RESPONSES[tag], _result(Code.UNWILLING, "read only"))
+                    message_id, ber.element(WRITE_RESPONSES[tag], _result(Code.UNWILLING, "read only"))
                 )
             ]
-        raise BerError(f"no request has the tag {tag:#04x}")
+        raise BerError(f"unknown request tag {tag:#04x}")
 
     def _bind(self, fields: FieldReader) -> bytes:
         version, name = fields.integer(), _decode(fields.expect(ber.OCTETS))
         method, secret = fields.next_field()
         self.user = None
         if version != 3:
-            return _result(Code.PROTOCOL_ERROR, "only version 3 is spoken")
+            return _result(Code.PROTOCOL_ERROR, "only LDAP version 3 is supported")
         if method != 0x80:
-            return _result(Code.AUTH_METHOD, "only simple binds are taken")
+            return _result(Code.AUTH_METHOD, "only simple binds are supported")
         if not name and not secret:
             return _result(Code.SUCCESS)  # anonymous (RFC 4513, 5.1.1)
         known = {parse_dn(user): password for user, password in self.users.items()}
@@ -340,15 +343,16 @@
     def _extended(self, fields: FieldReader) -> bytes:
         name = fields.expect(0x80)
         if name != START_TLS:
-            return _result(Code.PROTOCOL_ERROR, "this extension is not known")
+            return _result(Code.PROTOCOL_ERROR, "unknown extended operation")
         if not self.offers_tls:
-            return _result(Code.UNAVAILABLE, "no certificate is set up") + ber.octets(START_TLS, 0x8A)
+            return _result(Code.UNAVAILABLE, "no certificate is configured") + ber.octets(START_TLS, 0x8A)
         self.wants_tls = True
         return _result(Code.SUCCESS) + ber.octets(START_TLS, 0x8A)
 
     def _search(
-        self, number: int, fields: FieldReader, controls: dict[bytes, tuple[bool, bytes]]
+        self, message_id: int, fields: FieldReader, controls: dict[bytes, tuple[bool, bytes]]
     ) -> Iterable[bytes]:
+        """Returns the answers to a search: its entries, one page of them, or an error."""
         self.searches += 1
         base, scope = _decode(fields.expect(ber.OCTETS)), fields.integer(ber.ENUMERATED)
         fields.integer(ber.ENUMERATED)  # how aliases are dereferenced: there are none
@@ -357,7 +361,7 @@
         wanted = [_decode(content) for _, content in ber.elements(fields.expect(ber.SEQUENCE))]
 
         def search_done(code: Code, why: str = "", extra: bytes = b"") -> bytes:
-            return _encode_message(number, ber.element(SEARCH_DONE, _result(code, why, referral)), extra)
+            return _encode_message(message_id, ber.element(SEARCH_DONE, _result(code, why, referral)), extra)
 
         server_faults = self.server_faults
         referral = server_faults.referral if server_faults.code is Code.REFERRAL else ""
@@ -368,7 +372,7 @@
         if self.users and self.user is None:
             return [search_done(Code.ACCESS, "bind first")]
         if server_faults.code is not Code.SUCCESS and not server_faults.after:
-            return [search_done(server_faults.code, "as told")]
+            return [search_done(server_faults.code, "injected fault")]
         page, cookie = None, b""
         if PAGED in controls and server_faults.pages:
             inner = FieldReader(ber.FieldReader(controls[PAGED][1]).expect(ber.SEQUENCE))
@@ -376,15 +380,15 @@
         if cookie:
             found = self.paged_searches.pop(cookie, None)
             if found is None:
-                return [search_done(Code.UNWILLING, "the cookie is not known")]
+                return [search_done(Code.UNWILLING, "unknown cookie")]
         else:
             if not base and not scope:
-                reach: Iterable[Entry] | None = [self._root()]
+                in_scope: Iterable[Entry] | None = [self._root()]
             else:
-                reach = self.tree.entries_in_scope(parse_dn(base), scope)
-            if reach is None:
+                in_scope = self.tree.entries_in_scope(parse_dn(base), scope)
+            if in_scope is None:
                 return [search_done(Code.NO_SUCH_OBJECT)]
-            found = [] if server_faults.empty else [e for e in reach if test(e) is True]
+            found = [] if server_faults.empty else [e for e in in_scope if test(e) is True]
         limit = min(n for n in (size_limit, server_faults.most, len(found)) if n or n == len(found))
         code = Code.SIZE_LIMIT if limit < len(found) else Code.SUCCESS
         extra = b""
@@ -403,12 +407,12 @@
         found = found[:limit]
         if server_faults.after:
             found, code = found[: server_faults.after], server_faults.code
-        answers = [_encode_message(number, self._entry(e, wanted, types_only)) for e in found]
+        answers = [_encode_message(message_id, self._entry(e, wanted, types_only)) for e in found]
         self.entries += len(found)
         if server_faults.references and server_faults.referral:
             answers.append(
                 _encode_message(
-                    number, ber.sequence(ber.octets(server_faults.referral.encode()), tag=REFERENCE)
+                    message_id, ber.sequence(ber.octets(server_faults.referral.encode()), tag=REFERENCE)
                 )
             )
         answers.append(search_done(code, "", extra))
@@ -434,19 +438,22 @@
         )
 
     def _entry(self, entry: Entry, wanted: list[str], types_only: bool) -> bytes:
+        """Encodes an entry with those of the wanted attributes that it has."""
         names = {w.lower() for w in wanted}
         every, operational = not names or "*" in names, "+" in names
         rows = []
         for key, (name, values) in entry.attributes.items():
-            asked = key in names or (operational if key in OPERATIONAL else every)
-            if asked and values and key not in self.server_faults.hidden and "1.1" not in names:
-                held = [] if types_only else [ber.octets(v.encode()) for v in values]
-                rows.append(ber.sequence(ber.octets(name.encode()), ber.sequence(*held, tag=ber.SET)))
+            is_wanted = key in names or (operational if key in OPERATIONAL else every)
+            if is_wanted and values and key not in self.server_faults.hidden and "1.1" not in names:
+                encoded = [] if types_only else [ber.octets(v.encode()) for v in values]
+                rows.append(ber.sequence(ber.octets(name.encode()), ber.sequence(*encoded, tag=ber.SET)))
         return ber.sequence(ber.octets(entry.dn.encode()), ber.sequence(*rows), tag=ENTRY)
 
 
-def _encode_message(number: int, operation: bytes, control: bytes = b"") -> bytes:
-    return ber.sequence(ber.integer(number), operation, ber.element(CONTROLS, control) if control else b"")
+def _encode_message(message_id: int, operation: bytes, control: bytes = b"") -> bytes:
+    return ber.sequence(
+        ber.integer(message_id), operation, ber.element(CONTROLS, control) if control else b""
+    )
 
 
 def _result(code: Code, why: str = "", referral: str = "") -> bytes:
@@ -456,10 +463,11 @@
 
 
 def _controls(content: bytes | None) -> dict[bytes, tuple[bool, bytes]]:
+    """Decodes the controls of a message. Returns the criticality and the value of each by its OID."""
     found = {}
     for tag, row in ber.elements(content or b""):
         if tag != ber.SEQUENCE:
-            raise BerError("a control that is no sequence")
+            raise BerError("the control is not a sequence")
         fields = FieldReader(row)
         name = fields.expect(ber.OCTETS)
         critical = fields.boolean() if fields and fields.remaining[-1][0] == ber.BOOLEAN else False
--- a/lanelift/standins/upstream_emulator.py
+++ b/lanelift/standins/upstream_emulator.py
@@ -1,9 +1,9 @@
 """An emulated upstream on a socket: PROTOCOL's upstream side, driven by the model in `box.py`.
 
-An `UpstreamEmulator` is one address, at which successive instances of a box run, each with its own `Box`. It
-answers `/health`, `/status/load` and requests, rejects requests that it has no room for, and can be made to
-die, freeze, slow down, drain and vanish. It records each attempt that reached it, as seen from the box's side
-of the socket alone; the verdict is computed from these records.
+An `UpstreamEmulator` is one address, at which successive instances of a box run, each with its own `Box`. The
+emulator answers `/health`, `/status/load` and requests, rejects requests when the box is full, and can be
+made to die, freeze, slow down, drain and vanish. It records each attempt that reached it, as seen from the
+box's side of the socket alone; the verdict is computed from these records.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Attempt(NamedTuple):
-    """One request as it reached a box. `closed_ns` is when it ended, as seen by the box."""
+    """One request as it reached a box. `closed_ns` is when the request ended, as seen by the box."""
 
     id: str
     box: str  # the id of the instance that received it
@@ -77,7 +77,7 @@
         self.instance_id, self.work_of = instance_id, work_of
         self.instance_number = -1
         self.box = Box(spec, 0)
-        # By "id/count", since an id may be sent again.
+        # By "id/count", since an id may be sent again: the request, the instance that received it, its work.
         self.open_attempts: dict[str, tuple[Request, str, int]] = {}
         self.attempt_count = 0
         self.withheld: list[Request] = []  # received while frozen or vanished
@@ -146,6 +146,7 @@
         self._schedule()
 
     def _handle(self, request: Request) -> None:
+        """Answers or rejects a request, or gives it to the box as a job."""
         now = time.monotonic_ns()
         if request.disconnected_ns:
             self._record(request, "dropped", request.disconnected_ns, False, 0)
@@ -153,25 +154,25 @@
         if request.path in ("/health", "/status/load"):
             self._answer_probe(request, now)
             return
-        name = request.headers.get("x-request-id", "")
-        work_ns = self.work_of(name) if name else None
+        try_id = request.headers.get("x-request-id", "")
+        work_ns = self.work_of(try_id) if try_id else None
         if work_ns is None:
-            if name:
-                self._complain(f"request {name!r} was sent by no client")
+            if try_id:
+                self._complain(f"request {try_id!r} was sent by no client")
             self._record(request, "unknown", now, False, 0)
-            request.answer(400 if name else 404)
+            request.answer(400 if try_id else 404)
             return
         if self.draining:
             self._reject(request, "draining", now)
             return
         job_ns = work_ns + (self.sockets.handshake_ns if request.number == 0 else 0)
         self.attempt_count += 1
-        key = f"{name}/{self.attempt_count}"
+        key = f"{try_id}/{self.attempt_count}"
         was_up = not self.box.overloaded_ns
         if self.box.offer(key, job_ns, now):
             self.open_attempts[key] = (request, self.instance_id(self.instance_number), job_ns)
         elif self.box.overloaded_ns and was_up:
-            self._collapse(request, name, now)
+            self._fail_from_overload(request, try_id, now)
         else:
             self._reject(request, "full", now)
 
@@ -179,9 +180,9 @@
         self._record(request, result, now, False, 0)
         request.answer(503, headers=NOT_RUN)
 
-    def _collapse(self, request: Request, name: str, now: int) -> None:
-        """Handles an overload while cold: the instance loses all jobs and stays down."""
-        self.cold_overloads.append((now, self.instance_id(self.instance_number), name))
+    def _fail_from_overload(self, request: Request, try_id: str, now: int) -> None:
+        """Handles the overload of a cold box by this request: the instance loses all jobs and stays down."""
+        self.cold_overloads.append((now, self.instance_id(self.instance_number), try_id))
         self._record(request, "cold fall", now, False, 0)
         self.die()
 
@@ -221,6 +222,7 @@
         self._schedule()
 
     def _advance(self, now: int) -> None:
+        """Advances the box, and answers the requests whose jobs have ended."""
         for done in self.box.advance(now):
             if self.vanished:
                 continue
@@ -241,11 +243,11 @@
     def _record(
         self, request: Request, result: str, closed_ns: int, ran: bool, work_ns: int, instance_id: str = ""
     ) -> None:
-        name = request.headers.get("x-request-id", "")
-        if name:
+        try_id = request.headers.get("x-request-id", "")
+        if try_id:
             self.attempts.append(
                 Attempt(
-                    name,
+                    try_id,
                     instance_id or self.instance_id(self.instance_number),
                     request.first_ns,
                     request.last_ns,
@@ -257,6 +259,7 @@
             )
 
     def _schedule(self) -> None:
+        """Sets the timer to the next event of the box, or to the end of a freeze."""
         if self.vanished:
             return
         due = self.box.next_ns()
@@ -288,7 +291,7 @@
         return self.attempts
 
     def _finish_all(self, result: str) -> None:
-        """Records each open attempt, also those that were withheld."""
+        """Ends and records each open attempt, and each request that was withheld."""
         now = time.monotonic_ns()
         waiting = {job for _, job, _ in self.box.waiting}
         for key in list(self.open_attempts):
