--- a/lanelift/cli/rehearse.py
+++ b/lanelift/cli/rehearse.py
@@ -27,7 +27,7 @@
 )
 from lanelift.rehearsal.scenario import Scenario, read_scenario, shipped
 
-PLAIN_INTERVAL_S = 5.0  # between two lines of progress if the output is not a terminal
+PLAIN_INTERVAL_S = 5.0  # between two lines of progress if standard error is not a terminal
 
 
 @click.group()
@@ -59,13 +59,15 @@
 
 
 def _read(name: str, changes: dict[str, Any]) -> Scenario:
+    """Reads a scenario with the changes that are not None. Exits with a message if it is not valid."""
     try:
         return read_scenario(name, {key: value for key, value in changes.items() if value is not None})
-    except FileValidationError as mistakes:
-        exit_with_bad_input(mistakes)
+    except FileValidationError as error:
+        exit_with_bad_input(error)
 
 
 def _address(context: click.Context, parameter: click.Parameter, value: str | None) -> tuple[str, int] | None:
+    """Parses the value of an option as HOST:PORT."""
     if value is None:
         return None
     host, _, port = value.rpartition(":")
@@ -143,8 +145,8 @@
         **({"command": command} if command else {}),
     )
     try:
-        with _progress(read.length_s) as show:
-            day = run_rehearsal(read, options, show)
+        with _progress(read.length_s) as show_progress:
+            day = run_rehearsal(read, options, show_progress)
     except RehearsalError as error:
         click.echo(f"the rehearsal could not be played: {error}", err=True)
         sys.exit(EXIT_FAILURE)
@@ -165,7 +167,7 @@
 
 @contextmanager
 def _progress(length_s: float) -> Any:
-    """Yields a function that shows the progress, as a live line in a terminal or else as plain lines."""
+    """Yields a function that shows the progress: as a live line in a terminal, else as plain lines."""
     if not sys.stderr.isatty():
         yield _plain_progress(length_s)
         return
@@ -187,6 +189,7 @@
 
 
 def _plain_progress(length_s: float) -> Callable[[float, Counter[str]], None]:
+    """Returns a function that prints the progress as a line, at most once per `PLAIN_INTERVAL_S`."""
     last = -PLAIN_INTERVAL_S
 
     def show(at_s: float, counts: Counter[str]) -> None:
