--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -35,7 +35,9 @@
 def make_report(day: Day) -> Json:
     """Returns the report, which has these keys:
 
-    schema, program, machine   the version of the format, and where the run took place
+    schema      the version of this format
+    program     the version of lanelift
+    machine     the system, the processor and the version of Python
     at          when the run ended, in UTC
     scenario    as validated, with its defaults filled in
     verdict     as `verdict.verdict` returns it
