--- a/tests/net/test_connection_phases.py
+++ b/tests/net/test_connection_phases.py
@@ -59,8 +59,8 @@
     async def test() -> None:
         async with in_process_balancer(sockets=RESERVED_SOCKETS + 2 * 2) as lb:
             silent = [await lb.client() for _ in range(20)]
-            client = await lb.client()
-            assert (await client.request("r1")).status == 200
+            requesting = await lb.client()
+            assert (await requesting.request("r1")).status == 200
             for client in silent:
                 client.close()
 
