--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -240,7 +240,7 @@
 
 
 def _tags(annotation: Any) -> list[str]:
-    """Return the tags of a union of tables: the values that their key `kind` allows."""
+    """Return the tags of a tagged union of tables, which are the allowed values of the key `kind`."""
     tags = []
     for member in _members(annotation):
         kind = member.model_fields.get("kind")
--- a/lanelift/policy/concurrency.py
+++ b/lanelift/policy/concurrency.py
@@ -14,7 +14,7 @@
 from lanelift.policy.units import SECOND_NS
 
 MIN_CONGESTION_THRESHOLD = 0.35  # share of the latency objective
-MAX_CONGESTION_THRESHOLD = 0.8  # also a share of the latency objective
+MAX_CONGESTION_THRESHOLD = 0.8  # share of the latency objective
 CONGESTION_MULTIPLE = 3.0  # times the baseline latency ratio
 # Time constants of the smoothed latency ratio and of a rising baseline. They are times and not numbers of
 # responses: at a high response rate, congestion would otherwise become the baseline within a second, and one
--- a/lanelift/policy/deadlines.py
+++ b/lanelift/policy/deadlines.py
@@ -29,7 +29,7 @@
         self.hedging = hedging
 
     def set_wait_timeout(self, request: PendingRequest, now: int) -> None:
-        """Set when a request is given up, and schedule a check for that time."""
+        """Set the time at which a request is given up, and schedule a check for it."""
         service_times = self.state.service_times
         estimate_ns = service_times.estimate_ns(request.request_class, request.cost_hint_ns)
         need_ns = estimate_ns * (DURATION_MARGIN + service_times.relative_deviation)
--- a/lanelift/policy/rate_control.py
+++ b/lanelift/policy/rate_control.py
@@ -18,16 +18,19 @@
 MIN_OUTCOMES = 8  # outcomes that are needed to adjust R
 MAX_INTERVALS = 4  # intervals after which R is adjusted with fewer outcomes
 TOLERATED_EXCESS = 0.2  # excess over the congestion threshold (share of the objective) that does not lower R
-QUICK_EXCESS = -0.1  # excess below which responses are quick
-GROWTH = 1.1  # factor of R in one interval
-MIN_GROWTH_PER_S = 0.5  # added to R in one interval on top of that
-GROWTH_PER_SLACK = 2.0  # added to GROWTH per unit of the objective that responses leave unused
-MIN_SHARE_OF_BEST = 0.2  # of the best goodput; R is not cut below this
-BEST_DECAY = 0.98  # of the best goodput kept after one interval; it decays within a minute
-MAX_CUT = 0.3  # of R that is cut in one interval
-MIN_SHARE_OF_GOODPUT = 0.9  # of the goodput of this interval; R is not cut below this
-ATTEMPT_RATE_HEADROOM = 1.2  # a cut starts from this multiple of the attempt rate, if R is above it
-ATTEMPT_RATE_MARGIN_PER_S = 1  # added to that multiple of the attempt rate
+QUICK_EXCESS = -0.1  # if the excess is below this, responses count as quick
+GROWTH = 1.1  # least factor by which R is raised in one interval
+MIN_GROWTH_PER_S = 0.5  # added to R after it is multiplied by that factor
+# Added to GROWTH for each unit that latency is below the congestion threshold; the unit is the objective.
+GROWTH_PER_SLACK = 2.0
+MIN_SHARE_OF_BEST = 0.2  # R is not cut below this share of the best goodput
+BEST_DECAY = 0.98  # share of the best goodput that is kept after an interval; it decays within a minute
+MAX_CUT = 0.3  # largest share by which R is cut in one interval
+MIN_SHARE_OF_GOODPUT = 0.9  # R is not cut below this share of the interval's goodput
+# Unless responses are quick, a cut of R starts from no more than the attempt rate multiplied by the headroom,
+# plus the margin.
+ATTEMPT_RATE_HEADROOM = 1.2
+ATTEMPT_RATE_MARGIN_PER_S = 1
 MIN_TENANT_RATE_PER_S = 0.05  # minimum rate of a token bank, however small its share of R
 MIN_WEIGHTS_LEFT = 1e-9  # lower bound of the remaining weight, which may round to 0 before the last division
 DEMAND_SMOOTHING = 0.5  # weight of the latest interval
--- a/lanelift/policy/service_time.py
+++ b/lanelift/policy/service_time.py
@@ -16,7 +16,9 @@
 from lanelift.policy.attempts import Attempt
 from lanelift.policy.settings import RequestClass
 
-DURATION_MARGIN = 1.3  # multiple of the expected time, plus the deviation, after which a request is late
+# A request is late after its expected time multiplied by the sum of this and a multiple of the relative
+# deviation.
+DURATION_MARGIN = 1.3
 MIN_SAMPLE_WEIGHT = 0.01  # least weight of a new sample of the regression
 PRIOR_SAMPLES = 8.0  # number of samples that the prior slope counts as
 PRIOR_SLOPE = 0.5  # slope with few samples: half of what the hint says
--- a/lanelift/policy/subsets.py
+++ b/lanelift/policy/subsets.py
@@ -19,10 +19,10 @@
 
 MIN_SUBSET_SIZE = 4  # upstreams to draw from
 PAUSE_TOLERANT_SIZE = 10  # a subset of this size still serves while a few of its upstreams pause
-# The most replicas that share an upstream if subsets have PAUSE_TOLERANT_SIZE; subsets of MIN_SUBSET_SIZE may
-# need more.
+# Subsets are enlarged up to PAUSE_TOLERANT_SIZE only while at most this many replicas share an upstream.
+# Subsets of MIN_SUBSET_SIZE may need more.
 MAX_DEGREE = 6
-MAX_DEGREE_WITH_PEER_MESSAGES = 4  # the same, if each attempt is announced to all of them
+MAX_DEGREE_WITH_PEER_MESSAGES = 4  # the same, if each attempt is announced to all these replicas
 UNREACHABLE_REMEMBERED_NS = SECOND_NS  # how long an upstream counts as unreachable after its ejection
 
 
--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -22,7 +22,7 @@
 # among this many takes a few milliseconds. All tenants beyond this number share one bank.
 MAX_TOKEN_BANKS = 1024
 OVERFLOW_TENANTS_WEIGHT = 0.5  # weight of that shared bank, as a share of that of the others
-MAX_TOKEN_BUCKETS = 8192  # rate limits in use; further limits are not enforced until some buckets are full
+MAX_TOKEN_BUCKETS = 8192  # if so many are in use, further limits are not enforced until full ones are removed
 MAX_RETRY_AFTER_JITTER = 1.5  # times the wait until the next token, so that clients do not return in step
 
 
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -296,7 +296,7 @@
 
 
 class _FaultTimeline:
-    """Expands the faults of a scenario into timed events: steps of places, commands, outages, suspensions,
+    """Expands the faults of a scenario into timed events: actions on places, commands, outages, suspensions,
     and the notifications that each balancer receives."""
 
     def __init__(self, scenario: s.Scenario, places: Sequence[Place]) -> None:
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -68,7 +68,7 @@
 
 
 def _boxes(day: Day) -> Json:
-    """Returns the mean load and capacity of each place in each second; None: it was not sampled."""
+    """Returns the mean load and capacity of each place in each second, or None if it has no sample."""
     seconds = int(day.plan.scenario.length_s) + 1
     held: dict[int, list[list[int]]] = defaultdict(lambda: [[] for _ in range(seconds)])
     capacity: dict[int, list[list[float]]] = defaultdict(lambda: [[] for _ in range(seconds)])
--- a/lanelift/rehearsal/upstream_workers.py
+++ b/lanelift/rehearsal/upstream_workers.py
@@ -129,7 +129,7 @@
 
 
 class DiscoveryWorker:
-    """The role that runs discovery: an agent for each balancer, which sends it the plan's notifications."""
+    """The role that runs discovery. Each balancer has an agent, which sends it the plan's notifications."""
 
     def __init__(self, job: Json) -> None:
         self.job = job
--- a/lanelift/rehearsal/verdict.py
+++ b/lanelift/rehearsal/verdict.py
@@ -18,14 +18,14 @@
 from lanelift.rehearsal.records import GRACE_NS, BoxSample, ProcessRun, ResourceSample, StandingChange, Try
 
 SECOND, MS = 1_000_000_000, 1_000_000
-WINDOW_S = 10  # length of the windows among which the worst is reported
+WINDOW_S = 10  # length of a window; the window with the lowest share of worth is reported
 WEIGHTS = {"whole": 0.6, "worst_window": 0.1, "worst_class": 0.2, "worst_tenant": 0.1}  # the brief, 'Score'
 # A balancer counts as notified this long after the planned time of a notification, even if it never arrived.
 NOTIFICATION_LIMIT_NS = 6 * SECOND
 MAX_BREACHES_SHOWN = 20  # per rule; all are counted
-# The run is void if the kit's event loops or the starts of its requests were later than this. A delay of a
-# hundredth of an aim of 264 ms does not show in a figure that itself varies by a hundredth; a stall of a
-# quarter of the aim makes answers late by itself.
+# The run is void if the kit's event loops ran late, or requests were started late, by more than this. With an
+# aim of 264 ms, a delay of a hundredth of it does not show in a figure that itself varies by a hundredth; a
+# stall of a quarter of it is enough to make answers late.
 LATE_P99_MS, STALL_MS = 5.0, 66.0
 # No request of a suspended tenant may be sent to a box later than this after the suspension began. When the
 # suspension ends, requests of the tenant must resume within the same time and have no worth until then.
@@ -54,8 +54,8 @@
 
 
 class Attempt(NamedTuple):
-    """One request as it reached a box. Has the fields of `standins.upstream_emulator.Attempt`, a module with
-    sockets, which this one must not import."""
+    """One request as it reached a box. Has the same fields as `standins.upstream_emulator.Attempt`, which is
+    not imported here because its module uses sockets, and this one must not."""
 
     id: str
     box: str
@@ -68,8 +68,9 @@
 
 
 class DrainNotice(NamedTuple):
-    """A balancer was told that a box drains or is gone. Has the fields of `standins.discovery.DrainNotice`, a
-    module with sockets, which this one must not import."""
+    """A balancer was told that a box drains or is gone. Has the same fields as
+    `standins.discovery.DrainNotice`, which is not imported here because its module uses sockets, and this one
+    must not."""
 
     at_ns: int
     balancer: int
--- a/lanelift/routes/check.py
+++ b/lanelift/routes/check.py
@@ -87,7 +87,7 @@
     """A state of boxes and pools in which a statement has to hold."""
 
     unusable: frozenset[str]  # boxes
-    any_down: int  # number of further boxes that may be down
+    any_down: int  # number of boxes, whichever they are, that may be down besides `unusable`
     short: frozenset[str]  # pools that spill
     well: frozenset[str]  # pools that do not spill
     down: frozenset[str]  # boxes that only a condition makes unusable
--- a/lanelift/routes/normalization.py
+++ b/lanelift/routes/normalization.py
@@ -9,7 +9,9 @@
 import re
 
 MAX_HOST = 253  # characters of a host name (RFC 1035, 2.3.4)
-MAX_SEGMENTS = 32  # of a rule's path, to limit the cost of a lookup; longer paths of requests match by prefix
+# Segments of a rule's path, to limit the cost of a lookup. A request's path may be longer, and then matches
+# only rules for a prefix of it.
+MAX_SEGMENTS = 32
 PORTS = range(65536)
 
 _LABEL = re.compile(r"[a-z0-9_]([a-z0-9_-]{0,61}[a-z0-9_])?\Z")
--- a/lanelift/standins/box.py
+++ b/lanelift/standins/box.py
@@ -20,9 +20,11 @@
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
-WARM_STEPS = 64  # equal steps in which a cold box warms up: at most 1/128 of the range off a linear ramp
-# A box that warms up by work is warm after doing this share of the work that it could do during the ramp.
-# Under low load the clock warms it; under full load the work does, in about half the time.
+# A cold box warms up in this many equal steps, which differ from a linear ramp by at most 1/128 of its range.
+WARM_STEPS = 64
+# A box with `warm_by_work` is warm, at the latest, once it has done this share of the work that it could do
+# at full capacity during the ramp. Under low load, the ramp ends first; under full load, the work warms the
+# box in about half the time.
 WARM_WORK = 0.5
 
 
--- a/lanelift/tenants/sync_worker.py
+++ b/lanelift/tenants/sync_worker.py
@@ -35,7 +35,7 @@
 from lanelift.tenants.tenant_state import Changes
 
 MAX_LOG_CHARACTERS = 1000  # of a log message, as texts from directories may be of any length
-MAX_HUNG_THREADS = 4  # threads that could not be ended (in a DNS lookup), before the whole process exits
+MAX_HUNG_THREADS = 4  # the process exits once so many threads could not be ended (in a DNS lookup)
 INTERVAL_JITTER = 0.1  # random part of an interval, so that balancers do not search a directory in step
 JOIN_TIMEOUT_S = 0.2  # for a thread whose connection was closed
 
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -126,7 +126,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A balancer starts with a cached list, and its agent knows of a drain. The agent's updates count as
-    delivered from the start of the process on, in whatever way it numbers versions. No request is sent to
+    delivered from the start of the process on, whatever version numbers it uses. No request is sent to
     an upstream before the agent has answered.
     """
     monkeypatch.setattr(discovery, "START_TIMEOUT_S", TEST_S)
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -40,9 +40,9 @@
 
 @pytest.mark.usefixtures("settled")
 def test_a_late_handshake_is_recorded_and_its_connection_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An upstream's handshakes suddenly take longer than a request waits for one. If a handshake ended when
-    its request stops waiting, its time would not be recorded, and the upstream would never be reached. So the
-    handshake continues, its time is recorded, and its connection serves the next request.
+    """An upstream's handshakes suddenly take longer than a request waits for one. If the handshake were
+    cancelled when its request stops waiting, its duration would not be recorded, and the upstream would
+    never be reached. So it continues, its duration is recorded, and its connection serves the next request.
     """
 
     async def test() -> None:
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -78,8 +78,9 @@
 def test_a_response_beyond_the_streaming_limit_is_aborted(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """A response is longer than the limit of streamed bodies. It is an error if its length is stated; else
-    it is aborted at the limit, and the client can tell.
+    """A response is longer than the limit of streamed bodies. If its length is stated, the attempt is an
+    error and the client gets a 503; otherwise the response is aborted at the limit, and the client can tell
+    that it is incomplete.
     """
     monkeypatch.setattr("lanelift.net.message_parser.MAX_STREAMED_BODY_BYTES", 300_000)
 
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "ending"),  # noise can be detected only between chunks
+    ("how", "ending"),  # noise: invalid bytes, which can be detected only between chunks
     [(how, ending) for how in ("told", "chunked", "1.0") for ending in ("reset", "end")]
     + [("chunked", "noise")],
 )
--- a/tests/policy/test_churn.py
+++ b/tests/policy/test_churn.py
@@ -179,7 +179,7 @@
     from lanelift.policy.registry import UpstreamRegistry
     from lanelift.policy.requests import PendingRequest
 
-    if what == "upstreams":  # kept by a list outside the registry's table
+    if what == "upstreams":  # a list besides the registry's table keeps them
         leaked: list[object] = []
         update = UpstreamRegistry.update
 
--- a/tests/policy/test_ordering.py
+++ b/tests/policy/test_ordering.py
@@ -81,8 +81,8 @@
 
 
 def test_a_request_that_waits_for_its_key_takes_no_token_and_is_answered() -> None:
-    """Nineteen requests wait for an earlier one of their key that is never served: none takes a token, and
-    each is answered.
+    """Nineteen requests wait for an earlier request with the same key, which is never served. None of
+    them takes a token, and each gets an answer.
     """
     checked = CheckedBalancer()
     checked.handle(arrival(0, checked.now, ORDERED, key="k"))
