--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -81,7 +81,7 @@
 
 
 def read_file(path: Path, model: type[T], changes: Mapping[str, Any] | None = None) -> T:
-    """Return the content of a file as an instance of `model`.
+    """Parse a TOML file, and return its content as an instance of `model`.
 
     Args:
         path: The file.
@@ -106,7 +106,7 @@
 
 
 def read_text(text: str, model: type[T], file: str, changes: Mapping[str, Any] | None = None) -> T:
-    """Return the content of a text as an instance of `model`.
+    """Parse a TOML text, and return its content as an instance of `model`.
 
     Args:
         text: The TOML.
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -204,7 +204,7 @@
         self._connected(target, connection, exchange)
 
     def _connected(self, target: UpstreamTarget, connection: UpstreamConnection, exchange: Exchange) -> None:
-        """Starts the exchange after its handshake, unless the exchange was given up meanwhile."""
+        """Starts the exchange on its new connection, unless it was given up during the handshake."""
         if connection.closed:
             exchange.give_up(AttemptResult.CONNECT_FAILED)
         elif exchange.on_finished is None or _client_left(exchange):
--- a/lanelift/policy/concurrency.py
+++ b/lanelift/policy/concurrency.py
@@ -26,7 +26,9 @@
 BASELINE_FALL = 0.05  # weight of the smoothed ratio in a falling baseline
 INTERVAL_SMOOTHING = 0.05  # weight of the latest interval between outcomes
 MAX_LATENCY_RATIO = 1.5  # larger ratios are clamped to this
-WINDOW_STEP = 0.5  # attempts per unit of latency ratio, divided by the width of the subset
+# Attempts by which the window changes if the latency ratio differs by 1 from the congestion threshold, before
+# the division by the width of the subset.
+WINDOW_STEP = 0.5
 DEFAULT_WINDOW = 0.5  # attempts for each upstream, before the first endpoint list
 INITIAL_MEAN_SERVICE_TIME_NS = SECOND_NS / 50
 MAX_INITIAL_SERVICE_TIME_SHARE = 0.08  # of the shortest latency objective
--- a/lanelift/policy/placement.py
+++ b/lanelift/policy/placement.py
@@ -101,7 +101,7 @@
             self.answers.reject_or_fail(request, now)
 
     def _would_be_late(self, request: PendingRequest, upstream: Upstream, now: int) -> bool:
-        """Return whether queued work leaves too little time at the upstream that becomes free first.
+        """Return whether the work queued at the upstream that becomes free first leaves too little time.
 
         An upstream with no work queued is never too slow to try.
         """
--- a/lanelift/policy/subsets.py
+++ b/lanelift/policy/subsets.py
@@ -22,7 +22,7 @@
 # The most replicas that share an upstream if subsets have PAUSE_TOLERANT_SIZE; subsets of MIN_SUBSET_SIZE may
 # need more.
 MAX_DEGREE = 6
-MAX_DEGREE_WITH_PEER_MESSAGES = 4  # the same, if each attempt is announced to all of them
+MAX_DEGREE_WITH_PEER_MESSAGES = 4  # MAX_DEGREE if replicas announce each attempt to each other
 UNREACHABLE_REMEMBERED_NS = SECOND_NS  # how long an upstream counts as unreachable after its ejection
 
 
--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -179,9 +179,9 @@
         return own + list(self.shared_banks.values())
 
     def forget_idle(self, now: int) -> None:
-        """Forget the idle banks and buckets that are full: a new one would be the same."""
+        """Forget banks and buckets that are idle and full, since new ones would be in the same state."""
         for table in (self.banks, self.removed_banks):
-            # If no tenant is listed, the one bank that all use remains.
+            # The bank "", which all requests use while no tenant is listed, is kept.
             idle = [
                 name
                 for name, bank in table.items()
--- a/lanelift/policy/token_bank.py
+++ b/lanelift/policy/token_bank.py
@@ -91,7 +91,7 @@
         self.was_exhausted = False
 
     def set_rate(self, rate_per_s: float, now: int) -> None:
-        """Set the rate and the capacities that follow from it, and keep tokens and buffered requests."""
+        """Set the rate and the capacities that follow from it. Tokens and buffered requests are kept."""
         self.accrue(now)
         tokens_less_buffered = self.balance - self.buffer_capacity  # T - J
         self.rate_per_s = rate_per_s
--- a/lanelift/policy/token_bucket.py
+++ b/lanelift/policy/token_bucket.py
@@ -48,5 +48,5 @@
         return math.ceil((1 - self.tokens) / rate_per_s * SECOND_NS)
 
     def is_full(self, now: int) -> bool:
-        """Return whether the bucket is full, as a new one is, so that it can be forgotten."""
+        """Return whether the bucket is full. It is then the same as a new one, and can be forgotten."""
         return self.tokens + self.rate_per_s * (now - self.updated_at_ns) / SECOND_NS >= self.capacity
--- a/lanelift/rehearsal/orchestrator.py
+++ b/lanelift/rehearsal/orchestrator.py
@@ -249,7 +249,7 @@
                 await worker.finished  # raises RehearsalError: the process exited early
 
     async def _finish(self, worker: WorkerProcess) -> Json:
-        """Makes a process end its part, such as the balancers, and write its records. Returns its summary."""
+        """Makes a process end what it runs, such as balancers, and write its records. Returns its summary."""
         worker.send({"do": "finish"})
         assert worker.finished is not None
         async with asyncio.timeout(FINISH_TIMEOUT_S):
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -224,7 +224,8 @@
 
 
 def _pick(weights: Sequence[float], position: float) -> int:
-    """Returns an index chosen by weight: the one in whose part of the total `position` (0 to 1) lies."""
+    """Returns an index chosen by weight. Each index has a part of the range from 0 to 1, in proportion to its
+    weight; the result is the index in whose part `position` lies."""
     position *= sum(weights)
     for i, weight in enumerate(weights):
         position -= weight
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -162,7 +162,7 @@
 
 
 def compared_figures(report: Json) -> dict[str, float]:
-    """Returns the figures of a report that a comparison shows."""
+    """Returns the figures of one report that `compare` compares, by name."""
     return {name: report["verdict"][part][key] for name, (part, key) in COMPARED.items()}
 
 
--- a/lanelift/routes/match_sets.py
+++ b/lanelift/routes/match_sets.py
@@ -53,7 +53,7 @@
         )
 
     def intersection(self, other: MatchSet) -> MatchSet | None:
-        """Return the set of requests that are in both sets; None: there are none."""
+        """Return the set of requests that are in both sets; None: no request is in both."""
         host = _intersect_hosts(self, other)
         path = _intersect_paths(self, other)
         method = _intersect_values(self.method, other.method)
--- a/lanelift/standins/upstream_emulator.py
+++ b/lanelift/standins/upstream_emulator.py
@@ -181,7 +181,7 @@
         request.answer(503, headers=NOT_RUN)
 
     def _fail_from_overload(self, request: Request, try_id: str, now: int) -> None:
-        """Handles the overload of a cold box by this request: the instance loses all jobs and stays down."""
+        """Handles a request that overloads a cold box: the instance loses all jobs and stays down."""
         self.cold_overloads.append((now, self.instance_id(self.instance_number), try_id))
         self._record(request, "cold fall", now, False, 0)
         self.die()
--- a/lanelift/tenants/replica_reader.py
+++ b/lanelift/tenants/replica_reader.py
@@ -88,14 +88,14 @@
         self.events = events
         self.on_page = on_page
         self.on_result = on_result
-        # Holds at most one order, as the schedule begins no reading while one of the same kind runs. None
-        # ends the thread.
+        # At most one order is queued, as the schedule starts no reading while another of the same kind runs.
+        # An order of None ends the thread.
         self.orders: queue.SimpleQueue[ReadOrder | None] = queue.SimpleQueue()
         self.session: Session | None = None
         self.source = NO_SOURCE
 
     def run(self) -> None:
-        """Perform the ordered readings, until an order is None."""
+        """Perform the reading of each order, until an order is None."""
         while (order := self.orders.get()) is not None:
             result = self._read(order)
             self.events.put(partial(self.on_result, self, order, result))
--- a/lanelift/tenants/store.py
+++ b/lanelift/tenants/store.py
@@ -140,7 +140,7 @@
         return self.validity.next_s()
 
     def reconfigure(self) -> None:
-        """Prepare for other directories, another filter or another map.
+        """Prepare for a change of the directories, the filter or the map.
 
         An unchanged entry may be parsed differently from now on, and the marks and sources of entries no
         longer refer to the configured directories.
--- a/lanelift/tenants/validity.py
+++ b/lanelift/tenants/validity.py
@@ -1,4 +1,4 @@
-"""Timer for the begin and end of tenants' validity. Pure: the caller passes the time."""
+"""Timer for the beginning and end of tenants' validity. Pure: the caller passes the time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from lanelift.tenants.entries import Record
 
-MIN_HEAP_SLACK = 3  # number of outdated boundaries for which the heap is never rebuilt
+MIN_HEAP_SLACK = 3  # a heap with no more outdated boundaries than this is not rebuilt
 
 
 @dataclass(slots=True)
@@ -15,7 +15,7 @@
     """The next boundary of each tenant's validity, in seconds since 1970.
 
     Attributes:
-        due: By tenant: when its validity begins or ends next.
+        due: By tenant: when its validity next begins or ends.
         boundaries: The same times as a heap. Outdated ones stay in the heap until it is twice as long as
             `due`; then it is rebuilt, so that validities that change often do not fill it.
     """
@@ -24,7 +24,7 @@
     boundaries: list[tuple[float, str]] = field(default_factory=list)
 
     def schedule(self, record: Record, now_s: float) -> None:
-        """Store when the validity of a record's tenant begins or ends next."""
+        """Store when the validity of the record's tenant next begins or ends."""
         bounds = (record.valid_from_s, record.valid_until_s)
         ahead = [bound_s for bound_s in bounds if bound_s is not None and bound_s > now_s]
         if not ahead:
--- a/tests/policy/checked_balancer.py
+++ b/tests/policy/checked_balancer.py
@@ -333,7 +333,7 @@
             self.timers.append((self.now + action.delay_ns, action.name))
 
     def _check_key_order(self, request: str) -> None:
-        """Check rule 5: requests of one key run one at a time, in order, and wait for its cooldown."""
+        """Check rule 5: requests of one key run one at a time, in order, and not in the key's cooldown."""
         for order in self.key_order.values():
             for earlier in order[: order.index(request)] if request in order else ():
                 over = earlier in self.answer or earlier in self.notified_complete
--- a/tests/policy/test_churn.py
+++ b/tests/policy/test_churn.py
@@ -145,7 +145,9 @@
 
 
 def simulate_days(count: int, per_day: int) -> list[Counter[str]]:
-    """Return the objects at the end of each day, which has `per_day` minutes of churn and a pause."""
+    """Simulate days of `per_day` minutes of churn and a pause. Return the number of objects of each type at
+    the end of each day.
+    """
     churn, found = Churn(5), []
     for _ in range(count):
         for _ in range(per_day):
--- a/tests/policy/test_full_size.py
+++ b/tests/policy/test_full_size.py
@@ -280,7 +280,7 @@
 
 
 def test_the_rate_recovers_faster_the_further_from_congestion() -> None:
-    """After a deep cut, R grows faster the more of their objective responses leave unused."""
+    """After a deep cut, R grows faster the further the latency ratio is below the congestion threshold."""
     values = []
     for excess in (-0.05, -0.3):
         checked = CheckedBalancer(config(40, classes={"read": READ}))
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -139,7 +139,9 @@
 
 
 def test_a_flood_of_messages_needs_bounded_memory() -> None:
-    """A replica announces a thousand attempts at one upstream: what is remembered and counted is bounded."""
+    """A replica announces a thousand attempts at one upstream. The reservations kept for them, and the queued
+    work that they count as, are bounded.
+    """
     checked = sharing_balancer()
     upstream = checked.balancer.registry.unrestricted_pool.subset.order[0]
     checked.handle(
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -159,7 +159,8 @@
     checked.now += MS
     checked.handle(*(LoadProbeFinished(u, AttemptResult.OK, MS, {"inflight": 0.0}) for u in probed))
     assert len(checked.attempts) > 1 and not checked.answer
-    # An upstream that does not report is neither probed again nor waited for until its probe has ended.
+    # An upstream does not answer its probe: requests are sent without waiting for the probe's end, and until
+    # then the upstream is not probed again.
     checked = probing_with_retry_after(1)
     assert len(actions_of_type(ProbeLoad, checked.handle(arrival(1, checked.now)))) == 1
     checked.advance(20 * MS)
--- a/tests/policy/test_timers.py
+++ b/tests/policy/test_timers.py
@@ -26,7 +26,7 @@
 
 
 def test_a_far_too_large_cost_hint_leaves_no_timer_behind() -> None:
-    """A client expects its request to take years: no timer is left for that long."""
+    """A client hints that its request takes years: no timer that would wait for so long is left behind."""
     checked = CheckedBalancer()
     for i in range(50):
         checked.handle(arrival(i, checked.now)._replace(cost_hint_ns=10**21))
--- a/tests/program/test_tenants.py
+++ b/tests/program/test_tenants.py
@@ -121,7 +121,7 @@
         process.send_signal(signal.SIGTERM)
         await process.wait()
         _, alive = await asyncio.to_thread(psutil.wait_procs, children, 10)
-        assert not alive  # the reader has ended with its balancer
+        assert not alive  # the process that reads the directories has ended with its balancer
     for directory in directories:
         directory.stop()
     upstream.stop()
--- a/tests/tenants/test_schedule.py
+++ b/tests/tenants/test_schedule.py
@@ -158,7 +158,7 @@
 
 
 def test_a_stamp_from_the_future_is_no_mark() -> None:
-    """An entry has a stamp far in the future. The search for changes still begins before the present."""
+    """An entry has a stamp far in the future. Changes are still read from a time before the present."""
     schedule = after_first_full_read(new_schedule())
     for now in (1.0, 2.0, 100.0):
         order = next(
