--- a/lanelift/faults/datagram_proxy.py
+++ b/lanelift/faults/datagram_proxy.py
@@ -16,7 +16,7 @@
 
 Address = tuple[str, int]
 LOOPBACK = "127.0.0.1"
-MAX_COPY_DELAY_MS = 600  # default delay of a repeated datagram, the same as in `simulation`
+MAX_COPY_DELAY_MS = 600  # default maximum delay of a repeated datagram, the same as in `simulation`
 
 
 class ProxyEndpoint(asyncio.DatagramProtocol):
@@ -92,7 +92,7 @@
             self.endpoints[end] = endpoint
 
     def address_of(self, end: str) -> Address:
-        """Returns the address that the opposite end uses for this one."""
+        """Returns the proxy's address to which the opposite end sends datagrams for this end."""
         opposite = self.ends[0] if end == self.ends[1] else self.ends[1]
         return self.endpoints[opposite].address
 
@@ -122,5 +122,5 @@
                 self._forward(recipient, data)
 
     def _forward(self, recipient: str, data: bytes) -> None:
-        """Sends a datagram from the endpoint that the recipient knows as the sender's address."""
+        """Sends a datagram from the socket whose address the recipient uses as the sender's address."""
         self.endpoints[recipient].send(data, self.addresses[recipient])
--- a/lanelift/faults/random_schedule.py
+++ b/lanelift/faults/random_schedule.py
@@ -49,7 +49,7 @@
 GAP_LEASES = (0.2, 1.0, 3.0)  # the mean time between two faults
 # Short and long durations, and some close to the length of a lease: errors show at its edges.
 DURATION_LEASES = (0.05, 0.2, 0.5, 0.95, 1.0, 1.05, 1.5, 3.0)
-MOVE_GAP_LEASES = (0.1, 0.5, 1.5)  # between two restarts with another list of voters
+RESTART_GAP_LEASES = (0.1, 0.5, 1.5)  # between two restarts with another list of voters
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
     later = [(*members, new), members[1:], (*members[1:], new), (*members[2:], new, f"{new}{new}")]
     plans = tuple(rng.sample(later, 2))
     steps = list(schedule.steps)
-    rest_moves = False
+    restarts_rest = False
     for number in rng.choice(([1], [1, 2], [1, 0], [1, 2, 0])):
         voters = (members, *plans)[number]
         half = rng.sample(schedule.contenders, (len(schedule.contenders) + 1) // 2)
@@ -127,9 +127,9 @@
         for node in (*rng.sample([*voters, *half], len(voters) + len(half)), None, *rest):
             if node is None:  # the remaining nodes are restarted later, or not at all
                 at_ms += rng.randrange(4 * lease_ms)
-                rest_moves = rng.random() < 0.5
-            elif node not in rest or rest_moves:
-                at_ms += rng.randrange(max(1, int(lease_ms * rng.choice(MOVE_GAP_LEASES))))
+                restarts_rest = rng.random() < 0.5
+            elif node not in rest or restarts_rest:
+                at_ms += rng.randrange(max(1, int(lease_ms * rng.choice(RESTART_GAP_LEASES))))
                 steps += _restart_under(number, node, at_ms)
     steps.sort(key=lambda step: step.at_ms)
     return replace(schedule, steps=tuple(steps), plans=plans)
@@ -153,9 +153,9 @@
     kind = rng.choice(FAULT_WEIGHTS)
     draw = _Draw(at_ms, duration_ms, node, recipient, members, contenders, lease_ms)
     if kind is RandomFault.KILL:
-        return _until_undone(draw, StepKind.KILL, StepKind.START)
+        return _fault_and_end(draw, StepKind.KILL, StepKind.START)
     if kind is RandomFault.STOP:
-        return _until_undone(draw, StepKind.STOP, StepKind.GO)
+        return _fault_and_end(draw, StepKind.STOP, StepKind.GO)
     if kind is RandomFault.ALL:
         return _all_killed(draw)
     if kind is RandomFault.ROLL:
@@ -184,8 +184,8 @@
     ]
 
 
-def _until_undone(draw: _Draw, fault: StepKind, end: StepKind) -> list[Step]:
-    """Returns the steps of a node's fault and its end."""
+def _fault_and_end(draw: _Draw, fault: StepKind, end: StepKind) -> list[Step]:
+    """Returns the step that begins a node's fault and the step that ends it."""
     return [Step(draw.at_ms, fault, draw.node), Step(draw.at_ms + draw.duration_ms, end, draw.node)]
 
 
--- a/lanelift/faults/schedule.py
+++ b/lanelift/faults/schedule.py
@@ -27,7 +27,7 @@
     HEAL = "heal"  # messages from `who` to `whom` pass normally again
     DELAY = "delay"  # messages from `who` to `whom` take `ms` longer
     DROP = "drop"  # a share `part` of the messages from `who` to `whom` is lost
-    DOUBLE = "double"  # a share `part` of these messages arrives twice, the second time up to `ms` later
+    DOUBLE = "double"  # a share `part` of the messages to `whom` arrives twice, the second up to `ms` later
     RATE = "rate"  # the node's clock runs faster by the fraction `part` from now on
     STEP = "step"  # the node's wall clock is moved by `ms`, which should have no effect
     PLAN = "plan"  # the node's next start uses the list of voters with the number `ms`
@@ -122,7 +122,8 @@
     """A set of nodes and the faults that they are subjected to.
 
     Attributes:
-        seed: Seed of the network's treatment of each message; the steps do not depend on it.
+        seed: Seed of the random choices while the schedule is played, such as each message's latency. The
+            steps are the same with any seed.
         voters: The members that vote.
         contenders: The processes that compete for the lease.
         until_ms: The length of the schedule.
--- a/lanelift/faults/shrinking.py
+++ b/lanelift/faults/shrinking.py
@@ -33,9 +33,9 @@
         return plays <= max_plays and bool(fails(candidate))
 
     best = schedule
-    for calmer in (replace(best, loss=0.0, double=0.0), replace(best, rates=())):
-        if still_fails(calmer):
-            best = calmer
+    for simpler in (replace(best, loss=0.0, double=0.0), replace(best, rates=())):
+        if still_fails(simpler):
+            best = simpler
     size = max(1, len(best.steps) // 2)
     while best.steps and plays < max_plays:
         for start in range(0, len(best.steps), size):
--- a/lanelift/fleet/cluster.py
+++ b/lanelift/fleet/cluster.py
@@ -19,10 +19,10 @@
     """One balancer of the fleet.
 
     Attributes:
-        id: Its name, unique in the fleet.
-        address: Host and UDP port at which the other members reach it.
-        zone: The zone that it runs in.
-        votes: Whether it is a voter.
+        id: The member's name, unique in the fleet.
+        address: Host and UDP port at which the other members reach this one.
+        zone: The zone that the member runs in.
+        votes: Whether the member is a voter.
     """
 
     id: str
@@ -61,8 +61,8 @@
     def restart_quiet_ns(self) -> int:
         """How long a voter that may have forgotten its votes does not vote, on its clock.
 
-        Any request that it had accepted was sent before it forgot its votes, so the lease that the request
-        gave has ended by then: the same inequality as for `validity_ns`.
+        Any request that the voter had accepted was sent before the voter forgot its votes, so the lease that
+        the request gave ends before the quiet period does: the same inequality as for `validity_ns`.
         """
         return self.lease_ns
 
--- a/lanelift/fleet/messages.py
+++ b/lanelift/fleet/messages.py
@@ -115,7 +115,8 @@
         verdict: A `Verdict`. The type is a plain string, since a later release may send further words, which
             are ignored. Any verdict confirms a `Release`: the voter released the lease, or was not bound
             under that ballot (`LeaseHolder.receive`).
-        ballot: The ballot that was promised or accepted; for STALE_BALLOT the ballot that must be passed.
+        ballot: The ballot that was promised or accepted; for STALE_BALLOT the ballot that the proposer's next
+            one must exceed.
         holder: Name of the present holder.
         token: The ballot of the voter's vote for that holder: the holder's token, or a ballot above it.
         remaining_ns: Time until another attempt may succeed; 0 also if the time is unknown.
@@ -190,9 +191,9 @@
         voter: Id of the voter whose status this is.
         nonce: Identifies the start of the voter that sent the first status; a reply repeats it.
         may_vote: Whether the voter has finished its recovery. It votes once its quiet period has also ended.
-        lost_state: `PersistentState.lost_state`: the voter has joined its configuration and has never been
-            able to vote under any, so it knows of no ballot; also true for a new voter. False while the voter
-            has `former_voter_sets`.
+        lost_state: Whether the voter knows of no ballot: it has joined its configuration, and has never been
+            able to vote under any (`PersistentState.lost_state`); also true for a new voter. False while the
+            voter has `former_voter_sets`.
         ballot_ceiling: The voter has promised no ballot above this.
         is_reply: Whether this is a reply, to which no reply is sent.
         former_voter_sets: `PersistentState.former_voter_sets`.
--- a/lanelift/fleet/recovery.py
+++ b/lanelift/fleet/recovery.py
@@ -6,15 +6,15 @@
   for `LeaseTiming.restart_quiet_ns`.
 - **Lost state.** The ballot that new ballots must exceed is persisted, so that tokens do not fall when all
   voters restart at the same time. A voter that lost its state does not know that ballot. It may vote once it
-  has received the status of all other voters, or of enough voters that may vote that each past majority
-  included at least one of them; it takes a ballot floor above their ceilings.
+  has received the status of all other voters. The status of fewer voters suffices if they may vote and each
+  past majority must have included one of them. The highest of their ceilings becomes its ballot floor.
 - **Changed voter set.** Majorities of two different voter sets need not share a voter. A voter that voted
   under another configuration may vote under this one once a majority of the *former* voters have joined this
   one: from then on no lease can be given under the former configuration. The voters that it counts may have
   joined from further configurations, which their status lists; a majority of each of those must have joined
   as well. The voter stays quiet from that moment on, for the longest quiet period of all the configurations.
 
-Assumptions: fewer than a majority of the voters lose their state before the others have let them vote again;
+Assumptions: at any time, fewer than a majority of the voters have lost their state and may not vote yet;
 the state of a removed voter is lost; no two voters share a state file.
 """
 
@@ -55,8 +55,8 @@
         quiet_ns: The longest quiet period of all configurations whose votes may still bind the voter.
         ballot_ceiling: The voter has promised no ballot above this, including promises that it has forgotten.
         former_voter_sets: The voters of former configurations, until this voter may vote again.
-        lost_state: Whether the voter has joined its configuration and, as far as its disk knows, has never
-            been able to vote under any, so it knows of no ballot; also true for a new voter.
+        lost_state: Whether the voter knows of no ballot: it has joined its configuration and, as far as its
+            disk knows, has never been able to vote under any. Also true for a new voter.
     """
 
     cluster_digest: str
--- a/lanelift/leases/acceptor.py
+++ b/lanelift/leases/acceptor.py
@@ -3,11 +3,12 @@
 Times are nanoseconds of the voter's own clock. The proof in docs/design/leases.md depends on these rules; the
 comments in the code name the rule that each check enforces:
 
-1. The acceptor promises a ballot to one proposer only, and only if the ballot is above all that it promised
-   before, including those before a restart.
+1. The acceptor promises a ballot to one proposer only, and only if the ballot is above every ballot that it
+   promised before, including those before a restart.
 2. The acceptor promises nothing while it is bound to another proposer.
 3. The acceptor accepts only the ballot that it promised last, and only from the proposer that it promised.
-4. The acceptor is bound for `lease_ns` from when it accepted; a release of another ballot does not end that.
+4. The acceptor is bound for `lease_ns` from when it accepted. A release under another ballot does not unbind
+   it.
 
 The queue, the reservations and the expiry of a promise only decide the order of the proposers. They serve
 fairness; safety does not depend on them.
@@ -78,13 +79,13 @@
     Attributes:
         free_since_ns: When the lease became free; for a new record, when the acceptor was created.
         promised_ballot: The last ballot that was promised.
-        promised_nonce: Nonce of the proposer that holds the promise; 0 if the promise was ended.
+        promised_nonce: Nonce of the proposer that holds the promise; 0 if there is no promise.
         promise_until_ns: Until when no other proposer is promised a ballot.
         vote: The vote that binds the acceptor; None if it is not bound.
         queue: The waiting proposers, the longest waiting first.
         reserved_for: Name of the only proposer that may get the lease; empty for any proposer.
         reserved_until_ns: When the reservation ends.
-        counted_nonce: Nonce of the holder that the metrics counted last.
+        counted_nonce: Nonce of the holder that the metrics counted last; only `FleetNode` uses it.
     """
 
     free_since_ns: int
@@ -104,8 +105,9 @@
     Attributes:
         ballot_floor: No ballot up to this is promised.
         ballot_ceiling: No ballot above this is promised, until `raise_ceiling` raises it.
-        highest_promised: The highest ballot promised for any lease, which a proposer must pass after a
-            restart.
+        highest_promised: The highest ballot promised for any lease, or the first floor. A rejection of a
+            stale ballot names it, so that the proposer's next ballot exceeds it, as it must after a restart
+            of the voter.
         requested_ballot: The highest requested ballot above the ceiling; 0 for none.
         leases: The state of each known lease, by name.
     """
@@ -151,9 +153,9 @@
         wait_ns = self._wait_for_others_ns(record, message, position, now)
         if wait_ns is not None:
             return self._reject(message, Verdict.QUEUED, remaining_ns=wait_ns, queue_position=position)
-        to_pass = max(record.promised_ballot, self.ballot_floor)
-        if message.ballot <= to_pass:  # rule 1
-            ballot = max(to_pass, self.highest_promised)
+        must_exceed = max(record.promised_ballot, self.ballot_floor)
+        if message.ballot <= must_exceed:  # rule 1
+            ballot = max(must_exceed, self.highest_promised)
             return self._reject(message, Verdict.STALE_BALLOT, ballot, queue_position=position)
         if message.ballot > self.ballot_ceiling:  # rule 1: a restart would forget a promise above the ceiling
             self.requested_ballot = max(self.requested_ballot, message.ballot)
--- a/lanelift/leases/client.py
+++ b/lanelift/leases/client.py
@@ -13,9 +13,11 @@
 from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
 from lanelift.leases.proposer import Phase, Proposer
 
-JITTER = (0.5, 1.5)  # factor of a pause, so that two proposers that collided do not collide again
-# The number of attempts that a client with a wait timeout of 0 makes before it is rejected. If so many voters
-# are bound to another holder that no majority is left, it is rejected immediately.
+# A pause is multiplied by a random factor in this range, so that two proposers that collided do not collide
+# again.
+JITTER = (0.5, 1.5)
+# The number of attempts that a client with a wait timeout of 0 makes before it gives up. If so many voters
+# are bound to another holder that no majority is left, the client gives up immediately.
 MIN_ATTEMPTS_WITHOUT_WAIT = 8
 Outgoing = tuple[str | None, Prepare | Accept]  # the recipient, None for all voters, and the message
 REJECTIONS = (Verdict.HELD, Verdict.QUEUED, Verdict.STALE_BALLOT, Verdict.AT_CAPACITY)
@@ -26,7 +28,7 @@
 
     ACQUIRING = "seeking"
     HOLDING = "holds"
-    REJECTED = "refused"  # the wait ended while another held the lease, or no majority had accepted
+    REJECTED = "refused"  # the client gave up, since others held the lease or came first, or too few answered
     LOST = "lost"  # the client held the lease and could not renew it in time
     RELEASED = "released"
 
@@ -43,8 +45,8 @@
         started_ns: When the client was created and began to wait for the lease.
         attempts: Number of ballots tried so far.
         rejections: The rejections of the present attempt, by voter.
-        reason: Why the client does not hold the lease, in words for the log. While it holds, the reason of
-            the last failed attempt.
+        reason: Why the client does not hold the lease, in words for the log. While the client holds the
+            lease, why its last failed attempt failed.
         next_ballot_after_ns: While the client holds the lease, no higher ballot is prepared before this time.
     """
 
@@ -88,7 +90,7 @@
     def tick(self, now: int) -> list[Outgoing]:
         """Returns the messages to send now: a renewal, a new attempt, or none."""
         active = self.state in (ClientState.ACQUIRING, ClientState.HOLDING)
-        if active and self.proposer.has_expired(now):
+        if active and self.proposer.is_over(now):
             self._end(ClientState.LOST, "the lease could not be renewed in time")
         if self.state is ClientState.HOLDING:
             self._schedule_renewal(now)
@@ -122,7 +124,8 @@
             self.state = ClientState.HOLDING
             self._schedule_renewal(now)
             return []
-        # Every voter notifies the first waiter; one attempt for all notifications is enough.
+        # Every voter notifies the first waiter, and one attempt is enough: it clears `rejections`, so that
+        # the other voters' notifications start no further attempt.
         if response.verdict == Verdict.FREE and self._attempt_has_failed:
             self.due_ns = now
             return self.tick(now)
@@ -143,7 +146,7 @@
 
     @property
     def _attempt_has_failed(self) -> bool:
-        """Whether too many voters have rejected this attempt for a majority to be left."""
+        """Whether so many voters have rejected this attempt that the others are not a majority."""
         return len(self.rejections) > self.voters - majority(self.voters)
 
     def _has_waited_enough(self, waited_ns: int) -> bool:
--- a/lanelift/leases/holder.py
+++ b/lanelift/leases/holder.py
@@ -19,7 +19,7 @@
 from lanelift.leases.client import ClientState, LeaseClient
 from lanelift.leases.watchdog import NOT_HELD, SIGNAL_EXIT_CODE
 
-MAX_RELEASE_ROUNDS = 3  # if the release is lost, others wait for the rest of the lease
+MAX_RELEASE_ROUNDS = 3  # if all releases are lost, other proposers wait until the lease expires
 # The name that the watchdog's module has in earlier versions of the software as well: see `warden.py`.
 WATCHDOG_MODULE = "lanelift.leases.warden"
 
@@ -29,9 +29,9 @@
 
     An asynchronous context manager: on exit it ends the command and releases the lease.
 
-    The watchdog, a process of its own, ends a command before the lease ends. If the watchdog is stopped, this
-    process kills it, and the command dies with it. If the watchdog is killed, this process kills the process
-    group of the command.
+    The watchdog, a process of its own, ends a command before the lease ends. If the watchdog is stopped
+    (SIGSTOP), this process kills it before the lease ends, and the command dies with it. If the watchdog is
+    killed, this process kills the process group of the command.
 
     Attributes:
         client: The lease client.
@@ -98,7 +98,7 @@
         """Ends the command and, if the lease is held, releases it."""
         try:
             if self.watchdog is not None and self.watchdog.stdin is not None:
-                self.watchdog.stdin.close()  # the watchdog ends the command, in time
+                self.watchdog.stdin.close()  # the watchdog then ends the command, before the lease ends
                 await self._wait_for_watchdog(self.watchdog)
             if self.holds:
                 await self._release()
@@ -162,12 +162,13 @@
         self._changed.set()
 
     def receive(self, message: Message, source: Address) -> None:
-        """Handles a received message; ignores messages for other clients and from addresses of no voter."""
+        """Handles a received message; ignores messages for other clients, and messages not from a voter."""
         if not isinstance(message, Response) or self.voter_addresses.get(message.voter) != source:
             return
         own = message.nonce == self.client.proposer.nonce
         if own and message.request_id == self._release_request_id:
-            # Any verdict confirms it: the voter released the lease, or was not bound under that ballot.
+            # Any verdict confirms the release: the voter released the lease, or was not bound under that
+            # ballot.
             self._released_by.add(message.voter)
         self._send(self.client.receive(message, self.clock()))
         self._after_event()
@@ -216,7 +217,7 @@
         return until_ns - margin_ns, until_ns - margin_ns // 2
 
     def _send_deadlines(self) -> None:
-        """After a renewal, writes the later deadlines to the watchdog, as times of the machine's clock."""
+        """After a renewal, writes the later deadlines (times of CLOCK_BOOTTIME) to the watchdog."""
         watchdog = self.watchdog
         if watchdog is None or watchdog.stdin is None or watchdog.stdin.is_closing():
             return
@@ -229,8 +230,8 @@
     def _arm_watchdog_timer(self, watchdog: asyncio.subprocess.Process) -> None:
         """Sets a timer that kills the watchdog, in case the watchdog itself is stopped.
 
-        The timer is due in the part of the margin that is left after the second deadline. The command dies
-        with the watchdog.
+        The timer is due after the deadline for SIGKILL and before the lease ends. The command dies with the
+        watchdog.
         """
         if self._watchdog_timer is not None:
             self._watchdog_timer.cancel()
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -12,8 +12,8 @@
 - late promises: a proposer that has received a promise early may still delay the step that it allows;
 - if `Bounds.reached` says so, messages from the first proposer to the third voter and from the second
   proposer to the first voter. Two majorities share at least one voter, and the other voters promise more
-  readily if they never received a message of the other proposer: if two proposers can hold the lease with any
-  voters, they can with a and b, and with b and c.
+  readily if they never received a message of the other proposer. So if two proposers can hold the lease at
+  the same time, they also can if only a and b vote for the first one, and only b and c for the second one.
 
 A state is a tuple of small numbers: each node and message is stored once, and the result of each event at a
 node is computed once.
@@ -104,14 +104,14 @@
         """Yields the steps in which a proposer sends a message that its phase allows."""
         for i in PROPOSERS:
             number = state.proposers[i]
-            for act in ("prepare", "accept", "release", "next ballot"):
-                result = self.nodes.send(i, number, act, state.tick)
+            for action in ("prepare", "accept", "release", "next ballot"):
+                result = self.nodes.send(i, number, action, state.tick)
                 if result is None or (result[0] == number and not result[1] & ~state.sent):
                     continue
                 after = state._replace(
                     proposers=_replaced(state.proposers, i, result[0]), sent=state.sent | result[1]
                 )
-                what = "renews" if act == "accept" and self.nodes.is_holding(number) else f"sends {act}"
+                what = "renews" if action == "accept" and self.nodes.is_holding(number) else f"sends {action}"
                 yield f"p{i} {what}", self._checked(after)
 
     def _receiving_steps(self, state: State) -> Iterator[tuple[str, State]]:
@@ -138,7 +138,7 @@
         sender, voter, message = self.nodes.message(bit)
         proposers = state.proposers
         promise = self.nodes.promise(responses)
-        if promise:
+        if promise:  # received immediately: late promises are left out
             answered = self.nodes.proposer_receives(sender, proposers[sender], promise, state.tick)
             proposers = _replaced(proposers, sender, answered)
             responses &= ~promise
--- a/lanelift/leases/model_nodes.py
+++ b/lanelift/leases/model_nodes.py
@@ -155,17 +155,17 @@
             self.results[key] = (self.bounds.prepares[i] - self._load(number).prepares, 0)
         return self.results[key][0]
 
-    def send(self, i: int, number: int, act: str, tick: int) -> tuple[int, int] | None:
-        """Returns the proposer after an act and the bits of the messages sent; None if it may not act."""
-        key = ("act", i, number, act, tick)
+    def send(self, i: int, number: int, action: str, tick: int) -> tuple[int, int] | None:
+        """Returns the proposer after an action, and the bits of the messages sent; None if it may not act."""
+        key = ("act", i, number, action, tick)
         if key not in self.results:
-            self.results[key] = self._sent(i, number, act, tick * self.bounds.proposer_rates[i])
+            self.results[key] = self._sent(i, number, action, tick * self.bounds.proposer_rates[i])
         result = self.results[key]
         return None if result[0] < 0 else result
 
-    def _sent(self, i: int, number: int, act: str, now: int) -> tuple[int, int]:
+    def _sent(self, i: int, number: int, action: str, now: int) -> tuple[int, int]:
         node: ProposerNode = self._load(number)
-        message = self._outgoing(node, i, act, now)
+        message = self._outgoing(node, i, action, now)
         if message is None:
             return -1, 0
         bits = 0
@@ -173,21 +173,21 @@
             bits |= self._message_bit(i, voter, message)
         return self._node(node), bits
 
-    def _outgoing(self, node: ProposerNode, i: int, act: str, now: int) -> Message | None:
-        """Performs an act; returns its message, or None if the proposer may not act."""
+    def _outgoing(self, node: ProposerNode, i: int, action: str, now: int) -> Message | None:
+        """Performs an action; returns its message, or None if the proposer may not act."""
         proposer, phase, bounds = node.proposer, node.proposer.phase, self.bounds
-        if act == "prepare":
+        if action == "prepare":
             if phase in (Phase.OVER, Phase.HOLDING) or node.prepares >= bounds.prepares[i]:
                 return None
             node.prepares += 1
             return proposer.prepare(now)
-        if act == "accept":
+        if action == "accept":
             may_accept = phase in (Phase.ACCEPTING, Phase.HOLDING) and node.accepts < bounds.accepts[i]
-            if not may_accept or proposer.has_expired(now):
+            if not may_accept or proposer.is_over(now):
                 return None
             node.accepts += 1
             return proposer.accept(now)
-        if act == "release":
+        if action == "release":
             if phase is not Phase.HOLDING or node.releases >= bounds.releases[i]:
                 return None
             node.releases += 1
--- a/lanelift/leases/node.py
+++ b/lanelift/leases/node.py
@@ -50,6 +50,9 @@
     def attach(self, driver: Any) -> FleetNode:
         """Returns the member, which is not started yet.
 
+        Args:
+            driver: Not used. All sources are attached with the daemon's dispatcher.
+
         Raises:
             VoterStateError: The member's state can't be used, or another process runs as this member.
         """
--- a/lanelift/leases/proposer.py
+++ b/lanelift/leases/proposer.py
@@ -1,7 +1,7 @@
 """The proposer of Paxos, for one lease: its promises, its acceptances, and the end of its lease. Pure.
 
 Times are nanoseconds of the proposer's own clock. `client.py` decides when to send; no two proposers hold the
-lease at the same time, whichever messages are sent, and whenever.
+lease at the same time, whatever that module sends, and whenever.
 """
 
 from __future__ import annotations
@@ -116,7 +116,7 @@
 
     def receive(self, response: Response, now: int) -> None:
         """Handles a voter's response, which may be received late or repeatedly."""
-        if response.nonce != self.nonce or response.lease != self.lease or self.has_expired(now):
+        if response.nonce != self.nonce or response.lease != self.lease or self.is_over(now):
             return  # a late response does not renew an expired lease, as its task has been ended
         if response.verdict == Verdict.STALE_BALLOT:
             self.highest_ballot_seen = max(self.highest_ballot_seen, response.ballot)
@@ -130,8 +130,8 @@
             if self.phase is Phase.ACCEPTING and now < self.until_ns:
                 self.phase, self.token = Phase.HOLDING, self.ballot
 
-    def has_expired(self, now: int) -> bool:
-        """Returns whether this run is over; it ends for good when a held lease expires.
+    def is_over(self, now: int) -> bool:
+        """Returns whether this run is over, and ends it for good if the held lease has expired by `now`.
 
         The task that ran under the run's token must not continue.
         """
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -28,7 +28,7 @@
 
 WRITE_NS = (200_000, 8 * MS)  # the duration of a write of a voter's state
 TASK_LEASES = (0.3, 4.0)  # the duration of a task, in leases
-MAX_REST_LEASES = 0.3  # until a proposer acquires the lease again, in leases
+MAX_REST_LEASES = 0.3  # the longest pause before a proposer acquires the lease again, in leases
 MAX_LATENCY_LEASES = 0.02  # between a check of the lease and the act, in leases
 
 
@@ -218,7 +218,7 @@
     Attributes:
         clusters: The configurations of the schedule.
         state_files: The state that each voter has on disk.
-        found: What was found so far.
+        findings: The results so far.
         held_tokens: The tokens of the present holders, by name.
         highest_token: The highest token of any holder so far.
         store: The resource that tasks act on; it rejects tokens below the highest that it has seen.
@@ -271,7 +271,7 @@
             self.state_files.pop(name, None)
 
     def node_step(self, step: Step) -> None:
-        """Applies a step to a holder, which releases the lease or starts to acquire it immediately."""
+        """Makes a holder release its lease, or start to acquire the lease before its rest has ended."""
         slot = self.slots[step.who]
         if isinstance(slot.node, HolderNode) and not slot.stopped:
             if step.what == StepKind.RELEASE:
--- a/lanelift/leases/supervisor.py
+++ b/lanelift/leases/supervisor.py
@@ -77,7 +77,7 @@
         await asyncio.gather(*self._running, return_exceptions=True)
 
     def receive(self, message: Response, source: Address) -> None:
-        """Passes a voter's response to the holder with its nonce."""
+        """Passes a voter's response to the holder that has the response's nonce."""
         holder = self._holder_by_nonce.get(message.nonce)
         if holder is not None:
             holder.receive(message, source)
--- a/lanelift/membership/detector.py
+++ b/lanelift/membership/detector.py
@@ -73,8 +73,8 @@
         if not 0 <= me < len(zones) <= MAX_MEMBERS:
             raise ValueError(f"member {me} of {len(zones)}; allowed: up to {MAX_MEMBERS} members")
         self.me, self.timing, self.rng = me, timing, random.Random(seed)
-        # Drawn at each start. If it is behind the incarnation of the last start, the older updates that the
-        # others hold take precedence; this member refutes them like a suspicion.
+        # Drawn at each start. If the new incarnation is behind that of the last start, the older updates that
+        # the others hold take precedence; this member refutes them like a suspicion.
         self.incarnation = self.rng.randrange(INCARNATION_COUNT)
         self.members = {
             number: MemberRecord(number, zone, MemberUpdate(number, MemberState.ALIVE, 0), now)
@@ -176,7 +176,7 @@
         return encode(self._compose(MessageKind.UPDATES, 0, self.me, room_bytes))
 
     def leave(self) -> Outgoing:
-        """Returns messages that tell a few members that this one leaves; they pass it on to the others."""
+        """Returns messages that announce to a few members that this one leaves; they inform the others."""
         self.left = True
         updates = (MemberUpdate(self.me, MemberState.LEFT, self.incarnation, self.me),)
         reachable = [r.number for r in self.members.values() if self.is_reachable(r.number)]
@@ -283,9 +283,10 @@
         self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
 
     def _first_contact(self, record: MemberRecord, update: MemberUpdate) -> bool:
-        """Returns whether an update is the first about its member and only confirms that it is alive.
+        """Records the incarnation if an update is the first about its member.
 
-        Every member is assumed to be alive at first. Such an update is not passed on, since each start of a
+        Returns whether the update also needs no further handling: every member is assumed to be alive at
+        first, and the update only confirms that. Such an update is not passed on, since each start of a
         fleet would otherwise cause a storm of updates.
         """
         if record.number not in self.unknown_incarnations:
@@ -320,7 +321,7 @@
 
     def _suspicion_ended(self, record: MemberRecord, now: int) -> None:
         if self._is_isolated(now):
-            record.since_ns = now  # restarts: what this member saw while cut off says nothing about others
+            record.since_ns = now  # the suspicion starts over: it may only be due to this member's isolation
             return
         incarnation = record.update.incarnation
         update = MemberUpdate(record.number, MemberState.UNREACHABLE, incarnation, self.me)
--- a/lanelift/membership/dissemination.py
+++ b/lanelift/membership/dissemination.py
@@ -24,7 +24,7 @@
     def __init__(self, member_count: int) -> None:
         self.max_transmissions = int(RETRANSMISSION_FACTOR * math.log2(member_count + 2))
         self.pending: dict[int, MemberRecord] = {}
-        self.own_announcements = 0  # how many more times this member's own liveness is sent
+        self.own_announcements = 0  # how many more times the update that this member is alive is sent
 
     def __bool__(self) -> bool:
         return bool(self.pending or self.own_announcements)
@@ -35,7 +35,10 @@
         self.pending[record.number] = record
 
     def announce_self(self) -> None:
-        """Sends this member's liveness along, as often as any update, to refute a suspicion."""
+        """Enqueues the update that this member is alive, to be sent as often as any other.
+
+        The update refutes a suspicion of this member.
+        """
         self.own_announcements = self.max_transmissions
 
     def take(self, capacity: int, own: MemberUpdate) -> list[MemberUpdate]:
--- a/lanelift/membership/gossip.py
+++ b/lanelift/membership/gossip.py
@@ -47,8 +47,8 @@
 class MemberUpdate(NamedTuple):
     """One statement about a member; `reported_by` is the member that made the observation itself.
 
-    Independent suspicions by several members count for more than one suspicion that was passed around, so
-    each update names its reporter.
+    Suspicions that several members report independently shorten the suspicion, while one that is only passed
+    on does not. Each update therefore names its reporter.
     """
 
     member: int
--- a/lanelift/membership/simulation.py
+++ b/lanelift/membership/simulation.py
@@ -96,7 +96,7 @@
         return node.detector if isinstance(node, SimulatedMember) else None
 
     def detection_delays_ns(self) -> list[int]:
-        """Returns, for each death and each living member, the time until the latter detected the former.
+        """Returns, for each death and each living member, how long that member took to detect the death.
 
         A death is detected when the dead member becomes unreachable, or is known to have left; -1 if it is
         not detected yet.
--- a/lanelift/membership/suspicion.py
+++ b/lanelift/membership/suspicion.py
@@ -14,8 +14,8 @@
 LONGEST_FACTOR = 3.0  # an unconfirmed suspicion lasts this many times the shortest one
 CONFIRMATIONS_NEEDED = 3  # further accusers that reduce a suspicion to its shortest duration
 # If at least this share of a zone's members is suspected or unreachable, the zone counts as partitioned, and
-# suspicions of its members last PARTITION_FACTOR times as long: the members are alive, and a partition ends
-# for all of them at the same time.
+# suspicions of its members last PARTITION_FACTOR times as long: in a partition the members are alive, and the
+# partition ends for all of them at the same time.
 PARTITION_SHARE = 0.6
 PARTITION_MIN_MEMBERS = 3  # in a smaller zone, absent members do not indicate a partition
 PARTITION_FACTOR = 3.0
