--- a/tests/faults/test_datagram_proxy.py
+++ b/tests/faults/test_datagram_proxy.py
@@ -38,7 +38,7 @@
 
 
 def test_each_direction_has_its_own_faults() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         a, b = End(), End()
         await a.open()
         await b.open()
@@ -68,7 +68,7 @@
             assert end.endpoint.transport is not None
             end.endpoint.transport.close()
 
-    run(story())
+    run(scenario())
 
 
 def test_heal_undoes_the_faults_of_its_link() -> None:
@@ -86,7 +86,7 @@
 def test_a_step_not_playable_among_processes_is_rejected_before_any_is_started(
     what: str, tmp_path: Path
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with ProcessCluster(tmp_path) as fleet:
             with pytest.raises(
                 ScheduleError, match=rf"steps\[1\].what: found '{what}'; allowed among processes: kill"
@@ -94,4 +94,4 @@
                 await fleet.play(Schedule(1, ("a",), (), 100, (Step(0, "kill", "a"), Step(1, what, "a"))))
             assert not fleet.records
 
-    run(story())
+    run(scenario())
--- a/tests/leases/test_acceptor.py
+++ b/tests/leases/test_acceptor.py
@@ -40,10 +40,10 @@
         return self.acceptor.release(Release("x", ballot, nonce, 0, to), self.now)
 
 
-def test_ballots_rise_and_a_rejection_names_the_ballot_to_pass() -> None:
+def test_ballots_rise_and_a_rejection_names_the_ballot_to_exceed() -> None:
     """A proposer sends a ballot that is too low, and another one sends a ballot that was already promised.
 
-    Rule 1: both are rejected, and the rejection names the ballot that must be passed.
+    Rule 1: both are rejected, and the rejection names the ballot that the next one must exceed.
     """
     driver = Driver()
     assert driver.prepare(1, 100).ballot == 100 and driver.prepare(1, 100).verdict == "behind"
@@ -125,7 +125,7 @@
     assert driver.prepare(2, 103, wants_queue=False).verdict == "promised"
 
 
-def test_a_late_renewal_does_not_bind_it_after_the_release() -> None:
+def test_a_late_renewal_does_not_bind_a_voter_after_the_release() -> None:
     """A renewal was delayed by the network and is received after the release of the same holder.
 
     Rule 3: the renewal does not bind the voter, as the release has ended the promise of its ballot.
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -39,7 +39,7 @@
     for voter in fleet.voters:
         await fleet.start(voter)
     for voter in fleet.voters:
-        await fleet.until(f"{voter} has a seat", lambda voter=voter: fleet.logged(voter, "fleet_seated"))  # type: ignore[misc]
+        await fleet.until(f"{voter} may vote", lambda voter=voter: fleet.logged(voter, "fleet_seated"))  # type: ignore[misc]
     for i, name in enumerate(contenders):
         await fleet.start(name, *arguments)
         if i == 0:
--- a/tests/leases/test_proposer.py
+++ b/tests/leases/test_proposer.py
@@ -89,8 +89,8 @@
     assert not driver.proposer.promised_by and second.ballot > first.ballot
 
 
-def test_the_next_ballot_passes_the_ballot_that_a_rejection_named() -> None:
-    """A restarted voter promises only above its ceiling; the proposer's next ballot passes the ceiling."""
+def test_the_next_ballot_exceeds_the_ballot_that_a_rejection_named() -> None:
+    """A restarted voter promises only above its ceiling; the proposer's next ballot exceeds the ceiling."""
     driver = Driver()
     prepare = driver.proposer.prepare(0)
     driver.receive("a", Verdict.STALE_BALLOT, prepare.request_id, 0, ballot=65_536)
@@ -117,7 +117,7 @@
     assert not driver.proposer.holds(3)
 
 
-def test_it_passes_the_ballots_of_restarted_voters_and_keeps_holding() -> None:
+def test_a_holder_exceeds_the_ballots_of_restarted_voters_and_keeps_its_lease() -> None:
     """Two of three voters are restarted in turn while the lease is held; their ballots start higher.
 
     The proposer prepares a higher ballot, keeps holding under the former one in the meantime, and keeps its
