--- a/lanelift/leases/client.py
+++ b/lanelift/leases/client.py
@@ -150,6 +150,7 @@
         return len(self.rejections) > self.voters - majority(self.voters)
 
     def _has_waited_enough(self, waited_ns: int) -> bool:
+        """Returns whether to give up: the wait timeout is over, and the least number of attempts was made."""
         min_attempts = 1 if self.wait_timeout_ns else MIN_ATTEMPTS_WITHOUT_WAIT
         return (
             self.wait_timeout_ns is not None
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -71,8 +71,8 @@
 
     def initial_states(self) -> list[State]:
         """Returns the only initial state: three voters that may vote, and two idle proposers."""
-        voters = tuple(self.nodes.first_voter(i) for i in range(len(VOTERS)))
-        proposers = tuple(self.nodes.first_proposer(i) for i in PROPOSERS)
+        voters = tuple(self.nodes.initial_voter(i) for i in range(len(VOTERS)))
+        proposers = tuple(self.nodes.initial_proposer(i) for i in PROPOSERS)
         return [State(0, voters, proposers, 0, self.bounds.restarts, 0, NO_HOLDER)]
 
     def successors(self, state: State) -> Iterator[tuple[str, State]]:
@@ -142,6 +142,7 @@
             answered = self.nodes.proposer_receives(sender, proposers[sender], promise, state.tick)
             proposers = _replaced(proposers, sender, answered)
             responses &= ~promise
+        # A proposer that may not start phase 1 again is not sent rejections of stale ballots.
         if self.nodes.prepares_left(sender, state.proposers[sender]) <= 0:
             responses &= ~self.nodes.stale_ballot(responses)
         voters = _replaced(state.voters, voter, number)
--- a/lanelift/leases/model_nodes.py
+++ b/lanelift/leases/model_nodes.py
@@ -87,13 +87,13 @@
         self.message_bits: dict[tuple[int, int, Message], int] = {}
         self.results: dict[tuple[Any, ...], tuple[int, int]] = {}
 
-    def first_voter(self, i: int) -> int:
-        """Returns the number of voter `i`, which may vote from the beginning."""
+    def initial_voter(self, i: int) -> int:
+        """Returns the number of voter `i` in its initial state, in which it may vote."""
         persisted = PersistentState(self.cluster.digest.hex(), self.cluster.voters, LEASE_NS, 0)
         return self._node(self._started_member(i, persisted, 0, quiet=False))
 
-    def first_proposer(self, i: int) -> int:
-        """Returns the number of proposer `i`, idle."""
+    def initial_proposer(self, i: int) -> int:
+        """Returns the number of proposer `i` in its initial state, idle."""
         return self._node(ProposerNode(self.proposer_class(LEASE, f"p{i}", i + 1, TIMING, len(VOTERS))))
 
     def _node(self, node: Any) -> int:
@@ -210,7 +210,7 @@
                     bits |= self._message_bit(i, -to - 1, response)
             if member.pending_state is not None:
                 member.state_written(member.pending_state, now)
-            self.results[key] = self._node(_without_order(member)), bits
+            self.results[key] = self._node(_without_ordering_times(member)), bits
         return self.results[key]
 
     def proposer_receives(self, i: int, number: int, bit: int, tick: int) -> int:
@@ -231,7 +231,7 @@
             member: VotingMember = self._load(number)
             now = tick * self.bounds.voter_rates[i]
             started = self._started_member(i, member.recovery.persisted, now, quiet=True)
-            self.results[key] = self._node(_without_order(started)), 0
+            self.results[key] = self._node(_without_ordering_times(started)), 0
         return self.results[key][0]
 
     def promise(self, bit: int) -> int:
@@ -247,7 +247,7 @@
         return isinstance(message, Response) and message.verdict == verdict
 
 
-def _without_order(member: VotingMember) -> VotingMember:
+def _without_ordering_times(member: VotingMember) -> VotingMember:
     """Clears the times that only decide the order of proposers."""
     member.due_ns = None
     if member.acceptor is not None:
