--- a/lanelift/policy/admission.py
+++ b/lanelift/policy/admission.py
@@ -1,10 +1,10 @@
 """Admission: how a new request is handled, in this order.
 
 1. If its tenant is denied or over a rate limit, it is answered immediately, without a token (`tenants.py`).
-2. If it is hopeless, as it takes more than `HOPELESS_FACTOR` times as long as its client waits, it is shed.
-   This applies only if attempts are announced between replicas (`peer_load.py`) and the estimate by cost hint
-   has `MIN_HINT_SAMPLES` samples, as it is too rough before; it does not apply to streaming classes, or while
-   the body is being received.
+2. If it is hopeless, it is shed: it is expected to take more than `HOPELESS_FACTOR` times as long as its
+   client waits. This step applies only if replicas announce attempts to one another (`peer_load.py`) and the
+   estimate by cost hint has at least `MIN_HINT_SAMPLES` samples; with fewer, the estimate is too rough. The
+   step does not apply to streaming classes, or while the body is being received.
 3. If it was received so long ago that its answer would miss the latency objective, it is shed, unless a late
    answer earns something or the class streams.
 4. If it is not the first of its ordering key, it waits until it is (`ordering.py`).
@@ -34,11 +34,11 @@
 from lanelift.policy.token_bank import TokenBank, TokenResult
 from lanelift.policy.units import SECOND_NS
 
-# A request that takes longer than this multiple of the time that its client waits is shed immediately.
+# A request is shed immediately if it is expected to take more than this multiple of its remaining time.
 HOPELESS_FACTOR = 1.3
-MIN_HINT_SAMPLES = 8  # samples of the estimate by hint that are needed to shed hopeless requests
+MIN_HINT_SAMPLES = 8  # hopeless requests are shed only once the estimate by hint has this many samples
 QUEUE_TIME_SHARE = 0.5  # share of a request's spare time that it may spend in the queue
-OVER_SHARE_QUEUE_TIME_SHARE = 0.1  # the same, for a tenant that is over its share
+OVER_SHARE_QUEUE_TIME_SHARE = 0.1  # replaces QUEUE_TIME_SHARE if the tenant is over its share
 
 
 class Admission:
@@ -112,7 +112,7 @@
     def _is_hopeless(self, request: PendingRequest, expected_ns: float, now: int) -> bool:
         """Return whether a request is expected to take longer than its client waits.
 
-        Its upstream would work on it in vain, and other requests would be delayed.
+        An upstream would work on such a request in vain, and delay other requests.
         """
         state = self.state
         return (
@@ -136,7 +136,7 @@
         )
 
     def take_token(self, request: PendingRequest, now: int) -> None:
-        """Take a token for a request from its tenant's bank; without one, buffer or shed the request."""
+        """Take a token for a request from its tenant's bank; if it has none, buffer or shed the request."""
         request.place = WaitingPlace.NOWHERE
         result = self._request_token(request, now)
         if result is TokenResult.OVERFLOW:
@@ -184,8 +184,8 @@
     def _queue_is_too_long(self, request: PendingRequest, now: int) -> bool:
         """Return whether serving the queue would take more than the allowed share of a request's spare time.
 
-        Spare time beyond the shortest objective is not counted, so that a class with much time does not make
-        the queue too long for classes with little.
+        Spare time beyond the shortest objective is not counted, so that requests with much spare time do not
+        make the queue too long for requests with little.
         """
         state = self.state
         share = OVER_SHARE_QUEUE_TIME_SHARE if request.token_bank.over_share else QUEUE_TIME_SHARE
@@ -195,7 +195,7 @@
     def tenants_changed(self, event: TenantUpdate, now: int) -> None:
         """Apply an update from a directory.
 
-        Requests that it denies fail immediately if they have no attempt in flight.
+        Requests that the update denies fail immediately if they have no attempt in flight.
         """
         state = self.state
         names = state.tenants.update(event, now)
--- a/lanelift/policy/answers.py
+++ b/lanelift/policy/answers.py
@@ -2,7 +2,7 @@
 
 Inputs: the request, whether it may be rejected (`legality.may_reject`), and the limits on Retry-After. The
 request is rejected (503) if a retry is harmless, even after failed attempts; otherwise it fails (502, or 504
-if its last attempt timed out). Retry-After is drawn at random, so that clients do not return in step.
+if its last attempt timed out). Retry-After is drawn at random, so that clients do not return together.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.units import SECOND_NS
 
-MAX_RETRY_AFTER_NS = SECOND_NS  # the limits may set a lower one
+MAX_RETRY_AFTER_NS = SECOND_NS  # longest Retry-After; the limits may set a shorter one
 MIN_RETRY_AFTER_SHARE = 0.25  # shortest Retry-After, as a share of the longest
 
 
@@ -65,7 +65,7 @@
             self.finish(request, now)
 
     def cancel_attempts(self, request: PendingRequest, except_for: Attempt | None = None) -> None:
-        """Cancel a request's attempts in flight, all or all but one, if cancelling is allowed."""
+        """Cancel all of a request's attempts in flight, or all but one, if cancelling is allowed."""
         if self.state.settings.limits.may_cancel:
             self.state.actions += [
                 CancelAttempt(request.id, number)
--- a/lanelift/policy/attempts.py
+++ b/lanelift/policy/attempts.py
@@ -27,7 +27,7 @@
             that a connection had to be opened for it.
         result: How it ended; None while it is in flight.
         response_started: Whether its response is being passed on, so that its upstream has done its work.
-        overdue: Whether it has been in flight for longer than its upstream should take.
+        overdue: Whether it was found to take much longer than expected (`hedging.py`).
     """
 
     upstream: Upstream
--- a/lanelift/policy/balancer.py
+++ b/lanelift/policy/balancer.py
@@ -126,5 +126,5 @@
         return self.state.tenants.known_tenants
 
     def endpoints_out_of_rotation(self, now: int) -> int:
-        """Return how many listed upstreams get no requests now, as they drain or are ejected."""
+        """Return how many listed upstreams get no requests now because they drain or are ejected."""
         return self.state.registry.out_of_rotation(now)
--- a/lanelift/policy/concurrency.py
+++ b/lanelift/policy/concurrency.py
@@ -13,33 +13,33 @@
 from lanelift.policy.attempts import Attempt
 from lanelift.policy.units import SECOND_NS
 
-MIN_CONGESTION_THRESHOLD = 0.35  # share of the latency objective
-MAX_CONGESTION_THRESHOLD = 0.8  # share of the latency objective
-CONGESTION_MULTIPLE = 3.0  # times the baseline latency ratio
-# Time constants of the smoothed latency ratio and of a rising baseline. They are times and not numbers of
-# responses: at a high response rate, congestion would otherwise become the baseline within a second, and one
-# slow response would count as congestion.
+MIN_CONGESTION_THRESHOLD = 0.35  # lowest congestion threshold, as a latency ratio
+MAX_CONGESTION_THRESHOLD = 0.8  # highest congestion threshold, as a latency ratio
+CONGESTION_MULTIPLE = 3.0  # congestion threshold as a multiple of the baseline latency ratio
+# Time constants of the smoothed latency ratio and of a rising baseline. If they were numbers of responses,
+# congestion would become the baseline within a second at a high response rate, and one slow response would
+# count as congestion.
 CONGESTION_SEEN_NS = SECOND_NS // 4
 BASELINE_RISE_NS = 60 * SECOND_NS
 MAX_RATIO_SMOOTHING = 0.1  # largest weight of the latest latency ratio
 MAX_BASELINE_RISE = 0.002  # largest weight of the smoothed ratio in a rising baseline
 BASELINE_FALL = 0.05  # weight of the smoothed ratio in a falling baseline
 INTERVAL_SMOOTHING = 0.05  # weight of the latest interval between outcomes
-MAX_LATENCY_RATIO = 1.5  # larger ratios are clamped to this
-# Attempts by which the window changes if the latency ratio differs by 1 from the congestion threshold, before
-# the division by the width of the subset.
+MAX_LATENCY_RATIO = 1.5  # larger latency ratios are clamped to this value
+# If the latency ratio differs by 1 from the congestion threshold, the window changes by this many attempts,
+# divided by the width of the subset.
 WINDOW_STEP = 0.5
-DEFAULT_WINDOW = 0.5  # attempts for each upstream, before the first endpoint list
+DEFAULT_WINDOW = 0.5  # window (attempts for each upstream) until the first endpoint list
 INITIAL_MEAN_SERVICE_TIME_NS = SECOND_NS / 50
-MAX_INITIAL_SERVICE_TIME_SHARE = 0.08  # of the shortest latency objective
-MIN_SERVICE_TIME_SMOOTHING = 0.05  # weight of the latest sample; the first ones count more
-INITIAL_REQUESTS_PER_UPSTREAM = 8  # of all replicas together
+MAX_INITIAL_SERVICE_TIME_SHARE = 0.08  # largest initial mean, as a share of the shortest latency objective
+MIN_SERVICE_TIME_SMOOTHING = 0.05  # least weight of the latest sample; the first samples weigh more
+INITIAL_REQUESTS_PER_UPSTREAM = 8  # requests that all replicas together begin with
 
 
 def initial_window(upstreams: int, replicas: int, subset_size: int) -> float:
     """Return the initial window.
 
-    With it, all replicas together begin with a few requests for each upstream.
+    The window lets all replicas together begin with a few requests for each upstream.
     """
     own_requests = max(1.0, INITIAL_REQUESTS_PER_UPSTREAM * upstreams / replicas)
     return own_requests / max(1, subset_size)
@@ -49,7 +49,8 @@
     """Estimates the concurrency window and the mean service time of a queued request.
 
     Attributes:
-        initial_window: The window before there are outcomes; a narrower window widens back to it.
+        initial_window: The window before there are outcomes. A narrower window may widen up to it even if no
+            request waits.
         window: How many attempts this replica may have in flight for each upstream that its pool draws from.
         latency_ratio: The smoothed latency ratio of recent responses.
         baseline_ratio: The latency ratio without congestion.
@@ -57,7 +58,7 @@
         observed_at_ns: When the last outcome was observed.
         congestion_threshold: The latency ratio above which upstreams are congested.
         samples: The number of samples of the mean service time.
-        mean_service_time_ns: The mean time for each request that an upstream holds.
+        mean_service_time_ns: The mean time that an upstream takes for each request that it holds.
     """
 
     __slots__ = (
@@ -87,8 +88,8 @@
         """Update the mean service time.
 
         An attempt that opened a connection is skipped: its duration includes the handshake, and would look
-        like congestion at each start. The first samples count more, as a replica with little traffic can't
-        wait for twenty.
+        like congestion whenever a replica starts. The first samples weigh more, as a replica with little
+        traffic would need too long for twenty samples.
         """
         if attempt.opens_connection:
             return
@@ -112,8 +113,8 @@
         """Update the estimates from an outcome: widen the window while requests wait, or narrow it.
 
         Args:
-            latency_ratio: The share of its latency objective that an attempt took.
-            requests_wait: Whether requests are queued; only then is a wider window of use.
+            latency_ratio: The duration of an attempt as a share of its latency objective.
+            requests_wait: Whether requests are queued; a wider window is useful only then.
             width: How many upstreams the pool draws from.
             now: The time.
         """
--- a/lanelift/policy/deadlines.py
+++ b/lanelift/policy/deadlines.py
@@ -1,9 +1,9 @@
 """Deadlines: how long a request may wait before it is given up.
 
 Inputs: the request's objective and deadline, its expected time, and the mean deviation of durations from
-expected times. A waiting request is given up when less time is left until its objective than it needs, but
-not before a quarter of the time until its deadline has passed. Reason: an answer after the objective earns
-little or nothing, and the upstream's time for it would make other answers late.
+expected times. A waiting request is given up when it needs more time than is left until its objective, but
+not before it has waited a quarter of the time until its deadline. Reason: an answer after the objective earns
+little or nothing, and the work of an upstream on it would make other answers late.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from lanelift.policy.service_time import DURATION_MARGIN
 from lanelift.policy.state import PolicyState
 
-MIN_WAIT_DIVISOR = 4  # a request may wait for this part (1/4) of the time until its deadline
+MIN_WAIT_DIVISOR = 4  # a request may wait at least this part (1/4) of the time until its deadline
 
 
 class Deadlines:
--- a/lanelift/policy/ejection.py
+++ b/lanelift/policy/ejection.py
@@ -6,11 +6,12 @@
 - for a connection that broke, unless at least `SHARED_RESET_RATE` of all attempts break (the network is then
   at fault) and fewer than `MIN_CONSECUTIVE_RESETS` broke in a row at this upstream;
 - for an error response, if nearly all of its responses are errors (`ERROR_EJECTION_RATE`), unless most
-  responses of all upstreams are (`SHARED_ERROR_RATE`): the requests or the network are then at fault.
+  responses of all upstreams are errors (`SHARED_ERROR_RATE`): the requests or the network are then at fault.
 
-The first ejection lasts as long as the attempt was expected to take if load may be the cause, and otherwise
-`outcomes.FAILURE_EJECTION_NS`. Each further ejection lasts twice as long, at most `MAX_EJECTION_NS` before
-jitter. If `MAX_EJECTED_SHARE` of the upstreams are already ejected, the failure is only counted.
+If load may be the cause, the first ejection lasts as long as the attempt was expected to take; otherwise it
+lasts `outcomes.FAILURE_EJECTION_NS`. Each further ejection lasts twice as long as the one before, at most
+`MAX_EJECTION_NS` before jitter. If `MAX_EJECTED_SHARE` of the upstreams are already ejected, the failure is
+only counted.
 
 After its ejection, an upstream gets one attempt at a time until one succeeds (`eligibility.py`). Any success,
 even of an earlier attempt, and a restart that the endpoint list reports (`registry.py`) end an ejection
@@ -27,16 +28,16 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-MAX_EJECTION_NS = 3 * SECOND_NS  # before jitter
+MAX_EJECTION_NS = 3 * SECOND_NS  # longest ejection, before jitter
 MAX_DOUBLINGS = 5
-MIN_LENGTH_FACTOR = 0.75  # jitter of the length, so that replicas do not return in step
+MIN_LENGTH_FACTOR = 0.75  # lowest jitter factor; the jitter keeps replicas from returning together
 MAX_LENGTH_FACTOR = 1.25
 MAX_EJECTED_SHARE = 0.7  # largest ejected share of the upstreams that are drawn from
-ERROR_EJECTION_RATE = 0.95  # share of an upstream's responses that are errors above which it is ejected
+ERROR_EJECTION_RATE = 0.95  # an upstream whose share of error responses is higher is ejected
 # If at least this share of all responses are errors, no upstream is ejected for errors.
 SHARED_ERROR_RATE = 0.8
 SHARED_RESET_RATE = 0.05  # if at least this share of all attempts break, one break ejects no upstream
-MIN_CONSECUTIVE_RESETS = 3  # breaks in a row that eject an upstream in any case
+MIN_CONSECUTIVE_RESETS = 3  # this many breaks in a row eject an upstream in any case
 OVERALL_RATE_SMOOTHING = 0.02  # weight of the latest response or break in the rates of all upstreams
 UPSTREAM_RATE_SMOOTHING = 0.05  # weight of the latest response in the error rate of one upstream
 
@@ -95,7 +96,7 @@
     def record_response(self, upstream: Upstream, is_error: bool) -> bool:
         """Record a response; return whether its upstream is to be ejected for it.
 
-        An upstream that fails only part of its requests still does its share of the work.
+        An upstream that fails only part of its requests is not ejected, as it still serves the others.
         """
         self.error_rate += OVERALL_RATE_SMOOTHING * (is_error - self.error_rate)
         upstream.error_rate += UPSTREAM_RATE_SMOOTHING * (is_error - upstream.error_rate)
@@ -112,8 +113,8 @@
     def record_reset(self, upstream: Upstream) -> bool:
         """Record a connection that broke; return whether its upstream is to be ejected for it.
 
-        If connections break all the time, the network or a device in it is at fault: with half the upstreams
-        ejected for it, the others would be congested.
+        If at least `SHARED_RESET_RATE` of all attempts break, the network or a device in it is at fault. If
+        half of the upstreams were ejected for such breaks, the others would be congested.
         """
         self.reset_rate += OVERALL_RATE_SMOOTHING * (1.0 - self.reset_rate)
         upstream.consecutive_resets += 1
--- a/lanelift/policy/eligibility.py
+++ b/lanelift/policy/eligibility.py
@@ -2,8 +2,8 @@
 
 Inputs: the upstream's state in the endpoint list, the end of its ejection or pacing interval, this replica's
 attempts there, and the concurrency window. An upstream is not eligible if it is not ready, is ejected, or
-holds as many attempts as the window allows. Only one attempt in flight is allowed if it was ejected since its
-last success, or is warming up.
+holds as many attempts as the window allows. An upstream that was ejected since its last success, or is
+warming up, may hold only one attempt in flight.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
     def is_eligible(self, upstream: Upstream, now: int) -> bool:
         """Return whether an attempt may go to this upstream now.
 
-        If load probes are sent before attempts, neither the window applies nor the limit of one attempt at an
-        upstream that is warming up: this replica's own counts add nothing to the load reports.
+        If load probes are sent before attempts, the window and the limit of one attempt at an upstream that
+        is warming up do not apply: this replica's own counts add nothing to the load reports.
         """
         if upstream.endpoint.state is not EndpointState.READY or now < upstream.ejected_until_ns:
             return False
--- a/lanelift/policy/events.py
+++ b/lanelift/policy/events.py
@@ -80,8 +80,8 @@
     Attributes:
         tenants: Tenants that are new or changed.
         removed: Names of tenants that no longer exist.
-        unknown_tenants: How tenants that no update has named are handled, set once all tenants have been
-            named; None leaves this unchanged.
+        unknown_tenants: How tenants that no update has named are handled from now on; set once all tenants
+            have been named. None means that their handling does not change.
     """
 
     tenants: Sequence[Tenant] = ()
@@ -99,7 +99,7 @@
         deadline_ns: When its client gives up.
         cost_hint_ns: How long the client expects the request to take; 0 means not stated.
         key: Its ordering key; empty if it has none.
-        retry: Whether the client says that it repeats an earlier request.
+        retry: Whether the client says that this request repeats an earlier one.
         received_ns: When its last byte was received, if that was before now; 0 means now.
         body_pending: Whether its body is still being received and can be sent only once. The request's time
             is then counted from `BodyReceived` on.
--- a/lanelift/policy/forwarding.py
+++ b/lanelift/policy/forwarding.py
@@ -28,9 +28,9 @@
     def start(self, request: PendingRequest, upstream: Upstream, now: int) -> Attempt:
         """Start an attempt, which must be legal.
 
-        The attempt runs until its client gives up, even past the latency objective: its upstream would finish
-        the work in any case, and a client that is rejected requests the same work again. This wastes capacity
-        where upstreams stop cancelled work immediately.
+        The attempt runs until its client gives up, even past the latency objective. If it were cancelled,
+        its upstream would finish the work in any case, and the rejected client would request the same work
+        again. Where upstreams stop cancelled work immediately, this rule wastes capacity.
         """
         state = self.state
         attempt = self._new_attempt(request, upstream, now)
--- a/lanelift/policy/legality.py
+++ b/lanelift/policy/legality.py
@@ -42,7 +42,7 @@
 
 
 def _has_attempts_left(request: PendingRequest, limits: Limits) -> bool:
-    """Rule 2: the request is below the limits of attempts in all and of attempts in flight."""
+    """Rule 2: the request has fewer attempts than the limits allow, both in all and in flight."""
     if len(request.attempts) >= limits.max_attempts:
         return False
     return request.attempts_in_flight < (MAX_IN_FLIGHT_WITH_HEDGING if limits.hedging else MAX_IN_FLIGHT)
@@ -94,7 +94,7 @@
 
 
 def allowed_upstreams(request: PendingRequest) -> list[Upstream] | None:
-    """Return where a request that may have run may be repeated; None means anywhere in its pool."""
+    """Return the upstreams where a request that may have run may be repeated; None means all of its pool."""
     first = next((attempt for attempt in request.attempts if attempt.may_have_run), None)
     request_class = request.request_class
     if (
--- a/lanelift/policy/ordering.py
+++ b/lanelift/policy/ordering.py
@@ -40,7 +40,7 @@
         request.cooldown_until_ns = queue.cooldown_until_ns
 
     def wait(self, request: PendingRequest) -> None:
-        """Make a request wait, as it is not the first of its key or arrived in the cooldown of its key."""
+        """Make a request wait, as it is not the first of its key or arrived in a cooldown of its key."""
         request.place = WaitingPlace.KEY_QUEUE
         self.state.timers.call_at(request.cooldown_until_ns, self._check, request.key_queue)
 
@@ -52,7 +52,7 @@
     def advance(self, queue: KeyQueue, now: int) -> None:
         """Remove finished requests with no attempt in flight from the head of a queue.
 
-        A check of the request that is then the first is scheduled.
+        The request that becomes the first is scheduled for a check.
         """
         waiting = queue.waiting
         while waiting and waiting[0].finished and not waiting[0].attempts_in_flight:
--- a/lanelift/policy/outcomes.py
+++ b/lanelift/policy/outcomes.py
@@ -18,8 +18,8 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.units import SECOND_NS
 
-FAILURE_EJECTION_NS = SECOND_NS / 4  # first ejection for a failure that does not indicate load
-# An upstream's rejection counts as a response that took all of its latency objective.
+FAILURE_EJECTION_NS = SECOND_NS / 4  # length of a first ejection for a failure that does not indicate load
+# A rejection by an upstream counts as a response that took exactly its latency objective.
 REJECTION_LATENCY_RATIO = 1.0
 FAILURES = frozenset(
     {
@@ -32,7 +32,7 @@
 LOAD_FAILURES = frozenset({AttemptResult.REJECTED, AttemptResult.TIMEOUT})  # failures that indicate load
 NORMAL_STREAM_ENDS = frozenset(
     {AttemptResult.OK, AttemptResult.CANCELLED}
-)  # results of a started response that are no failure
+)  # results after the start of a response that are not failures
 
 
 class Outcomes:
@@ -106,7 +106,7 @@
     def _learn_from_failure(
         self, request: PendingRequest, attempt: Attempt, event: AttemptFinished, now: int
     ) -> None:
-        """Count a failure, and eject the upstream if the failure is its own."""
+        """Count a failure, and eject the upstream if it is at fault."""
         state, result = self.state, event.result
         if result is AttemptResult.REJECTED or state.concurrency.is_congested():
             state.concurrency.observe(REJECTION_LATENCY_RATIO, False, request.pool.subset.width, now)
--- a/lanelift/policy/peer_load.py
+++ b/lanelift/policy/peer_load.py
@@ -22,8 +22,8 @@
 WORK_UNIT_NS = 100_000
 MAX_WORK_UNITS = 0xFFFF
 MAX_RECIPIENTS = 12
-MAX_ANNOUNCEMENT_PRICE = 0.005  # share of the value of one request
-PRICED_MESSAGE_BYTES = 256  # the price of a peer message is for this size
+MAX_ANNOUNCEMENT_PRICE = 0.005  # largest price of one announcement, as a share of a request's value
+PRICED_MESSAGE_BYTES = 256  # size of a message that costs the price of a peer message
 
 
 class PeerLoad:
--- a/lanelift/policy/placement.py
+++ b/lanelift/policy/placement.py
@@ -19,10 +19,10 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.upstreams import Upstream
 
-MAX_TIME_SHARE = 0.8  # share of the time until the objective that queued work and request may take
-OVERDUE_WINDOW_SHARE = (
-    0.25  # share of the window, at least one attempt, up to which overdue attempts are not counted
-)
+MAX_TIME_SHARE = 0.8  # largest share of the time until the objective for queued work and request
+# Overdue attempts are not counted up to this share of the window (at least one attempt), or up to twice as
+# many without congestion.
+OVERDUE_WINDOW_SHARE = 0.25
 
 
 class Placement:
@@ -90,7 +90,7 @@
         return state.attempts_in_flight - min(state.overdue_attempts, left_out) >= window
 
     def _forward_or_shed(self, request: PendingRequest, upstream: Upstream | None, now: int) -> None:
-        """Forward a request, or shed it, as it must not block the queue."""
+        """Forward a request, or shed it so that it does not block the queue."""
         if upstream is None or self._would_be_late(request, upstream, now):
             self.state.rate.unplaceable += 1
             self.answers.reject_or_fail(request, now)
@@ -101,9 +101,9 @@
             self.answers.reject_or_fail(request, now)
 
     def _would_be_late(self, request: PendingRequest, upstream: Upstream, now: int) -> bool:
-        """Return whether the work queued at the upstream that becomes free first leaves too little time.
+        """Return whether the upstream has so much work queued that the request would be late.
 
-        An upstream with no work queued is never too slow to try.
+        An upstream with no work queued is always tried, however slow it is.
         """
         state = self.state
         queued_ns = upstream.queued_work_ns(now, state.concurrency.mean_service_time_ns)
--- a/lanelift/policy/pool.py
+++ b/lanelift/policy/pool.py
@@ -2,8 +2,8 @@
 
 Inputs: the eligible upstreams of the subset, and the work that each has queued (nanoseconds). There are
 `DRAWS` draws if a replica knows only its own attempts, and `DRAWS_WITH_PEER_LOAD` if replicas announce
-theirs. Reason: random draws keep replicas from all choosing the same upstream; the previous choice adds
-memory to them at no cost.
+theirs. Reason: random draws keep replicas from all choosing the same upstream. The previous choice adds
+memory to the random draws at no cost.
 
 Source: the power of two choices (Mitzenmacher 2001), with memory (Mitzenmacher, Prabhakar, Shah 2002).
 """
@@ -23,8 +23,8 @@
 from lanelift.policy.subsets import Subset
 from lanelift.policy.upstreams import Upstream
 
-DRAWS = 2  # in addition to the previous choice
-DRAWS_WITH_PEER_LOAD = 8  # in addition to the previous choice; most of a subset
+DRAWS = 2  # random draws in addition to the previous choice
+DRAWS_WITH_PEER_LOAD = 8  # random draws in addition to the previous choice; most of a subset
 TRIES_PER_DRAW = 4  # random tries for each draw before the eligible upstreams are listed
 
 
@@ -36,8 +36,8 @@
         subset: The upstreams that this replica draws from.
         previous: The upstream that was chosen last.
         queue: Requests that wait for an upstream, in order.
-        blocked_since_ns: Since when the head of the queue has found no upstream; 0 if it is not blocked, or
-            the queue is empty.
+        blocked_since_ns: When the head of the queue first found no upstream; 0 if it is not blocked, or the
+            queue is empty.
         saturated: Whether the head of the queue waits for capacity, and not for a load report.
     """
 
@@ -103,9 +103,9 @@
         return candidates
 
     def pick(self, now: int, allowed: Iterable[Upstream] | None = None) -> Upstream | None:
-        """Return the upstream that becomes free first, of a few draws or of those allowed.
+        """Return the upstream that becomes free first, among a few draws or the allowed upstreams.
 
-        None is returned if no upstream is eligible.
+        Return None if no upstream is eligible.
 
         Args:
             now: The time.
--- a/lanelift/policy/probing.py
+++ b/lanelift/policy/probing.py
@@ -24,7 +24,7 @@
 
 MIN_PROBE_TIMEOUT_NS = SECOND_NS // 333
 MAX_PROBE_TIMEOUT_NS = SECOND_NS // 100
-PROBE_TIMEOUT_SHARE = 0.04  # of the shortest latency objective
+PROBE_TIMEOUT_SHARE = 0.04  # probe timeout as a share of the shortest latency objective
 QUICK_REPORT_DIVISOR = 4  # reports within this part (1/4) of the timeout leave time for a second round
 
 
@@ -72,14 +72,14 @@
         )
 
     def candidates(self, request: PendingRequest, now: int) -> list[Upstream] | None:
-        """Return the upstreams that reported, perhaps none; None if other upstreams were probed instead."""
+        """Return the upstreams that reported (possibly an empty list), or None if others were probed now."""
         is_eligible = self.state.registry.eligibility.is_eligible
         reported = [
             upstream
             for upstream in request.probed_upstreams
             if upstream.reported_at_ns >= request.probed_at_ns and is_eligible(upstream, now)
         ]
-        # If reports took longer, a second round would take too much of the time that is left.
+        # If the reports were not quick, a second round would take too much of the time that is left.
         quick = QUICK_REPORT_DIVISOR * (now - request.probed_at_ns) < self.timeout_ns
         if (
             quick
@@ -94,7 +94,7 @@
         return reported
 
     def _probe_others(self, request: PendingRequest, busy: Sequence[Upstream], now: int) -> bool:
-        """Probe a few others, as all that reported have work queued; return whether there are any."""
+        """Probe a few upstreams other than the busy ones; return whether there are any."""
         subset, is_eligible = request.pool.subset, self.state.registry.eligibility.is_eligible
         others = [
             upstream
--- a/lanelift/policy/queued_work.py
+++ b/lanelift/policy/queued_work.py
@@ -12,7 +12,7 @@
 
 from lanelift.policy.units import SECOND_NS
 
-MAX_RESERVATIONS = 64  # attempts remembered for each upstream; more than its queue holds
+MAX_RESERVATIONS = 64  # most attempts remembered for each upstream; more than its queue holds
 # Upper bound of the estimate, so that a wrong announcement does not leave an upstream idle for long.
 MAX_QUEUED_WORK_NS = SECOND_NS
 
@@ -36,7 +36,7 @@
     free_at_ns: float = 0
 
     def reserve(self, now: int, work_ns: float) -> None:
-        """Add the work of an attempt, made by this or by another replica."""
+        """Add the work of an attempt that this replica or another one made."""
         if self.free_at_ns <= now:
             self.reservations.clear()
         elif len(self.reservations) >= MAX_RESERVATIONS:
@@ -76,8 +76,8 @@
     def queued_work_ns(self, now: int, mean_service_time_ns: float) -> float:
         """Return the estimated queued work in nanoseconds.
 
-        An attempt that takes longer than expected may need as long again: if the estimate has run out and
-        attempts are still in flight, the work counts as one mean service time.
+        If attempts are still in flight when the estimated work should be completed, the queued work counts
+        as one mean service time, as an attempt that takes longer than expected may need as long again.
         """
         left_ns = self.free_at_ns - now
         return left_ns if left_ns > 0 else mean_service_time_ns * min(1, self.in_flight)
--- a/lanelift/policy/rate_control.py
+++ b/lanelift/policy/rate_control.py
@@ -20,8 +20,8 @@
 TOLERATED_EXCESS = 0.2  # excess over the congestion threshold (share of the objective) that does not lower R
 QUICK_EXCESS = -0.1  # if the excess is below this, responses count as quick
 GROWTH = 1.1  # least factor by which R is raised in one interval
-MIN_GROWTH_PER_S = 0.5  # added to R after it is multiplied by that factor
-# Added to GROWTH for each unit that latency is below the congestion threshold; the unit is the objective.
+MIN_GROWTH_PER_S = 0.5  # added to R after R is multiplied by its growth factor
+# GROWTH is raised by this multiple of the distance of the latency ratio below the congestion threshold.
 GROWTH_PER_SLACK = 2.0
 MIN_SHARE_OF_BEST = 0.2  # R is not cut below this share of the best goodput
 BEST_DECAY = 0.98  # share of the best goodput that is kept after an interval; it decays within a minute
@@ -33,8 +33,8 @@
 ATTEMPT_RATE_MARGIN_PER_S = 1
 MIN_TENANT_RATE_PER_S = 0.05  # minimum rate of a token bank, however small its share of R
 MIN_WEIGHTS_LEFT = 1e-9  # lower bound of the remaining weight, which may round to 0 before the last division
-DEMAND_SMOOTHING = 0.5  # weight of the latest interval
-OVER_SHARE_FACTOR = 1.1  # a tenant is over its share if its demand is above this multiple of it
+DEMAND_SMOOTHING = 0.5  # weight of the latest interval in a tenant's demand
+OVER_SHARE_FACTOR = 1.1  # a tenant is over its share if its demand is above this multiple of the share
 
 
 class RateController:
@@ -81,8 +81,8 @@
     def add_bank(self, bank: TokenBank, now: int) -> None:
         """Add a bank that shares R.
 
-        Its tokens are limited to the capacity of its own part of R, as it has not accrued tokens at the whole
-        rate.
+        The bank keeps no more tokens than the capacity for its own part of R, as it has not accrued tokens at
+        the whole rate.
         """
         self.banks.append(bank)
         self.total_weight += bank.weight
@@ -103,8 +103,8 @@
         Args:
             now: The time.
             excess: By how much the latency ratio of responses exceeds the congestion threshold.
-            count_unplaceable: Whether unplaceable requests count as excess. They do not where replicas
-                announce their attempts to one another: there, such a request is rejected because of work that
+            count_unplaceable: Whether unplaceable requests count as excess. They do not count if replicas
+                announce their attempts to one another: such a request is then rejected because of work that
                 is known to be queued, and R must not reject the next request because of the same work.
         """
         elapsed = now - self.interval_started_at_ns
@@ -118,7 +118,7 @@
         self.attempt_rate_per_s = (self.on_time + self.late_or_failed) * SECOND_NS / elapsed
         self.best_goodput_per_s = max(self.goodput_per_s, self.best_goodput_per_s * BEST_DECAY)
         quick = excess < QUICK_EXCESS
-        # The excess is smoothed over recent responses: the few of one interval alone are not representative.
+        # The excess is smoothed over recent responses: the few of one interval are not representative.
         unplaceable_share = self.unplaceable / max(1, total) if count_unplaceable else 0.0
         excess += unplaceable_share - TOLERATED_EXCESS
         if excess > 0:
@@ -152,9 +152,9 @@
         )
 
     def _raise(self, excess: float) -> None:
-        """Raise R, by more the further responses are from congestion.
+        """Raise R, and raise it more the further the latency ratio is below the congestion threshold.
 
-        After a cut, it is R itself that limits the goodput.
+        After a cut, R itself limits the goodput.
         """
         growth = GROWTH + GROWTH_PER_SLACK * max(0.0, -excess - TOLERATED_EXCESS)
         self.rate_per_s = min(INITIAL_RATE_PER_S, self.rate_per_s * growth + MIN_GROWTH_PER_S)
@@ -172,7 +172,7 @@
     def _water_fill(self, left: float) -> list[float]:
         """Return the share of each bank in a rate that is divided by weight.
 
-        At first, no share is above its bank's demand; all that is left over is then added to each share.
+        First, each share is limited to its bank's demand. Then the whole remainder is added to every share.
         """
         shares, weights = [0.0] * len(self.banks), sum(bank.weight for bank in self.banks)
         by_demand = sorted(
--- a/lanelift/policy/registry.py
+++ b/lanelift/policy/registry.py
@@ -21,7 +21,7 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-MIN_REPORTED_EJECTION_NS = SECOND_NS // 2  # shorter ones are brief pauses, which metrics do not count
+MIN_REPORTED_EJECTION_NS = SECOND_NS // 2  # shorter ejections are brief pauses, which metrics do not count
 
 
 class UpstreamRegistry:
@@ -29,7 +29,7 @@
 
     Attributes:
         upstreams: Upstreams by number.
-        load_probing: Whether load probes are sent before attempts, so that there are no subsets.
+        load_probing: Whether load probes are sent before attempts; if so, there are no subsets.
         slow_start: The pacing of upstreams that are warming up.
         eligibility: The check of which upstreams may be chosen.
         peer_load: The messages by which replicas share load.
@@ -126,7 +126,7 @@
             self.upstreams.pop(upstream.id, None)
 
     def out_of_rotation(self, now: int) -> int:
-        """Return how many listed upstreams get no requests now, as they drain or are ejected."""
+        """Return how many listed upstreams get no requests now because they drain or are ejected."""
         return sum(
             upstream.endpoint.state is EndpointState.DRAINING
             or upstream.ejected_until_ns > max(now, upstream.ejected_at_ns + MIN_REPORTED_EJECTION_NS)
--- a/lanelift/policy/requests.py
+++ b/lanelift/policy/requests.py
@@ -39,7 +39,7 @@
         deadline_ns: When its client gives up.
         objective_at_ns: An answer by this time earns the full priority weight.
         cost_hint_ns: How long its client expects it to take; 0 means not stated.
-        client_retry: Whether the client says that it repeats an earlier request.
+        client_retry: Whether the client says that this request repeats an earlier one.
         key_queue: The queue of its ordering key, if its class is ordered by key.
         attempts: Its attempts, in order.
         finished: Whether it has its final answer, or its client has disconnected.
@@ -50,10 +50,10 @@
         cooldown_until_ns: When the cooldown of its key is over.
         give_up_at_ns: When it is given up if it still waits.
         probed_upstreams: The upstreams that were probed for their load on its behalf.
-        probed_at_ns: When they were probed.
+        probed_at_ns: When the load probes for it were sent.
         busy_upstreams: The upstreams of a first round of probes, if all of them had work queued.
-        denial_reason: Why its tenant may no longer make it, so that it gets no further attempt; empty if it
-            may.
+        denial_reason: Why its tenant may no longer make this request, which then gets no further attempt;
+            empty if the tenant may make it.
     """
 
     id: str
@@ -92,7 +92,7 @@
     Attributes:
         key: The key.
         waiting: Its requests; only the first may have attempts.
-        cooldown_until_ns: Until when an attempt of an earlier request may still be running.
+        cooldown_until_ns: The time after which no attempt of an earlier request can still be running.
     """
 
     key: str
--- a/lanelift/policy/service_time.py
+++ b/lanelift/policy/service_time.py
@@ -16,21 +16,21 @@
 from lanelift.policy.attempts import Attempt
 from lanelift.policy.settings import RequestClass
 
-# A request is late after its expected time multiplied by the sum of this and a multiple of the relative
-# deviation.
+# A request is late if it takes longer than its expected time multiplied by the sum of this margin and a
+# multiple of the relative deviation.
 DURATION_MARGIN = 1.3
 MIN_SAMPLE_WEIGHT = 0.01  # least weight of a new sample of the regression
-PRIOR_SAMPLES = 8.0  # number of samples that the prior slope counts as
-PRIOR_SLOPE = 0.5  # slope with few samples: half of what the hint says
+PRIOR_SAMPLES = 8.0  # the prior slope weighs as much as this many samples
+PRIOR_SLOPE = 0.5  # slope with few samples; a slope of 1 means a time proportional to the hint
 UNKNOWN_CLASS_DIVISOR = 8  # a class without samples is assumed to take this part (1/8) of its objective
 CLASS_SMOOTHING = 0.05  # weight of the latest sample of a class
-MAX_CLASS_GROWTH = 8  # a sample counts for at most this multiple of the estimate
-INITIAL_DEVIATION = 0.5  # share of the expected time
-DEVIATION_SMOOTHING = 0.05  # weight of the latest sample
-MAX_DEVIATION = 3.0  # larger samples are clamped to this
+MAX_CLASS_GROWTH = 8  # a larger sample of a class is clamped to this multiple of the estimate
+INITIAL_DEVIATION = 0.5  # relative deviation before there are samples
+DEVIATION_SMOOTHING = 0.05  # weight of the latest sample of the relative deviation
+MAX_DEVIATION = 3.0  # larger samples of the relative deviation are clamped to this
 FACTOR_SMOOTHING = 0.2  # weight of the latest sample of an upstream's service time factor
 MIN_FACTOR = 0.1  # smaller samples of an upstream's service time factor are clamped to this
-MAX_FACTOR = 10.0  # larger samples of it are clamped to this
+MAX_FACTOR = 10.0  # larger samples of that factor are clamped to this
 
 
 class HintRegression:
--- a/lanelift/policy/settings.py
+++ b/lanelift/policy/settings.py
@@ -129,7 +129,7 @@
 
     Attributes:
         drain_grace_ns: New attempts at a draining upstream must stop within this time. Not used by any
-            decision, as they stop immediately.
+            decision, as new attempts stop immediately.
         notification_deadline_ns: A balancer counts as notified of a change after this time even if no update
             reached it.
         slow_start_initial_share: The share of its capacity that an upstream has when it starts.
@@ -153,8 +153,8 @@
 class Prices:
     """What the platform charges, as shares of the value of one request.
 
-    There is a price for each attempt that crosses zones, wasted attempt, load probe, peer message, open
-    connection and handshake. Decisions use only the prices of load probes and peer messages.
+    Prices are charged for attempts that cross zones, wasted attempts, load probes, peer messages, open
+    connections and handshakes. Decisions use only the prices of load probes and peer messages.
     """
 
     cross_zone: float = 0.0
--- a/lanelift/policy/slow_start.py
+++ b/lanelift/policy/slow_start.py
@@ -13,7 +13,7 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-BUDGET_SHARE = 0.7  # used share of the rate that an upstream can handle while it warms up
+BUDGET_SHARE = 0.7  # attempts use this share of the rate that an upstream can handle while it warms up
 SUSTAINED_RATE_SMOOTHING = 0.2
 
 
@@ -41,10 +41,10 @@
         return started_ns != 0 and now - started_ns < self.duration_ns
 
     def pacing_interval_ns(self, upstream: Upstream, now: int) -> int:
-        """Return the least time between attempts at an upstream that is warming up.
+        """Return the shortest time between attempts at an upstream that is warming up.
 
         A warm upstream is assumed to handle the higher of two rates: the sustained rate that was observed, or
-        one request per mean service time, divided among all replicas that share it.
+        one request per mean service time, divided among the replicas that share the upstream.
         """
         rules = self.rules
         age_ns = max(
--- a/lanelift/policy/state.py
+++ b/lanelift/policy/state.py
@@ -32,7 +32,7 @@
         requests: Open requests by identifier.
         shortest_objective_ns: The shortest latency objective of a class.
         attempts_in_flight: Attempts that count against the window.
-        overdue_attempts: The number of these that are overdue.
+        overdue_attempts: The number of those attempts that are overdue.
     """
 
     __slots__ = (
--- a/lanelift/policy/subscription.py
+++ b/lanelift/policy/subscription.py
@@ -3,7 +3,8 @@
 Inputs: whether discovery pushes the list, updates and failures of calls, and the notification deadline. The
 first call is made at a random time in the first quarter of that deadline. Calls after failures are made with
 exponential backoff and jitter, within `MAX_BACKOFF_SHARE` of the deadline. Reason: replicas that start or
-fail together must not call together, so that the load on discovery has no bursts that grow with their number.
+fail together must not call together, so that the load on discovery has no bursts that grow with the number of
+replicas.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 FIRST_CALL_DIVISOR = 4  # the first call comes within this part (1/4) of the notification deadline
 FIRST_BACKOFF_NS = SECOND_NS
 BACKOFF_BASE = 2.0  # the delay grows by this factor with each failure
-MAX_BACKOFF_MULTIPLE = 8.0  # of the first backoff, before jitter
-MIN_BACKOFF_FACTOR = 0.5  # jitter of the delay, so that replicas do not call in step
+MAX_BACKOFF_MULTIPLE = 8.0  # longest delay as a multiple of the first backoff, before jitter
+MIN_BACKOFF_FACTOR = 0.5  # lowest jitter factor; the jitter keeps replicas from calling together
 MAX_BACKOFF_FACTOR = 1.5
-MAX_BACKOFF_SHARE = 0.8  # of the notification deadline
+MAX_BACKOFF_SHARE = 0.8  # longest delay as a share of the notification deadline
 
 
 class EndpointSubscription:
--- a/lanelift/policy/subsets.py
+++ b/lanelift/policy/subsets.py
@@ -1,10 +1,10 @@
 """Subsetting: each replica draws from a few upstreams, each of which it shares with few other replicas.
 
-Inputs: the ready upstreams, the number of replicas and this replica's own number, whether replicas announce
-their attempts to one another, and whether load probes are used (if so, there is no subset, and all upstreams
-are drawn from). A subset is widened by one upstream for each member that can't be reached, and by one in each
-feedback interval while requests wait. Reason: a replica's own attempts, and those that it receives
-announcements of, say something about an upstream only if few replicas share it.
+Inputs: the ready upstreams, the number of replicas and this replica's own number, whether replicas may send
+messages to one another, and whether load probes are used (if so, there is no subset, and all upstreams are
+drawn from). A subset is widened by one upstream for each member that can't be reached, and by one in each
+feedback interval while requests wait. Reason: a replica's own attempts, and the attempts that other replicas
+announce to it, say something about an upstream only if few replicas share that upstream.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-MIN_SUBSET_SIZE = 4  # upstreams to draw from
+MIN_SUBSET_SIZE = 4  # fewest upstreams in a subset, if there are so many
 PAUSE_TOLERANT_SIZE = 10  # a subset of this size still serves while a few of its upstreams pause
 # Subsets are enlarged up to PAUSE_TOLERANT_SIZE only while at most this many replicas share an upstream.
-# Subsets of MIN_SUBSET_SIZE may need more.
+# Subsets of MIN_SUBSET_SIZE may need more replicas for each upstream.
 MAX_DEGREE = 6
-MAX_DEGREE_WITH_PEER_MESSAGES = 4  # MAX_DEGREE if replicas announce each attempt to each other
+MAX_DEGREE_WITH_PEER_MESSAGES = 4  # replaces MAX_DEGREE if replicas may send messages to one another
 UNREACHABLE_REMEMBERED_NS = SECOND_NS  # how long an upstream counts as unreachable after its ejection
 
 
 def stable_hash(number: int, salt: int) -> int:
-    """Return a fixed 64-bit hash of an id: the same on every replica, whatever Python's hash seed."""
+    """Return a 64-bit hash of an id that is the same on every replica, whatever Python's hash seed is."""
     mask = 0xFFFFFFFFFFFFFFFF
     x = (number * 0x9E3779B97F4A7C15 + salt * 0xD1B54A32D192ED03 + 0x632BE59BD9B4E019) & mask
     x = ((x ^ (x >> 29)) * 0xBF58476D1CE4E5B9) & mask
@@ -42,8 +42,8 @@
 def subset_members(upstream: Upstream, replicas: int, count: int) -> list[int]:
     """Return the replicas that have an upstream in their subset.
 
-    They are drawn by a hash of the upstream's id, so all replicas compute the same ones, and adding or
-    removing another upstream does not change them. They are kept once computed, so that a change of a long
+    The members are drawn by a hash of the upstream's id, so all replicas compute the same members, and adding
+    or removing another upstream does not change them. Computed members are kept, so that a change of a long
     list costs little.
     """
     if count >= replicas:
--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -17,13 +17,13 @@
 from lanelift.policy.token_bucket import TokenBucket
 
 MIN_WEIGHT = 1e-6  # minimum weight of a token bank, as R is divided by the sum of weights
-UNKNOWN_TENANTS_WEIGHT = 0.05  # weight of all unknown tenants together, as a share of that of known ones
+UNKNOWN_TENANTS_WEIGHT = 0.05  # weight of all unknown tenants together, as a share of the known ones' weight
 # A directory may name any number of tenants; only those that sent requests recently have banks. Dividing R
-# among this many takes a few milliseconds. All tenants beyond this number share one bank.
+# among this many banks takes a few milliseconds. All tenants beyond this number share one bank.
 MAX_TOKEN_BANKS = 1024
-OVERFLOW_TENANTS_WEIGHT = 0.5  # weight of that shared bank, as a share of that of the others
-MAX_TOKEN_BUCKETS = 8192  # if so many are in use, further limits are not enforced until full ones are removed
-MAX_RETRY_AFTER_JITTER = 1.5  # times the wait until the next token, so that clients do not return in step
+OVERFLOW_TENANTS_WEIGHT = 0.5  # weight of that shared bank, as a share of the other banks' weight
+MAX_TOKEN_BUCKETS = 8192  # most buckets in use; further limits are not enforced until full ones are removed
+MAX_RETRY_AFTER_JITTER = 1.5  # highest jitter factor of Retry-After; keeps clients from returning together
 
 
 class TenantRegistry:
@@ -33,7 +33,7 @@
         banks: Token banks by tenant name; "" is the bank of all requests while no tenant is listed.
         known_tenants: All tenants by name, once a directory has named some; None before that.
         unknown_tenants: How all other tenants are handled, once a directory has named all; None before that.
-        shared_banks: The banks of tenants that have none of their own, by their share of the weight.
+        shared_banks: The banks of tenants without a bank of their own, by their relative weight.
         removed_banks: The banks of tenants that were removed, until they are full.
         buckets: The token buckets of rate limits in use, by tenant and class.
         rate: The controller of R.
@@ -84,7 +84,7 @@
     def denial_reason(self, name: str, class_name: str) -> str:
         """Return why a tenant may not use this class; empty if it may.
 
-        May be called only once a directory has named some tenants.
+        Must not be called before a directory has named some tenants.
         """
         assert self.known_tenants is not None
         tenant = self.known_tenants.get(name)
@@ -118,8 +118,8 @@
     def _buckets_of(self, event: RequestArrived, now: int) -> list[tuple[TokenBucket, float]]:
         """Return the buckets that limit a request, each with its rate on this replica.
 
-        A limit is for all replicas together, and each enforces an equal part, as clients are spread evenly
-        over them.
+        A limit applies to all replicas together. Each replica enforces an equal part of it, as clients are
+        spread evenly over the replicas.
         """
         assert self.known_tenants is not None
         tenant = self.known_tenants.get(event.tenant)
--- a/lanelift/policy/timers.py
+++ b/lanelift/policy/timers.py
@@ -33,7 +33,7 @@
         self.timer_number = 0
 
     def call_at(self, at_ns: int, function: Callable[..., None], *arguments: Any) -> None:
-        """Schedule a call of a function with these arguments and the time of the call."""
+        """Schedule a call of a function; the call passes these arguments and its own time."""
         self.added += 1
         heapq.heappush(self.calls, (at_ns, self.added, function, arguments))
 
@@ -53,8 +53,8 @@
     def timer_fired(self, event: TimerFired, now: int) -> None:
         """Record that the current timer has fired.
 
-        The timer is recognised by its name and not by the clock: one that fires a little early would
-        otherwise be taken for an old one, and no timer would ever be set again.
+        The timer is recognised by its name and not by the clock: otherwise a timer that fires a little early
+        would be taken for an old one, and no timer would ever be set again.
         """
         if event.name == str(self.timer_number):
             self.timer_due_ns = 0
--- a/lanelift/policy/token_bank.py
+++ b/lanelift/policy/token_bank.py
@@ -19,10 +19,10 @@
 from lanelift.policy.units import SECOND_NS
 
 INITIAL_RATE_PER_S = 10_000.0  # initial and highest R, above the capacity of any one replica
-BANK_CAPACITY_S = 0.5  # C_T, as seconds of the bank's rate
+BANK_CAPACITY_S = 0.5  # C_T is the number of tokens that accrue in this many seconds
 BUFFER_SHARE = 0.2  # C_J as a share of C_T
-MIN_BANK_CAPACITY = 4  # tokens
-MIN_BUFFER_CAPACITY = 1  # requests
+MIN_BANK_CAPACITY = 4  # lower bound of C_T, in tokens
+MIN_BUFFER_CAPACITY = 1  # lower bound of C_J, in requests
 SPARE_DIVISOR = 4  # tokens above this part (1/4) of C_T are spare
 
 
@@ -47,7 +47,7 @@
         balance: The paper's U. A new bank is full.
         rate_per_s: Tokens per second.
         partial_token: The part of the next token that has accrued. It starts at a random value, so that
-            replicas do not release buffered requests in step.
+            replicas do not release buffered requests together.
         updated_at_ns: When `balance` was last brought up to date.
         buffered: Requests that wait for tokens, in order. The bank does not depend on their type.
         offered: Requests offered since R was last divided.
@@ -125,7 +125,7 @@
         return TokenResult.BUFFERED
 
     def take_spare_token(self, now: int) -> bool:
-        """Take a token for a hedge or a client's retry if the bank has spare ones; return whether it did."""
+        """Take a token for a hedge or a client's retry if there are spare ones; return whether there are."""
         self.accrue(now)
         if self.balance - self.buffer_capacity <= self.bank_capacity // SPARE_DIVISOR:
             return False
--- a/lanelift/policy/token_bucket.py
+++ b/lanelift/policy/token_bucket.py
@@ -10,7 +10,7 @@
 
 from lanelift.policy.units import SECOND_NS
 
-BURST_S = 1.0  # seconds of the limit that may be used in one burst
+BURST_S = 1.0  # a bucket holds the tokens that accrue in this many seconds
 
 
 class TokenBucket:
--- a/lanelift/policy/upstreams.py
+++ b/lanelift/policy/upstreams.py
@@ -24,8 +24,8 @@
             (`subsets.py`).
         subset_members: The replicas that have it in their subset, as far as computed (`subsets.py`).
         service_time_factor: Its service time relative to that of all upstreams (`service_time.py`).
-        consecutive_ejections: How many failures ejected it, or would have, since its last success
-            (`ejection.py`).
+        consecutive_ejections: How many failures since its last success ejected it, or would have if fewer
+            upstreams had been ejected (`ejection.py`).
         unreachable: Whether the last attempt failed to connect to it (`outcomes.py`).
         ejected_until_ns: It gets no attempt before this time, the end of its ejection (`ejection.py`) or its
             pacing interval (`forwarding.py`, `registry.py`).
--- a/lanelift/wirehost.py
+++ b/lanelift/wirehost.py
@@ -275,7 +275,7 @@
 def main() -> int:
     """Handle the batches on standard input, and return the exit status."""
     host = Host()
-    for count, line in enumerate(sys.stdin.buffer, 1):  # read as bytes: invalid UTF-8 is bad input, too
+    for count, line in enumerate(sys.stdin.buffer, 1):  # bytes: invalid UTF-8 is bad input, too
         try:
             reply = host.run_batch(line)
         except SettingsError as error:
