--- a/tests/policy/checked_balancer.py
+++ b/tests/policy/checked_balancer.py
@@ -85,7 +85,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    """Return settings with the classes above, two tenants, hedging and slow start, and these changes."""
+    """Return settings with the classes above, two tenants, hedging and slow start, then apply `changes`."""
     base: dict[str, object] = {
         "classes": {
             c.name: c for c in (READ, PAY, KEYED_IN_CELL, KEYED_ANYWHERE, ORDERED, WEST_ONLY, BIG_ONLY)
@@ -127,7 +127,7 @@
 def check_slow_start_budget(sends: list[int], started_ns: int, rules: Rules, warm_per_s: float) -> None:
     """Check rule 4 over all replicas, with a tolerance of two attempts.
 
-    In no window may an upstream that is warming up get more attempts than its share of capacity allows.
+    An upstream that is warming up may get no more attempts in any window than its share of capacity allows.
     """
     for i, last in enumerate(sends):
         age = last - started_ns
@@ -235,7 +235,7 @@
         return request in self.body_pending and any(r == request for r, _ in self.attempts_in_flight())
 
     def result(self, request: str, number: int, result: AttemptResult) -> AttemptFinished:
-        """Return the event that an attempt ends now with this result."""
+        """Return the event which reports that an attempt ends now with this result."""
         upstream, sent = self.attempts[request][number]
         over = request in self.answer or request in self.notified_complete
         if request in self.response_started:
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -59,8 +59,8 @@
         tenant: The tenant of each request.
         deadline: When the client of each request gives up.
         attempts: The number of attempts of each request.
-        sent: The attempts in flight: the upstream, and when each was sent.
-        counts: The number of requests by tenant and answer, and of all requests as "requested".
+        sent: The upstream and the time of sending of each attempt in flight.
+        counts: The number of requests by tenant and answer; "requested" counts all requests of a tenant.
         answered: Requests that have their final answer.
         attempt_log: All attempts: time, replica, upstream.
     """
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -65,7 +65,7 @@
 
 
 def test_a_client_that_disconnects_ends_its_request() -> None:
-    """A disconnect is reported twice, and once for an unknown request: the further reports have no effect."""
+    """A disconnect is reported twice, then one of an unknown request: only the first report has an effect."""
     checked = CheckedBalancer()
     checked.handle(
         arrival(1, checked.now),
--- a/tests/policy/test_checker.py
+++ b/tests/policy/test_checker.py
@@ -60,8 +60,8 @@
             EndpointUpdateKind.DELTA, [mixed_endpoints(1)[0]._replace(state=EndpointState.DRAINING)]
         ),
     )
-    check_illegal(drains, StartAttempt("r1", 1))  # 3
-    with pytest.raises(AssertionError):  # 4
+    check_illegal(drains, StartAttempt("r1", 1))  # 3: the upstream drains
+    with pytest.raises(AssertionError):  # 4: attempts not paced
         check_slow_start_budget([START + i * MS for i in range(60)], START, Rules(slow_start_ns=SECOND), 10.0)
     row = [arrival(i, START, ORDERED, key="k") for i in (1, 2)]
     check_illegal(fresh(*row), StartAttempt("r2", 1))  # 5: before the first of its key
--- a/tests/policy/test_churn.py
+++ b/tests/policy/test_churn.py
@@ -36,7 +36,7 @@
 
 
 def reachable_objects(root: object) -> Counter[str]:
-    """Return the number of objects that can be reached from this one, by the name of their type."""
+    """Return the number of objects that can be reached from `root`, by the name of their type."""
     seen, todo, found = {id(root)}, [root], Counter[str]()
     while todo:
         one = todo.pop()
@@ -181,7 +181,7 @@
     from lanelift.policy.registry import UpstreamRegistry
     from lanelift.policy.requests import PendingRequest
 
-    if what == "upstreams":  # a list besides the registry's table keeps them
+    if what == "upstreams":  # a list keeps them in addition to the registry's table
         leaked: list[object] = []
         update = UpstreamRegistry.update
 
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -36,7 +36,7 @@
 
 
 def serve_requests(checked: CheckedBalancer, took_ns: int, count: int = 40) -> None:
-    """Let `count` requests arrive one after another, each served in this time."""
+    """Let `count` requests arrive one after another, each served in `took_ns`."""
     for i in range(count):
         ident = f"{checked.now}-{i}"
         checked.handle(arrival(ident, checked.now))
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("answers", [4, 400])
 def test_congestion_does_not_become_the_baseline_at_any_response_rate(answers: int) -> None:
-    """Responses take most of their objective for seconds: few or many, they must not become the baseline."""
+    """For seconds, few or many responses take most of their objective: they must not become the baseline."""
     concurrency = CheckedBalancer().balancer.state.concurrency
     for second, latency_ratio in enumerate([0.15] * 10 + [0.7] * 5):
         for i in range(answers):
--- a/tests/policy/test_deadlines.py
+++ b/tests/policy/test_deadlines.py
@@ -37,7 +37,7 @@
     checked.advance(20 * SECOND)
     assert "r1" not in checked.answer and upstream.consecutive_ejections == 0
     checked.handle(BodyReceived("r1", checked.now + 300 * MS))
-    assert checked.balancer.requests["r1"].attempts[0].sent_ns == checked.now  # counted from now on
+    assert checked.balancer.requests["r1"].attempts[0].sent_ns == checked.now  # the time is counted from now
     checked.advance(200 * MS)
     assert upstream.consecutive_ejections  # the attempt is checked for being overdue, like any other
     checked.advance(200 * MS)
--- a/tests/policy/test_directory.py
+++ b/tests/policy/test_directory.py
@@ -81,8 +81,8 @@
 
 
 def test_settings_apply_until_a_directory_has_named_all_tenants() -> None:
-    """A directory names one tenant: all tenants are served until it has named all; then unlisted ones are
-    denied.
+    """A directory names one tenant: all tenants are served until it has named all tenants; then unlisted
+    tenants are denied.
     """
     plain = PlainBalancer(settings(ash=1))
     assert actions_of_type(StartAttempt, plain.request("ash")) and actions_of_type(
@@ -98,8 +98,8 @@
 
 
 def test_without_listed_tenants_all_are_admitted_until_all_are_named() -> None:
-    """No tenant is in the settings: all share one bank until the directory has named all, and unknown
-    ones share a small one afterwards.
+    """No tenant is in the settings: all share one bank until the directory has named all tenants;
+    unknown tenants share a small bank afterwards.
     """
     plain = PlainBalancer(settings())
     plain.handle(tenant_update(Tenant("ash")))
@@ -133,7 +133,7 @@
 
 
 def test_only_the_class_that_is_not_allowed_is_denied() -> None:
-    """A tenant may use one class of two: only requests of the other are denied."""
+    """A tenant may use one class of two: only requests of the other class are denied."""
     plain = PlainBalancer(settings())
     plain.handle(tenant_update(Tenant("ash", classes=frozenset({"history"}), rate_limits=(("quote", 0.0),))))
     assert actions_of_type(StartAttempt, plain.request("ash", "history"))
@@ -184,7 +184,7 @@
 
 
 def make_request_wait(plain: PlainBalancer, where: WaitingPlace, tenant: str) -> str:
-    """Make a request of this tenant wait in this place; return its name."""
+    """Make a request of this tenant wait in this place; return the request's identifier."""
     if where is WaitingPlace.POOL_QUEUE:
         plain.balancer.state.concurrency.window = 0.0
         while not [
@@ -211,8 +211,8 @@
     ],
 )
 def test_a_waiting_request_is_denied_immediately(where: WaitingPlace) -> None:
-    """A tenant is suspended while its request waits: it fails immediately, and requests of others keep
-    waiting.
+    """A tenant is suspended while its request waits: it fails immediately, and requests of other tenants
+    keep waiting.
     """
     plain = PlainBalancer(settings(ash=1, birch=1))
     name = make_request_wait(plain, where, "ash")
@@ -318,7 +318,9 @@
 )
 @hyp(max_examples=50, deadline=None)
 def test_no_more_requests_pass_than_the_limit_and_its_burst(rate: float, gaps: list[int]) -> None:
-    """Whatever the gaps between requests, no more pass than the limit and a burst of one second of it."""
+    """Whatever the gaps between requests are, no more requests pass than the limit allows, plus a burst: one
+    second of the limit, or one request.
+    """
     bucket, now = TokenBucket(rate, 0), 0
     for taken, gap in enumerate(gaps, 1):
         now += gap
@@ -400,7 +402,7 @@
 
 
 def test_a_change_of_weight_keeps_tokens_and_buffered_requests() -> None:
-    """The share of a tenant changes while its requests are buffered: they remain, and so do its tokens."""
+    """The share of a tenant changes while its requests are buffered: the requests and its tokens remain."""
     plain = PlainBalancer(settings(ash=1, birch=1))
     make_request_wait(plain, WaitingPlace.TOKEN_BUFFER, "ash")
     token_bank = plain.balancer.state.tenants.banks["ash"]
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -59,13 +59,13 @@
 
 
 def test_resets_at_all_upstreams_eject_none() -> None:
-    """One attempt in ten broke, at any upstream: half of the upstreams were ejected for it, and the others
-    were congested.
+    """One attempt in ten broke, over all upstreams: half of the upstreams were ejected for that, and the
+    others were congested.
     """
     checked = CheckedBalancer(upstream_count=6)
     serve_rounds(checked, 200, lambda upstream, n: AttemptResult.RESET if n % 8 == 0 else AttemptResult.OK)
     assert not [s for s in checked.balancer.registry.upstreams.values() if s.ejected_until_ns > checked.now]
-    # But if all attempts break at one upstream, it has failed.
+    # But if all attempts at one upstream break, that upstream has failed.
     serve_rounds(
         checked, 200, lambda upstream, n: AttemptResult.RESET if upstream == 1 else AttemptResult.OK, "more"
     )
--- a/tests/policy/test_full_size.py
+++ b/tests/policy/test_full_size.py
@@ -53,7 +53,7 @@
     weights: list[float] | None = None,
     seed: int = 3,
 ) -> None:
-    """Schedule requests from `since` to `until` (seconds), spread by weight; 30 ms of work each."""
+    """Schedule requests with 30 ms of work each, from `since` to `until` (seconds), to replicas by weight."""
     rng, now = random.Random(seed), since
     replicas = range(len(simulation.balancers))
     while True:
@@ -74,7 +74,7 @@
 
 
 def discovery_call_times(replicas: int, failing: bool) -> list[int]:
-    """Return when replicas that start at the same time call discovery, which answers or fails."""
+    """Return the times at which replicas that start together call discovery, which answers or fails."""
     at: list[int] = []
     for replica in range(replicas):
         now = START
@@ -217,8 +217,8 @@
 
 
 def test_replicas_with_little_traffic_serve_beside_busy_ones() -> None:
-    """One replica gets a fiftieth of the traffic of the others, another five times as much: both serve
-    nearly all of it.
+    """One replica gets a fiftieth of the traffic of the others, another gets five times as much: both
+    serve nearly all of their traffic.
     """
     weights = [0.02, *[1.0] * 18, 5.0]
     simulation = Simulation(config(20), 20, seed=8)
@@ -235,7 +235,7 @@
 
 
 def finish_attempts(checked: CheckedBalancer, result: AttemptResult, seconds: int) -> None:
-    """For this time, let attempts within the subset end with this result, and serve all others."""
+    """For `seconds`, let attempts within the subset end with `result`, and serve all other attempts."""
     pool = checked.balancer.registry.unrestricted_pool
     own_subset = {s.id for s in pool.subset.order[: pool.subset.size]}
     for i in range(20 * seconds):
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -28,7 +28,7 @@
     """The check of an overdue attempt is late: the response may already be here, unread, and its upstream is
     not ejected.
     """
-    for step_ns, ejected_count in ((5 * MS, 1), (120 * MS, 0)):  # in time, and in one late step
+    for step_ns, ejected_count in ((5 * MS, 1), (120 * MS, 0)):  # checked in time, and too late
         checked = CheckedBalancer()
         checked.handle(arrival(1, checked.now))
         checked.advance(120 * MS, step_ns)
--- a/tests/policy/test_many_replicas.py
+++ b/tests/policy/test_many_replicas.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("alive", [40, 6])
 def test_a_zone_that_restarts_in_one_update_is_not_overloaded(alive: int) -> None:
-    """All replicas are notified of six started upstreams together.
+    """All replicas are notified at the same time that six upstreams have started.
 
     In the second case only a few replicas are left, each with four times the load.
     """
--- a/tests/policy/test_module.py
+++ b/tests/policy/test_module.py
@@ -68,7 +68,7 @@
 
 
 def test_the_package_names_every_module_in_its_table() -> None:
-    """An engineer on call starts from the table, and would not find a rule that it does not name."""
+    """An engineer on call starts from the table, and would not find a rule that is missing there."""
     head = " ".join(MODULES["__init__.py"])
     assert not [name for name in MODULES if name != "__init__.py" and name not in head]
 
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -81,7 +81,7 @@
     ],
 )
 def test_nothing_is_announced_if_that_is_not_allowed_or_too_expensive(changes: dict[str, Any]) -> None:
-    """Peer messages are forbidden, cost too much, or would go to too many or to none: none is sent."""
+    """Peer messages are forbidden, cost too much, or would go to too many or no replicas: none is sent."""
     checked = sharing_balancer(**changes)
     assert not peer_messages(checked.handle(arrival(1, checked.now)))
 
@@ -224,7 +224,7 @@
 
 
 def test_one_response_does_not_determine_the_estimate() -> None:
-    """After one sample, the estimate lies between the sample and the hint."""
+    """After one sample, the estimate lies between the sample's time and a time proportional to the hint."""
     regression = HintRegression()
     regression.observe(10 * MS, 90 * MS)
     assert regression.estimate_ns(10 * MS) == pytest.approx(90 * MS)
@@ -233,7 +233,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_announcements_raise_the_served_share_and_lost_messages_cost_little(seed: int) -> None:
-    """A replica with one request in flight knows nearly nothing of two drawn upstreams by its own counts."""
+    """A replica with one request in flight learns nearly nothing of two drawn upstreams from its counts."""
     without_messages, announcing, with_losses = (
         simulate_busy_replicas(seed, False),
         simulate_busy_replicas(seed, True),
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -71,9 +71,9 @@
 
 
 def test_other_upstreams_are_probed_before_a_request_waits_behind_work() -> None:
-    """The reports of four busy upstreams say nothing about a fifth.
+    """The reports of four busy upstreams say nothing about a fifth upstream.
 
-    A third of all requests waited behind work while the fifth of five upstreams was idle.
+    One request in three waited behind other work while one of five upstreams was idle.
     """
     checked = probing_balancer(upstream_count=8)
     first = probed_by(checked.handle(arrival(1, checked.now)))
@@ -86,7 +86,7 @@
 
 
 def test_other_upstreams_are_probed_once_and_then_the_least_loaded_of_all_is_chosen() -> None:
-    """Both rounds of probes report work: there is no third, and the least loaded of all is chosen."""
+    """Both rounds of probes report work: there is no third round, and the least loaded is chosen."""
     checked = probing_balancer(upstream_count=8)
     first = probed_by(checked.handle(arrival(1, checked.now)))
     checked.now += MS
@@ -113,7 +113,7 @@
     """A second round of probes can find nothing better and would cost time, so there is none."""
     checked = probing_balancer(upstream_count=upstream_count)
     checked.balancer.rng.seed(3)
-    for number in range(6):  # until a request has probed all of them
+    for number in range(6):  # until one request has probed all upstreams
         first = probed_by(checked.handle(arrival(number, checked.now)))
         checked.now += MS
         others = probed_by(checked.handle(*reports(first, in_flight)))
@@ -159,8 +159,8 @@
     checked.now += MS
     checked.handle(*(LoadProbeFinished(u, AttemptResult.OK, MS, {"inflight": 0.0}) for u in probed))
     assert len(checked.attempts) > 1 and not checked.answer
-    # An upstream does not answer its probe: requests are sent without waiting for the probe's end, and until
-    # then the upstream is not probed again.
+    # An upstream does not answer its probe: requests are sent without waiting for the probe's end, and the
+    # upstream is not probed again before the probe has ended.
     checked = probing_with_retry_after(1)
     assert len(actions_of_type(ProbeLoad, checked.handle(arrival(1, checked.now)))) == 1
     checked.advance(20 * MS)
@@ -173,10 +173,10 @@
 
 
 def test_attempts_made_while_a_probe_is_in_flight_count_on_top_of_its_report() -> None:
-    """A report may not count what was forwarded since its probe: both are queued work."""
+    """Requests forwarded since a probe may be missing from its report, so their work is added to it."""
     checked = probing_with_retry_after(1)
     checked.handle(arrival(1, checked.now))
-    checked.advance(20 * MS)  # the report is no longer waited for
+    checked.advance(20 * MS)  # the request no longer waits for the report
     checked.handle(arrival(2, checked.now))
     checked.handle(LoadProbeFinished(1, AttemptResult.OK, 20 * MS, {"inflight": 3.0}))
     concurrency, upstream = checked.balancer.state.concurrency, checked.balancer.registry.upstreams[1]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -48,8 +48,8 @@
 
 
 def test_replicas_notified_together_do_not_overload_a_started_upstream() -> None:
-    """Incident i604f4b: each replica kept the pacing interval, but all sent their first request as they were
-    notified.
+    """Incident i604f4b: each replica kept the pacing interval, but all of them sent their first request as
+    soon as they were notified.
     """
     checked_balancers = [
         CheckedBalancer(settings(replica=replica, replica_count=40), seed=replica, upstream_count=4)
