--- a/lanelift/policy/actions.py
+++ b/lanelift/policy/actions.py
@@ -46,8 +46,8 @@
 
     Attributes:
         request: The request's identifier.
-        denial_reason: Why the tenant may not make this request, so that a retry is of no use; empty if it was
-            not denied.
+        denial_reason: Why the tenant may not make this request, so that a retry is of no use; empty if
+            the request was not denied.
     """
 
     request: str
--- a/lanelift/policy/ejection.py
+++ b/lanelift/policy/ejection.py
@@ -73,7 +73,7 @@
     def _eject(self, attempt: Attempt, now: int, base_ns: float) -> None:
         """Count the failure, and eject the upstream unless too many are ejected.
 
-        If an upstream stops, the attempts in flight there fail one after another, so all that were sent
+        If an upstream stops, the attempts in flight there fail one after another, so all attempts sent
         before the ejection count as one failure. Otherwise eight attempts would cause seven ejections in
         a row, the upstream would be idle for seconds, and its load would congest the next upstream. If the
         upstream does not recover, the first attempt after the ejection detects that.
--- a/lanelift/policy/legality.py
+++ b/lanelift/policy/legality.py
@@ -3,7 +3,7 @@
 The numbers are those of the platform's protocol page ("rules"; docs/glossary.md lists them).
 
 Rule 1: a request gets one final answer, by its deadline unless it is streamed, and nothing after it.
-Rule 2: a request gets no more attempts than allowed, and none that does harm if an earlier one may have run.
+Rule 2: a request gets no more attempts than allowed. If it may have run, a further one must do no harm.
 Rule 3: an upstream that drains or is removed gets no attempt.
 Rule 5: the requests of an ordering key run one at a time (`ordering.py`).
 Rule 6: a class uses only the zones and kinds of machines that it is restricted to (`restrictions.py`).
@@ -68,7 +68,7 @@
 
 
 def is_first_of_its_key(request: PendingRequest, now: int) -> bool:
-    """Rule 5: return whether a request may run now, as it is the first of its key.
+    """Rule 5: return whether a request may run now: it must be the first of its key.
 
     The cooldown after an earlier request of the key must be over. A request without a key never waits.
     """
@@ -77,7 +77,7 @@
 
 
 def may_reject(request: PendingRequest) -> bool:
-    """Rule 2: return whether a request may be rejected, as a retry by its client is harmless.
+    """Rule 2: return whether a request may be rejected: a retry by its client must be harmless.
 
     A retry of a request that may have run is harmless only if a repeat does no harm at any upstream.
     """
--- a/lanelift/policy/outcomes.py
+++ b/lanelift/policy/outcomes.py
@@ -62,7 +62,7 @@
         if request is None or request.attempts[event.attempt].result is not None:
             return
         attempt = request.attempts[event.attempt]
-        upstream = attempt.upstream  # updated even if it is no longer listed, as its counts must balance
+        upstream = attempt.upstream  # a removed upstream is updated too, as its counts must balance
         attempt.result = event.result
         upstream.unreachable = event.result is AttemptResult.CONNECT_FAILED
         request.body_consumed = request.body_consumed or event.body_consumed
--- a/lanelift/policy/peer_load.py
+++ b/lanelift/policy/peer_load.py
@@ -2,9 +2,9 @@
 
 Inputs: how many replicas share an upstream, the price of a message, the attempt's upstream and work, and
 messages from other replicas. Attempts are announced if peer messages are allowed, load probes are not used,
-an upstream is shared by at most `MAX_RECIPIENTS` other replicas, and one announcement costs at most
-`MAX_ANNOUNCEMENT_PRICE` of a request's value. Reason: a replica's own attempts show little of an upstream's
-queued work, but each message costs CPU time on both sides.
+an upstream is shared by at most `MAX_RECIPIENTS` other replicas, and the messages for one attempt cost at
+most `MAX_ANNOUNCEMENT_PRICE` of a request's value. Reason: a replica's own attempts show little of an
+upstream's queued work, but each message costs CPU time on both sides.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 WORK_UNIT_NS = 100_000
 MAX_WORK_UNITS = 0xFFFF
 MAX_RECIPIENTS = 12
-MAX_ANNOUNCEMENT_PRICE = 0.005  # largest price of one announcement, as a share of a request's value
+MAX_ANNOUNCEMENT_PRICE = 0.005  # largest price of an attempt's messages, as a share of a request's value
 PRICED_MESSAGE_BYTES = 256  # size of a message that costs the price of a peer message
 
 
--- a/lanelift/policy/registry.py
+++ b/lanelift/policy/registry.py
@@ -32,7 +32,7 @@
         load_probing: Whether load probes are sent before attempts; if so, there are no subsets.
         slow_start: The pacing of upstreams that are warming up.
         eligibility: The check of which upstreams may be chosen.
-        peer_load: The messages by which replicas share load.
+        peer_load: The announcements of attempts between replicas.
         pools: Pools by the zones and kinds of machines that their classes may use.
         unrestricted_pool: The pool of classes that may use all upstreams.
     """
--- a/lanelift/policy/service_time.py
+++ b/lanelift/policy/service_time.py
@@ -79,7 +79,7 @@
     Attributes:
         by_class_ns: Time by class name, for requests without a hint.
         by_hint: Time by hint, for requests with one.
-        relative_deviation: The mean deviation of durations from the expected times, as a share of these.
+        relative_deviation: The mean deviation of durations from the expected times, as a share of the latter.
     """
 
     __slots__ = ("by_class_ns", "by_hint", "relative_deviation")
--- a/lanelift/policy/state.py
+++ b/lanelift/policy/state.py
@@ -30,7 +30,7 @@
         service_times: The service time estimates.
         registry: Upstreams and pools.
         requests: Open requests by identifier.
-        shortest_objective_ns: The shortest latency objective of a class.
+        shortest_objective_ns: The shortest latency objective of any class.
         attempts_in_flight: Attempts that count against the window.
         overdue_attempts: The number of those attempts that are overdue.
     """
--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -98,7 +98,7 @@
         return "limit of 0" if zero_limit else ""
 
     def immediate_answer(self, event: RequestArrived, now: int) -> Action | None:
-        """Return the final answer that a request gets because of its tenant, or None if it is allowed."""
+        """Return the final answer that a request gets because of its tenant, or None if it may proceed."""
         if self.known_tenants is None:
             return None
         reason = self.denial_reason(event.tenant, event.class_name)
