--- a/lanelift/daemon_config.py
+++ b/lanelift/daemon_config.py
@@ -17,7 +17,7 @@
 # Descriptors reserved for the listener, discovery (an old and a new connection), peers, the configuration and
 # the interpreter, and for sockets that were closed in this loop iteration and still count.
 RESERVED_SOCKETS = 32
-CLIENT_FRACTION = 0.55  # of the remaining descriptors, for clients; the rest is for upstreams
+CLIENT_FRACTION = 0.55  # share of the remaining descriptors that is for clients; the rest is for upstreams
 
 
 class Source(Protocol):
--- a/lanelift/net/attempts.py
+++ b/lanelift/net/attempts.py
@@ -70,7 +70,8 @@
         if request.overdue_timer is not None:
             request.overdue_timer.cancel()
         if self.runner.settings.classes[request.arrival.class_name].streaming:
-            exchange.progress_due_s = math.inf  # a stream is not expected to end
+            # streamed responses of this class may have no end, so the progress check is off
+            exchange.progress_due_s = math.inf
         request_id = request.arrival.request
         self.runner.post(ResponseStarted(request_id, self.number, self.upstream, self.duration_ns()))
         try:
--- a/lanelift/net/client_connection.py
+++ b/lanelift/net/client_connection.py
@@ -30,8 +30,9 @@
 if TYPE_CHECKING:
     from lanelift.net.frontend import Frontend
 
-ANSWER_MARGIN_NS = 3_000_000  # subtracted from each deadline, for the response's transfer to the client
-# The parser is fed this much at a time, as pipelined requests take less memory while they are raw bytes.
+# subtracted from each deadline to leave time for the response's transfer to the client
+ANSWER_MARGIN_NS = 3_000_000
+# The parser gets at most this many bytes at a time, as pipelined requests take less memory unparsed.
 PARSE_SLICE_BYTES = 16 * 1024
 # The time-out of a body starts again only if at least this much was received since it last started.
 MIN_BODY_PROGRESS_BYTES = 16 * 1024
@@ -45,9 +46,9 @@
         parser: The parser of its requests.
         unparsed: Received bytes that are not parsed yet.
         received_ns: When the bytes that are being parsed were received (monotonic clock).
-        wait_ns: How long the client waits after the last byte of its request.
+        wait_ns: How long the client waits for the answer after it has sent the last byte of its request.
         received_bytes: The number of bytes received so far.
-        received_bytes_at_check: That number at the last check of the body's progress.
+        received_bytes_at_check: The value of `received_bytes` at the last check of the body's progress.
     """
 
     def __init__(self, frontend: Frontend) -> None:
@@ -76,9 +77,9 @@
 
         The kernel is queried for when the bytes arrived and whether the client is still connected. Deadlines
         count from when the client sent the request, and the request may have waited in the backlog or for a
-        late event loop. Work for a client that has disconnected would delay other clients until they
-        disconnect, too. The bytes that a client may send while its request is open are limited, as they are
-        kept in memory.
+        late event loop. Work for a client that has disconnected would delay other clients, and these might
+        then disconnect as well. The bytes that a client may send while its request is open are limited, as
+        they are kept in memory.
         """
         if self.ignores_input:
             return
--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -204,9 +204,9 @@
     def _response_written(self) -> None:
         """Decides whether to keep the connection after a complete response.
 
-        Failure guarded against: the head of a response that was written before the drain began does not say
-        that the response is the last. If its connection stayed open, requests could arrive on it until the
-        process ends. So the connection is closed, unless more input was received after the request.
+        Failure guarded against: if a response's head was written before the drain began, it does not say that
+        the response is the last. If its connection stayed open, requests could arrive on it until the process
+        ends. So the connection is closed, unless more input was received after the request.
         """
         idle_closed = self.frontend.shutdown.idle_closed
         if self.is_last_response or (
--- a/lanelift/net/connection_phases.py
+++ b/lanelift/net/connection_phases.py
@@ -32,9 +32,10 @@
     Phase.FLUSHING: CLIENT_STALL_TIMEOUT_S,
     Phase.CLOSING: 1.0,
 }
-# At the cap a connection is closed to make room for a new one. For each entry in turn, the connection that
-# has been in the phase for longest is closed if that is at least the given number of seconds. Clients rely on
-# an idle connection being kept for 2 s, and a well-behaved client sends its request within 1 s.
+# At the cap a connection is closed to make room for a new one. The entries are tried in order: the connection
+# that has been in an entry's phase for longest is closed if it has been there for at least the entry's number
+# of seconds. Clients rely on an idle connection being kept for 2 s, and a well-behaved client sends its
+# request within 1 s.
 EVICTION_ORDER = (
     (Phase.CLOSING, 0.1),
     (Phase.READING_HEAD, 1.0),
@@ -102,8 +103,8 @@
         """Closes one connection to make room. Its place is free in the next loop iteration.
 
         Returns:
-            Whether a connection was closed, and if not, after how many seconds one can be evicted. None means
-            that no connection is in a phase of `EVICTION_ORDER`.
+            Whether a connection was closed, and if not, after how many seconds one can be evicted. The number
+            is None if no connection is in a phase of `EVICTION_ORDER`.
         """
         now = self._loop.time()
         due_times = []
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -22,10 +22,11 @@
 # Idle connections are closed after this fraction of the upstreams' own idle time-out.
 IDLE_TIMEOUT_FRACTION = 0.6
 SETTLE_S = 0.01  # a connection counts as settled this long after its last response
-# An unsettled connection may serve idempotent requests if responses take this many times SETTLE_S on average.
+# An unsettled connection may serve GET requests if the mean response time is at least this many times
+# SETTLE_S.
 MIN_RESPONSE_TO_SETTLE_RATIO = 4
-# A handshake's time-out that fires this late shows that this process is short of CPU time, and says nothing
-# about the upstream.
+# If a handshake's timer fires at least this long after it was due, this process is short of CPU time, and the
+# time-out says nothing about the upstream.
 LATE_TIMER_S = 0.01
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
 SHORTAGE_LOG_INTERVAL_S = 5.0
@@ -92,7 +93,8 @@
                 self._remove(new.entry.id)
                 continue
             if target is None or target.endpoint.process != new.process:
-                # A new process: connections to the old one that are in use now are not kept later.
+                # The upstream's process was replaced: connections to the old process that are in use now are
+                # not kept after their exchange.
                 self._remove(new.entry.id)
                 target = self.targets[new.entry.id] = UpstreamTarget(new)
             target.endpoint = new
@@ -150,9 +152,9 @@
 
         Failure guarded against: bytes that a server sends after a response, such as a second copy or noise,
         would be read as the answer to the next request. They arrive within milliseconds, so a connection is
-        used only after `SETTLE_S`. If none has settled, the oldest may serve a load probe, as a wrong result
-        of a probe reaches no client, or an idempotent request. For that request `distrust_until_s` marks the
-        bytes that arrive too early to be its response.
+        used only after `SETTLE_S`. If none has settled, the oldest may serve a load probe, whose wrong result
+        would reach no client. It may also serve a GET request if responses take long on average; bytes that
+        arrive before the exchange's `distrust_until_s` are not accepted as its response.
         """
         idle = target.idle
         settled_s = asyncio.get_running_loop().time() - SETTLE_S
@@ -190,7 +192,7 @@
             async with asyncio.timeout(self.connect_timeout_s):
                 await loop.create_connection(lambda: connection, target.endpoint.host, target.endpoint.port)
         except Exception as error:  # an OSError, or any error that an invalid address raises
-            if connection.transport is None:  # else `abort` calls `_forget`, which counts it
+            if connection.transport is None:  # otherwise `abort` calls `_forget`, which does this
                 self.open_connections -= 1
             connection.abort()
             # A shortage of descriptors in this process is no fault of the upstream.
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -37,7 +37,7 @@
     response_s: float
 
 
-# An agent that pushes changes runs on this machine, and its calls are fast and cheap; a polled discovery
+# An agent that pushes changes runs on this machine, so calls to it are fast and cheap; a polled discovery
 # server serves all replicas. With these limits a silent watch is noticed early enough to fetch the snapshot
 # before the updates that the watch missed count as delivered.
 PUSH_TIMING = WatchTiming(hold_ms=1_000, response_s=0.5)
@@ -49,8 +49,10 @@
 # period, 500 ms. Older calls stay open, as a slow agent may still answer them.
 RETRY_INTERVAL_S = 0.25
 START_TIMEOUT_S = 0.25  # after this wait for the agent, a starting process serves from the cached list
-MAX_PARALLEL_CALLS = 4  # then the oldest call is cancelled; an agent that works responds before that
-MIN_CALL_INTERVAL_S = 0.02  # from a response to the next call; well below the longest allowed pause
+# at this number the oldest call is cancelled; an agent that works responds before that
+MAX_PARALLEL_CALLS = 4
+# shortest time between a response and the next call; well below the longest allowed pause
+MIN_CALL_INTERVAL_S = 0.02
 MAX_LIST_BYTES = 4 * 1024 * 1024
 LIST_TARGET = b"/v1/endpoints"
 
@@ -62,7 +64,8 @@
 class DiscoveryTimeoutError(DiscoveryError):
     """A call had no response within its time-out.
 
-    Discovery that is down ends its calls. So after a time-out discovery may be up, and only the watch broken.
+    Calls to a discovery server that is down end before their time-out. So after a time-out the server may be
+    up, with only the watch broken.
     """
 
 
@@ -247,8 +250,8 @@
     async def _call(self, target: bytes, timeout_s: float) -> None:
         """Makes a call on `connection`, one at a time, and applies the response.
 
-        The connect time-out is short for an agent: one that does not accept soon is reached earlier by
-        several parallel calls (`_reach_agent`), which follow the failure of this one.
+        The connect time-out is short for an agent: if the agent does not accept soon, this call fails and is
+        followed by several parallel calls (`_reach_agent`), which reach the agent earlier.
         """
         async with self._lock:
             if self.connection is None or self.connection.closed:
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -239,7 +239,8 @@
                 self._executors[type(action)](action, now)
             except Exception:
                 self.requests.fail_after_exception("an action failed", [action])
-        # Not before the actions: the balancer may act on a request until it is notified of the request's end.
+        # Ended requests are forgotten only after the actions are executed: the balancer may act on a request
+        # until it is notified of the request's end.
         for event in events:
             if isinstance(event, AttemptFinished | ClientDisconnected):
                 self.requests.forget(event.request)
--- a/lanelift/net/exchange.py
+++ b/lanelift/net/exchange.py
@@ -70,7 +70,7 @@
         distrust_until_s: Bytes received before this time (loop's clock) are not accepted as the response:
             they may belong to the previous response on the connection.
         streamed_bytes: The number of bytes forwarded so far.
-        streamed_bytes_at_check: That number at the last check of progress.
+        streamed_bytes_at_check: The value of `streamed_bytes` at the last check of progress.
     """
 
     __slots__ = (
@@ -139,7 +139,7 @@
     def expire(self) -> None:
         """Ends the exchange at its time-out.
 
-        A request whose last byte was not written has not run, and as its connection is closed it never will.
+        A request whose last byte was not written has not run, and never will, as its connection is closed.
         """
         self.give_up(AttemptResult.TIMEOUT if self.written else AttemptResult.CONNECT_FAILED)
 
--- a/lanelift/net/hot_restart.py
+++ b/lanelift/net/hot_restart.py
@@ -20,7 +20,7 @@
 
 SOCKET_PREFIX, SOCKET_SUFFIX = "lanelift-", ".sock"
 CONNECT_TIMEOUT_S = 0.2  # the kernel connects immediately; a full backlog must not delay the start
-MAX_PATH_BYTES = 100  # a Unix socket's address has room for 108 (unix(7))
+MAX_PATH_BYTES = 100  # longest path of a socket; a Unix socket's address has room for 108 bytes (unix(7))
 
 
 class HotRestart:
@@ -43,8 +43,8 @@
 
     @property
     def processes(self) -> int:
-        """How many processes share the limits: two in a hot restart. If more run, all but one are shutting
-        down, and still two are counted.
+        """How many processes share the limits: two in a hot restart. If more than two run, all but one are
+        shutting down, and the value is still two.
         """
         return 2 if self.links else 1
 
--- a/lanelift/net/listener.py
+++ b/lanelift/net/listener.py
@@ -55,7 +55,7 @@
             self._loop.add_reader(self.socket, self.accept)
 
     def pause(self, seconds: float | None = None) -> None:
-        """Stops accepting, for the given time or, if that is None, until the next call of `resume`."""
+        """Stops accepting for the given time, or without one until the next call of `resume`."""
         paused = self.listening or self.stopping
         if self.listening:
             self.listening = False
--- a/lanelift/net/load_reports.py
+++ b/lanelift/net/load_reports.py
@@ -9,7 +9,7 @@
 
 
 def read_load_report(text: bytes | None, fields: Collection[str]) -> LoadReport:
-    """Parses a load report: returns the valid values of the configured fields, or None without any.
+    """Parses a load report: returns the valid values of the configured fields, or None if there are none.
 
     A value that is negative or not finite must not reach the balancer: each comparison with a NaN is false,
     so the upstream would count as neither more nor less loaded than any other.
--- a/lanelift/net/peers.py
+++ b/lanelift/net/peers.py
@@ -44,7 +44,7 @@
     def _read(self) -> None:
         try:
             data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
-        except OSError:  # no message, or a peer that is down refused the last one sent
+        except OSError:  # no message is waiting, or a peer that is down refused the last message sent
             return
         sender = self._numbers.get(address)
         if sender is not None and len(data) <= MAX_DATAGRAM_BYTES:
--- a/lanelift/net/requests.py
+++ b/lanelift/net/requests.py
@@ -66,7 +66,7 @@
 
     Attributes:
         by_id: The requests. Each stays until it is closed and has no unfinished attempt.
-        awaiting_answer: The number of requests that are owed an answer.
+        awaiting_answer: The number of requests that are not closed yet.
     """
 
     def __init__(self, metrics: Metrics, post: Callable[[Event], None]) -> None:
@@ -138,7 +138,7 @@
             del self.by_id[request_id]
 
     def fail_after_exception(self, message: str, concerned: Sequence[Event | Action]) -> None:
-        """Logs the current exception and fails the requests of the events or actions that it concerns.
+        """Logs the current exception and fails the requests of the given events or actions.
 
         Called in `except` blocks.
         """
--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -6,8 +6,8 @@
    shares the address (`Lifecycle.reports_ready`).
 2. After `ACCEPT_WHILE_DRAINING_S` the listener stops: it accepts the rest of its backlog, and then closes. On
    a shared address it closes immediately, and leaves the rest to the other process.
-3. Idle connections are closed `CLOSE_IDLE_DELAY_S` after the listener has stopped, and again that long after
-   it has closed. Connections with an open request are closed after the answer.
+3. Idle connections are closed `CLOSE_IDLE_DELAY_S` after the listener has stopped, and again
+   `CLOSE_IDLE_DELAY_S` after it has closed. Connections with an open request are closed after the answer.
 4. When the listener is closed and no connection is open, `finished` is set and the process ends.
 5. The process ends at the latest at `ends_s`: `EXIT_AFTER_DEADLINE_S` after the longest deadline of any
    class, which counts as `LONGEST_DEADLINE_S` at most. Half of `FINAL_ANSWER_MARGIN_S` before that, requests
@@ -39,7 +39,8 @@
 LONGEST_DEADLINE_S = 3.0  # longer deadlines count as this long when the end of the process is set
 # The process ends this long after the longest deadline; SIGKILL follows 0.7 s after it.
 EXIT_AFTER_DEADLINE_S = 0.6
-FINAL_ANSWER_MARGIN_S = 0.03  # deadlines of requests after SIGTERM are at least this long before the end
+# requests received after SIGTERM get deadlines at least this long before the end
+FINAL_ANSWER_MARGIN_S = 0.03
 CLOSE_IDLE_DELAY_S = 0.02  # between the listener's stop and the closing of idle connections
 
 
--- a/lanelift/net/socket_options.py
+++ b/lanelift/net/socket_options.py
@@ -17,7 +17,8 @@
 TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8  # linux/tcp_states.h: the peer has reset, or has ended its sending
 ENDED_STATES = (TCP_CLOSE, TCP_CLOSE_WAIT)
 NS_PER_MS = 1_000_000
-KERNEL_BUFFER_BYTES = 128 * 1024  # for a connection with a streamed body; the kernel doubles the value
+# size of each buffer of a connection with a streamed body; the kernel doubles it
+KERNEL_BUFFER_BYTES = 128 * 1024
 
 
 class Socket(Protocol):
--- a/lanelift/net/upload.py
+++ b/lanelift/net/upload.py
@@ -23,8 +23,8 @@
         is_client_connected: Returns whether the client is still connected, as a disconnection is not reported
             while reading is paused.
         length_bytes: The stated length; None if the body is sent in chunks.
-        buffered: The part received before a connection is attached: at most the longest body that is
-            buffered, and one read.
+        buffered: The part received before a connection is attached: at most as many bytes as the longest
+            buffered body, plus one read.
         complete: Whether the last byte was received.
         consumed: Whether a connection was attached, after which the request can't be sent again.
         connection: The attached connection.
--- a/lanelift/net/upstreams.py
+++ b/lanelift/net/upstreams.py
@@ -16,8 +16,8 @@
 from lanelift.policy.events import AttemptResult
 from lanelift.policy.settings import Limits
 
-NOT_RUN_STATUSES = (503, 504)  # with `X-Not-Run: 1` they state that the request never ran
-RESPONSE_TIME_SMOOTHING = 16  # each response moves the mean by its difference from the mean, divided by this
+NOT_RUN_STATUSES = (503, 504)  # responses with these and `X-Not-Run: 1` state that the request never ran
+RESPONSE_TIME_SMOOTHING = 16  # the weight of a response in the smoothed response time is 1 / this
 AttemptCallback = Callable[[AttemptResult, Response | None, LoadReport], None]
 
 
--- a/lanelift/reload.py
+++ b/lanelift/reload.py
@@ -11,7 +11,7 @@
 from lanelift.daemon_config import Config
 
 APPLIED_FIELDS = frozenset({"discovery", "tenants"})
-# These are used at the start only; a change of them needs no warning, as they may differ each time the
+# These fields are used at the start only; a change of them needs no warning, as they may differ each time the
 # configuration is read.
 START_FIELDS = frozenset({"seed", "cached_endpoints"})
 
