--- a/lanelift/net/attempts.py
+++ b/lanelift/net/attempts.py
@@ -160,7 +160,7 @@
         if is_allowed:
             try:
                 self._send(attempt, min(action.timeout_ns or left_ns, left_ns))
-            except Exception:  # the attempt still gets its one outcome, below
+            except Exception:  # the attempt gets its one outcome after this block
                 self.requests.fail_after_exception("an attempt could not start", [action])
         if request.attempts[number] is None:
             attempt.finish(AttemptResult.NOT_SENT)
--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -101,7 +101,7 @@
 
     def _answer(self, status: int, headers: Headers, body: bytes, last: bool = False) -> None:
         if self.source is not None:
-            self.abort_response()  # a streamed response has already begun
+            self.abort_response()  # no other answer is possible: a streamed response has begun
             return
         from_request, self.request = self.request is not None, None
         if self.upload is not None:
@@ -194,7 +194,8 @@
         the write buffer, the connection counts as idle only after the client has read that part.
         """
         if self.write_paused and self.transport is not None and not self.transport.is_closing():
-            self.transport.set_write_buffer_limits(high=0)  # calls `resume_writing` when the buffer is empty
+            # with this limit `resume_writing` is called only when the buffer is empty
+            self.transport.set_write_buffer_limits(high=0)
             self.table.enter(self, Phase.FLUSHING)
         else:
             self._response_written()
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -206,12 +206,12 @@
         self._connected(target, connection, exchange)
 
     def _connected(self, target: UpstreamTarget, connection: UpstreamConnection, exchange: Exchange) -> None:
-        """Starts the exchange on its new connection, unless it was given up during the handshake."""
+        """Starts an exchange on its new connection, unless the exchange was given up during the handshake."""
         if connection.closed:
             exchange.give_up(AttemptResult.CONNECT_FAILED)
         elif exchange.on_finished is None or _client_left(exchange):
             exchange.give_up(AttemptResult.NOT_SENT)
-            self._release(target, connection)  # another exchange can use it
+            self._release(target, connection)  # another exchange can use the connection
         else:
             connection.start(exchange)
 
@@ -269,7 +269,7 @@
         return True
 
     def set_max_connections(self, connections: int) -> None:
-        """Changes the cap. Above it, idle connections are closed now, and others when they are released."""
+        """Changes the cap. Excess connections are closed: idle ones now, others when they are released."""
         self.max_connections = connections
         while self.open_connections > connections and self._close_longest_idle():
             pass
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -148,9 +148,10 @@
     async def _watch(self) -> None:
         """Runs the watch: fetches the snapshot, then makes each call right after the previous response.
 
-        After a failure the old list stays in use. With polling, the balancer is notified and decides when to
-        subscribe again, except that a watch which times out after its snapshot is reopened here. An agent's
-        updates count as delivered already, so a watch that an agent has answered is reopened immediately.
+        After a failure the old list stays in use. A polled watch that times out after its snapshot is
+        reopened here; after any other failure of polling the balancer is notified, and decides when to
+        subscribe again. An agent's updates count as delivered already, so a watch that an agent has answered
+        is reopened immediately.
         """
         timing = PUSH_TIMING if self.push else POLL_TIMING
         while True:
@@ -203,7 +204,7 @@
         finally:
             for call in calls:
                 if not call.cancel() and not call.cancelled() and call.exception() is None:
-                    call.result()[0].abort()  # it succeeded at the same time as another
+                    call.result()[0].abort()  # this call succeeded at the same time as another
 
     async def _fetch(self) -> None:
         try:
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -49,7 +49,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_PEER_MESSAGES = 256  # received messages that wait to be handed over with the next event
+MAX_PENDING_PEER_MESSAGES = 256  # at this number, received messages no longer wait for the next event
 NS_PER_S = 1e9
 
 
@@ -145,7 +145,7 @@
         self.on_ready_changed()
 
     def await_endpoint_list(self, seconds: float) -> None:
-        """Lets no connection be accepted until discovery has sent its list or the given time is over."""
+        """Delays the accepting of connections until discovery has sent its list or the given time is over."""
         self.endpoint_list_timer = self.loop.call_later(seconds, self._end_endpoint_list_wait)
 
     def _end_endpoint_list_wait(self) -> None:
--- a/lanelift/net/http_parser.py
+++ b/lanelift/net/http_parser.py
@@ -9,7 +9,8 @@
 from lanelift.net.http_messages import Request, Response
 from lanelift.net.message_parser import MAX_BUFFERED_BODY_BYTES, MessageParser, PartialMessage
 
-MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one; more count as a response that never ends
+# largest number of 1xx responses before the final one; more of them count as a response that never ends
+MAX_INTERIM_RESPONSES = 8
 # A request that repeats one of these is ambiguous: this balancer would use one value, and the upstream might
 # use the other (request smuggling, RFC 9112, 11.2).
 UNIQUE_HEADERS = frozenset(
--- a/lanelift/net/listener.py
+++ b/lanelift/net/listener.py
@@ -44,7 +44,8 @@
         """Resumes accepting if that is possible now. Called after each change that may make it possible."""
         frontend = self._frontend
         if self.stopping:
-            self._loop.call_soon(frontend.shutdown.stop_listening)  # this accepts the rest of the backlog
+            # `stop_listening` accepts the rest of the backlog
+            self._loop.call_soon(frontend.shutdown.stop_listening)
         elif (
             not self.listening
             and not self.closed
--- a/lanelift/reload.py
+++ b/lanelift/reload.py
@@ -24,7 +24,7 @@
         self._discovery = discovery
         self._tenants = tenants
         self._read = read
-        self._requested = False  # also set during a reload: the file may be replaced while it is read
+        self._requested = False  # may be set during a reload, as the file may be replaced while it is read
         self._task: asyncio.Task[None] | None = None
 
     def reload(self) -> None:
