--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -50,7 +50,7 @@
     start: list[str]  # the parts of the first line
     headers: dict[str, str]
     body: bytes
-    link: int = 0  # the number of the connection on which it came, from 1
+    link: int = 0  # the number of the connection on which the message came, from 1
 
     @property
     def status(self) -> int:
@@ -70,7 +70,7 @@
 
 
 class ScriptedServer(Observable, http.Server):
-    """A server that writes what `reply` returns for each request, or resets the connection for None."""
+    """A server that writes what `reply` returns for each request; None resets the connection."""
 
     def __init__(self, reply: Callable[[Message], Awaitable[bytes | None]]) -> None:
         Observable.__init__(self)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -130,7 +130,7 @@
 
 
 def is_covered(config: pytest.Config, test: str) -> bool:
-    """Returns whether this run would collect the test if it existed; else it is not called missing."""
+    """Returns whether this run would collect the test if it existed: only then is it reported as missing."""
     option = config.option
     if option.ignore or option.ignore_glob or option.pyargs:
         return False
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -55,7 +55,8 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
-LONG_BODY = bytes(range(251)) * 2000  # half a megabyte, in which shifted pieces differ
+# half a megabyte; a piece taken from a wrong offset differs from the right one
+LONG_BODY = bytes(range(251)) * 2000
 
 
 def response_with_length(body: bytes) -> bytes:
@@ -136,7 +137,7 @@
 
 
 class Gate:
-    """Holds back the connections to some upstreams until it is opened."""
+    """Holds back new connections to some upstreams until the gate is opened."""
 
     def __init__(self, *upstreams: FakeUpstream) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -68,7 +68,7 @@
         (None, R.RESET),
         (answer(200, b"whole")[:-2], R.TIMEOUT),  # an incomplete response
         (b"not HTTP at all\r\n\r\n", R.ERROR),  # the request has run, and the connection did not break
-        (OK + b"\r\nbody", R.ERROR),  # without a length it can't be known to be complete
+        (OK + b"\r\nbody", R.ERROR),  # a response without a length can't be known to be complete
         (OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
         (OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", R.ERROR),
         (OK + b"Content-Length: 3000000000\r\n\r\nbody", R.ERROR),
@@ -233,6 +233,6 @@
 
             monkeypatch.setattr(UpstreamConnection, "start", watched)
             assert (await lb.request("r2")).body == second.name.encode()
-            assert ended == [False, True]  # at the first attempt, and at the second
+            assert ended == [False, True]  # whether first's connection had ended before each attempt of r2
 
     run(test())
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -120,8 +120,8 @@
 def test_a_deadline_counts_from_when_the_request_came_not_from_when_it_was_read(
     recorded: EventRecorder,
 ) -> None:
-    """The loop is late, and requests wait in the kernel for a while. Their deadlines count from when they
-    came, not from when they were read.
+    """The loop is late, and requests wait in the kernel for a while. The deadlines count from when the
+    requests reached the kernel, not from when the loop read them.
     """
 
     async def test() -> None:
@@ -210,7 +210,7 @@
     recorded: EventRecorder, how: str
 ) -> None:
     """A client sends two requests and disconnects while the first is open. Attempts may not be cancelled,
-    so the first continues at its upstream. When it ends the second must not be begun.
+    so the first continues at its upstream. When the first ends, the second must not be begun.
     """
 
     async def test() -> None:
--- a/tests/net/test_client_responses.py
+++ b/tests/net/test_client_responses.py
@@ -25,7 +25,7 @@
 ) -> None:
     """A client's bytes come while its connection is being closed. Closing a socket with unread bytes resets
     the connection, and the last response is lost. So only the sending side is closed, and the client
-    reads its response whether the bytes come before or after that.
+    reads its response whether the bytes come before or after the sending side is closed.
     """
     close_after_response = ClientConnection._close_after_response
     peers: list[socket.socket] = []
--- a/tests/net/test_connection_phases.py
+++ b/tests/net/test_connection_phases.py
@@ -94,7 +94,7 @@
     client would wait that long. So above a fraction of the cap each connection is closed after its answer,
     and all clients are served soon.
     """
-    # Idle connections are kept for 2 s, which each client above the cap would have to wait.
+    # Idle connections are kept for 2 s; each client above the cap would have to wait that long.
     (closing,) = (row for row in connection_phases.EVICTION_ORDER if row[0] is Phase.CLOSING)
     monkeypatch.setattr(connection_phases, "EVICTION_ORDER", (closing, (Phase.IDLE, 1000.0)))
 
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -55,9 +55,9 @@
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, unread: str
 ) -> None:
     """An idle connection ends, or noise comes on it, in the same loop iteration in which it is taken for a
-    request. The loop has not read the end or the noise yet. A request that is written there would be lost,
-    and it may be one that must not be repeated. So the kernel is queried first, and another connection is
-    used.
+    request. The loop has not read the end or the noise yet. A request that is written to this connection
+    would be lost, and might be one that must not be repeated. So the kernel is queried first, and another
+    connection is used.
     """
 
     async def test() -> None:
@@ -104,11 +104,12 @@
     links: list[int],
 ) -> None:
     """An upstream sends a second response after its first, while the next request is in progress on the same
-    connection. Only the time at which it comes distinguishes it from that request's response. A connection
-    that has not settled is used for idempotent requests only, and bytes that come on it too early are not
-    accepted.
+    connection. Only the time of its arrival distinguishes the second response from that request's response. A
+    connection that has not settled is used only for GET requests and load probes, and bytes that come on it
+    too early are not accepted.
     """
-    assert connection_pool.SETTLE_S >= 0.01  # some milliseconds, with a margin
+    # a second response comes within milliseconds; this leaves a margin
+    assert connection_pool.SETTLE_S >= 0.01
     monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)  # longer than the test, on any machine
     monkeypatch.setattr(connection_pool, "MIN_RESPONSE_TO_SETTLE_RATIO", 0 if slow else 1)
 
@@ -139,7 +140,9 @@
 
 @pytest.mark.usefixtures("settled")
 def test_connections_are_kept_and_a_stale_one_is_not_used(recorded: EventRecorder) -> None:
-    """An upstream closes an idle connection. The next request is not written to it, but to a new one."""
+    """An upstream closes an idle connection. The next request is written to a new connection, not to the
+    closed one.
+    """
 
     async def test() -> None:
         async with in_process_balancer() as lb:
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -52,7 +52,8 @@
     or not they came. The watch is given up before that, and the snapshot that is fetched contains the update.
     """
     for hold_ms, answer_s in (discovery.PUSH_TIMING, discovery.POLL_TIMING):
-        assert hold_ms / 1000 + answer_s < 5  # which leaves a second to reopen the watch
+        # a second remains to reopen the watch before the update counts as delivered
+        assert hold_ms / 1000 + answer_s < 5
     monkeypatch.setattr(discovery, "PUSH_TIMING", discovery.WatchTiming(100, 0.1))
 
     async def test() -> None:
@@ -109,7 +110,7 @@
 
 
 def install_balancer_that_only_subscribes(monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder) -> None:
-    """Installs a balancer whose only action is to subscribe once: further calls are made without it."""
+    """Installs a balancer that subscribes once and does nothing else: it requests no further calls."""
     events: list[Event] = []
 
     def acts(event: Event, _: int) -> list[Action]:
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -57,8 +57,8 @@
 def test_the_return_of_an_agent_is_noticed_though_calls_from_its_outage_hang(
     recorded: EventRecorder,
 ) -> None:
-    """An agent is silent during an outage, and never answers the calls of that time. Calls made after its
-    return are answered immediately, and one is made soon.
+    """An agent is silent during an outage, and never answers the calls made during it. Calls made after the
+    agent's return are answered immediately, and a new call is made soon after the return.
     """
 
     async def test() -> None:
--- a/tests/net/test_dispatch.py
+++ b/tests/net/test_dispatch.py
@@ -42,8 +42,8 @@
 
 
 def test_nothing_is_kept_of_removed_upstreams(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Upstreams come and go all the time, each with a new identifier. If anything were kept of removed
-    upstreams, memory and connections would grow without bound.
+    """Upstreams are added and removed all the time, each with a new identifier. If anything were kept of
+    removed upstreams, memory and connections would grow without bound.
     """
     dispatchers: list[Dispatcher] = []
 
--- a/tests/net/test_http_parser.py
+++ b/tests/net/test_http_parser.py
@@ -105,8 +105,8 @@
 
 
 def test_an_upgrade_is_ignored_in_a_request_and_an_error_in_a_response() -> None:
-    """A request asks for another protocol. It is parsed as if it did not, and is the last on its connection.
-    A response that claims to change the protocol is an error.
+    """A request asks for another protocol. The request is parsed as if it asked for none, and is the last on
+    its connection. A response that claims to change the protocol is an error.
     """
     upgrade = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader = RequestParser()
@@ -210,8 +210,8 @@
 def test_the_end_of_a_connection_ends_a_response_only_with_connection_close(
     head: bytes, is_complete: bool
 ) -> None:
-    """A response has no length, and its connection ends. It may be complete or truncated. It counts as
-    complete only if it announced that the connection would close.
+    """A response has no length, and its connection ends. The response may be complete or truncated. It counts
+    as complete only if it announced that the connection would close.
     """
     reader = ResponseParser()
     reader.expect_response(MAX_BUFFERED_BODY_BYTES, True)
@@ -227,8 +227,8 @@
 def test_pipelined_messages_do_not_mix_whatever_their_length_and_split(
     wanted: list[tuple[int, bool]], step: int
 ) -> None:
-    """Long and short requests are pipelined, and come in pieces of any size. Each gets its own bytes, and
-    only these.
+    """Long and short requests are pipelined, and come in pieces of any size. Each request gets its own bytes,
+    and only these.
     """
     data = b"".join(
         (chunked_request if in_chunks else request_with_length)(
--- a/tests/net/test_request_head.py
+++ b/tests/net/test_request_head.py
@@ -14,8 +14,8 @@
 
 
 def test_a_request_with_the_identifier_of_an_open_one_is_rejected() -> None:
-    """A request has the identifier of an open request. Their answers and events could not be distinguished,
-    so it is answered with 409.
+    """A new request has the identifier of an open request. Answers and events of the two could not be
+    distinguished, so the new request is answered with 409.
     """
 
     async def test() -> None:
@@ -32,7 +32,9 @@
 def test_names_of_classes_and_tenants_may_have_any_characters(
     recorded: EventRecorder, coding: str, named: bool
 ) -> None:
-    """Names of classes and tenants have any characters: headers carry them as bytes, paths quoted."""
+    """Names of classes and tenants contain any characters: headers carry these as bytes, and
+    paths carry them percent-encoded.
+    """
     kind, tenant = "prix d'\u00e9t\u00e9/1", "Zo\u00eb & fils"
     settings = replace(
         SETTINGS,
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -56,8 +56,8 @@
 
 
 def test_the_deadline_does_not_abort_a_response_that_has_begun(recorded: EventRecorder) -> None:
-    """A streamed response continues past its client's deadline. The deadline applies to its beginning, so
-    it is not aborted.
+    """A streamed response continues past its client's deadline. The deadline applies only to the beginning of
+    the response, so the response is not aborted.
     """
 
     async def test() -> None:
@@ -110,11 +110,11 @@
 def test_a_response_that_never_ends_is_aborted_after_its_timeout(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, beginning: bytes, may_cancel: bool
 ) -> None:
-    """A response without a stated length begins and never ends. It is streamed as a long one would be, and
-    its client would wait for ever. It is aborted when it makes no progress after its time-out.
+    """A response without a stated length begins and never ends. It is streamed like a long response, and its
+    client would wait for ever. It is aborted when it makes no progress after the attempt's time-out.
     """
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 2 * TEST_S)
-    assert 2 * exchange.MIN_PROGRESS_INTERVAL_S < 0.5  # within which a late answer still counts as an answer
+    assert 2 * exchange.MIN_PROGRESS_INTERVAL_S < 0.5  # an answer counts if it is less than 0.5 s late
 
     async def test() -> None:
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=may_cancel))
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -89,7 +89,7 @@
         self.lb = lb
         self.how = how
         self.received: list[str] = []
-        self.link: Connection | None = None  # of the previous attempt
+        self.link: Connection | None = None  # the connection of the previous attempt
         self.overlapped = False
         for upstream in lb.upstreams:
             upstream.reply = partial(self.reply, upstream)
@@ -139,9 +139,9 @@
 def test_a_request_that_timed_out_is_not_retried_and_rejected_only_if_a_retry_is_harmless(
     effect: Idempotency,
 ) -> None:
-    """An upstream does not answer until its client gives up. An attempt runs as long as its client waits, so
-    a time-out ends both. A rejection promises that a retry is harmless, so a non-idempotent request that may
-    have run is answered as failed.
+    """An upstream does not answer until the client gives up. An attempt runs as long as its client waits, so
+    the attempt and the request time out together. A rejection promises that a retry is harmless, so a
+    non-idempotent request that may have run is answered as failed.
     """
 
     async def test() -> None:
@@ -159,8 +159,8 @@
 def test_a_refused_attempt_is_retried_at_another_upstream(
     monkeypatch: pytest.MonkeyPatch, effect: Idempotency
 ) -> None:
-    """Two of three upstreams refuse connections. Nothing of a request was written to them, so whatever its
-    class it is retried until it reaches the third, and each client is served.
+    """Two of three upstreams refuse connections. Nothing of a request was written to them, so a request of
+    any class is retried until it reaches the third, and each client is served.
     """
     # On a busy machine the handshake of a good upstream may take more than 30 ms.
     monkeypatch.setattr(handshakes, "MIN_HANDSHAKE_TIMEOUT_S", 1.0)
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -28,9 +28,9 @@
 def test_a_request_with_a_deadline_beyond_the_end_is_answered_before_it(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, begun: bytes
 ) -> None:
-    """SIGTERM comes, and a client's deadline is later than the end of the process: the time of SIGKILL counts
-    longer deadlines as 3 s, and so must the process. The client gets a 504 before the end, or, if its
-    response is in progress, a reset that shows that it is incomplete.
+    """SIGTERM comes, and a client's deadline is later than the end of the process: deadlines above 3 s count
+    as 3 s for the time of SIGKILL, and the process must end before that. The client gets a 504 before the
+    end, or, if its response is in progress, a reset that shows that it is incomplete.
     """
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 0.1 - LONGEST_DEADLINE_S)
     quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
@@ -56,9 +56,9 @@
 def test_a_connection_whose_response_ends_after_idle_ones_were_closed_is_not_kept(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """A balancer drains while a response is being streamed. The response's head was written before, and did
-    not say that it is the last. Idle connections are closed meanwhile. The connection is closed after the
-    response, and connections are kept again after a rejoin.
+    """A balancer drains while a response is being streamed. The response's head was written before the drain,
+    and did not say that the response is the last. Idle connections are closed meanwhile. The connection is
+    closed after the response, and connections are kept again after a rejoin.
     """
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 2 * TEST_S)
@@ -119,14 +119,14 @@
 
 def test_sigterm_as_the_listener_opens_loses_no_request(tmp_path: Path) -> None:
     """SIGTERM comes just when the listener opens, with a client connected. Without a handler the signal
-    would end the process before that client is answered. It is answered, and the exit code is 0.
+    would end the process before that client is answered. The client is answered, and the exit code is 0.
     """
 
     async def test() -> None:
         async with in_process_balancer() as lb:
             path = tmp_path / "config.json"
             code, said = 2, b""
-            while code == 2:  # another process took the port meanwhile
+            while code == 2:  # the start failed: another process had taken the port
                 path.write_text(config_text(f"127.0.0.1:{free_port()}", lb))
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -168,8 +168,8 @@
 def test_a_request_that_comes_long_after_sigterm_is_answered_before_the_end(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """SIGTERM comes when half of a request has come, and the rest follows later. Its own deadline is later
-    than the end of the process. It is answered before the process ends.
+    """SIGTERM comes when half of a request has come, and the rest follows later. The request's own deadline
+    is later than the end of the process. The request is answered before the process ends.
     """
 
     async def test() -> None:
@@ -190,9 +190,9 @@
 def test_a_connection_whose_last_answer_began_before_sigterm_is_not_kept(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """SIGTERM comes while a response is being streamed. Its head did not say that it is the last, and it
-    ends after idle connections have been closed. Its connection is closed as well: otherwise requests could
-    arrive on it until the process ends.
+    """SIGTERM comes while a response is being streamed. The response's head did not say that it is the last,
+    and the response ends after idle connections have been closed. The connection is closed as well: otherwise
+    requests could arrive on it until the process ends.
     """
 
     async def test() -> None:
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -142,8 +142,8 @@
 def test_a_client_that_does_not_read_pauses_its_upstream_and_uses_little_memory(
     recorded: EventRecorder,
 ) -> None:
-    """A client does not read a long response. Of its 32 MB the upstream can send no more than the buffers
-    on the way hold. The rest is sent once the client reads.
+    """A client does not read a long response. The upstream can send no more of the response's 32 MB than the
+    buffers on the way hold. The rest is sent once the client reads.
     """
     size = 32_000_000
 
@@ -168,7 +168,7 @@
                 while room():
                     transport.write(piece)
                     sent += len(piece)
-                    for _ in range(50):  # loop iterations in which all data that can be forwarded is
+                    for _ in range(50):  # enough loop iterations to forward all data that can be forwarded
                         await asyncio.sleep(0)
                     await asyncio.sleep(0.001)
                 left = sent - transport.get_write_buffer_size()
@@ -217,7 +217,7 @@
             lb.upstreams[0].script = [
                 b"HTTP/1.1 %d X\r\nContent-Length: 9000000\r\n\r\n" % status + LONG_BODY
             ]
-            assert (await lb.request("r1")).status == 503  # one attempt is all that is allowed
+            assert (await lb.request("r1")).status == 503  # only one attempt is allowed
             assert recorded.results() == [R.ERROR]
             await lb.upstreams[0].until(lambda: lb.upstreams[0].ended == 1)
 
--- a/tests/net/test_upload.py
+++ b/tests/net/test_upload.py
@@ -18,8 +18,8 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_that_is_too_large_is_rejected(chunked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A body is longer than the limit, by its stated length or in a chunk. It is answered with 413, and no
-    upstream gets a complete request.
+    """A body is longer than the limit, by its stated length or in a chunk. The request is answered with 413,
+    and no upstream gets a complete request.
     """
     monkeypatch.setattr("lanelift.net.message_parser.MAX_STREAMED_BODY_BYTES", 69_000)
 
@@ -59,8 +59,8 @@
 
 
 def test_the_deadline_counts_from_the_last_byte_of_the_body(recorded: EventRecorder) -> None:
-    """A client sends a long body slowly, for longer than it waits for an answer. Its deadline counts from
-    the last byte, and the time is not counted as the upstream's.
+    """A client sends a long body slowly, for longer than it waits for an answer. Its deadline counts from the
+    last byte, and the time before that is not counted as the upstream's response time.
     """
 
     async def test() -> None:
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -224,7 +224,7 @@
             links = lb.upstreams[1].links
             while not any(
                 link.partial_request is not None for link in links
-            ):  # no event reports part of a request
+            ):  # polled, as no event reports that part of a request has come
                 await asyncio.sleep(0.001)
             before = len(recorded.results())
             next(link for link in links if link.partial_request is not None).abort()
--- a/tests/operate/test_admin.py
+++ b/tests/operate/test_admin.py
@@ -166,13 +166,14 @@
             assert (await call(address, "evacuate", "POST")).status == 200
             ready = await front.request("f", path="/ready")
             assert (ready.status, ready.headers["connection"]) == (503, "close")
-            assert (await call(address, "ready")).status == 200  # it can still serve
+            assert (await call(address, "ready")).status == 200  # the balancer can still serve
             late = await lb.client()
-            got = await late.request("r2")  # routed here before the front tier noticed
+            # a client that was routed here before the front tier noticed the drain
+            got = await late.request("r2")
             assert (got.status, got.headers["connection"]) == (200, "close")
             await late.ended()
-            await idle.ended()  # it had no request
-            assert (await call(address, "evacuate", "POST")).status == 200  # repeated, without any effect
+            await idle.ended()  # it had no open request
+            assert (await call(address, "evacuate", "POST")).status == 200  # a repeated call has no effect
             got = await lb.request("r3")
             assert got.headers["connection"] == "close"
             assert (await call(address, "rejoin", "POST")).status == 200
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -191,7 +191,7 @@
             assert (await (await connect(address)).request("r3")).body == b"s-1"
             process.send_signal(signal.SIGTERM)
             late = await connect(address)
-            process.send_signal(signal.SIGHUP)  # this neither ends nor restarts the drain
+            process.send_signal(signal.SIGHUP)  # a reload neither ends nor restarts the drain
             check_closing(await late.request("r4"), b"s-1")
             assert await process.wait() == 0
         for server in (first, second, before, after):
--- a/tests/program/test_tenants.py
+++ b/tests/program/test_tenants.py
@@ -78,7 +78,7 @@
     process: asyncio.subprocess.Process
     client: Client
     upstream: FakeUpstream
-    path: Path  # of the operator's file
+    path: Path  # path of the operator's file
     port: int
     count: int = 0
 
@@ -104,8 +104,8 @@
 async def shop(
     folder: Path, *directories: Directory, top: str = "", begun: str = "tenants read from a directory"
 ) -> AsyncIterator[ServeProcess]:
-    """Runs a balancer process, and yields it once its log contains `begun`. Without `directories` its file
-    names a directory that is unreachable.
+    """Runs a balancer process, and yields it once its log contains `begun`. Without `directories` the
+    process's file names a directory that is unreachable.
     """
     upstream = FakeUpstream("box")
     await upstream.start()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -51,7 +51,7 @@
 def python(project: Path, *words: str) -> subprocess.CompletedProcess[str]:
     environment = {**os.environ, "PYTHONPATH": str(ROOT), "COLUMNS": "200"}
     environment.pop("LANELIFT_KNOWN_RED", None)
-    environment["PYTEST_DISABLE_PLUGIN_AUTOLOAD"] = "1"  # pytest starts twice as fast
+    environment["PYTEST_DISABLE_PLUGIN_AUTOLOAD"] = "1"  # without plugins pytest starts twice as fast
     return subprocess.run(
         [sys.executable, "-m", *words],
         cwd=project,
