--- a/lanelift/net/attempts.py
+++ b/lanelift/net/attempts.py
@@ -70,7 +70,8 @@
         if request.overdue_timer is not None:
             request.overdue_timer.cancel()
         if self.runner.settings.classes[request.arrival.class_name].streaming:
-            exchange.progress_due_s = math.inf  # a stream is not expected to end
+            # streamed responses of this class may have no end, so the progress check is off
+            exchange.progress_due_s = math.inf
         request_id = request.arrival.request
         self.runner.post(ResponseStarted(request_id, self.number, self.upstream, self.duration_ns()))
         try:
@@ -159,7 +160,7 @@
         if is_allowed:
             try:
                 self._send(attempt, min(action.timeout_ns or left_ns, left_ns))
-            except Exception:  # the attempt still gets its one outcome, below
+            except Exception:  # the attempt gets its one outcome after this block
                 self.requests.fail_after_exception("an attempt could not start", [action])
         if request.attempts[number] is None:
             attempt.finish(AttemptResult.NOT_SENT)
--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -101,7 +101,7 @@
 
     def _answer(self, status: int, headers: Headers, body: bytes, last: bool = False) -> None:
         if self.source is not None:
-            self.abort_response()  # a streamed response has already begun
+            self.abort_response()  # no other answer is possible: a streamed response has begun
             return
         from_request, self.request = self.request is not None, None
         if self.upload is not None:
@@ -194,7 +194,8 @@
         the write buffer, the connection counts as idle only after the client has read that part.
         """
         if self.write_paused and self.transport is not None and not self.transport.is_closing():
-            self.transport.set_write_buffer_limits(high=0)  # calls `resume_writing` when the buffer is empty
+            # with this limit `resume_writing` is called only when the buffer is empty
+            self.transport.set_write_buffer_limits(high=0)
             self.table.enter(self, Phase.FLUSHING)
         else:
             self._response_written()
@@ -204,9 +205,9 @@
     def _response_written(self) -> None:
         """Decides whether to keep the connection after a complete response.
 
-        Failure guarded against: the head of a response that was written before the drain began does not say
-        that the response is the last. If its connection stayed open, requests could arrive on it until the
-        process ends. So the connection is closed, unless more input was received after the request.
+        Failure guarded against: if a response's head was written before the drain began, it does not say that
+        the response is the last. If its connection stayed open, requests could arrive on it until the process
+        ends. So the connection is closed, unless more input was received after the request.
         """
         idle_closed = self.frontend.shutdown.idle_closed
         if self.is_last_response or (
--- a/lanelift/net/listener.py
+++ b/lanelift/net/listener.py
@@ -44,7 +44,8 @@
         """Resumes accepting if that is possible now. Called after each change that may make it possible."""
         frontend = self._frontend
         if self.stopping:
-            self._loop.call_soon(frontend.shutdown.stop_listening)  # this accepts the rest of the backlog
+            # `stop_listening` accepts the rest of the backlog
+            self._loop.call_soon(frontend.shutdown.stop_listening)
         elif (
             not self.listening
             and not self.closed
@@ -55,7 +56,7 @@
             self._loop.add_reader(self.socket, self.accept)
 
     def pause(self, seconds: float | None = None) -> None:
-        """Stops accepting, for the given time or, if that is None, until the next call of `resume`."""
+        """Stops accepting for the given time, or without one until the next call of `resume`."""
         paused = self.listening or self.stopping
         if self.listening:
             self.listening = False
