--- a/lanelift/faults/datagram_proxy.py
+++ b/lanelift/faults/datagram_proxy.py
@@ -56,7 +56,7 @@
     """The proxy between two ends, `a` and `b`.
 
     `a` is configured with `address_of(b)` as the address of `b`, and vice versa. Datagrams for an end whose
-    own address is not known beforehand are sent to the address from which it last sent.
+    own address is not known beforehand are sent to the source address of the last datagram from that end.
 
     Attributes:
         links: The state of each direction, by sender and recipient.
@@ -122,5 +122,5 @@
                 self._forward(recipient, data)
 
     def _forward(self, recipient: str, data: bytes) -> None:
-        """Sends a datagram from the socket whose address the recipient uses as the sender's address."""
+        """Sends a datagram from the socket that the recipient knows as the sender's address."""
         self.endpoints[recipient].send(data, self.addresses[recipient])
--- a/lanelift/faults/process_cluster.py
+++ b/lanelift/faults/process_cluster.py
@@ -28,11 +28,11 @@
     StepKind.RELEASE: signal.SIGTERM,
 }
 PLAYABLE_STEPS = (StepKind.KILL, StepKind.LOSE, StepKind.START, *SIGNALS, *LINK_STEPS)
-POLL_S = 0.01  # interval at which this module polls the processes' output; processes don't wait for it
+POLL_S = 0.01  # interval at which this module polls the processes' output, without delaying the processes
 DEFAULT_WAIT_S = 20.0
-TASK_LEASES = (0.2, 4.0)  # the duration of a task, in leases
-IGNORES_SIGTERM_PART = 0.3  # share of all tasks
-MAX_REST_S = 0.2  # until a contender that has ended is started again
+TASK_LEASES = (0.2, 4.0)  # range of a task's duration, in lengths of a lease
+IGNORES_SIGTERM_PART = 0.3  # share of tasks that ignore SIGTERM
+MAX_REST_S = 0.2  # maximum pause before a contender that has ended is started again
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,12 +59,12 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process is not known to have ended."""
+        """Whether the process still runs, as far as asyncio has been notified."""
         return self.process.returncode is None
 
 
 def free_port(kind: socket.SocketKind) -> int:
-    """Returns a port on loopback that was free when this function checked."""
+    """Returns a port on loopback that is free now; another process may still take it."""
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind((LOOPBACK, 0))
         port: int = sock.getsockname()[1]
@@ -102,8 +102,8 @@
             contenders: The names of the processes that compete for the lease.
             timings: The timings of all processes.
             seed: Seed of the network's faults and of the contenders' tasks.
-            rates_ppm: By name, how much faster than true time a node's clock runs, in millionths.
-            environment: The environment of all processes; None for that of this process.
+            rates_ppm: How much faster than true time each node's clock runs, in millionths, by name.
+            environment: The environment of all processes; None for the environment of this process.
         """
         self.folder, self.timings = folder, timings
         self.voters, self.contenders = tuple(voters), tuple(contenders)
@@ -192,12 +192,12 @@
         return record
 
     async def until(self, what: str, done: Callable[[], bool], within_s: float = DEFAULT_WAIT_S) -> None:
-        """Waits for an event. Raises TimeoutError, whose message names the event."""
+        """Waits for an event. Raises TimeoutError, with the name of the event in its message."""
         try:
             async with asyncio.timeout(within_s):
                 while not done():
                     await asyncio.sleep(POLL_S)
-        except TimeoutError:  # from None, as the traceback of the wait says nothing about the event
+        except TimeoutError:  # `from None`: the traceback of the wait says nothing about the event
             raise TimeoutError(f"not within {within_s:g} s: {what}\n{self.logs()}") from None
 
     def logs(self) -> str:
--- a/lanelift/faults/random_schedule.py
+++ b/lanelift/faults/random_schedule.py
@@ -1,7 +1,7 @@
 """Generates a schedule of faults from a seed. Pure.
 
-The order of the random draws is part of the result: the tests contain digests of the traces of many seeds,
-which have to be recorded again if a draw is added, removed or moved.
+The order of the random draws must not change: the tests contain digests of the traces of many seeds. These
+digests have to be recorded again if a draw is added, removed or moved.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from lanelift.faults.schedule import Schedule, Step, StepKind
 
-RESTART_MS = 40  # from a kill to the start with another list of voters
+RESTART_MS = 40  # time from a kill to the restart with another list of voters
 
 
 class RandomFault(StrEnum):
@@ -46,10 +46,11 @@
     RandomFault.RELEASE,
     RandomFault.ASK,
 )
-GAP_LEASES = (0.2, 1.0, 3.0)  # the mean time between two faults
-# Short and long durations, and some close to the length of a lease: errors show at its edges.
+GAP_LEASES = (0.2, 1.0, 3.0)  # mean times between two faults, in lengths of a lease
+# Durations of faults, in lengths of a lease; some are close to 1, as errors show where a lease ends.
 DURATION_LEASES = (0.05, 0.2, 0.5, 0.95, 1.0, 1.05, 1.5, 3.0)
-RESTART_GAP_LEASES = (0.1, 0.5, 1.5)  # between two restarts with another list of voters
+# Maximum times between two restarts with another list of voters, in lengths of a lease.
+RESTART_GAP_LEASES = (0.1, 0.5, 1.5)
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +79,7 @@
 def random_schedule(
     seed: int, voters: int, contenders: int, until_ms: int, lease_ms: int, drift: float, plans: bool = False
 ) -> Schedule:
-    """Returns a random schedule with faults of every kind, at intervals of about the length of a lease.
+    """Returns a schedule of randomly drawn faults, at intervals of about the length of a lease.
 
     Args:
         seed: Determines the schedule; the same arguments give the same schedule.
@@ -86,7 +87,7 @@
         contenders: How many processes compete for the lease.
         until_ms: The length of the schedule.
         lease_ms: The length of a lease.
-        drift: The maximum drift of clocks: each clock is right, or slower or faster by this fraction.
+        drift: The fraction by which a clock may be wrong: each one is exact, slower or faster by it.
         plans: Whether the list of voters changes during the schedule.
     """
     rng = random.Random(seed)
@@ -136,7 +137,7 @@
 
 
 def _restart_under(number: int, node: str, at_ms: int) -> list[Step]:
-    """Returns the steps that restart a node with the list of voters of this number."""
+    """Returns the steps that restart a node with the list of voters that has this number."""
     return [
         Step(at_ms, StepKind.PLAN, node, ms=number),
         Step(at_ms, StepKind.KILL, node),
@@ -190,7 +191,7 @@
 
 
 def _isolation(rng: random.Random, draw: _Draw) -> list[Step]:
-    """Returns the steps of a one-way isolation: only the node's outgoing or incoming messages pass."""
+    """Returns the steps that cut off either all outgoing or all incoming messages of a node."""
     if rng.random() < 0.5:
         ends = [(draw.node, "")]
     else:
--- a/lanelift/faults/schedule.py
+++ b/lanelift/faults/schedule.py
@@ -16,7 +16,7 @@
 
 
 class StepKind(StrEnum):
-    """The kind of a step, which affects the node `who`; the values are the words of schedule files."""
+    """The kind of a step that affects the node `who`. The values are the words in schedule files."""
 
     KILL = "kill"  # the node is killed and loses its memory
     LOSE = "lose"  # the node is killed and loses its disk as well
@@ -24,12 +24,12 @@
     STOP = "stop"  # the node is stopped (SIGSTOP)
     GO = "go"  # the stopped node continues (SIGCONT)
     CUT = "cut"  # no message passes from `who` to `whom`
-    HEAL = "heal"  # messages from `who` to `whom` pass normally again
+    HEAL = "heal"  # all faults of the link from `who` to `whom` end
     DELAY = "delay"  # messages from `who` to `whom` take `ms` longer
     DROP = "drop"  # a share `part` of the messages from `who` to `whom` is lost
-    DOUBLE = "double"  # a share `part` of the messages to `whom` arrives twice, the second up to `ms` later
+    DOUBLE = "double"  # a share `part` of messages from `who` to `whom` arrives twice, up to `ms` apart
     RATE = "rate"  # the node's clock runs faster by the fraction `part` from now on
-    STEP = "step"  # the node's wall clock is moved by `ms`, which should have no effect
+    STEP = "step"  # the node's wall clock is moved by `ms`, to which the node should not react
     PLAN = "plan"  # the node's next start uses the list of voters with the number `ms`
     RELEASE = "release"  # the holder releases its lease
     ASK = "ask"  # a contender that has ended starts to acquire the lease again
@@ -57,7 +57,7 @@
 
     Attributes:
         at_ms: The time of the step, in milliseconds from the start.
-        what: A `StepKind`, or any other word until it is checked.
+        what: A `StepKind`; any word until the step is checked.
         who: The node that the step affects, or the sending end of a link.
         whom: The receiving end of a link; empty for all other nodes.
         ms: A time, or the number of a list of voters; see `StepKind`.
@@ -87,7 +87,7 @@
         delay_ms: How much longer each message takes.
         loss: The share of messages that is lost.
         double: The share of messages that arrives twice.
-        double_ms: The maximum delay of a repeated message after the first one; 0 for the default.
+        double_ms: The maximum delay of a message's second copy; 0 for the default.
         passed: Number of messages that have passed, if they are counted.
         lost: Number of messages that were lost, if they are counted.
     """
@@ -128,7 +128,7 @@
         contenders: The processes that compete for the lease.
         until_ms: The length of the schedule.
         steps: The faults, ordered by time.
-        rates: Nodes whose clocks run faster than true time from the start, each with the fraction.
+        rates: Nodes and the fraction by which their clocks run faster than true time from the start.
         loss: The share of all messages that is lost.
         double: The share of all messages that arrives twice.
         plans: Other lists of voters, which `plan` steps refer to by number, from 1.
--- a/lanelift/faults/simulation.py
+++ b/lanelift/faults/simulation.py
@@ -19,7 +19,8 @@
 
 MS = 1_000_000  # nanoseconds in a millisecond
 LATENCY_NS = (100_000, 3 * MS)  # range of a message's latency without faults
-MAX_COPY_DELAY_NS = 600 * MS  # of a repeated message, which may arrive while another holder has the lease
+# Maximum delay of a repeated message, which may arrive while another proposer holds the lease.
+MAX_COPY_DELAY_NS = 600 * MS
 MAX_INBOX_MESSAGES = 256  # messages queued for a stopped node, as in a socket's buffer; further ones are lost
 MAX_CLOCK_START_NS = 10**15
 
@@ -28,7 +29,7 @@
 
 
 class Node(Protocol):
-    """A process, which runs from a start to a kill and sees only its own clock."""
+    """A process between its start and its kill, which sees only its own clock."""
 
     @property
     def due_ns(self) -> int | None:
@@ -51,7 +52,7 @@
     Attributes:
         base_ns: The clock's time at `since_ns`.
         rate: The fraction by which the clock runs faster than true time.
-        since_ns: The true time from which this rate applies.
+        since_ns: The true time from which `rate` applies.
     """
 
     base_ns: int
@@ -59,15 +60,15 @@
     since_ns: int = 0
 
     def local(self, true_ns: int) -> int:
-        """Returns the clock's time at a true time."""
+        """Returns the time that the clock shows at a true time."""
         return self.base_ns + int((true_ns - self.since_ns) * (1 + self.rate))
 
     def true(self, local_ns: int) -> int:
-        """Returns a true time at which the clock's time is at least `local_ns`."""
+        """Returns a true time at which the clock shows at least `local_ns`."""
         return self.since_ns + int((local_ns - self.base_ns) / (1 + self.rate)) + 1
 
     def set_rate(self, rate: float, true_ns: int) -> None:
-        """Changes the clock's rate from a true time on."""
+        """Sets the rate that applies from the true time `true_ns` on."""
         self.base_ns, self.since_ns, self.rate = self.local(true_ns), true_ns, rate
 
 
@@ -100,8 +101,8 @@
         rng: Determines the behaviour of the network; the order of its draws is part of the trace.
         now: True time in nanoseconds.
         messages: How many messages were sent so far.
-        plan_of: The number of the list of voters that each node's next start uses.
-        slots: The slot of each node, by name.
+        plan_of: The number of the list of voters for each node's next start, by the node's name.
+        slots: The state of each node, by name.
         links: The state of each direction that a step has changed, by sender and recipient.
         trace: A line for each event, or None if no trace is kept.
     """
@@ -146,7 +147,7 @@
     # For subclasses and tests.
 
     def play(self) -> None:
-        """Runs all events until the end of the schedule, by time and then in the order of scheduling."""
+        """Runs all events until the end of the schedule, by time; simultaneous ones as scheduled."""
         until_ns = self.schedule.until_ms * MS
         while self._events and self._events[0][0] <= until_ns:
             self.now, _, callback, arguments = heapq.heappop(self._events)
@@ -154,7 +155,7 @@
             self.after_event()
 
     def call_at(self, when_ns: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Schedules an event, a call at a true time."""
+        """Schedules a call at a true time, as an event."""
         self._event_count += 1
         heapq.heappush(self._events, (when_ns, self._event_count, callback, arguments))
 
@@ -209,7 +210,7 @@
     # Timers.
 
     def _schedule_tick(self, name: str) -> None:
-        """Schedules a node's next tick, unless a tick at or before that time is pending."""
+        """Schedules a node's next tick, unless a pending tick is due at that time or earlier."""
         slot = self.slots[name]
         if slot.node is None or slot.stopped or slot.node.due_ns is None:
             return
@@ -272,7 +273,7 @@
             self.node_killed(name, slot, disk_lost)
 
     def _resume(self, name: str, slot: NodeSlot) -> None:
-        """Resumes a stopped node; its tick runs at random before or after the queued messages."""
+        """Resumes a stopped node; whether its tick runs before or after the queued messages is random."""
         if not slot.stopped:
             return
         slot.stopped, slot.tick_ns = False, None
--- a/lanelift/fleet/clocks.py
+++ b/lanelift/fleet/clocks.py
@@ -9,8 +9,8 @@
 def boottime_ns() -> int:
     """Returns CLOCK_BOOTTIME in nanoseconds.
 
-    CLOCK_MONOTONIC does not advance while the machine is suspended, but the other members' votes expire
-    during that time.
+    CLOCK_MONOTONIC is not used, as it does not advance while the machine is suspended; the other members'
+    votes expire during that time.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
--- a/lanelift/fleet/cluster.py
+++ b/lanelift/fleet/cluster.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 MS = 1_000_000  # nanoseconds in a millisecond
-MAX_DRIFT = 0.1  # a clock that is a tenth too fast is broken; real ones stay under 0.0005 even while slewed
-RENEWALS_PER_VALIDITY = 4  # renewals within the validity of a lease: three of them may be lost
+MAX_DRIFT = 0.1  # a larger error means a broken clock; real clocks stay under 0.0005 even while slewed
+RENEWALS_PER_VALIDITY = 4  # renewals until the stop margin of a lease begins; three of them may be lost
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
 
     Attributes:
         id: The member's name, unique in the fleet.
-        address: Host and UDP port at which the other members reach this one.
+        address: Host and UDP port at which the other members reach this member.
         zone: The zone that the member runs in.
         votes: Whether the member is a voter.
     """
@@ -59,10 +59,10 @@
 
     @property
     def restart_quiet_ns(self) -> int:
-        """How long a voter that may have forgotten its votes does not vote, on its clock.
+        """How long a restarted voter, which may have forgotten its votes, does not vote, on its clock.
 
         Any request that the voter had accepted was sent before the voter forgot its votes, so the lease that
-        the request gave ends before the quiet period does: the same inequality as for `validity_ns`.
+        the request gave ends before the quiet period does, by the inequality shown for `validity_ns`.
         """
         return self.lease_ns
 
@@ -73,19 +73,19 @@
 
     @property
     def poll_interval_ns(self) -> int:
-        """The interval at which a waiter sends its request again, which keeps its queue position."""
+        """The interval at which a waiter repeats its request, in order to keep its queue position."""
         return max(self.response_timeout_ns, self.lease_ns // 4)
 
     @property
     def waiter_expiry_ns(self) -> int:
-        """How long a waiter that sends nothing keeps its queue position: two requests may be lost."""
+        """How long a waiter keeps its queue position without a request; two requests may be lost."""
         return 3 * self.poll_interval_ns
 
     @property
     def queue_head_window_ns(self) -> int:
-        """How long after a lease became free only the first waiter may get it; then any proposer may.
+        """How long only the first waiter may get a lease that became free; after that any proposer may.
 
-        The first waiter may reach too few voters, and must not keep the others from a majority.
+        The time is limited: a first waiter that reaches too few voters must not block the others for ever.
         """
         return 2 * self.poll_interval_ns
 
@@ -94,8 +94,9 @@
         """The longest true time from a holder's death until another proposer holds the lease.
 
         The bound applies while a majority and the waiters reach each other, no message is lost, and none
-        takes longer than a quarter of `response_timeout_ns`. It is the sum of the time until the votes
-        expire, one poll interval (the last poll may be sent just too early), and two rounds of two messages.
+        takes longer than a quarter of `response_timeout_ns`. The bound is the sum of the time until the votes
+        expire, one poll interval (a poll may be sent just too early), and two response timeouts for two
+        rounds of two messages.
         """
         return int((self.lease_ns + self.poll_interval_ns + 2 * self.response_timeout_ns) / (1 - self.drift))
 
--- a/lanelift/fleet/codec.py
+++ b/lanelift/fleet/codec.py
@@ -19,7 +19,7 @@
 
 MAGIC, VERSION = b"LF", 1
 HEADER = struct.Struct("!2sB8sI")
-MAX_DATAGRAM_BYTES = 1200  # fits any path without being fragmented
+MAX_DATAGRAM_BYTES = 1200  # a datagram of this size passes any path without being fragmented
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
@@ -34,7 +34,7 @@
     """
 
     def __init__(self, reason: str) -> None:
-        """Creates the error, whose message is the reason."""
+        """Creates the error with the reason as its message."""
         super().__init__(reason)
         self.reason = reason
 
@@ -42,8 +42,8 @@
 class UnknownMessageError(MessageDecodeError):
     """A message of another version, or of a kind that this release does not know; receivers skip it.
 
-    The reason is "kind" also for a known kind with field values that are not allowed: a later release may
-    allow them.
+    The reason is also "kind" if the kind is known but a field has a value that is not allowed: a later
+    release may allow the value.
     """
 
 
--- a/lanelift/fleet/messages.py
+++ b/lanelift/fleet/messages.py
@@ -16,30 +16,30 @@
 
 from msgspec import Meta, Struct
 
-MAX_NAME_CHARACTERS = 64  # of a lease, a voter and a proposer
-MAX_LEASES_PER_PAGE = 6  # leases in one `LeaseList`: as many as fit a datagram with names at their longest
-# Voters in one of the `former_voter_sets`. Receivers drop a status with a larger set, so the voter that sent
-# it can't finish a change of configuration (docs/operating/leases.md, known limits).
+MAX_NAME_CHARACTERS = 64  # length of the name of a lease, a voter or a proposer
+MAX_LEASES_PER_PAGE = 6  # leases in one `LeaseList`; this many fit a datagram with the longest names
+# Voters in each set of `VoterStatus.former_voter_sets`. Receivers drop a status with a larger set, and its
+# sender can't finish a change of configuration (docs/operating/leases.md, known limits).
 MAX_VOTERS = 64
-MAX_VOTER_SETS = 16  # `former_voter_sets` in one message
+MAX_VOTER_SETS = 16  # sets in `VoterStatus.former_voter_sets`
 
-NAME = r"^[!-~]*\Z"  # printable ASCII without spaces: the same in a log, a shell and a datagram
+NAME = r"^[!-~]*\Z"  # printable ASCII without spaces, which is written alike in logs, shells and datagrams
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS, pattern=NAME)]
-OptionalName = Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS, pattern=NAME)]  # empty for none
-Count = Annotated[int, Meta(ge=0, lt=2**62)]  # ballots, times, identifiers
+OptionalName = Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS, pattern=NAME)]  # empty if there is no name
+Count = Annotated[int, Meta(ge=0, lt=2**62)]  # a ballot, a time or an identifier
 
 
 class Verdict(StrEnum):
     """The outcome of a request, in a `Response`. The values are on the wire and must not change."""
 
     PROMISED = "promised"  # Paxos' promise: the voter accepts no lower ballot from now on
-    ACCEPTED = "taken"  # Paxos' accepted: the voter is bound to this proposer
+    ACCEPTED = "taken"  # Paxos' accepted: the voter is now bound to this proposer
     RELEASED = "released"  # the voter is no longer bound
-    HELD = "held"  # rejected: bound to another proposer
-    QUEUED = "turn"  # rejected: others come first
-    STALE_BALLOT = "behind"  # rejected: the ballot is not above what was promised
+    HELD = "held"  # rejected: the voter is bound to another proposer
+    QUEUED = "turn"  # rejected: other proposers come first
+    STALE_BALLOT = "behind"  # rejected: the ballot is not above a promised one
     RECOVERING = "silent"  # rejected: this voter may have forgotten votes, or may not vote yet
-    AT_CAPACITY = "full"  # rejected: too many leases, or too many waiters
+    AT_CAPACITY = "full"  # rejected: the voter has too many leases, or too many waiters
     FREE = "free"  # not a response to a request: notifies the first waiter that the lease was released
 
 
@@ -66,10 +66,10 @@
 
 
 class Accept(Struct, frozen=True, array_like=True, tag="take"):
-    """Paxos' accept (phase 2a): a proposer that a majority has promised its ballot asks to be accepted.
+    """Paxos' accept (phase 2a): a proposer asks to be accepted, after a majority has promised its ballot.
 
-    A voter that accepts is bound from when it received the message. A renewal of a held lease is the same
-    message.
+    A voter that accepts is bound from when it received the message. A holder renews its lease with this
+    message too.
 
     Attributes:
         lease: Name of the lease.
@@ -112,11 +112,11 @@
         nonce: The request's nonce.
         request_id: The request's id.
         voter: Id of the voter that responds.
-        verdict: A `Verdict`. The type is a plain string, since a later release may send further words, which
+        verdict: A `Verdict`. The type is a plain string, since a later release may send other verdicts, which
             are ignored. Any verdict confirms a `Release`: the voter released the lease, or was not bound
             under that ballot (`LeaseHolder.receive`).
         ballot: The ballot that was promised or accepted; for STALE_BALLOT the ballot that the proposer's next
-            one must exceed.
+            ballot must exceed.
         holder: Name of the present holder.
         token: The ballot of the voter's vote for that holder: the holder's token, or a ballot above it.
         remaining_ns: Time until another attempt may succeed; 0 also if the time is unknown.
@@ -140,7 +140,7 @@
 
     Attributes:
         request_id: Repeated in the `LeaseList`.
-        after: Only leases whose names come after this one.
+        after: Only leases whose names come after this name are listed.
     """
 
     request_id: Count
@@ -171,8 +171,8 @@
     Attributes:
         request_id: The id of the `ListLeases`.
         voter: Id of the voter that responds.
-        quiet_ns: How long until this voter votes; 0 if it votes now, 1 also if the time is unknown (the voter
-            may not vote yet).
+        quiet_ns: How long until this voter votes; 0 if it votes now. If the voter may not vote yet, the time
+            is unknown and the value is 1.
         leases: At most `MAX_LEASES_PER_PAGE` leases.
         more: Whether there is another page.
     """
@@ -189,7 +189,7 @@
 
     Attributes:
         voter: Id of the voter whose status this is.
-        nonce: Identifies the start of the voter that sent the first status; a reply repeats it.
+        nonce: Identifies one start of the recovering voter; a reply repeats the nonce.
         may_vote: Whether the voter has finished its recovery. It votes once its quiet period has also ended.
         lost_state: Whether the voter knows of no ballot: it has joined its configuration, and has never been
             able to vote under any (`PersistentState.lost_state`); also true for a new voter. False while the
--- a/lanelift/fleet/recovery.py
+++ b/lanelift/fleet/recovery.py
@@ -1,18 +1,18 @@
 """Decides when a voter may vote: recovery after a start, and changes of the voter set. Pure.
 
-In three cases two majorities could accept two holders. A voter waits in each of them:
+In three cases two majorities could each accept a different holder. A voter waits in each case:
 
 - **Restart.** A voter that was just started may have forgotten its votes: it stays quiet, and does not vote,
   for `LeaseTiming.restart_quiet_ns`.
 - **Lost state.** The ballot that new ballots must exceed is persisted, so that tokens do not fall when all
   voters restart at the same time. A voter that lost its state does not know that ballot. It may vote once it
-  has received the status of all other voters. The status of fewer voters suffices if they may vote and each
-  past majority must have included one of them. The highest of their ceilings becomes its ballot floor.
+  has received the status of all other voters, or of enough voters that may vote to include one of each past
+  majority. The highest ceiling among these statuses becomes the voter's ballot floor.
 - **Changed voter set.** Majorities of two different voter sets need not share a voter. A voter that voted
   under another configuration may vote under this one once a majority of the *former* voters have joined this
-  one: from then on no lease can be given under the former configuration. The voters that it counts may have
-  joined from further configurations, which their status lists; a majority of each of those must have joined
-  as well. The voter stays quiet from that moment on, for the longest quiet period of all the configurations.
+  one: from then on no lease can be given under the former configuration. The voters in that majority may have
+  joined from other configurations, which their status lists; a majority of each of these must have joined as
+  well. The voter then stays quiet for the longest quiet period of all these configurations.
 
 Assumptions: at any time, fewer than a majority of the voters have lost their state and may not vote yet;
 the state of a removed voter is lost; no two voters share a state file.
@@ -26,8 +26,8 @@
 from lanelift.fleet.messages import VoterStatus
 from lanelift.settings import SettingsError
 
-BALLOT_BLOCK = 1 << 16  # ballots by which one write of the state raises the ceiling
-MAX_FORMER_VOTER_SETS = 8  # changes of the voter set during which this voter has not voted
+BALLOT_BLOCK = 1 << 16  # number of ballots by which each write of the state raises the ceiling
+MAX_FORMER_VOTER_SETS = 8  # successive changes of the voter set without this voter voting in between
 
 
 class VoterStateError(SettingsError):
@@ -74,7 +74,8 @@
         may_vote: Whether the recovery has finished. The voter then votes from `ready_ns` on.
         ready_ns: The end of the quiet period on the voter's clock, when it starts to vote; None while that is
             unknown.
-        ballot_floor: The voter may have promised ballots up to this, or others may have if it lost its state.
+        ballot_floor: The highest ballot that this voter, or after a loss of its state any voter, may have
+            promised.
         pending_state: The state that the caller is to persist before it calls `state_written`; None if there
             is nothing to persist.
         persisted: The state that is on disk.
@@ -96,7 +97,7 @@
         """
         self.cluster, self.voter, self.nonce, self.persisted = cluster, voter, nonce, persisted
         self.other_voters = frozenset(cluster.voters) - {voter}
-        self.replies: dict[str, VoterStatus] = {}  # the last one of each voter
+        self.replies: dict[str, VoterStatus] = {}  # the last reply of each voter
         self.may_vote = False
         self.ready_ns: int | None = None
         self.ballot_floor = 0
@@ -148,7 +149,8 @@
         elif not self.may_vote:
             self.may_vote = True
             self.ready_ns = now + state.quiet_ns
-            # The longer quiet period of a former configuration need not be observed a second time.
+            # After the next restart, the longer quiet period of a former configuration need not be
+            # observed again.
             self.persisted = replace(state, quiet_ns=self.cluster.timing.restart_quiet_ns)
 
     def extend_ceiling(self, ballot: int) -> None:
@@ -210,7 +212,7 @@
         return all(len(joined.intersection(voters)) >= majority(len(voters)) for voters in former_sets)
 
     def _ballots_are_known(self) -> bool:
-        """Returns whether the replies cover each majority that may have promised a ballot."""
+        """Returns whether each majority that may have promised a ballot includes a voter that replied."""
         replies, voter_count = self.replies.values(), len(self.cluster.voters)
         # A voter that may not vote and has not lost its state has joined from a configuration that may still
         # have a majority: its reply does not count.
--- a/lanelift/fleet/transport.py
+++ b/lanelift/fleet/transport.py
@@ -11,14 +11,14 @@
 from lanelift.fleet.messages import Message
 
 Address = tuple[str, int]
-MAX_LOGGED_ADDRESSES = 64  # addresses of foreign senders that are remembered, so each is logged once
+MAX_LOGGED_ADDRESSES = 64  # addresses of foreign senders; each is remembered, and logged only once
 
 
 class DatagramTransport(asyncio.DatagramProtocol):
     """Sends and receives messages of one cluster.
 
     Attributes:
-        counts: Number of datagrams by outcome: sent, received or dropped. The keys are the values of `what`
+        counts: Number of datagrams by outcome, such as sent or dropped. The keys are the values of `what`
             in the metric `lanelift_fleet_messages_total`, which operators read: they must not change.
     """
 
@@ -33,7 +33,8 @@
         Args:
             digest: The `ClusterConfiguration.digest`.
             receive: Called with each message that has this digest, and its source.
-            foreign_cluster: Called once for each address that sends messages with another digest.
+            foreign_cluster: Called once for each address that sends messages with another digest, for at most
+                `MAX_LOGGED_ADDRESSES` addresses.
         """
         self.digest, self.receive, self.foreign_cluster = digest, receive, foreign_cluster
         self.counts: Counter[str] = Counter()
@@ -59,7 +60,7 @@
             return
         try:
             data = encode(self.digest, message)
-        except ValueError:  # after many changes of long-named voters: treated like a lost datagram
+        except ValueError:  # a status that lists many former voters with long names: treated as lost
             self.counts["too_large"] += 1
             return
         self.counts["sent"] += 1
