--- a/lanelift/leases/acceptor.py
+++ b/lanelift/leases/acceptor.py
@@ -32,8 +32,8 @@
 )
 
 MAX_LEASES = 1024  # leases that a voter records at a time; each record takes about a kilobyte
-MAX_WAITERS = 64  # in the queue of one lease
-Source = Hashable  # the address for responses to a proposer, in the caller's own form
+MAX_WAITERS = 64  # proposers in the queue of one lease
+Source = Hashable  # the address of a proposer, of a type that the caller chooses
 
 
 @dataclass(slots=True)
@@ -80,12 +80,12 @@
         free_since_ns: When the lease became free; for a new record, when the acceptor was created.
         promised_ballot: The last ballot that was promised.
         promised_nonce: Nonce of the proposer that holds the promise; 0 if there is no promise.
-        promise_until_ns: Until when no other proposer is promised a ballot.
+        promise_until_ns: The time until which no other proposer is promised a ballot.
         vote: The vote that binds the acceptor; None if it is not bound.
         queue: The waiting proposers, the longest waiting first.
         reserved_for: Name of the only proposer that may get the lease; empty for any proposer.
         reserved_until_ns: When the reservation ends.
-        counted_nonce: Nonce of the holder that the metrics counted last; only `FleetNode` uses it.
+        counted_nonce: Nonce of the last holder that the metrics counted; only `FleetNode` uses this field.
     """
 
     free_since_ns: int
@@ -108,7 +108,7 @@
         highest_promised: The highest ballot promised for any lease, or the first floor. A rejection of a
             stale ballot names it, so that the proposer's next ballot exceeds it, as it must after a restart
             of the voter.
-        requested_ballot: The highest requested ballot above the ceiling; 0 for none.
+        requested_ballot: The highest ballot above the ceiling that was requested; 0 if there is none.
         leases: The state of each known lease, by name.
     """
 
@@ -194,7 +194,7 @@
         """Ends the vote for a holder that has stopped.
 
         Returns:
-            The responses, each with its destination; None for the sender of the release.
+            The responses, each with its destination, which is None for the sender of the release.
         """
         record = self._current_record(message.lease, now)
         if record is not None:
@@ -246,7 +246,7 @@
     def _current_record(self, name: str, now: int) -> LeaseRecord | None:
         """Returns the record of a lease without expired votes, reservations and queue positions.
 
-        The record is created if there is none. Returns None if there is no capacity for another record.
+        A missing record is created; returns None if there is no capacity for another record.
         """
         record = self.leases.get(name)
         if record is None:
@@ -263,7 +263,7 @@
         return record
 
     def _forget_idle(self, now: int) -> bool:
-        """Drops the records of idle leases; no ballot up to theirs is promised again (rule 1).
+        """Drops the records of idle leases; no ballot up to their promised ones is promised again (rule 1).
 
         A reservation (`Release.successor`) is dropped with its record: another proposer may then be first.
 
@@ -297,7 +297,7 @@
     def _wait_for_others_ns(
         self, record: LeaseRecord, message: Prepare, position: int, now: int
     ) -> int | None:
-        """Returns how long other proposers have priority; None if it is this proposer's turn."""
+        """Returns how long other proposers have priority; None if no other proposer has."""
         if record.reserved_for and record.reserved_for != message.proposer:
             return record.reserved_until_ns - now
         if record.promised_nonce not in (0, message.nonce) and now < record.promise_until_ns:
--- a/lanelift/leases/client.py
+++ b/lanelift/leases/client.py
@@ -13,18 +13,18 @@
 from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
 from lanelift.leases.proposer import Phase, Proposer
 
-# A pause is multiplied by a random factor in this range, so that two proposers that collided do not collide
-# again.
+# Pauses are multiplied by a random factor in this range, so that two proposers whose ballots collided do not
+# collide again.
 JITTER = (0.5, 1.5)
 # The number of attempts that a client with a wait timeout of 0 makes before it gives up. If so many voters
 # are bound to another holder that no majority is left, the client gives up immediately.
 MIN_ATTEMPTS_WITHOUT_WAIT = 8
-Outgoing = tuple[str | None, Prepare | Accept]  # the recipient, None for all voters, and the message
+Outgoing = tuple[str | None, Prepare | Accept]  # the recipient (None means all voters) and the message
 REJECTIONS = (Verdict.HELD, Verdict.QUEUED, Verdict.STALE_BALLOT, Verdict.AT_CAPACITY)
 
 
 class ClientState(Enum):
-    """The state of a client: acquiring the lease, holding it, or one of three ways to have ended."""
+    """The state of a client, which acquires the lease, holds it, or has ended in one of three ways."""
 
     ACQUIRING = "seeking"
     HOLDING = "holds"
@@ -36,7 +36,7 @@
 class LeaseClient:
     """Acquires one lease, and renews it.
 
-    The caller calls `tick` at `due_ns` and `receive` for each response, and sends what they return.
+    The caller calls `tick` at `due_ns` and `receive` for each response, and sends the messages returned.
 
     Attributes:
         proposer: The client's proposer.
@@ -45,8 +45,8 @@
         started_ns: When the client was created and began to wait for the lease.
         attempts: Number of ballots tried so far.
         rejections: The rejections of the present attempt, by voter.
-        reason: Why the client does not hold the lease, in words for the log. While the client holds the
-            lease, why its last failed attempt failed.
+        reason: A text for the log that says why the client does not hold the lease. While the client holds
+            the lease, the text gives the cause of the last failed attempt.
         next_ballot_after_ns: While the client holds the lease, no higher ballot is prepared before this time.
     """
 
@@ -124,8 +124,8 @@
             self.state = ClientState.HOLDING
             self._schedule_renewal(now)
             return []
-        # Every voter notifies the first waiter, and one attempt is enough: it clears `rejections`, so that
-        # the other voters' notifications start no further attempt.
+        # Every voter notifies the first waiter. The first notification starts an attempt, which clears
+        # `rejections`, so the other voters' notifications start no further one.
         if response.verdict == Verdict.FREE and self._attempt_has_failed:
             self.due_ns = now
             return self.tick(now)
@@ -146,11 +146,11 @@
 
     @property
     def _attempt_has_failed(self) -> bool:
-        """Whether so many voters have rejected this attempt that the others are not a majority."""
+        """Whether too many voters have rejected this attempt for the others to be a majority."""
         return len(self.rejections) > self.voters - majority(self.voters)
 
     def _has_waited_enough(self, waited_ns: int) -> bool:
-        """Returns whether to give up: the wait timeout is over, and the least number of attempts was made."""
+        """Returns whether to give up, after the wait timeout and at least the minimum number of attempts."""
         min_attempts = 1 if self.wait_timeout_ns else MIN_ATTEMPTS_WITHOUT_WAIT
         return (
             self.wait_timeout_ns is not None
@@ -163,12 +163,12 @@
 
         All voters should accept the holder, so that any majority of them suffices for a renewal. A voter that
         has not promised this ballot is sent a prepare. If a voter has promised a higher ballot, or was
-        restarted with a floor above this one, the client prepares a higher ballot.
+        restarted with a floor above this ballot, the client prepares a higher ballot.
         """
         proposer = self.proposer
         if proposer.phase is not Phase.HOLDING:
             return []
-        if proposer.ballot != former_ballot:  # a majority has promised the higher one
+        if proposer.ballot != former_ballot:  # a majority has promised the higher ballot
             return [(None, proposer.accept(now))]
         promised = response.verdict == Verdict.PROMISED and response.ballot == proposer.ballot
         if promised and response.voter not in proposer.accepted_ns:
--- a/lanelift/leases/holder.py
+++ b/lanelift/leases/holder.py
@@ -19,15 +19,15 @@
 from lanelift.leases.client import ClientState, LeaseClient
 from lanelift.leases.watchdog import NOT_HELD, SIGNAL_EXIT_CODE
 
-MAX_RELEASE_ROUNDS = 3  # if all releases are lost, other proposers wait until the lease expires
-# The name that the watchdog's module has in earlier versions of the software as well: see `warden.py`.
+MAX_RELEASE_ROUNDS = 3  # sends of a release; if all are lost, other proposers wait until the lease expires
+# A module name that earlier versions of the software have as well: see `warden.py`.
 WATCHDOG_MODULE = "lanelift.leases.warden"
 
 
 class LeaseHolder:
     """A lease client on a socket, which runs commands only while it holds the lease.
 
-    An asynchronous context manager: on exit it ends the command and releases the lease.
+    The holder is an asynchronous context manager: on exit it ends the command and releases the lease.
 
     The watchdog, a process of its own, ends a command before the lease ends. If the watchdog is stopped
     (SIGSTOP), this process kills it before the lease ends, and the command dies with it. If the watchdog is
@@ -59,7 +59,8 @@
             name: The holder's name.
             log: A logger.
             wait_timeout_ns: How long to wait for the lease; 0 for no wait, None for no limit.
-            successor: Name of the only proposer that may get the lease next, for a while; empty for any.
+            successor: Name of the only proposer that may get the lease for a while after the release; empty
+                for any proposer.
             transport: A transport that the caller has opened and whose responses it passes to `receive`; None
                 if the holder is to open its own.
         """
@@ -71,12 +72,12 @@
         nonce, rng = secrets.randbits(60) | 1, random.Random(secrets.randbits(64))
         voters = len(cluster.voters)
         self.client = LeaseClient(lease, name, nonce, cluster.timing, voters, rng, clock(), wait_timeout_ns)
-        self._timer: asyncio.TimerHandle | None = None  # of `client.due_ns`
+        self._timer: asyncio.TimerHandle | None = None  # calls `_tick` at `client.due_ns`
         self._changed = asyncio.Event()  # set when a condition that `_until` waits for may have changed
         self._released_by: set[str] = set()  # voters that responded to the release
         self._release_request_id = -1
         self.watchdog: asyncio.subprocess.Process | None = None
-        self._until_sent_ns = 0  # end of the lease from which the watchdog's deadlines were computed
+        self._until_sent_ns = 0  # the lease's end, from which the watchdog's last deadlines were computed
         self._killed_watchdog = False
         self._command_group: int | None = None  # the command's process group, once the watchdog wrote it
         self._watchdog_timer: asyncio.TimerHandle | None = (
@@ -114,7 +115,7 @@
         return self.client.holds(self.clock())
 
     async def acquire(self) -> bool:
-        """Waits for the lease; returns whether it is held, False after a rejection or a signal."""
+        """Waits for the lease; returns True once it is held, False after a rejection or a signal."""
         self._tick()
         await self._until(lambda: self.client.state is not ClientState.ACQUIRING or self._signalled)
         if self.client.state is not ClientState.HOLDING:
@@ -134,7 +135,7 @@
         """Runs a command while the lease is held.
 
         Returns:
-            The command's exit code; 75 if the lease ended before the command.
+            The command's exit code; 75 if the lease ended before the command did.
         """
         if not self.holds:
             return NOT_HELD
@@ -162,7 +163,7 @@
         self._changed.set()
 
     def receive(self, message: Message, source: Address) -> None:
-        """Handles a received message; ignores messages for other clients, and messages not from a voter."""
+        """Handles a received message; ignores those for other clients and those not from a voter."""
         if not isinstance(message, Response) or self.voter_addresses.get(message.voter) != source:
             return
         own = message.nonce == self.client.proposer.nonce
@@ -212,7 +213,7 @@
         return code
 
     def _deadlines_ns(self) -> tuple[int, int]:
-        """Returns when the command is sent SIGTERM and SIGKILL, on `clock`; both before the lease ends."""
+        """Returns when SIGTERM and SIGKILL are due, on `clock`; both times are before the lease ends."""
         until_ns, margin_ns = self.client.proposer.until_ns, self.cluster.timing.stop_margin_ns
         return until_ns - margin_ns, until_ns - margin_ns // 2
 
@@ -248,7 +249,7 @@
     # The lease client's timer and messages.
 
     async def _release(self) -> None:
-        """Sends the release and waits for the voters' responses; repeats it while responses are missing."""
+        """Sends the release and waits for responses; sends it again to the voters that did not respond."""
         message = self.client.release(self.successor)
         self._release_request_id = message.request_id
         for _ in range(MAX_RELEASE_ROUNDS):
--- a/lanelift/leases/listing.py
+++ b/lanelift/leases/listing.py
@@ -9,7 +9,7 @@
 from lanelift.fleet.messages import LeaseList, ListLeases, Message
 from lanelift.fleet.transport import Address, DatagramTransport
 
-LISTING_TIMEOUT_FACTOR = 4  # times `response_timeout_ns`, for all pages together
+LISTING_TIMEOUT_FACTOR = 4  # response timeouts within which all pages must arrive
 
 
 async def list_leases(cluster: ClusterConfiguration, after: str = "") -> dict[str, list[LeaseList]]:
@@ -17,7 +17,7 @@
 
     Args:
         cluster: The fleet.
-        after: Only leases whose names come after this one.
+        after: Only leases whose names come after this name are listed.
 
     Raises:
         OSError: The socket can't be opened.
--- a/lanelift/leases/member.py
+++ b/lanelift/leases/member.py
@@ -25,7 +25,7 @@
 from lanelift.fleet.recovery import PersistentState, VoterRecovery
 from lanelift.leases.acceptor import Acceptor, Source
 
-STATUS_INTERVAL_IN_TIMEOUTS = 2  # times `response_timeout_ns`, between statuses of a recovering voter
+STATUS_INTERVAL_IN_TIMEOUTS = 2  # response timeouts between two statuses of a recovering voter
 
 
 class VotingMember:
@@ -50,7 +50,7 @@
         """Starts a voter.
 
         Args:
-            cluster: The configuration under which it votes.
+            cluster: The configuration under which the voter votes.
             voter: The voter's id.
             nonce: New at each start.
             persisted: The state that was on disk; None if there was none.
--- a/lanelift/leases/metrics.py
+++ b/lanelift/leases/metrics.py
@@ -23,7 +23,7 @@
     """Returns the text of the metrics.
 
     Args:
-        member: The voting member; None for a member that does not vote.
+        member: The voting member; None if this member does not vote.
         changes: Number of changes of a lease's holder that this voter saw.
         rejections: Number of requests that this voter rejected.
         datagrams: `DatagramTransport.counts`.
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -3,17 +3,18 @@
 The model has three voters and two proposers. In each state, each voter may receive any message that was ever
 sent to it, independently of the others, once, repeatedly or never. A proposer may prepare, accept, renew and
 release whenever its phase allows it. A voter may be restarted, and keeps its state file. Time advances in
-ticks; each clock advances by 4, 5 or 6 per tick, the extremes of a drift of a fifth, so a lease of 12 is held
-for 8.
+ticks; an exact clock advances by 5 per tick, and clocks at the limits of a drift of a fifth by 4 or 6, so a
+lease of 12 is held for 8.
 
-Some events are left out because they can't cause a violation that the others don't:
+Some events are left out, since any violation that they cause also occurs without them:
 
 - responses that a proposer ignores;
-- late promises: a proposer that has received a promise early may still delay the step that it allows;
+- late promises: a proposer that received a promise early may still delay the step that the promise allows;
 - if `Bounds.reached` says so, messages from the first proposer to the third voter and from the second
   proposer to the first voter. Two majorities share at least one voter, and the other voters promise more
   readily if they never received a message of the other proposer. So if two proposers can hold the lease at
-  the same time, they also can if only a and b vote for the first one, and only b and c for the second one.
+  the same time, they can also do so with only the votes of a and b for the first, and of b and c for the
+  second proposer.
 
 A state is a tuple of small numbers: each node and message is stored once, and the result of each event at a
 node is computed once.
@@ -32,7 +33,7 @@
 
 PROPOSERS = range(2)
 NO_HOLDER = -1
-TOKEN_FELL = -2  # in place of a holder whose token is not above the highest one
+TOKEN_FELL = -2  # replaces the holder's number if its token is not above the highest token so far
 
 
 class State(NamedTuple):
--- a/lanelift/leases/model_nodes.py
+++ b/lanelift/leases/model_nodes.py
@@ -15,7 +15,7 @@
 LEASE_NS, DRIFT = 12, 0.2
 # The response timeout is 0, so that a promise to one proposer never delays the other.
 TIMING = LeaseTiming(lease_ns=LEASE_NS, response_timeout_ns=0, stop_margin_ns=1, drift=DRIFT)
-SLOW, EVEN, FAST = 4, 5, 6  # how far a clock advances per tick
+SLOW, EVEN, FAST = 4, 5, 6  # how far a slow, an exact and a fast clock advance per tick
 LEASE = "x"
 VOTERS = ("a", "b", "c")
 EFFECTIVE = (Verdict.PROMISED, Verdict.ACCEPTED, Verdict.STALE_BALLOT)  # responses that a proposer acts on
@@ -26,12 +26,12 @@
     """The bounds of the exploration.
 
     Attributes:
-        ticks: The last tick.
+        ticks: The number of the last tick.
         prepares: How often each proposer may start phase 1.
         accepts: How often each proposer may start phase 2 or renew.
         releases: How often each proposer may release the lease.
         next_ballots: How often the first proposer may prepare a higher ballot while it holds the lease.
-        restarts: How many times voters may be restarted, all voters together.
+        restarts: The maximum number of restarts, of all voters together.
         voter_rates: How far each voter's clock advances per tick.
         proposer_rates: How far each proposer's clock advances per tick.
         reached: The voters that each proposer's messages reach.
@@ -60,7 +60,7 @@
 
 
 class NodeTable:
-    """A table of nodes and messages by number, and of the results of events by their input.
+    """The numbered nodes and messages of the model, and the results of events by their inputs.
 
     A node's number identifies one state of the node; a bit identifies a message. Entries are never removed:
     the bounds of the exploration limit the table.
@@ -81,8 +81,8 @@
         self.cluster = ClusterConfiguration("small", members, TIMING)
         self.nodes: list[bytes] = []
         self.node_numbers: dict[bytes, int] = {}
-        # Sender, recipient and message: from proposer 0 or 1 to voter 0, 1 or 2, or from a voter to
-        # recipient -1 or -2, which is proposer 0 or 1.
+        # Sender, recipient and message. Proposers are 0 and 1 as senders, but -1 and -2 as recipients; voters
+        # are 0, 1 and 2.
         self.messages: list[tuple[int, int, Message]] = []
         self.message_bits: dict[tuple[int, int, Message], int] = {}
         self.results: dict[tuple[Any, ...], tuple[int, int]] = {}
@@ -248,7 +248,7 @@
 
 
 def _without_ordering_times(member: VotingMember) -> VotingMember:
-    """Clears the times that only decide the order of proposers."""
+    """Clears the times that decide nothing but the order of proposers."""
     member.due_ns = None
     if member.acceptor is not None:
         for record in member.acceptor.leases.values():
--- a/lanelift/leases/node.py
+++ b/lanelift/leases/node.py
@@ -21,9 +21,9 @@
 from lanelift.leases.metrics import render
 from lanelift.leases.supervisor import FleetTask, TaskSupervisor
 
-WRITE_RETRY_S = 1.0  # until a failed write is retried: a full disk has to be cleared by an operator
+WRITE_RETRY_S = 1.0  # pause before a failed write is retried; an operator has to clear a full disk first
 MIN_TIMER_S = 0.001
-# Verdicts that do not reject a request.
+# The verdicts that do not count as rejections.
 NOT_REJECTED = (Verdict.ACCEPTED, Verdict.PROMISED, Verdict.RELEASED, Verdict.FREE)
 
 
@@ -51,7 +51,7 @@
         """Returns the member, which is not started yet.
 
         Args:
-            driver: Not used. All sources are attached with the daemon's dispatcher.
+            driver: The daemon's dispatcher, with which every source is attached; not used here.
 
         Raises:
             VoterStateError: The member's state can't be used, or another process runs as this member.
@@ -89,7 +89,7 @@
         )
         self.holder_changes = 0
         self.rejections = 0
-        self._timer: asyncio.TimerHandle | None = None  # of `member.due_ns`
+        self._timer: asyncio.TimerHandle | None = None  # calls `_tick` at `member.due_ns`
         self._writing = False
         self._writer: asyncio.Task[None] | None = None
         configured = self.cluster.member(self.member_id)
@@ -176,7 +176,7 @@
     def _is_from_its_voter(self, status: VoterStatus, source: Address) -> bool:
         """Returns whether a status came from its voter's configured address.
 
-        A second process with the voter's id, or a wrong address in a configuration, is detected this way.
+        The check detects a second process with the voter's id, or a wrong address in a configuration.
         """
         voter = self.cluster.member(status.voter)
         return voter is not None and voter.address == source
--- a/lanelift/leases/proposer.py
+++ b/lanelift/leases/proposer.py
@@ -1,7 +1,7 @@
 """The proposer of Paxos, for one lease: its promises, its acceptances, and the end of its lease. Pure.
 
-Times are nanoseconds of the proposer's own clock. `client.py` decides when to send; no two proposers hold the
-lease at the same time, whatever that module sends, and whenever.
+Times are nanoseconds of the proposer's own clock. `client.py` decides when to send. Whatever that module
+sends, and whenever, no two proposers hold the lease at the same time.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from lanelift.fleet.cluster import LeaseTiming, majority
 from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
 
-MAX_OPEN_REQUESTS = 16  # requests whose responses still count; older ones are forgotten
+MAX_OPEN_REQUESTS = 16  # the last requests, whose responses count; responses to older ones are ignored
 
 
 class Phase(Enum):
@@ -21,7 +21,7 @@
     PREPARING = "asking"  # phase 1: waits for promises
     ACCEPTING = "taking"  # phase 2: a majority has promised; waits to be accepted
     HOLDING = "held"
-    OVER = "over"  # released or expired, for good: only a new proposer can acquire the lease again
+    OVER = "over"  # final, after a release or expiry: only a new proposer can acquire the lease again
 
 
 class Proposer:
@@ -29,7 +29,7 @@
 
     Attributes:
         nonce: Identifies this run in all its messages.
-        majority: How many voters must promise, and accept.
+        majority: How many voters must promise a ballot, and then accept it.
         phase: The phase of this run.
         token: The ballot under which this proposer became the holder. Tokens rise from holder to holder; a
             holder keeps its token.
@@ -38,7 +38,7 @@
         request_id: The id of the last request.
         sent_ns: When each of the last requests was sent, by its id; at most `MAX_OPEN_REQUESTS`.
         promised_by: The voters that promised `ballot`.
-        accepted_ns: By voter, when the latest request that the voter accepted was *sent*.
+        accepted_ns: When the latest request that each voter accepted was *sent*, by voter.
         next_ballot: A higher ballot that the proposer prepares while it holds the lease under `ballot`.
         next_promised_by: The voters that promised `next_ballot`.
     """
@@ -68,7 +68,7 @@
 
     @property
     def until_ns(self) -> int:
-        """When the lease ends, by the latest request that a majority has accepted; 0 if there is none.
+        """When the lease ends, computed from the latest request that a majority accepted; 0 if there is none.
 
         The lease counts from when that request was sent: see `LeaseTiming.validity_ns`.
         """
@@ -117,7 +117,7 @@
     def receive(self, response: Response, now: int) -> None:
         """Handles a voter's response, which may be received late or repeatedly."""
         if response.nonce != self.nonce or response.lease != self.lease or self.is_over(now):
-            return  # a late response does not renew an expired lease, as its task has been ended
+            return  # a late response does not renew an expired lease, whose task has already been ended
         if response.verdict == Verdict.STALE_BALLOT:
             self.highest_ballot_seen = max(self.highest_ballot_seen, response.ballot)
         if response.request_id not in self.sent_ns:
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -6,7 +6,7 @@
 - two proposers never hold the same lease at the same time;
 - each new holder has a token above all earlier ones.
 
-A holder that is stopped between checking its lease and acting acts late, and only the token shows that. Late
+A holder that is stopped between its check of the lease and its act acts late; only the token shows it. Late
 acts are counted separately and are not breaches.
 """
 
@@ -26,10 +26,10 @@
 from lanelift.leases.member import VotingMember
 from lanelift.standins.fencing_token_store import FencingTokenStore, StaleTokenError
 
-WRITE_NS = (200_000, 8 * MS)  # the duration of a write of a voter's state
-TASK_LEASES = (0.3, 4.0)  # the duration of a task, in leases
-MAX_REST_LEASES = 0.3  # the longest pause before a proposer acquires the lease again, in leases
-MAX_LATENCY_LEASES = 0.02  # between a check of the lease and the act, in leases
+WRITE_NS = (200_000, 8 * MS)  # range of the time that a write of a voter's state takes
+TASK_LEASES = (0.3, 4.0)  # range of a task's duration, in lengths of a lease
+MAX_REST_LEASES = 0.3  # longest pause before a proposer acquires the lease again, in lengths of one
+MAX_LATENCY_LEASES = 0.02  # longest time from a check of the lease to the act, in lengths of a lease
 
 
 @dataclass
@@ -37,7 +37,7 @@
     """The results of one run.
 
     Attributes:
-        breaches: Descriptions of the broken rules, with their true time.
+        breaches: A description of each breach of a rule, with its true time.
         holdings: Each new holding: its start (ns of true time), lease, holder and token.
         acts: Number of acts of holders.
         late_acts: Number of acts after the lease had ended or passed to another holder.
@@ -114,9 +114,9 @@
 
     Attributes:
         client: The present client.
-        ends_ns: When the task or the rest ends; None for neither.
-        seen_token: The token under which the last check found the lease held, until the process acts; None if
-            no act is pending.
+        ends_ns: When the present task or rest ends; None if there is neither.
+        seen_token: The token that the process has checked and is about to act under; None if no act is
+            pending.
         act_ns: When the process next checks the lease or acts.
     """
 
@@ -228,7 +228,7 @@
     member_class: type[VotingMember] = VotingMember
     client_class: type[LeaseClient] = LeaseClient
     task: tuple[float, float] = TASK_LEASES
-    wait_timeouts: tuple[float | None, ...] = (None, None, 0, 1)  # in leases; None for no limit
+    wait_timeouts: tuple[float | None, ...] = (None, None, 0, 1)  # in lengths of a lease; None for no limit
 
     def __init__(self, schedule: Schedule, timing: LeaseTiming, keep_trace: bool = False) -> None:
         """Prepares a run; `play` runs it.
--- a/lanelift/leases/supervisor.py
+++ b/lanelift/leases/supervisor.py
@@ -1,4 +1,4 @@
-"""The fleet's tasks in `lanelift serve`: each is run by one member at a time, the holder of its lease.
+"""Runs the fleet's tasks in `lanelift serve`, each on one member at a time: the holder of its lease.
 
 The holder keeps the lease from run to run, so that the pause between two runs applies to the whole fleet.
 When the holder dies or is cut off, the next waiter gets the lease and runs the task immediately, since no
@@ -19,8 +19,8 @@
 from lanelift.leases.client import ClientState
 from lanelift.leases.holder import LeaseHolder
 
-MIN_BACKOFF_S = 1.0  # before a task that failed, or did not get or keep its lease, is tried again
-MAX_BACKOFF_S = 60.0  # limit of the doubling: without a majority, all tasks keep sending requests
+MIN_BACKOFF_S = 1.0  # first pause after a task failed, or did not get or keep its lease
+MAX_BACKOFF_S = 60.0  # limit of the pause, which doubles: without a majority, all tasks keep sending requests
 
 
 @dataclass(frozen=True, slots=True)
--- a/lanelift/leases/watchdog.py
+++ b/lanelift/leases/watchdog.py
@@ -1,9 +1,9 @@
-"""Ends a command before its lease ends, in a process of its own:
+"""Runs a command and ends it before its lease ends. The watchdog is a process of its own:
 
     python -m lanelift.leases.warden TERM_NS KILL_NS COMMAND...
 
-The holder starts it through `warden.py`, which runs this module. Earlier software versions have a module of
-that name too, so a holder finds its watchdog even after its files were replaced by those of another version.
+The holder starts the watchdog through `warden.py`, which runs this module. Earlier software versions have a
+module of that name too, so a holder finds it even after its files were replaced by those of another version.
 
 TERM_NS and KILL_NS are times of the machine's CLOCK_BOOTTIME in nanoseconds. At TERM_NS the command's process
 group is sent SIGTERM, and at KILL_NS SIGKILL, whether the lease holder is running, stopped or gone. For each
@@ -34,11 +34,11 @@
 from contextlib import suppress
 
 NOT_HELD = 75  # EX_TEMPFAIL of sysexits.h: try again
-NO_COMMAND = 127  # the command could not be started, as in shells
-SIGNAL_EXIT_CODE = 128  # plus the signal's number, as in shells
-PR_SET_PDEATHSIG = 1  # prctl(2)
-POLL_S = 0.05  # interval at which the command is polled: `select` can't wait for the end of a child
-MAX_READ_BYTES = 4096  # of standard input at a time
+NO_COMMAND = 127  # the command could not be started; shells use the same code
+SIGNAL_EXIT_CODE = 128  # a signal's number is added to this, as shells do
+PR_SET_PDEATHSIG = 1  # from prctl(2)
+POLL_S = 0.05  # interval at which the command is polled, as `select` can't wait for the end of a child
+MAX_READ_BYTES = 4096  # maximum size of one read from standard input
 STDIN = 0
 
 
@@ -91,7 +91,7 @@
         """Installs the signal handlers of this process.
 
         Args:
-            child: The command, leader of its process group.
+            child: The command's process, which is the leader of its process group.
             term_ns: See the class.
             kill_ns: See the class.
         """
--- a/lanelift/membership/detector.py
+++ b/lanelift/membership/detector.py
@@ -44,11 +44,11 @@
 from lanelift.membership.suspicion import CONFIRMATIONS_NEEDED, suspicion_timeout_ns, zone_is_partitioned
 from lanelift.membership.timing import ProbeTiming
 
-MAX_MEMBERS = 4096  # bounds the tables of one member; numbers on the wire could be 16 times as high
-INDIRECT_PROBES = 3  # members that ping the target as well, so that one lossy path causes no suspicion
+MAX_MEMBERS = 4096  # limits one member's tables; the encoding allows 16 times as many members
+INDIRECT_PROBES = 3  # other members asked to ping a target, so that one lossy path causes no suspicion
 MAX_HEALTH_PENALTY = 4  # an unhealthy member waits up to five times as long before it accuses (Lifeguard)
-MAX_PROBES_FOR_OTHERS = 64  # pending probes above which requests to ping are ignored
-ISOLATION_PERIODS = 3  # a member that has received no message for this many periods is itself cut off
+MAX_PROBES_FOR_OTHERS = 64  # with this many pending probes, requests to ping for others are ignored
+ISOLATION_PERIODS = 3  # a member that received no message for this many periods counts itself as cut off
 ABSENT_STATES = (MemberState.SUSPECT, MemberState.UNREACHABLE)
 SEQUENCE_COUNT = 1 << 16  # sequence numbers wrap around at this number
 
@@ -85,8 +85,8 @@
         self.zone_absent: Counter[str] = Counter()  # suspected or unreachable members of each zone
         self.suspects: dict[int, MemberRecord] = {}
         self.unknown_incarnations = set(self.members)  # members without any received update
-        self.probe_order: list[int] = []  # the rest of this round
-        self.probes: dict[int, PendingProbe] = {}  # by sequence number
+        self.probe_order: list[int] = []  # members still to be probed in this round
+        self.probes: dict[int, PendingProbe] = {}  # pending probes by sequence number
         self.sequence = 0
         self.health_penalty = 0
         self.last_received_ns = now
@@ -108,9 +108,9 @@
     def count_alive(self, now: int) -> int:
         """Returns how many members may be alive, including this one.
 
-        The count is never below the number that are alive, under two assumptions: no partition lasts longer
-        than `ProbeTiming.dead_after_ns` less one round of probes, and no member returns after it was counted
-        as dead. In service members do return, so the second assumption does not hold there yet
+        The count is never below the number of living members, under two assumptions: no partition lasts
+        longer than `ProbeTiming.dead_after_ns` less one round of probes, and no member returns after it was
+        counted as dead. In service members do return, so the second assumption does not hold there yet
         (docs/design/membership.md).
         """
         return 1 + sum(not self._is_dead(record, now) for record in self.members.values())
@@ -133,7 +133,7 @@
         return min([self.next_probe_ns, *suspicions, *deadlines])
 
     def tick(self, now: int) -> Outgoing:
-        """Ends suspicions that are due; returns ping requests for unanswered probes, and the next probe."""
+        """Ends suspicions that timed out; returns ping requests for unanswered probes, and the next probe."""
         if self.left:
             return []
         outgoing: Outgoing = []
@@ -176,7 +176,7 @@
         return encode(self._compose(MessageKind.UPDATES, 0, self.me, room_bytes))
 
     def leave(self) -> Outgoing:
-        """Returns messages that announce to a few members that this one leaves; they inform the others."""
+        """Returns messages that tell a few members that this member leaves; these inform the others."""
         self.left = True
         updates = (MemberUpdate(self.me, MemberState.LEFT, self.incarnation, self.me),)
         reachable = [r.number for r in self.members.values() if self.is_reachable(r.number)]
@@ -223,7 +223,7 @@
             chosen = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
             return [self._message(n, MessageKind.PING_REQUEST, sequence, probe.target) for n in chosen]
         del self.probes[sequence]
-        if record.update.state is MemberState.ALIVE:  # a suspect's acknowledgement was not expected
+        if record.update.state is MemberState.ALIVE:  # no acknowledgement is expected of a suspect
             self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
         if not self._is_isolated(now) and record.update.state in (MemberState.ALIVE, MemberState.SUSPECT):
             incarnation = record.update.incarnation
@@ -241,14 +241,14 @@
         return []
 
     def _stretched(self, duration_ns: int) -> int:
-        """Returns the duration, lengthened while acknowledgements are missed (Lifeguard).
+        """Returns the duration, lengthened after missed acknowledgements (Lifeguard).
 
         This member itself may be the cause of the missed acknowledgements.
         """
         return duration_ns * (1 + self.health_penalty)
 
     def _is_isolated(self, now: int) -> bool:
-        """Returns whether this member is cut off; it then accuses none, as all others would seem dead."""
+        """Returns whether this member is cut off; it then accuses no other, as all would seem dead."""
         return now - self.last_received_ns > ISOLATION_PERIODS * self.timing.period_ns
 
     # Updates.
@@ -285,9 +285,9 @@
     def _first_contact(self, record: MemberRecord, update: MemberUpdate) -> bool:
         """Records the incarnation if an update is the first about its member.
 
-        Returns whether the update also needs no further handling: every member is assumed to be alive at
-        first, and the update only confirms that. Such an update is not passed on, since each start of a
-        fleet would otherwise cause a storm of updates.
+        Returns whether the update needs no further handling, as it only confirms that its member is alive,
+        which is assumed at first. Such an update is not passed on, since each start of a fleet would
+        otherwise cause a storm of updates.
         """
         if record.number not in self.unknown_incarnations:
             return False
@@ -321,7 +321,7 @@
 
     def _suspicion_ended(self, record: MemberRecord, now: int) -> None:
         if self._is_isolated(now):
-            record.since_ns = now  # the suspicion starts over: it may only be due to this member's isolation
+            record.since_ns = now  # restarts the suspicion, which may only be due to this member's isolation
             return
         incarnation = record.update.incarnation
         update = MemberUpdate(record.number, MemberState.UNREACHABLE, incarnation, self.me)
@@ -341,7 +341,7 @@
         message = self._compose(kind, sequence, subject, MAX_MESSAGE_BYTES)
         about_receiver = self.members[to].update
         if about_receiver.state is not MemberState.ALIVE and about_receiver not in message.updates:
-            # A member that is suspected, or has returned, must learn of its state to refute it.
+            # A member that is suspected, or has returned, must learn of the recorded state to refute it.
             message = message._replace(updates=(about_receiver, *message.updates[: MAX_UPDATES - 1]))
         return to, encode(message)
 
--- a/lanelift/membership/dissemination.py
+++ b/lanelift/membership/dissemination.py
@@ -10,7 +10,8 @@
 from lanelift.membership.gossip import MemberUpdate
 from lanelift.membership.records import MemberRecord
 
-# An update is sent this many times log2(members + 2): enough to reach all members with high probability.
+# An update is sent RETRANSMISSION_FACTOR * log2(members + 2) times, which is enough to reach all members with
+# high probability.
 RETRANSMISSION_FACTOR = 4.0
 
 
@@ -18,13 +19,13 @@
     """The updates that one member still has to pass on, at most one about each member.
 
     Args:
-        member_count: How many other members there are; it determines how often an update is sent.
+        member_count: How many other members there are, which determines how often an update is sent.
     """
 
     def __init__(self, member_count: int) -> None:
         self.max_transmissions = int(RETRANSMISSION_FACTOR * math.log2(member_count + 2))
         self.pending: dict[int, MemberRecord] = {}
-        self.own_announcements = 0  # how many more times the update that this member is alive is sent
+        self.own_announcements = 0  # remaining sends of the update that this member is alive
 
     def __bool__(self) -> bool:
         return bool(self.pending or self.own_announcements)
@@ -35,7 +36,7 @@
         self.pending[record.number] = record
 
     def announce_self(self) -> None:
-        """Enqueues the update that this member is alive, to be sent as often as any other.
+        """Enqueues the update that this member is alive, which is sent as often as any other update.
 
         The update refutes a suspicion of this member.
         """
@@ -44,7 +45,7 @@
     def take(self, capacity: int, own: MemberUpdate) -> list[MemberUpdate]:
         """Returns at most `capacity` updates for one message, the least often sent first.
 
-        `own` states that this member is alive; it goes first while it has to be announced.
+        `own` is the update that this member is alive; it comes first while it has to be announced.
         """
         taken: list[MemberUpdate] = []
         if self.own_announcements:
--- a/lanelift/membership/gossip.py
+++ b/lanelift/membership/gossip.py
@@ -18,7 +18,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-MAX_MESSAGE_BYTES = 256  # the limit of the platform's messages
+MAX_MESSAGE_BYTES = 256  # the platform's maximum message size
 VERSION = 1
 HEADER = struct.Struct("!BBHHHH")
 UPDATE = struct.Struct("!HBHH")
@@ -31,8 +31,8 @@
 
     ALIVE = 0
     SUSPECT = 1  # the member did not acknowledge a probe, and has not refuted the suspicion yet
-    UNREACHABLE = 2  # suspected for too long: not sent to, but it may be alive beyond a network partition
-    LEFT = 3  # the member itself announced that it leaves
+    UNREACHABLE = 2  # suspected for too long: it is sent no messages, but may be alive behind a partition
+    LEFT = 3  # the member itself announced that it was leaving
 
 
 class MessageKind(IntEnum):
@@ -47,8 +47,8 @@
 class MemberUpdate(NamedTuple):
     """One statement about a member; `reported_by` is the member that made the observation itself.
 
-    Suspicions that several members report independently shorten the suspicion, while one that is only passed
-    on does not. Each update therefore names its reporter.
+    A suspicion is shortened if several members report it independently, but not if a report is only passed
+    on. Each update therefore names its reporter.
     """
 
     member: int
@@ -69,7 +69,7 @@
         kind: The kind of the message.
         sender: The member that sent the message.
         incarnation: The sender's own incarnation.
-        sequence: Matches an acknowledgement to its ping.
+        sequence: A number by which an acknowledgement is matched to its ping.
         subject: The member that the message is about.
         updates: The piggybacked member updates, at most `MAX_UPDATES`.
     """
--- a/lanelift/membership/records.py
+++ b/lanelift/membership/records.py
@@ -18,7 +18,7 @@
         since_ns: When the member entered its state, on this member's clock. Reset if a suspicion ended while
             this member was isolated, so that the suspicion starts over.
         accusers: The members that report a suspicion of the member from a probe of their own.
-        transmissions: How often the update was passed on.
+        transmissions: How often `update` was passed on.
     """
 
     number: int
@@ -36,7 +36,8 @@
     Attributes:
         target: The member that was pinged.
         deadline_ns: When the probe times out, on this member's clock.
-        requester: The member that requested the probe, and its sequence number; None for an own probe.
+        requester: The member that requested the probe, and the sequence number of its request; None if no
+            member did.
         indirect: Whether other members were asked to ping the target as well.
     """
 
--- a/lanelift/membership/simulation.py
+++ b/lanelift/membership/simulation.py
@@ -1,4 +1,4 @@
-"""Membership in simulated time: compares what happened with the view of each member."""
+"""Simulates membership in virtual time, and compares each member's view with what happened."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class MembershipSimulation(Simulation):
-    """A fleet of numbered members in simulated time, with one zone given for each member.
+    """A fleet of numbered members in simulated time; `zones` contains the zone of each member.
 
     Attributes:
         changes: Each change of a view, in order.
@@ -98,8 +98,8 @@
     def detection_delays_ns(self) -> list[int]:
         """Returns, for each death and each living member, how long that member took to detect the death.
 
-        A death is detected when the dead member becomes unreachable, or is known to have left; -1 if it is
-        not detected yet.
+        A death is detected when the dead member becomes unreachable, or is known to have left. The delay is
+        -1 if the death is not detected yet.
         """
         detected: dict[tuple[int, int], int] = {}
         for change in self.changes:
@@ -114,7 +114,7 @@
         ]
 
     def false_detections(self) -> int:
-        """Returns how often a living member became unreachable in the view of another."""
+        """Returns how often a member became unreachable in another member's view while it was alive."""
         return sum(
             change.state is MemberState.UNREACHABLE
             and (change.member not in self.deaths or change.at_ns < self.deaths[change.member])
--- a/lanelift/membership/suspicion.py
+++ b/lanelift/membership/suspicion.py
@@ -8,14 +8,15 @@
 
 import math
 
-# The shortest suspicion, in probe periods for each factor of ten in members: the suspicion has to reach the
-# suspect, and the refutation the other members, and updates spread in a time logarithmic in their number.
+# The shortest suspicion, in probe periods for each factor of ten in the number of members. In that
+# time the suspicion has to reach the suspect, and the refutation the other members; the time that an update
+# takes to spread is logarithmic in the number of members.
 SHORTEST_PERIODS = 5.0
-LONGEST_FACTOR = 3.0  # an unconfirmed suspicion lasts this many times the shortest one
-CONFIRMATIONS_NEEDED = 3  # further accusers that reduce a suspicion to its shortest duration
+LONGEST_FACTOR = 3.0  # an unconfirmed suspicion lasts this many times as long as the shortest one
+CONFIRMATIONS_NEEDED = 3  # number of further accusers that reduces a suspicion to its shortest duration
 # If at least this share of a zone's members is suspected or unreachable, the zone counts as partitioned, and
-# suspicions of its members last PARTITION_FACTOR times as long: in a partition the members are alive, and the
-# partition ends for all of them at the same time.
+# suspicions of its members last PARTITION_FACTOR times as long: members behind a partition are alive, and can
+# all be reached again when the partition ends.
 PARTITION_SHARE = 0.6
 PARTITION_MIN_MEMBERS = 3  # in a smaller zone, absent members do not indicate a partition
 PARTITION_FACTOR = 3.0
--- a/lanelift/membership/timing.py
+++ b/lanelift/membership/timing.py
@@ -14,8 +14,8 @@
     Attributes:
         period_ns: Time between two probes that one member sends.
         ack_timeout_ns: The longest time that an acknowledgement takes while the network is healthy.
-        dead_after_ns: How long a member is unreachable before it counts as dead; partitions are assumed to be
-            shorter.
+        dead_after_ns: How long a member is unreachable before it counts as dead; every partition is assumed
+            to be shorter.
     """
 
     period_ns: int = 1000 * MILLISECOND_NS
