--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -15,7 +15,10 @@
 
 @given(st.integers(1, 10**13), st.floats(0, MAX_DRIFT))
 def test_a_holder_stops_before_any_voter_is_free(lease_ns: int, drift: float) -> None:
-    """The inequality holds in true time with the slowest allowed holder's clock and fastest voter's clock."""
+    """In true time a lease ends before the votes for it.
+
+    The holder's clock is the slowest that is allowed, and the voters' clocks are the fastest.
+    """
     timing = LeaseTiming(lease_ns=lease_ns, drift=drift)
     rounding = 1 + 1e-15 * lease_ns
     assert timing.validity_ns / (1 - drift) <= lease_ns / (1 + drift) + rounding
@@ -41,11 +44,11 @@
     moved = tuple(replace(m, address=("127.0.0.1", 99), zone="east") for m in reversed(ABC))
     assert (
         cluster.digest == ClusterConfiguration("trust", moved).digest
-    )  # addresses, zones and the order of members are not covered
+    )  # the digest leaves out addresses, zones and the order of members
     listed = ClusterConfiguration("trust", (*ABC[:2], replace(ABC[2], votes=False)))
     assert (
         listed.digest == ClusterConfiguration("trust", ABC[:2]).digest
-    )  # members that do not vote are not covered
+    )  # the digest leaves out members that do not vote
     others = [
         ClusterConfiguration("bank", ABC),
         ClusterConfiguration("trust", ABC[:2]),
--- a/tests/fleet/test_recovery.py
+++ b/tests/fleet/test_recovery.py
@@ -147,14 +147,14 @@
     assert fleet.voting() == "bc"  # the former configuration still has a majority, b and c
     fleet.start(new, "b")
     fleet.exchange_statuses()
-    assert fleet.voting() == "abc"  # c is alone under the former one; d and e have too few replies
+    assert fleet.voting() == "abc"  # c is alone under the former configuration; d and e have too few replies
     fleet.start(new, "c")
     fleet.exchange_statuses()
     assert fleet.voting() == "abcde"
 
 
 def test_a_voter_that_returns_to_a_former_configuration_waits_for_a_majority() -> None:
-    """b joins the new configuration, which a relies on; then b is restarted under the former one.
+    """b joins the new configuration, and a relies on that join; then b is restarted under the former one.
 
     b and c would be a majority of the former configuration again, beside a and d under the new one. b may
     vote only once a majority of the new configuration has returned as well.
@@ -190,8 +190,8 @@
 def test_a_shortened_lease_starts_after_the_quiet_period_of_the_longer_one() -> None:
     """The lease is shortened from 5 s to 1 s, and the voters are restarted.
 
-    Votes for 5 s may still bind the voters, so they are quiet for that long, also after another restart. Once
-    a state with the shorter quiet period is persisted, that period applies.
+    Votes for 5 s may still bind the voters, so they are quiet for 5 s, also after another restart. Once a
+    state with the shorter quiet period is persisted, the shorter period applies.
     """
     fleet = Fleet()
     fleet.start(configuration("abc", 5000), *"abc")
@@ -199,7 +199,7 @@
     fleet.start(configuration("abc", 1000), *"abc")
     fleet.exchange_statuses()
     assert {recovery.ready_ns for recovery in fleet.recoveries.values()} == {5000 * MS}
-    fleet.start(configuration("abc", 1000), "a")  # also after another restart in between
+    fleet.start(configuration("abc", 1000), "a")  # the longer quiet period also applies after another restart
     assert fleet.recoveries["a"].ready_ns == 5000 * MS
     fleet.recoveries["a"].extend_ceiling(BALLOT_BLOCK)
     fleet.write("a")
@@ -210,7 +210,7 @@
 def test_too_many_changes_in_a_row_are_rejected() -> None:
     """The operator's file is changed repeatedly, and the voter never votes in between.
 
-    The number of former voter sets is bounded: the voter fails with an error that names the bound.
+    The number of former voter sets is bounded: the voter's start fails with an error that names the bound.
     """
     state = PersistentState("00", ("a",), 1, 1, tuple((f"v{i}",) for i in range(MAX_FORMER_VOTER_SETS)))
     with pytest.raises(VoterStateError, match=f"allowed: {MAX_FORMER_VOTER_SETS}"):
@@ -220,8 +220,8 @@
 def test_a_voter_that_joined_a_new_fleet_does_not_start_another_one() -> None:
     """a and b vote because c, which had no state, had started; then c is started with another configuration.
 
-    c has not voted yet and knows no ballot. Still it may not start a second new fleet with two other voters,
-    as its state records that it joined the first one.
+    c has not voted yet and knows no ballot. Even so c may not start a second new fleet with two other voters,
+    as its state records that it joined the first fleet.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
@@ -244,8 +244,8 @@
 def test_former_configurations_of_the_other_voters_must_end_as_well() -> None:
     """b returns from the second configuration to the first one, and relies on c.
 
-    In the meantime c was under a third configuration, which still has a majority. The status of c lists it,
-    and b also waits until that majority has ended.
+    In the meantime c was under a third configuration, which still has a majority. The status of c lists that
+    configuration, and b waits until its majority has ended as well.
     """
     fleet = Fleet()
     for voters, who in (("abc", "abc"), ("bcd", "bcd"), ("cde", "cde"), ("abc", "bc")):
@@ -258,10 +258,10 @@
 
 
 def test_a_voter_promises_above_the_ceilings_of_the_voters_it_relies_on() -> None:
-    """c promised higher ballots under the second configuration than b, and both return to the first one.
+    """Under the second configuration c promised higher ballots than b; then both return to the first one.
 
-    a and b are a majority there, and must not give a token below one that c voted for: b promises only above
-    the ceiling of c.
+    a and b are a majority of the first configuration, and must not give a token below one that c voted for:
+    b promises only ballots above the ceiling of c.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
--- a/tests/leases/mistakes.py
+++ b/tests/leases/mistakes.py
@@ -35,7 +35,7 @@
 
 
 class PromisesBelowFloor(VotingMember):
-    """A started voter keeps its ceiling, but promises ballots below it again."""
+    """A started voter keeps its ceiling, but promises ballots below its floor again."""
 
     def state_written(self, state: PersistentState, now: int) -> None:
         self.recovery.ballot_floor = 0
@@ -60,7 +60,7 @@
 
 
 class IgnoresDrift(Proposer):
-    """The proposer holds the lease as long as the voters are bound, as if all clocks ran at the same rate."""
+    """The proposer holds the lease for as long as the voters are bound, without an allowance for drift."""
 
     @property
     def until_ns(self) -> int:
@@ -150,7 +150,7 @@
 
 
 class ReleasesAnyBallot(Acceptor):
-    """A release ends the present vote, whatever its ballot, also if the release is late."""
+    """A release ends the present vote even if it has another ballot, as a late release does."""
 
     def release(self, message: Release, now: int) -> list[tuple[Source | None, Response]]:
         record = self._current_record(message.lease, now)
@@ -179,7 +179,7 @@
 
 
 class PromiseCountsAsAccepted(Proposer):
-    """A restarted voter counts as bound once it has promised the higher ballot."""
+    """A restarted voter counts as bound as soon as it has promised the higher ballot, before it accepts."""
 
     def receive(self, response: Response, now: int) -> None:
         super().receive(response, now)
@@ -194,7 +194,7 @@
 def member_class_with(acceptor: type[Acceptor]) -> type[VotingMember]:
     """Returns a member class with this acceptor class.
 
-    The class is a global with a name of its own, since the model stores nodes as pickles.
+    The class is a module global with a unique name, so that the model can pickle nodes of this class.
     """
     name = f"VotingMember{acceptor.__name__}"
     globals()[name] = type(name, (VotingMember,), {"acceptor_class": acceptor, "__module__": __name__})
--- a/tests/leases/test_acceptor.py
+++ b/tests/leases/test_acceptor.py
@@ -48,15 +48,14 @@
     driver = Driver()
     assert driver.prepare(1, 100).ballot == 100 and driver.prepare(1, 100).verdict == "behind"
     driver.give(1, 101)
-    assert driver.accept(1, 101).verdict == "taken"  # renewed
+    assert driver.accept(1, 101).verdict == "taken"  # a repeated accept renews the vote
     assert driver.accept(2, 101).verdict == "behind"
 
 
 def test_a_ballot_above_the_ceiling_is_promised_only_after_a_write() -> None:
     """A proposer requests a promise above the persisted ceiling.
 
-    The promise could be forgotten in a restart: the acceptor does not respond before a higher ceiling is on
-    disk.
+    A restart could forget the promise: the acceptor does not respond before a higher ceiling is on disk.
     """
     driver = Driver()
     assert driver.acceptor.prepare(Prepare("x", 100_001, 1, "p1", 1), 1, 0) is None
@@ -68,7 +67,7 @@
 def test_the_longest_waiter_comes_first_and_is_notified() -> None:
     """Three proposers wait for a held lease, which is then released.
 
-    The one that has waited longest is notified; the others are rejected in the meantime.
+    The longest waiter is notified; until that one has its turn, the others are rejected.
     """
     driver = Driver()
     driver.give(1, 101)
@@ -158,7 +157,7 @@
     driver = Driver()
     driver.give(1, 101)
     verdicts = [driver.prepare(n).verdict for n in range(2, MAX_WAITERS + 3)]
-    assert verdicts.count("held") == len(verdicts)  # "held" is more useful to the proposer than "full"
+    assert verdicts.count("held") == len(verdicts)  # "held" tells the proposer more than "full"
     assert len(driver.acceptor.leases["x"].queue) == MAX_WAITERS
     monkeypatch.setattr(acceptor, "MAX_LEASES", 2)
     driver.give(9, 500, "y")
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -14,7 +14,7 @@
 from tests.leases.mistakes import MEMBERS, PROPOSERS
 
 MAX_STATES = 1_500_000
-# The second proposer's first ballot is stale at any voter that promised the first one's: it needs another.
+# The second proposer prepares twice: its first ballot is stale at voters that promised the first proposer's.
 HOLDS = Bounds(ticks=2, restarts=0, prepares=(1, 2))
 RESTARTS = Bounds(ticks=2, restarts=1)
 RELEASES = Bounds(ticks=1, restarts=0, prepares=(1, 2), releases=(1, 0))
@@ -37,7 +37,7 @@
     "bounds", [HOLDS, RESTARTS, RELEASES, NEXT_BALLOT], ids=["holds", "restarts", "releases", "climbs"]
 )
 def test_no_state_violates_a_rule(bounds: Bounds) -> None:
-    """All states within the bounds are explored: two proposers never hold the lease, and tokens rise."""
+    """All states within the bounds are explored: no two proposers hold the lease at once, and tokens rise."""
     found = explored(bounds)
     assert found.complete and found.states > 1000
     assert not found.violation, "\n".join(found.counterexample)
@@ -50,8 +50,8 @@
     "it holds on while it releases": RELEASES,
     "a promise counts as being bound": NEXT_BALLOT,
 }
-# The first mistake needs a third holding (test_schedules.py finds it). The second one needs more states than
-# a test run has time for (benchmarks/leases.py finds it, and test_proposer.py without the model).
+# The first of these mistakes needs a third holding (test_schedules.py finds it). The second one needs more
+# states than a test run has time for (benchmarks/leases.py finds it, and test_proposer.py without the model).
 NOT_EXPLORED_HERE = {"any release ends any lease", "any answer counts for the latest question"}
 
 
--- a/tests/leases/test_node.py
+++ b/tests/leases/test_node.py
@@ -64,7 +64,7 @@
 
 
 def test_two_hundred_simultaneous_leases_have_one_holder_and_a_token_each(tmp_path: Path) -> None:
-    """Two hundred holders acquire a lease each at the same time, and all voters list these leases."""
+    """Two hundred holders each acquire a different lease at the same time; all voters list these leases."""
 
     async def scenario(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         holders = [lease_holder(fleet, f"lease-{i:03}", f"p{i}") for i in range(200)]
@@ -98,7 +98,7 @@
 ) -> None:
     """The disk of c is full when c is restarted, and is cleared later.
 
-    c can't persist its state, and does not vote until it can; a and b are a majority in the meantime.
+    c does not vote until it can persist its state; a and b are a majority in the meantime.
     """
     full, write = [False], StateFile.write
 
@@ -124,7 +124,7 @@
             assert not may_vote(nodes["c"])
             full[0] = False
             await until(lambda: may_vote(nodes["c"]))
-            # Once c votes, it becomes bound as well: the holder prepares a higher ballot for that.
+            # Once c votes, the holder prepares a higher ballot, so that c becomes bound as well.
             await until(lambda: "c" in holder.client.proposer.accepted_ns)
         assert "No space left on device" in capsys.readouterr().err
 
@@ -186,7 +186,7 @@
 
 
 def test_the_exit_codes_of_commands_are_those_of_a_shell(tmp_path: Path) -> None:
-    """A command does not exist, fails, or is ended by a signal: the exit code is that of a shell."""
+    """A command does not exist, fails, or is ended by a signal: the exit code is the one a shell returns."""
 
     async def scenario(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         async with lease_holder(fleet, "x", "p1") as holder:
@@ -241,7 +241,7 @@
             )
             assert "lanelift_lease_changes_total 1" in metrics and "lanelift_fleet_seated 1" in metrics
             earlier = nodes["a"].metrics()
-            await until(lambda: nodes["a"].metrics() != earlier)  # the holding time increases
+            await until(lambda: nodes["a"].metrics() != earlier)  # the holding time has changed
 
     with_fleet(tmp_path, scenario, "a")
 
@@ -274,9 +274,9 @@
 
 @pytest.mark.parametrize("module", ["lanelift.leases.warden", "lanelift.leases.watchdog"])
 def test_the_watchdog_starts_under_its_former_and_its_present_name(module: str) -> None:
-    """The files are replaced by another software version's while a holder runs, which starts its watchdog.
+    """While a holder runs, its files are replaced by another software version's; then it starts a watchdog.
 
-    Holders of earlier versions only know the module `warden`, with the same arguments.
+    Holders of earlier versions know the watchdog only as the module `warden`, with the same arguments.
     """
     deadlines = [str(boottime_ns() + 60 * 10**9)] * 2
     for script, code in (("exit 3", 3), ("kill -USR1 $$", 128 + 10)):
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -35,7 +35,7 @@
 
 
 async def start_all(fleet: ProcessCluster, *contenders: str, arguments: tuple[str, ...] = ()) -> None:
-    """Starts the members, waits until they vote, and starts the contenders; the first gets the lease."""
+    """Starts the members, waits until they vote, and starts the contenders; the first one gets the lease."""
     for voter in fleet.voters:
         await fleet.start(voter)
     for voter in fleet.voters:
@@ -126,7 +126,7 @@
         await start_all(fleet, "p1", "p2", arguments=("3600", "stubborn"))
         await fleet.apply_step(Step(0, "kill", "p1"))
         await fleet.until("p2 acts", lambda: fleet.has_acted("p2"))
-        # possibly within the killed holder's lease: messages for that holder are ignored
+        # the killed holder's lease may not have ended: p1 ignores messages for that holder
         await fleet.apply_step(Step(0, "start", "p1"))
         await fleet.apply_step(Step(0, "release", "p2"))
 
@@ -137,8 +137,8 @@
 def test_all_members_are_restarted_and_tokens_rise(tmp_path: Path) -> None:
     """All members are killed at the same time and restarted while a task runs.
 
-    The holder ends, as the members are in their quiet period; the next holder's token is above all ballots
-    that they may have promised before.
+    The holder ends, as no member votes in its quiet period. The next holder's token is above all ballots that
+    the members may have promised before.
     """
 
     async def scenario(fleet: ProcessCluster) -> None:
@@ -176,7 +176,7 @@
 def test_the_checks_detect_overlaps_without_the_watchdog(tmp_path: Path) -> None:
     """The watchdog is disabled and the holder is stopped, so two tasks act at the same time.
 
-    The checks of the tasks' logs detect that, so they can be trusted where they find nothing.
+    The checks of the tasks' logs detect the overlap, so they can be trusted where they find none.
     """
     (tmp_path / "sitecustomize.py").write_text(WITHOUT_WATCHDOG)
     environment = {**os.environ, "PYTHONPATH": str(tmp_path)}
@@ -193,7 +193,7 @@
 
 
 def test_a_lease_is_listed_and_released_by_commands(tmp_path: Path) -> None:
-    """A lease is listed, shown, refused to another holder, and free right after its holder's SIGTERM."""
+    """A lease is listed, shown and refused to another holder; SIGTERM to the holder makes it free."""
 
     def lanelift(*arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
@@ -206,7 +206,7 @@
 
     async def scenario(fleet: ProcessCluster) -> None:
         await start_all(fleet, "p1", arguments=("3600",))
-        for voter in fleet.voters:  # including voters for which its first ballot was too low
+        for voter in fleet.voters:  # including voters that rejected p1's first ballot as too low
             await fleet.until("a voter is bound", lambda voter=voter: fleet.logged(voter, "lease_given"))  # type: ignore[misc]
         file = ("--config", str(fleet.file("p2")))
         listed = await asyncio.to_thread(lanelift, "lease", "list", *file)
@@ -245,7 +245,7 @@
 def test_a_holder_with_other_timings_is_ignored(tmp_path: Path, key: str) -> None:
     """A holder's file has another `lease_ms`.
 
-    The holder's messages have another digest: the members ignore them, and log that once.
+    The holder's messages have another digest: the members ignore these messages, and log that once.
     """
 
     async def scenario(fleet: ProcessCluster) -> None:
--- a/tests/leases/test_proposer.py
+++ b/tests/leases/test_proposer.py
@@ -58,7 +58,7 @@
 def test_an_expired_lease_is_not_revived_by_a_late_response() -> None:
     """The responses to a renewal are received at the moment when the lease ends.
 
-    The task has been ended by then, so the proposer's run is over for good.
+    The holder's task has been ended by then, so the proposer's run is over and can't be revived.
     """
     driver = Driver()
     driver.holds_since(0)
@@ -69,7 +69,7 @@
 
 
 def test_a_response_that_is_received_twice_counts_once() -> None:
-    """The network duplicates a promise, which still counts as one voter's."""
+    """The network duplicates a voter's promise, which still counts once."""
     driver = Driver()
     prepare = driver.proposer.prepare(0)
     driver.receive("a", Verdict.PROMISED, prepare.request_id, 0)
@@ -78,7 +78,7 @@
 
 
 def test_responses_to_an_earlier_ballot_or_another_proposer_are_ignored() -> None:
-    """The proposer receives responses to its former ballot, to another proposer and for another lease."""
+    """The proposer ignores responses to its former ballot, to another proposer and for another lease."""
     driver = Driver()
     first = driver.proposer.prepare(0)
     driver.receive("a", Verdict.PROMISED, first.request_id, 0)
@@ -107,7 +107,7 @@
 
 
 def test_responses_after_a_release_do_not_restore_the_lease() -> None:
-    """Responses to a renewal are received after the release."""
+    """Responses to a renewal are received after the release: the lease is not held again."""
     driver = Driver()
     driver.holds_since(0)
     accept = driver.proposer.accept(1)
@@ -118,9 +118,9 @@
 
 
 def test_a_holder_exceeds_the_ballots_of_restarted_voters_and_keeps_its_lease() -> None:
-    """Two of three voters are restarted in turn while the lease is held; their ballots start higher.
+    """Two of three voters are restarted in turn while the lease is held, and then promise higher ballots.
 
-    The proposer prepares a higher ballot, keeps holding under the former one in the meantime, and keeps its
+    The proposer prepares a higher ballot, holds the lease under the former one in the meantime, and keeps its
     token. A promise does not bind a voter: only acceptances count.
     """
     driver = Driver()
@@ -141,6 +141,6 @@
     accept = driver.proposer.accept(340 * MS)
     assert accept.ballot == 65_537
     driver.receive("b", Verdict.ACCEPTED, accept.request_id, 350 * MS)
-    assert driver.proposer.until_ns == 300 * MS + VALIDITY_NS  # a accepted the former ballot, b this one
+    assert driver.proposer.until_ns == 300 * MS + VALIDITY_NS  # a accepted the former ballot, b the new one
     driver.receive("c", Verdict.ACCEPTED, accept.request_id, 350 * MS)
     assert driver.proposer.until_ns == 340 * MS + VALIDITY_NS and driver.proposer.token == token
--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -33,7 +33,7 @@
 
 
 def test_no_two_proposers_hold_at_the_same_time(long_runs: bool) -> None:
-    """Processes are killed, stopped and cut off, clocks drift, messages are lost, duplicated and late.
+    """Processes are killed, stopped and cut off; clocks drift; messages are lost, duplicated or late.
 
     In true time, in each of the seeded schedules, no two proposers hold the lease at the same time, and
     tokens rise.
@@ -45,7 +45,7 @@
         holdings += len(found.holdings)
         late, fenced = late + found.late_acts, fenced + found.fenced
     assert holdings > SEEDS  # leases were given repeatedly
-    assert late > 0  # a holder that is stopped between its check and its act is late
+    assert late > 0  # a holder that is stopped between its check and its act acts late
     assert fenced <= late
 
 
@@ -93,7 +93,7 @@
 
 
 def test_a_recovery_without_waiting_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A voter that joins a changed voter set without waiting allows two majorities; the schedules find it."""
+    """A voter that joins a changed voter set without waiting allows two majorities; a schedule finds this."""
     monkeypatch.setattr(member, "VoterRecovery", JoinsWithoutWaiting)
     seeds = (
         random_schedule(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True)
@@ -206,8 +206,8 @@
 def test_a_voter_that_lost_its_state_votes_again_with_the_help_of_the_others() -> None:
     """A voter is killed and its disk is lost; later another voter dies for good.
 
-    By then the first voter votes again, since the others have sent it their ballots, so two voters are left,
-    which are a majority.
+    The first voter votes again by then, since the others have sent it their ballots. The two voters that are
+    left are a majority.
     """
     steps = [Step(4_000, "lose", "a"), Step(4_100, "start", "a"), Step(8_000, "kill", "b")]
     found = simulate(calm(*steps), TIMING)
@@ -216,7 +216,7 @@
 
 
 def test_without_a_majority_there_is_no_holder() -> None:
-    """Two of three voters are killed: no proposer holds the lease after it has expired."""
+    """Two of three voters are killed: once the lease has expired, no proposer holds it."""
     steps = [Step(4_000, "kill", "a"), Step(4_000, "kill", "b")]
     found = simulate(calm(*steps), TIMING)
     assert not [h for h in found.holdings if h[0] > 5_000 * MS]
@@ -253,7 +253,7 @@
 def test_a_fleet_of_one_or_two_voters_gives_no_lease_during_a_quiet_period(voters: int) -> None:
     """The only voter, or one of two, is killed and restarted.
 
-    No proposer gets the lease while the voter is quiet; one does after that.
+    No proposer gets the lease during the voter's quiet period; one gets it afterwards.
     """
     found = simulate(calm(Step(5_000, "kill", "a"), Step(6_000, "start", "a"), voters=voters), TIMING)
     assert not found.breaches
--- a/tests/membership/test_budgets.py
+++ b/tests/membership/test_budgets.py
@@ -28,7 +28,7 @@
 
 
 def test_parts_add_up_for_all_divergent_views_of_five_members() -> None:
-    """Checks all sets of living members, each of which may leave out any set of the dead members."""
+    """For every set of living members, checks all views in which each of them leaves out any dead members."""
     everybody = frozenset(range(5))
     views = 0
     for living in subsets(everybody):
@@ -41,7 +41,7 @@
 
 
 def test_parts_exceed_the_budget_if_a_living_member_is_left_out() -> None:
-    """A planted mistake: a silent member counts as dead. Two of three living members leave out the third."""
+    """A planted mistake: a silent member counts as dead; two of three living members leave out the third."""
     assert sum(Fraction(1, n) for n in (2, 2, 3)) > 1
 
 
@@ -65,8 +65,8 @@
 def schedule(seed: int) -> list[Step]:
     """Returns deaths, some with a return before the member counts as dead, and cuts between any two sides.
 
-    Each fault ends within 20 s and is followed by enough time for a round of probes. This meets the
-    assumption of `count_alive` that no living member is out of reach for `dead_after_ns`.
+    Each cut, and each death with a return, ends within 20 s, and enough time for a round of probes follows.
+    This meets the assumption of `count_alive` that no living member is out of reach for `dead_after_ns`.
     """
     rng, steps, remaining = random.Random(seed), [], list(range(COUNT))
     at_ms = 5_000
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -80,9 +80,9 @@
 
 
 def test_a_partition_does_not_count_as_death_and_views_agree_after_it() -> None:
-    """Two sides can't reach each other, in one run for 6 s and in another for 25 s. In the longer one each
-    side sees the other as unreachable but still counts it: dividing a budget by fewer members than are alive
-    would overspend it.
+    """Two sides can't reach each other, in one run for 6 s and in another for 25 s. In the longer run
+    each side sees the members of the other as unreachable but still counts them: a budget that is divided by
+    fewer members than are alive would be overspent.
     """
     short = simulate(*partition(20, 26, range(12), range(12, N)))
     assert not short.false_detections()
@@ -97,8 +97,8 @@
 
 
 def test_an_isolated_member_accuses_no_other_member() -> None:
-    """One member is cut off from all others, which all seem dead to it. It has to recognize that it is itself
-    cut off. The others detect it as unreachable.
+    """One member is cut off from all others, which all seem dead to it. This member has to recognize
+    that it is itself cut off. The others detect it as unreachable.
     """
     simulation = simulate(*partition(20, 50, range(1), range(1, N)), until_s=50)
     assert not [v for v in simulation.changes if v.observer == 0 and v.state is MemberState.UNREACHABLE]
@@ -108,8 +108,8 @@
 
 
 def test_one_way_loss_is_bridged_by_indirect_probes() -> None:
-    """Messages from member 0 to member 1 are lost, but those from 1 to 0 are not. Each still receives the
-    other's acknowledgement through third members, so neither accuses the other.
+    """Messages from member 0 to member 1 are lost, but those from 1 to 0 are not. Each still
+    receives the other's acknowledgement through third members, so neither accuses the other.
     """
     simulation = simulate(Step(20_000, "cut", "0", "1"), Step(50_000, "heal", "0", "1"))
     assert not simulation.false_detections()
@@ -321,7 +321,7 @@
 ) -> None:
     assert callable(wrong)
     assert wrong(simulate(*steps, loss=loss, until_s=until_s, detector=planted))
-    if planted is not SkipsIndirectProbes:  # suspicions are allowed: this mistake only causes more of them
+    if planted is not SkipsIndirectProbes:  # without the mistake there are suspicions too, only fewer
         assert not wrong(simulate(*steps, loss=loss, until_s=until_s))
 
 
