--- a/lanelift/faults/activity_log.py
+++ b/lanelift/faults/activity_log.py
@@ -1,8 +1,8 @@
 """A task that logs when it acts, and the checks of such logs: `python -m lanelift.faults.activity_log FILE`.
 
-Each action is logged as one line, in a single write, to a file of the task's own: `WHAT TOKEN TIME PID`, with
+Each action is logged as one line, in a single write, to the task's own file: `WHAT TOKEN TIME PID`, with
 the time in nanoseconds of the machine's CLOCK_BOOTTIME. The checks read from these files alone which task
-acted when. They do not rely on the lease code, neither for the holder nor for rising tokens.
+acted when, and whether tokens rise. They do not rely on the lease code.
 """
 
 from __future__ import annotations
--- a/lanelift/faults/random_schedule.py
+++ b/lanelift/faults/random_schedule.py
@@ -1,7 +1,7 @@
 """Generates a schedule of faults from a seed. Pure.
 
-The order of the random draws must not change: the tests contain digests of the traces of many seeds. These
-digests have to be recorded again if a draw is added, removed or moved.
+The schedule of a seed depends on the order of the random draws. The tests contain digests of the traces of
+many seeds, which have to be recorded again if a draw is added, removed or moved.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
         contenders: How many processes compete for the lease.
         until_ms: The length of the schedule.
         lease_ms: The length of a lease.
-        drift: The fraction by which a clock may be wrong: each one is exact, slower or faster by it.
+        drift: The fraction by which a clock runs slow or fast, unless the clock is exact.
         plans: Whether the list of voters changes during the schedule.
     """
     rng = random.Random(seed)
--- a/lanelift/faults/simulation.py
+++ b/lanelift/faults/simulation.py
@@ -147,7 +147,7 @@
     # For subclasses and tests.
 
     def play(self) -> None:
-        """Runs all events until the end of the schedule, by time; simultaneous ones as scheduled."""
+        """Runs all events until the schedule ends, by time; simultaneous ones in the order of scheduling."""
         until_ns = self.schedule.until_ms * MS
         while self._events and self._events[0][0] <= until_ns:
             self.now, _, callback, arguments = heapq.heappop(self._events)
--- a/lanelift/fleet/messages.py
+++ b/lanelift/fleet/messages.py
@@ -17,7 +17,7 @@
 from msgspec import Meta, Struct
 
 MAX_NAME_CHARACTERS = 64  # length of the name of a lease, a voter or a proposer
-MAX_LEASES_PER_PAGE = 6  # leases in one `LeaseList`; this many fit a datagram with the longest names
+MAX_LEASES_PER_PAGE = 6  # leases in one `LeaseList`: as many as fit a datagram with the longest names
 # Voters in each set of `VoterStatus.former_voter_sets`. Receivers drop a status with a larger set, and its
 # sender can't finish a change of configuration (docs/operating/leases.md, known limits).
 MAX_VOTERS = 64
@@ -192,8 +192,8 @@
         nonce: Identifies one start of the recovering voter; a reply repeats the nonce.
         may_vote: Whether the voter has finished its recovery. It votes once its quiet period has also ended.
         lost_state: Whether the voter knows of no ballot: it has joined its configuration, and has never been
-            able to vote under any (`PersistentState.lost_state`); also true for a new voter. False while the
-            voter has `former_voter_sets`.
+            able to vote under any configuration (`PersistentState.lost_state`). Also true for a new voter;
+            false while the voter has `former_voter_sets`.
         ballot_ceiling: The voter has promised no ballot above this.
         is_reply: Whether this is a reply, to which no reply is sent.
         former_voter_sets: `PersistentState.former_voter_sets`.
--- a/lanelift/fleet/recovery.py
+++ b/lanelift/fleet/recovery.py
@@ -6,8 +6,9 @@
   for `LeaseTiming.restart_quiet_ns`.
 - **Lost state.** The ballot that new ballots must exceed is persisted, so that tokens do not fall when all
   voters restart at the same time. A voter that lost its state does not know that ballot. It may vote once it
-  has received the status of all other voters, or of enough voters that may vote to include one of each past
-  majority. The highest ceiling among these statuses becomes the voter's ballot floor.
+  has received the status of all other voters. Fewer statuses suffice if their senders may vote and each past
+  majority must have included one of the senders. The highest ceiling in these statuses becomes the voter's
+  ballot floor.
 - **Changed voter set.** Majorities of two different voter sets need not share a voter. A voter that voted
   under another configuration may vote under this one once a majority of the *former* voters have joined this
   one: from then on no lease can be given under the former configuration. The voters in that majority may have
@@ -56,7 +57,7 @@
         ballot_ceiling: The voter has promised no ballot above this, including promises that it has forgotten.
         former_voter_sets: The voters of former configurations, until this voter may vote again.
         lost_state: Whether the voter knows of no ballot: it has joined its configuration and, as far as its
-            disk knows, has never been able to vote under any. Also true for a new voter.
+            disk knows, has never been able to vote under any configuration. Also true for a new voter.
     """
 
     cluster_digest: str
--- a/lanelift/leases/acceptor.py
+++ b/lanelift/leases/acceptor.py
@@ -6,7 +6,8 @@
 1. The acceptor promises a ballot to one proposer only, and only if the ballot is above every ballot that it
    promised before, including those before a restart.
 2. The acceptor promises nothing while it is bound to another proposer.
-3. The acceptor accepts only the ballot that it promised last, and only from the proposer that it promised.
+3. The acceptor accepts only the ballot that it promised last, and only from the proposer to which this ballot
+   was promised.
 4. The acceptor is bound for `lease_ns` from when it accepted. A release under another ballot does not unbind
    it.
 
@@ -105,8 +106,8 @@
     Attributes:
         ballot_floor: No ballot up to this is promised.
         ballot_ceiling: No ballot above this is promised, until `raise_ceiling` raises it.
-        highest_promised: The highest ballot promised for any lease, or the first floor. A rejection of a
-            stale ballot names it, so that the proposer's next ballot exceeds it, as it must after a restart
+        highest_promised: The highest ballot promised for any lease, or the first floor. The rejection of a
+            stale ballot names this ballot, since the proposer's next ballot must exceed it after a restart
             of the voter.
         requested_ballot: The highest ballot above the ceiling that was requested; 0 if there is none.
         leases: The state of each known lease, by name.
@@ -174,7 +175,7 @@
         )
 
     def accept(self, message: Accept, now: int) -> Response:
-        """Accepts a proposer that was promised this ballot: creates or renews its vote."""
+        """Accepts a proposer that was promised this ballot: creates or renews the vote."""
         record = self._current_record(message.lease, now)
         if record is None:
             return self._reject(message, Verdict.AT_CAPACITY)
--- a/lanelift/leases/client.py
+++ b/lanelift/leases/client.py
@@ -36,7 +36,7 @@
 class LeaseClient:
     """Acquires one lease, and renews it.
 
-    The caller calls `tick` at `due_ns` and `receive` for each response, and sends the messages returned.
+    The caller calls `tick` at `due_ns` and `receive` for each response, and sends the messages they return.
 
     Attributes:
         proposer: The client's proposer.
@@ -146,7 +146,7 @@
 
     @property
     def _attempt_has_failed(self) -> bool:
-        """Whether too many voters have rejected this attempt for the others to be a majority."""
+        """Whether the voters that have not rejected this attempt are fewer than a majority."""
         return len(self.rejections) > self.voters - majority(self.voters)
 
     def _has_waited_enough(self, waited_ns: int) -> bool:
--- a/lanelift/leases/proposer.py
+++ b/lanelift/leases/proposer.py
@@ -11,7 +11,7 @@
 from lanelift.fleet.cluster import LeaseTiming, majority
 from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
 
-MAX_OPEN_REQUESTS = 16  # the last requests, whose responses count; responses to older ones are ignored
+MAX_OPEN_REQUESTS = 16  # number of last requests whose responses count; older ones are forgotten
 
 
 class Phase(Enum):
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -6,8 +6,8 @@
 - two proposers never hold the same lease at the same time;
 - each new holder has a token above all earlier ones.
 
-A holder that is stopped between its check of the lease and its act acts late; only the token shows it. Late
-acts are counted separately and are not breaches.
+A holder that is stopped after it has checked its lease may act after the lease has ended; only the token
+shows that the act is late. Late acts are counted separately and are not breaches.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 WRITE_NS = (200_000, 8 * MS)  # range of the time that a write of a voter's state takes
 TASK_LEASES = (0.3, 4.0)  # range of a task's duration, in lengths of a lease
-MAX_REST_LEASES = 0.3  # longest pause before a proposer acquires the lease again, in lengths of one
+MAX_REST_LEASES = 0.3  # longest pause before a proposer acquires the lease again, in lengths of a lease
 MAX_LATENCY_LEASES = 0.02  # longest time from a check of the lease to the act, in lengths of a lease
 
 
--- a/lanelift/leases/watchdog.py
+++ b/lanelift/leases/watchdog.py
@@ -1,9 +1,9 @@
-"""Runs a command and ends it before its lease ends. The watchdog is a process of its own:
+"""Runs a command and ends it before the lease ends. The watchdog is a process of its own:
 
     python -m lanelift.leases.warden TERM_NS KILL_NS COMMAND...
 
 The holder starts the watchdog through `warden.py`, which runs this module. Earlier software versions have a
-module of that name too, so a holder finds it even after its files were replaced by those of another version.
+module of that name too, so a holder finds one even if its own files were replaced by another version's.
 
 TERM_NS and KILL_NS are times of the machine's CLOCK_BOOTTIME in nanoseconds. At TERM_NS the command's process
 group is sent SIGTERM, and at KILL_NS SIGKILL, whether the lease holder is running, stopped or gone. For each
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -35,7 +35,7 @@
 
 
 async def start_all(fleet: ProcessCluster, *contenders: str, arguments: tuple[str, ...] = ()) -> None:
-    """Starts the members, waits until they vote, and starts the contenders; the first one gets the lease."""
+    """Starts the members and, once they vote, the contenders; the first contender gets the lease."""
     for voter in fleet.voters:
         await fleet.start(voter)
     for voter in fleet.voters:
--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -45,7 +45,7 @@
         holdings += len(found.holdings)
         late, fenced = late + found.late_acts, fenced + found.fenced
     assert holdings > SEEDS  # leases were given repeatedly
-    assert late > 0  # a holder that is stopped between its check and its act acts late
+    assert late > 0  # a holder that is stopped after its check of the lease acts late
     assert fenced <= late
 
 
@@ -93,7 +93,7 @@
 
 
 def test_a_recovery_without_waiting_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A voter that joins a changed voter set without waiting allows two majorities; a schedule finds this."""
+    """A voter that joins a changed voter set without waiting allows two majorities, as a schedule shows."""
     monkeypatch.setattr(member, "VoterRecovery", JoinsWithoutWaiting)
     seeds = (
         random_schedule(seed, 3 + 2 * (seed % 2), 3, UNTIL_MS, 1000, TIMING.drift, plans=True)
--- a/tests/membership/test_budgets.py
+++ b/tests/membership/test_budgets.py
@@ -28,7 +28,7 @@
 
 
 def test_parts_add_up_for_all_divergent_views_of_five_members() -> None:
-    """For every set of living members, checks all views in which each of them leaves out any dead members."""
+    """Checks every set of living members; each living member may leave out any subset of the dead ones."""
     everybody = frozenset(range(5))
     views = 0
     for living in subsets(everybody):
