--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -119,7 +119,7 @@
 
 
 def _summary(name: str, statuses: list[LeaseStatus], voters: int) -> str:
-    """Returns one line on a lease, from the responses of the voters that know the lease."""
+    """Returns a line of text that describes a lease, from the responses of the voters that know the lease."""
     held = [status for status in statuses if status.holder]
     waiters = max(status.waiters for status in statuses)
     latest = max(held, key=lambda status: status.token, default=None)
@@ -133,7 +133,7 @@
 
 
 def _described(pages: list[LeaseList] | None, name: str) -> str:
-    """Returns the state of a lease as text, from the response of one voter; None: it did not respond."""
+    """Returns the state of a lease as text, from one voter's response (None if there was none)."""
     if pages is None:
         return "no answer"
     if pages[0].quiet_ns:
--- a/lanelift/cli/main.py
+++ b/lanelift/cli/main.py
@@ -13,8 +13,9 @@
 import click
 
 EXIT_FAILURE, EXIT_BAD_INPUT = 1, 2
-# By command: the module that defines it under the command's name, and its help text. A module is imported
-# only if its command runs or its help is requested: `lanelift serve` must not import the rehearsal kit.
+# For each command: the module that defines a function of the command's name, and the command's help text. A
+# module is imported only if its command runs or its help is requested, because `lanelift serve` must not
+# import the rehearsal kit.
 COMMANDS = {
     "serve": ("lanelift.cli.serve", "Balance over the servers that FILE lists."),
     "config": ("lanelift.cli.config", "Check the operator's file."),
@@ -42,7 +43,7 @@
         return list(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """Return a command by its name; None: there is no such command."""
+        """Return the command with this name, or None if there is no such command."""
         if name not in COMMANDS:
             return None
         command = getattr(importlib.import_module(COMMANDS[name][0]), name)
--- a/lanelift/cli/rehearse.py
+++ b/lanelift/cli/rehearse.py
@@ -27,7 +27,7 @@
 )
 from lanelift.rehearsal.scenario import Scenario, read_scenario, shipped
 
-PLAIN_INTERVAL_S = 5.0  # between two lines of progress if standard error is not a terminal
+PLAIN_INTERVAL_S = 5.0  # interval between lines of progress if standard error is not a terminal
 
 
 @click.group()
@@ -59,7 +59,7 @@
 
 
 def _read(name: str, changes: dict[str, Any]) -> Scenario:
-    """Reads a scenario with the changes that are not None. Exits with a message if it is not valid."""
+    """Reads a scenario, applying the changes that are not None. Exits with a message if it is not valid."""
     try:
         return read_scenario(name, {key: value for key, value in changes.items() if value is not None})
     except FileValidationError as error:
--- a/lanelift/cli/tenants.py
+++ b/lanelift/cli/tenants.py
@@ -77,7 +77,7 @@
     click.echo(f"{config.directories[number]}: {len(found)} entries{incomplete}")
     if failure and not found:
         return False
-    # The store is seeded with the present tenants, so that it holds back mass removals as in a balancer.
+    # The store is seeded with the present tenants, so that it holds back mass removals as a balancer's does.
     notices: list[str] = []
     store = TenantStore(config.removal_part, config.confirmed, lambda _, text: notices.append(text))
     store.seed((tenant.name, tenant.denial_reason == "suspended", tenant.share) for tenant in before.values())
@@ -115,7 +115,7 @@
 
 
 def _read(config: SyncConfig, number: int) -> ReadResult:
-    # Imported only here: if the LDAP client is not installed, `_source` has reported that before.
+    # Not imported at the top: if the LDAP client is not installed, `_source` has reported that before.
     from lanelift.tenants.client import DirectoryError, Session
     from lanelift.tenants.replica_reader import ReadResult, read_all
 
--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -21,8 +21,8 @@
 
 from lanelift.errors import LaneliftError
 
-SHOWN_CHARACTERS = 60  # of a value in a message
-MIN_SIMILARITY = 0.6  # of a known key that is suggested in place of an unknown one (difflib's ratio)
+SHOWN_CHARACTERS = 60  # limits the length of a value in a message
+MIN_SIMILARITY = 0.6  # difflib's least ratio at which a known key is suggested for an unknown one
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,8 +30,8 @@
     """One problem of a file.
 
     Attributes:
-        place: The path of the key (`upstream[2].address`); empty: the file as a whole.
-        found: The value found, as text; empty: there is no value to show.
+        place: The path of the key (`upstream[2].address`); empty if the problem concerns the whole file.
+        found: The value found, as text; empty if there is no value to show.
         allowed: The values that are allowed, in words.
     """
 
@@ -46,7 +46,7 @@
 
 
 class Table(BaseModel):
-    """A table of a file: immutable, without unknown keys, and with values that are not converted."""
+    """A table of a file. It is immutable, refuses unknown keys and does not convert values."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
@@ -139,7 +139,7 @@
 
 
 def tables(raw: dict[str, Any], key: str) -> list[tuple[str, dict[str, Any]]]:
-    """Return the tables of an array in raw input, each with its path; none if the value is not an array."""
+    """Return an array's tables in raw input, each with its path; no tables if the value is not an array."""
     rows = raw.get(key, [])
     return (
         [(f"{key}[{i}]", row) for i, row in enumerate(rows) if isinstance(row, dict)]
@@ -151,8 +151,8 @@
 def number(row: dict[str, Any], key: str, default: float) -> float:
     """Return a number of raw input, or the default if it is missing.
 
-    The result for a value of another type is NaN. Comparisons with NaN are false, so such a value gives no
-    second problem.
+    For a value of another type, the function returns NaN. Comparisons with NaN are false, so such a value,
+    which its key's own check reports, causes no second problem.
     """
     value = row.get(key, default)
     fits = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
@@ -193,7 +193,7 @@
         return ValidationProblem(path, "", f"unknown key; {hint}")
     if kind == "missing":
         return ValidationProblem(path, "", "missing; it must be set")
-    if kind == "value_error":  # the message of a validator, which says what is allowed
+    if kind == "value_error":  # raised by a validator, whose message says what is allowed
         message = str(context.get("error", error["msg"]))
         return ValidationProblem(path, _shown(error["input"]) if path else "", message)
     return ValidationProblem(
@@ -213,7 +213,7 @@
     """Return a value as text for a message."""
     try:
         text = json.dumps(value, ensure_ascii=False)
-    except (TypeError, ValueError):  # dates and times, which TOML has and JSON has not
+    except (TypeError, ValueError):  # TOML has dates and times, which JSON can't express
         text = str(value)
     return text if len(text) <= SHOWN_CHARACTERS else text[:SHOWN_CHARACTERS] + "…"
 
@@ -228,7 +228,7 @@
 def _is_tag(part: int | str, loc: Sequence[int | str], model: type[BaseModel]) -> bool:
     """Return whether a part of a path is the tag of a union's member.
 
-    A tag follows the index of a list, where the file has a table, and is not a key of that table.
+    A tag follows the list index of a table, and is not a key of that table.
     """
     at = list(loc).index(part)
     return (
@@ -256,7 +256,7 @@
 
 
 def _annotation(model: type[BaseModel], loc: Sequence[int | str]) -> Any:
-    """Return the annotation of the value at one of pydantic's paths; None: there is no such field."""
+    """Return the annotation of the value at one of pydantic's paths, or None if there is no such field."""
     annotation: Any = model
     for part in loc:
         if isinstance(part, int):
--- a/lanelift/config/directories.py
+++ b/lanelift/config/directories.py
@@ -19,7 +19,7 @@
 from lanelift.settings import SettingsError
 from lanelift.tenants.names import folded
 
-_ATTRIBUTE = re.compile(r"[A-Za-z][A-Za-z0-9-]*|[0-9]+(\.[0-9]+)*")  # RFC 4512, 2.5
+_ATTRIBUTE = re.compile(r"[A-Za-z][A-Za-z0-9-]*|[0-9]+(\.[0-9]+)*")  # name or OID (RFC 4512, 2.5)
 _REMOVAL_ID = re.compile("[0-9a-f]{8}")  # the id of a pending removal, as in the log
 MAX_PORT = 65_535
 
@@ -63,7 +63,7 @@
 
 
 class TenantMap(Table):
-    """Names of the LDAP attributes to read; "" for one that is not read."""
+    """Names of the LDAP attributes to read. An attribute whose name is empty is not read."""
 
     name: Annotated[Attribute, Field(min_length=1)] = "cn"
     standing: Attribute = ""
@@ -140,7 +140,7 @@
             yield ValidationProblem("tenants.map.good", found, "allowed: words that are not among suspended")
 
     def source(self, known: dict[str, policy.Tenant]) -> Any:
-        """Return the `TenantSource` that the daemon attaches; this imports the modules of the source.
+        """Return the `TenantSource` that the daemon attaches. The call imports the source's modules.
 
         Args:
             known: The tenants of the settings, by name.
--- a/lanelift/config/fleet.py
+++ b/lanelift/config/fleet.py
@@ -17,7 +17,9 @@
     from lanelift.leases.node import FleetSource
 
 MS = 1_000_000
-MAX_MEMBERS = 256  # checked only here; a request goes to each voter, so more would cost too many messages
+# Only this module checks the limit. As each request goes to all voters, more members would cost too
+# many messages.
+MAX_MEMBERS = 256
 
 
 def _printable_id(text: str) -> str:
@@ -133,7 +135,7 @@
         )
 
     def source(self) -> FleetSource:
-        """Return the member that the daemon attaches; this imports the fleet's modules."""
+        """Return the fleet source that the daemon attaches. The call imports the fleet's modules."""
         from lanelift.fleet.clocks import Clock
         from lanelift.fleet.cluster import ClusterConfiguration, Member
         from lanelift.leases.node import FleetSource
--- a/lanelift/config/operator.py
+++ b/lanelift/config/operator.py
@@ -38,7 +38,7 @@
 from lanelift.tenants.names import folded
 
 NS_PER_MS = 1_000_000
-MAX_UPSTREAMS = 10_000  # each has a target in the connection pool, with its idle connections
+MAX_UPSTREAMS = 10_000  # each upstream has its own idle connections in the connection pool
 
 
 def _hexadecimal(text: str) -> str:
@@ -50,7 +50,7 @@
 
 
 class Serve(Table):
-    """The balancer's addresses, its limit of sockets, and its number among the balancers."""
+    """The balancer's addresses, its limit on open sockets, and its number among the balancers."""
 
     listen: Address
     sockets: Annotated[int, Field(ge=2 * RESERVED_SOCKETS, le=1_048_576)] = DEFAULT_SOCKETS
@@ -79,7 +79,7 @@
 
 
 class Tenant(Table):
-    """A listed tenant: its weight among tenants, and its quota in requests per second (0: not stated)."""
+    """A listed tenant: its weight among tenants, and its quota in requests per second (0: none is set)."""
 
     name: Name
     share: Annotated[float, Field(gt=0, le=1e6)] = 1.0
@@ -254,7 +254,7 @@
         )
 
     def fleet_source(self) -> Any:
-        """Return the fleet's configuration for the daemon and `lanelift lease`; None: there is no fleet.
+        """Return the fleet's configuration for the daemon and `lanelift lease`, or None without a fleet.
 
         Raises:
             SettingsError: A package that the fleet needs is not installed.
