--- a/lanelift/routes/check.py
+++ b/lanelift/routes/check.py
@@ -1,15 +1,15 @@
 """Verifies statements about a routing in all relevant failure scenarios, by proof and not by sampling. Pure.
 
-Representative requests (`match_sets.py`) decide the questions about requests. Sets of boxes decide the
-questions about boxes: the boxes of the pools that a request may be sent to, without the unusable ones. There
-are three verdicts: the statement holds; it fails, with the smallest example and the responsible rule; or it
-is not decided, with a reason. A statement that is not decided never counts as one that holds.
-
-A pool is short if it has too few available boxes; its requests then spill to another pool. This depends on
-the boxes that the decision module avoids at the time, and any box may fail at any time. So for a claim with
-`never` or `always`, each pool that can spill is considered both short and not short, unless the statement
-says which. A claim that counts boxes uses the boxes that the file lists, changed by the conditions of the
-statement.
+Representative requests (`match_sets.py`) decide the questions about requests. The usable boxes of the pools
+that a request may be sent to decide the questions about boxes. There are three verdicts: the statement holds;
+it fails, with the smallest example and the responsible rule; or it is not decided, with a reason. A statement
+that is not decided never counts as one that holds.
+
+A pool is short if it has too few available boxes; its requests then spill to another pool. Whether a pool is
+short depends on the boxes that the decision module avoids at the time, and any box may fail at any time. So
+for a claim with `never` or `always`, each pool that can spill is considered both short and not short, unless
+the statement says which. A claim that counts boxes uses the boxes that the file lists, changed by the
+conditions of the statement.
 """
 
 from __future__ import annotations
@@ -26,8 +26,9 @@
 from lanelift.routes.routing import Routing
 from lanelift.routes.table import Entry, Request, Rule
 
-# Sets of boxes that are down together. If the pools of a chain overlap, all sets are tried, as there is
-# no formula for that. This many take some seconds; with more, the verdict is "not decided".
+# Limits the number of sets of down boxes that are tried. All sets are tried if the pools of a chain overlap,
+# as there is no formula for that case. This many sets take some seconds; with more, the verdict is "not
+# decided".
 MAX_DOWN_SETS = 100_000
 
 
@@ -47,7 +48,7 @@
     pools: tuple[str, ...]
     box: str = ""
     down: tuple[str, ...] = ()  # unusable boxes, other than those listed as draining
-    short: tuple[str, ...] = ()  # pools that spill
+    short: tuple[str, ...] = ()  # names of the pools that spill
 
     def __str__(self) -> str:
         where = " -> ".join(name or "all boxes" for name in self.pools)
@@ -64,7 +65,7 @@
     statement: Statement
     verdict: Verdict
     reason: str = ""
-    rule: str = ""  # the responsible one
+    rule: str = ""  # name of the responsible rule
     example: Example | None = None
 
     def __str__(self) -> str:
@@ -86,22 +87,22 @@
 class Scenario:
     """A state of boxes and pools in which a statement has to hold."""
 
-    unusable: frozenset[str]  # boxes
-    any_down: int  # number of boxes, whichever they are, that may be down besides `unusable`
+    unusable: frozenset[str]  # names of unusable boxes
+    any_down: int  # number of arbitrary further boxes that may be down besides `unusable`
     short: frozenset[str]  # pools that spill
     well: frozenset[str]  # pools that do not spill
-    down: frozenset[str]  # boxes that only a condition makes unusable
+    down: frozenset[str]  # unusable boxes that the file does not list as draining
 
 
 class Checker:
-    """Checks statements against one routing. `cold` is whether boxes are cold after their start."""
+    """Checks statements against one routing. `cold` says whether boxes are cold after their start."""
 
     def __init__(self, routing: Routing, cold: bool = True) -> None:
         self.routing = routing
         self.cold = cold
         self.entries = [(entry, MatchSet.from_entry(entry)) for entry in routing.table.entries]
         self.members = {name: routing.members(pool) for name, pool in routing.pools.items()}
-        self.flow_cache: dict[str, list[Flow]] = {}  # by subject, as many statements have the same one
+        self.flow_cache: dict[str, list[Flow]] = {}  # by subject; many statements have equal subjects
 
     # ---- requests ----------------------------------------------------------------------------------------
 
@@ -135,7 +136,7 @@
     # ---- scenarios ---------------------------------------------------------------------------------------
 
     def scenarios(self, when: Conditions) -> list[Scenario]:
-        """Return the scenarios that fulfil the conditions; one for each zone if any zone may be lost."""
+        """Return the scenario that fulfils the conditions, or one for each zone if any zone may be lost."""
         zones = sorted({box.zone for box in self.routing.boxes})
         lost = [{zone} for zone in zones] if when.any_zone_lost else [set(when.zones_lost)]
         states = dict(when.boxes)
@@ -196,7 +197,7 @@
     def _reachable_boxes(
         self, statement: Statement
     ) -> Iterator[tuple[Flow, Scenario, Pool, tuple[str, ...], Box]]:
-        """Yield each box that a request of the subject may reach, after its flow, scenario and pools."""
+        """Yield each box that a request of the subject may reach, with its flow, scenario and pools."""
         for scenario in self.scenarios(statement.when):
             for flow in self.flows(statement.subject):
                 for pool, short in self.candidate_pools(flow, scenario):
@@ -286,7 +287,7 @@
         satisfies: Callable[[int, int], bool],
         worst: Callable[[Iterable[tuple[int, tuple[str, ...]]]], tuple[int, tuple[str, ...]]],
     ) -> Finding | None:
-        """Check the number of boxes left in the worst case of each scenario; None: it satisfies the claim."""
+        """Check the number of boxes left in each scenario's worst case; None if all satisfy the claim."""
         for scenario in self.scenarios(statement.when):
             for flow in self.flows(statement.subject):
                 states = self._box_counts(self.routing.chain(flow.pool), scenario)
@@ -308,7 +309,8 @@
     ) -> list[tuple[int, tuple[str, ...]]] | None:
         """Return the number of boxes left for a request, for each combination of boxes that are down.
 
-        Each number is paired with the names of the boxes that are down. None: too many combinations.
+        Each number is paired with the names of the boxes that are down. Returns None if there are more than
+        `MAX_DOWN_SETS` combinations.
         """
         usable = [self._usable(pool, scenario) for pool in chain]
         disjoint = _disjoint(usable)
@@ -331,7 +333,7 @@
         at: int,
         down_count: int,
     ) -> Iterator[tuple[int, tuple[str, ...]]]:
-        """Yield the pairs of `_box_counts` for disjoint pools: only the number down in each pool matters."""
+        """Yield the pairs of `_box_counts` for disjoint pools. Only the number down in each pool matters."""
         pool, boxes = chain[at], usable[at]
         for down in range(min(down_count, len(boxes)) + 1):
             names = tuple(box.name for box in boxes[:down])
@@ -372,7 +374,7 @@
                 return box.kind == target.name
             case "box":
                 return box.name == target.name
-            case _:  # cold: any box may have just started, unless the statement names the cold ones
+            case _:  # cold: any box may have just started, unless the statement names the cold boxes
                 named = [name for name, state in when.boxes if state == "cold"]
                 return self.cold and (not named or box.name in named)
 
@@ -449,7 +451,7 @@
 def _contradictions(statements: Sequence[Statement]) -> Iterator[str]:
     """Yield pairs of statements about the same requests and scenarios that can't both hold.
 
-    A check would report only the one that fails, and a change that makes it hold would break the other.
+    A check would report only the failing statement, and a change that makes it hold would break the other.
     """
     groups: dict[str, list[Statement]] = {}
     for statement in statements:
--- a/lanelift/routes/expect.py
+++ b/lanelift/routes/expect.py
@@ -1,8 +1,9 @@
 """Expectations: statements about the routing that operators expect, parsed from text.
 
 The grammar is `expect.lark`, and the parser is lark (a maintained parser generator without dependencies,
-whose errors have the line, the column and the allowed tokens). This module converts its trees to statements,
-and its errors to the form of the problems of other files: the place, the text found, and what is allowed.
+whose errors have the line, the column and the allowed tokens). This module converts lark's trees to
+statements, and lark's errors to problems, which state the place, the text found and what is allowed, as the
+problems of other files do.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 MAX_STATEMENTS = 5_000
 MAX_CHARACTERS = 1_000_000
-# Names of the grammar's terminals in messages.
+# How messages name the grammar's terminals.
 TERMINAL_NAMES = {
     "NAME": "a name",
     "STRING": 'a name in "quotes"',
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """The requests that a statement is about: those of a class ("" for any) in a match set."""
+    """The requests that a statement is about: those of a class ("": any class) that are in a match set."""
 
     class_name: str
     match_set: MatchSet
@@ -55,14 +56,14 @@
 class Conditions:
     """The conditions under which a statement has to hold.
 
-    For claims with `never` and `always`, boxes and pools that are not named may be in any state; for claims
-    that count boxes, they are as the file lists them.
+    For claims with `never` and `always`, boxes and pools that are not named may be in any state. For claims
+    that count boxes, the boxes and pools that are not named are as the file lists them.
     """
 
     zones_lost: frozenset[str] = frozenset()
     any_zone_lost: bool = False
-    any_down: int = 0  # number of boxes that are down, whichever they are
-    boxes: tuple[tuple[str, str], ...] = ()  # box, state
+    any_down: int = 0  # number of arbitrary boxes that are down
+    boxes: tuple[tuple[str, str], ...] = ()  # pairs of a box's name and its state
     short: frozenset[str] = frozenset()  # pools that have too few available boxes and spill
     well: frozenset[str] = frozenset()  # pools that do not spill
 
@@ -115,7 +116,7 @@
         )
     statements: list[Statement] = []
     found: list[str] = []
-    for number, line in enumerate(text.splitlines(), 1):  # separately, so that all errors are found
+    for number, line in enumerate(text.splitlines(), 1):  # line by line, so that all errors are found
         if not line.split("#")[0].strip():
             continue
         try:
--- a/lanelift/routes/match_sets.py
+++ b/lanelift/routes/match_sets.py
@@ -2,8 +2,8 @@
 
 A match set is described like the conditions of a rule: by a host pattern, a path pattern, and at most one
 value for the method, each header and the tenant. The *representative* request of a set matches these
-conditions, and has a value that no rule names wherever the set leaves the value open: below a wildcard, under
-a prefix, and where there is no condition.
+conditions. Wherever the set leaves a value open (below a wildcard, under a prefix, or without a condition),
+the request has a value that no rule names.
 
     A rule that matches the representative request of a set matches the whole set.
 
@@ -31,9 +31,9 @@
     """The requests that match all of these conditions; an empty condition matches all requests."""
 
     host: str = ""
-    wildcard: bool = False  # whether any subdomain of `host` matches, and not `host` itself
+    wildcard: bool = False  # whether `host` stands for all of its subdomains, without `host` itself
     segments: tuple[str, ...] = ()
-    exact: bool = False  # whether `segments` is the whole path, not a prefix
+    exact: bool = False  # whether `segments` is the whole path and not only a prefix
     method: str = ""
     headers: Mapping[str, str] = field(default_factory=dict)
     tenant: str = ""
@@ -53,7 +53,7 @@
         )
 
     def intersection(self, other: MatchSet) -> MatchSet | None:
-        """Return the set of requests that are in both sets; None: no request is in both."""
+        """Return the set of requests that are in both sets, or None if no request is in both."""
         host = _intersect_hosts(self, other)
         path = _intersect_paths(self, other)
         method = _intersect_values(self.method, other.method)
--- a/lanelift/routes/normalization.py
+++ b/lanelift/routes/normalization.py
@@ -8,9 +8,9 @@
 
 import re
 
-MAX_HOST = 253  # characters of a host name (RFC 1035, 2.3.4)
-# Segments of a rule's path, to limit the cost of a lookup. A request's path may be longer, and then matches
-# only rules for a prefix of it.
+MAX_HOST = 253  # most characters of a host name (RFC 1035, 2.3.4)
+# Most segments of a rule's path, to limit the cost of a lookup. A longer path of a request matches only rules
+# for a prefix of this path.
 MAX_SEGMENTS = 32
 PORTS = range(65536)
 
--- a/lanelift/routes/pools.py
+++ b/lanelift/routes/pools.py
@@ -1,8 +1,8 @@
 """Pools of upstreams for routes, spilling from one pool to another, and splits of requests among pools. Pure.
 
 A pool contains the boxes that match all of its conditions; a condition that is not set matches all boxes.
-While less than the part `spill_below` of its listed boxes is available, the requests of a pool go to the pool
-that it spills to, which may spill in turn; the last pool of the chain serves as many requests as it can. The
+While the available part of a pool's listed boxes is less than `spill_below`, its requests go to the pool that
+it spills to, which may spill in turn; the last pool of the chain serves as many requests as it can. The
 decision module selects the box of a pool, and decides whether a box is available.
 """
 
@@ -13,9 +13,9 @@
 from collections.abc import Collection, Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-MAX_POOLS = 1_000  # each has its own order of upstreams and its own queue in the decision module
-MAX_SHARES = 16  # of one split; with more, the purpose of a share is no longer clear
-SUM_TOLERANCE = 1e-6  # allowed difference of the sum of shares from 1, as a third is written as 0.333333
+MAX_POOLS = 1_000  # each pool has its own order of upstreams and queue in the decision module
+MAX_SHARES = 16  # limits the shares of one split; with more, the purpose of a share is unclear
+SUM_TOLERANCE = 1e-6  # the sum of shares may differ so much from 1, as a third is written 0.333333
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     kinds: frozenset[str] = frozenset()
     cells: frozenset[int] = frozenset()
     labels: frozenset[str] = frozenset()  # a box needs at least one of them
-    boxes: frozenset[str] = frozenset()  # by name
+    boxes: frozenset[str] = frozenset()  # names of boxes
     spill: str = ""
     spill_below: float = 0.0
 
@@ -54,22 +54,22 @@
         )
 
     def required_boxes(self, listed: int) -> int:
-        """Return the number of available boxes, of those listed, below which the pool spills."""
-        # 1e-9 is more than the rounding error of the product, which must not require one more box.
+        """Return how many of the `listed` boxes must be available for the pool not to spill."""
+        # 1e-9 exceeds the product's rounding error, so that this error does not require one more box.
         return math.ceil(self.spill_below * listed - 1e-9) if self.spill else 0
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """A division of requests among pools; while the shares are the same, a key is always in the same pool."""
+    """A division of requests among pools. A key stays in its pool while the shares do not change."""
 
     name: str
-    shares: tuple[tuple[str, float], ...]  # pool, part of the keys
+    shares: tuple[tuple[str, float], ...]  # pairs of a pool's name and its part of the keys
     by: str = "tenant"  # the source of the key: "tenant", "request" or "header:NAME"
 
     def pool(self, key: str) -> str:
         """Return the pool of a key. If shares change, only keys between the old and the new bounds move."""
-        # This hash is the same in all processes, while Python's own differs by process.
+        # This hash is the same in all processes, while Python's built-in hash differs between processes.
         digest = hashlib.blake2b(f"{self.name}\0{key}".encode(), digest_size=8).digest()
         point = int.from_bytes(digest, "big") / 2**64
         for name, part in self.shares:
@@ -101,7 +101,7 @@
         if bool(pool.spill) != (pool.spill_below > 0):
             yield f"pool {pool.name!r}: spill and spill_below must be set together"
         cycle = _cycle(pool, names)
-        if cycle and pool.name == min(cycle):  # one problem for each cycle
+        if cycle and pool.name == min(cycle):  # so that each cycle gives one problem
             yield f"pool {pool.name!r}: spills in a cycle, {' -> '.join((*cycle, cycle[0]))}"
     for split in splits:
         if not split.shares or len(split.shares) > MAX_SHARES:
@@ -134,7 +134,7 @@
 
 
 def _cycle(pool: Pool, pools: Mapping[str, Pool]) -> list[str]:
-    """Return the cycle that a pool is part of, beginning with the pool; empty: there is none."""
+    """Return the cycle that a pool is part of, beginning with the pool; empty if there is no cycle."""
     path = [pool.name]
     at = pools.get(pool.spill)
     while at is not None and at.name not in path:
--- a/lanelift/routes/routing.py
+++ b/lanelift/routes/routing.py
@@ -11,7 +11,7 @@
 from lanelift.routes.pools import Box, Pool, Split
 from lanelift.routes.table import Entry, Request, RouteValidationError, Rule, Table
 
-ALL_BOXES = Pool("")  # the pool of a rule that names none
+ALL_BOXES = Pool("")  # the pool of a rule that names no pool
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
         return Decision(rule, rule.class_name, pool)
 
     def targets(self, rule: Rule) -> list[Pool]:
-        """Return the pools to which a rule sends requests, before any spilling; several for a split."""
+        """Return the pools to which a rule sends requests before any spilling: one, or those of a split."""
         split = self.splits.get(rule.pool)
         if split is None:
             return [self.pools[rule.pool]]
--- a/lanelift/routes/table.py
+++ b/lanelift/routes/table.py
@@ -20,9 +20,9 @@
 
 from lanelift.routes.normalization import MAX_SEGMENTS, NormalizationError, host, path
 
-MAX_RULES = 20_000  # some tens of megabytes; far more than can be maintained by hand
-# Sets of conditions besides one host and path (a method; two headers and a tenant; ...): each different set
-# costs a lookup of its own.
+MAX_RULES = 20_000  # they take some tens of megabytes; far more rules than anybody maintains by hand
+# Most combinations of the other conditions (a method; two headers and a tenant; ...) for one host and path:
+# each combination costs a lookup of its own.
 MAX_SHAPES = 16
 
 
@@ -43,7 +43,7 @@
     path: str = "/"  # this path and all paths below it
     exact: bool = False  # only the path itself
     method: str = ""
-    headers: tuple[tuple[str, str], ...] = ()  # name in lower case, exact value
+    headers: tuple[tuple[str, str], ...] = ()  # pairs of a name in lower case and the exact value
     tenant: str = ""
     class_name: str = ""
     pool: str = ""
@@ -74,7 +74,7 @@
     return Request(host(host_header), path(target), method, joined, tenant)
 
 
-Specificity = tuple[int, int]  # of a host or path pattern: its kind, its length
+Specificity = tuple[int, int]  # the kind and the length of a host or path pattern
 Key = tuple[Specificity, Specificity, bool, int, bool, int]  # host, path, method, headers, tenant, position
 
 
@@ -83,10 +83,10 @@
     """A rule with normalized patterns."""
 
     rule: Rule
-    position: int  # in the file, from 0
+    position: int  # index in the file, from 0
     host: str  # without `*.`
     wildcard: bool
-    segments: tuple[str, ...]  # without a last empty segment, if the path is a prefix
+    segments: tuple[str, ...]  # a prefix has no empty last segment
 
     @property
     def precedence(self) -> Key:
@@ -129,7 +129,7 @@
         return all(request.headers.get(name) == value for name, value in self.rule.headers)
 
 
-Shape = tuple[bool, tuple[str, ...], bool]  # whether there is a method, which headers, whether a tenant
+Shape = tuple[bool, tuple[str, ...], bool]  # method is set, names of the headers, tenant is set
 Values = tuple[str, tuple[str, ...], str]  # the method, the values of these headers, the tenant
 
 
