--- a/lanelift/tenants/__init__.py
+++ b/lanelift/tenants/__init__.py
@@ -10,7 +10,7 @@
 | `store` | merges readings of directories into the state of each tenant |
 | `tenant_state` | the state of one tenant, and changes of states |
 | `removals` | guard against too many removals; tombstones |
-| `validity` | timer for the begin and end of tenants' validity |
+| `validity` | timer for the beginning and end of tenants' validity |
 | `notices` | log messages of the store, without repetitions |
 | `schedule` | schedule of the full reads and the reads of changes |
 | `client` | one connection to a directory, by `ldap3` |
--- a/lanelift/tenants/client.py
+++ b/lanelift/tenants/client.py
@@ -27,11 +27,11 @@
     SIZE_LIMIT: "its size limit",
     ADMIN_LIMIT: "an administrative limit",
 }
-PAGED_RESULTS = "1.2.840.113556.1.4.319"  # the control of RFC 2696
-MAX_PASSWORD_BYTES = 4096  # a longer file is not a password file
-MAX_MESSAGE_CHARACTERS = 200  # of the server's diagnostic message, in an error
+PAGED_RESULTS = "1.2.840.113556.1.4.319"  # OID of the paging control (RFC 2696)
+MAX_PASSWORD_BYTES = 4096  # a longer file is refused, as it can't be a password file
+MAX_MESSAGE_CHARACTERS = 200  # limits the server's diagnostic message in an error
 
-Row = tuple[str, dict[str, list[bytes]]]  # distinguished name, values by lower-case attribute name
+Row = tuple[str, dict[str, list[bytes]]]  # a distinguished name, and the values by lower-case attribute name
 
 
 class DirectoryError(LaneliftError):
@@ -165,7 +165,7 @@
             raise self._error(f"search: {_description(result)}")
 
     def close(self) -> None:
-        """Close the connection. Any thread may call this; a thread that waits on it fails immediately."""
+        """Close the connection. Any thread may call this; a thread that waits for data fails immediately."""
         self.closed = True
         sock: socket.socket | None = getattr(self.connection, "socket", None)
         if sock is not None:
--- a/lanelift/tenants/entries.py
+++ b/lanelift/tenants/entries.py
@@ -14,10 +14,10 @@
 from lanelift.tenants.names import folded
 
 Attributes = Mapping[str, Sequence[bytes]]  # values by lower-case attribute name
-MAX_CLASSES = 64  # classes or limits of one tenant; more are taken for a mistake
+MAX_CLASSES = 64  # most classes, and most limits, of one tenant; more are considered a mistake
 MAX_SHARE, MAX_LIMIT_PER_S = 1e6, 1e9  # the same bounds as in the operator's file
 MAX_VALUE_CHARACTERS = 256  # each value is a name, a word, a number or a time
-SHOWN_CHARACTERS = 40  # of an invalid value, in its problem
+SHOWN_CHARACTERS = 40  # limits the length of an invalid value in its problem
 GENERALIZED_TIME = re.compile(
     r"(\d{8})(\d\d)(?:(\d\d)(\d\d)?)?(?:[.,](\d{1,9}))?(Z|[+-]\d\d(?:\d\d)?)", re.ASCII
 )
@@ -201,7 +201,7 @@
     def __init__(self, attributes: Attributes) -> None:
         self.problems: list[str] = []
         self._attributes = attributes
-        self._texts: dict[str, list[str]] = {}  # a cache, so that problems are added only once
+        self._texts: dict[str, list[str]] = {}  # cached, so that problems are added only once
 
     def add_problem(self, attribute: str, found: str, allowed: str) -> None:
         shown = found if len(found) <= SHOWN_CHARACTERS else found[:SHOWN_CHARACTERS] + "…"
@@ -223,7 +223,7 @@
         return found
 
     def single(self, attribute: str, what: str) -> str | None:
-        """Return the only value of an attribute; None: it has no value. Several values are a problem."""
+        """Return the only value of an attribute, or None without a value. Several values are a problem."""
         found = self.texts(attribute)
         if len(found) > 1:
             self.add_problem(attribute, ", ".join(found), f"one {what}")
@@ -268,7 +268,7 @@
 
 
 def generalized_time(text: str) -> float | None:
-    """Return a GeneralizedTime (RFC 4517, 3.3.13) in seconds since 1970; None: the text is invalid."""
+    """Return a GeneralizedTime (RFC 4517, 3.3.13) in seconds since 1970, or None if it is invalid."""
     found = GENERALIZED_TIME.fullmatch(text)
     if found is None:
         return None
@@ -290,7 +290,7 @@
 
 
 def _zone_offset_s(zone: str) -> int | None:
-    """Return the offset of a zone ("Z", "+HH" or "+HHMM") from UTC, in seconds; None: it is invalid."""
+    """Return the offset of a zone ("Z", "+HH" or "+HHMM") from UTC in seconds, or None if it is invalid."""
     if zone == "Z":
         return 0
     hours, minutes = int(zone[1:3]), int(zone[3:5] or 0)
--- a/lanelift/tenants/names.py
+++ b/lanelift/tenants/names.py
@@ -12,8 +12,8 @@
 def folded(text: str) -> str:
     """Return the folded form of a name, by which tenants are stored and looked up."""
     if not text.isascii():
-        # The result of case folding may not be normalized, and that of normalization may not be folded:
-        # `ﬀ`, `İ` and others need both steps twice.
+        # Case folding can return text that is not normalized, and normalization can return text that is not
+        # folded: `ﬀ`, `İ` and others need both steps twice.
         text = unicodedata.normalize("NFKC", unicodedata.normalize("NFKC", text).casefold())
         return " ".join(unicodedata.normalize("NFKC", text.casefold()).split())
     return " ".join(text.lower().split())
--- a/lanelift/tenants/notices.py
+++ b/lanelift/tenants/notices.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Sequence, Set
 from dataclasses import dataclass, field
 
-MAX_NAME_CHARACTERS = 200  # of a name, in the log
-MAX_PROBLEMS_LOGGED = 20  # of single entries, for each reading; `lanelift tenants check` lists all
-NAMES_SHOWN = 3  # of a list of names, in the log
+MAX_NAME_CHARACTERS = 200  # limits the length of a name in the log
+MAX_PROBLEMS_LOGGED = 20  # single entries' problems per reading; `lanelift tenants check` lists all
+NAMES_SHOWN = 3  # limits the names from one list in the log
 ENTRY, NAME = "entry ", "name "  # prefixes of subjects, before an entry's id and a tenant's name
 
 Notify = Callable[[str, str], None]
@@ -17,8 +17,8 @@
 class Notices:
     """Remembers the last message on each subject, so that the next reading does not repeat it.
 
-    There is at most one subject for each entry read, one for each tenant, and the subjects "bound", "behind"
-    and "removals".
+    At most one subject exists for each entry read and for each tenant. The other subjects are "bound",
+    "behind" and "removals".
 
     Attributes:
         notify: Logs a message; its arguments are the level and the text.
@@ -59,7 +59,7 @@
         self.texts.pop(subject, None)
 
     def forget_others(self, prefix: str, kept: Set[str]) -> None:
-        """Forget all subjects with this prefix, except those that are in `kept` without the prefix."""
+        """Forget each subject with this prefix, unless `kept` contains the part after the prefix."""
         start = len(prefix)
         known = [subject for subject in self.texts if subject.startswith(prefix)]
         for subject in known:
--- a/lanelift/tenants/removals.py
+++ b/lanelift/tenants/removals.py
@@ -15,7 +15,7 @@
 from lanelift.tenants.entries import Record
 
 MAX_TOMBSTONES = 10_000
-FREE_REMOVALS = 3  # within the window, unless no entry is left: a small directory can lose a few tenants
+FREE_REMOVALS = 3  # allowed in any window unless no entry is left: a small directory can lose a few tenants
 WINDOW_S = 3600.0  # removals within this time are added up, to detect a tree that shrinks in small steps
 
 
@@ -27,7 +27,7 @@
         removal_part: Part of all tenants, 0 to 1, that may be removed within the window without confirmation.
         confirmed: Ids of the removals that the operator has confirmed.
         recent: Time in seconds and number of tenants of each removal within the window.
-        pending: Id of the removal that waits for confirmation; empty: none.
+        pending: Id of the removal that waits for confirmation; empty if no removal waits.
     """
 
     removal_part: float = 0.1
--- a/lanelift/tenants/replica_reader.py
+++ b/lanelift/tenants/replica_reader.py
@@ -41,7 +41,7 @@
     attribute_map: AttributeMap,
     on_page: Callable[[list[Parsed]], None] | None = None,
 ) -> ReadResult:
-    """Read all entries that a search finds, but no further than the page that exceeds `MAX_TENANTS` entries.
+    """Read all entries that a search finds; stop after the page that brings them above `MAX_TENANTS`.
 
     Args:
         session: An open session.
--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -11,13 +11,15 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 10.0)  # by the number of consecutive rounds in which all directories failed
-# Longest wait for a page of changes: single bytes now and then exceed no timeout of a receive.
+# Wait after a round in which all directories failed, by the number of such rounds directly before it.
+BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 10.0)
+# Longest wait for a page of changes. Without it, a server that sends single bytes could delay a page forever,
+# as no receive would exceed its timeout.
 PAGE_TIMEOUT_S = 10.0
 OVERLAP_S = 60.0  # a search for changes begins this long before the latest stamp: replication may be late
-LARGE_OVERLAP_ENTRIES = 2000  # an overlap with more entries, none of them new, is not read again
+LARGE_OVERLAP_ENTRIES = 2000  # a larger overlap is not read again if it has changed no tenant
 NO_CLOCK_US = 1 << 62  # a time of day that is later than any stamp
-MAX_INVALID_READS = 2  # consecutive invalid reads of changes, before the directory is only read in full
+MAX_INVALID_READS = 2  # after so many consecutive invalid reads of changes, a directory is only read in full
 
 
 class ReadKind(StrEnum):
@@ -51,7 +53,7 @@
     """State of the readings of one kind.
 
     Attributes:
-        due_s: When the next reading begins; None: none is planned.
+        due_s: When the next reading begins; None if no reading is planned.
         source: The directory that the next reading uses.
         failed_sources: Number of directories that failed in this round.
         failed_rounds: Number of consecutive rounds in which all directories failed.
@@ -74,7 +76,8 @@
         change_interval_s: Interval between two reads of changes.
         full_interval_s: Interval between two full reads.
         full_timeout_s: A full read that takes longer is given up.
-        has_stamps: Whether the map names the attribute of the last change, which a search for changes needs.
+        has_stamps: Whether the map names the attribute for the time of the last change, which a search for
+            changes needs.
         now_s: When the schedule begins.
         full: State of the full reads.
         changes: State of the reads of changes.
@@ -130,9 +133,9 @@
     def _since_us(self, now_s: float) -> int:
         """Return the earliest stamp to search for.
 
-        A second after the mark was seen, no more entries can be written with stamps up to the mark, and after
-        `OVERLAP_S` they have been replicated. From then on only later stamps are searched for; otherwise
-        50,000 entries that were loaded in one second would be read again each time.
+        A second after the mark was seen, no more entries can be written with stamps up to the mark. After
+        `OVERLAP_S` those entries have been replicated. From then on only later stamps are searched for;
+        otherwise 50,000 entries that were loaded in one second would be read again each time.
         """
         replicated = now_s - self.marked_s >= OVERLAP_S
         if replicated or self.reread_mark_us == self.mark_us > 0:
@@ -191,7 +194,7 @@
             self.changes.due_s = now_s + self.change_interval_s
 
     def failed(self, order: ReadOrder, now_s: float) -> None:
-        """Record the failure of a reading: the next directory is due now, or all again after a backoff."""
+        """Record the failure of a reading: the next directory is due now; if all failed, after a backoff."""
         state = self._end(order)
         if state is None:
             return
@@ -206,7 +209,7 @@
                 state.source = 0
 
     def validate_changes(self, order: ReadOrder, now_s: float, any_found: bool) -> bool:
-        """Check a read of changes that must return an entry, as its directory has shown such a change before.
+        """Check a read of changes that must return an entry, as it covers a stamp seen in that directory.
 
         Args:
             order: The reading.
@@ -229,8 +232,8 @@
     def _end(self, order: ReadOrder) -> ReadState | None:
         """Mark a reading as ended, and return the state of its kind.
 
-        Returns None if the reading is not the running one: it belongs to an earlier configuration, or was
-        given up and has ended late. Its result must not end the reading that is running now.
+        Returns None for a reading that belongs to an earlier configuration, or that was given up and has
+        ended late. Its result must not end the reading that is running now.
         """
         state = self.full if order.kind is ReadKind.FULL else self.changes
         if state.order is None or replace(state.order, until_s=order.until_s) != order:
--- a/lanelift/tenants/store.py
+++ b/lanelift/tenants/store.py
@@ -16,7 +16,7 @@
 from lanelift.tenants.tenant_state import Changes, TenantState, denial_reason
 from lanelift.tenants.validity import ValidityTimer
 
-MAX_TENANTS = 200_000  # stored entries, about 600 bytes each
+MAX_TENANTS = 200_000  # most entries in the store; each takes about 600 bytes
 SEED_SOURCE = -1  # the source of tenants that no directory has shown
 FORMER_SOURCE = -2  # the source of entries from directories of an earlier configuration
 
@@ -28,7 +28,7 @@
     Attributes:
         source: The directory's index in the order of preference.
         entries: The entries read.
-        complete: Whether these are all entries that the filter finds; otherwise a part of them, or changes.
+        complete: Whether `entries` has all entries that the filter finds, and not only a part or changes.
         began_revision: The store's revision when the reading began; entries seen since then are not missing.
     """
 
@@ -57,14 +57,14 @@
     """All known entries, and the states of tenants that follow from them.
 
     Attributes:
-        guard: Holds back removals if they are too many.
+        guard: Holds back removals if there are too many.
         notices: Logs messages without repetitions.
         entries: By id: at most `MAX_TENANTS` entries.
         claims: By tenant: ids of the entries with its name; the first one determines the tenant's state.
-        sent: By tenant: the state last returned in `Changes`; None: none yet; the tenant was seeded.
+        sent: By tenant: the state last returned in `Changes`; None for a seeded tenant without such a state.
         tombstones: Removed entries.
         marks_us: By directory: the latest stamp seen there, in microseconds since 1970.
-        validity: When a tenant's validity begins or ends next.
+        validity: Timer for the next beginning or end of each tenant's validity.
         revision: Number of merged readings.
         remapped: Whether the map has changed, so that an unchanged entry may be parsed differently.
     """
@@ -118,8 +118,8 @@
         self.notices.begin_reading()
         self.revision += 1
         latest_us = self._update_mark(reading)
-        # Of several new entries for one name, the one that has been unchanged for longest comes first. Of an
-        # entry that is on two pages because it changed between them, the later state comes last.
+        # If several new entries have the same name, the one that has been unchanged for longest comes first.
+        # If an entry is on two pages because it changed between them, its later state comes last.
         for parsed in sorted(reading.entries, key=lambda entry: (entry.stamp_us, entry.id, entry.suspended)):
             seen.add(parsed.id)
             self._merge_entry(parsed, reading.source, touched)
@@ -136,7 +136,7 @@
         return self._changes(self.validity.pop_due(now_s), now_s)
 
     def next_s(self) -> float | None:
-        """Return the earliest time at which `tick` is due; None: not before the next reading."""
+        """Return the earliest time at which `tick` is due; None if nothing is due before the next reading."""
         return self.validity.next_s()
 
     def reconfigure(self) -> None:
@@ -152,7 +152,7 @@
                 stored.source = FORMER_SOURCE
 
     def latest_stamp_us(self) -> int:
-        """Return the latest stamp seen in the current directories, or else of any entry; 0: there is none."""
+        """Return the latest stamp seen in the current directories, or else of any entry; 0 if none exists."""
         mark_us = max(self.marks_us.values(), default=0)
         return mark_us or max((stored.record.stamp_us for stored in self.entries.values()), default=0)
 
@@ -190,7 +190,7 @@
         self._put(new, source)
 
     def _accepted(self, parsed: Parsed, stored: StoredEntry | None, source: int) -> Record | None:
-        """Return the new record of an entry; None: its record stays as it is."""
+        """Return the new record of an entry, or None if its record does not change."""
         if parsed.record is None:
             return _suspension_only(parsed, stored.record if stored else None)
         if stored is None:
@@ -205,12 +205,12 @@
         return accepted
 
     def _reconciled(self, stored: StoredEntry, new: Record, source: int, dn: str) -> Record | None:
-        """Return the new record of a known entry that a directory shows; None: its record stays as it is."""
+        """Return the new record of a known entry that a directory shows; None if it does not change."""
         old = stored.record
         newly_suspended = new.suspended and not old.suspended
         if new.stamp_us < old.stamp_us:
-            # Either the replica is behind, and its entry is outdated. Or the stamp could not be read: then
-            # only a suspension is accepted, as suspensions are never delayed.
+            # The replica is behind and shows an outdated entry, or the stamp could not be read. In the second
+            # case only a suspension is accepted, as suspensions are never delayed.
             return replace(old, suspended=True) if newly_suspended and not new.stamp_us else None
         if new.stamp_us > old.stamp_us or self.remapped:
             return new
@@ -339,7 +339,7 @@
 
 
 def _suspension_only(parsed: Parsed, old: Record | None) -> Record | None:
-    """Return the new record of an invalid entry, of which only a suspension counts; None: no change."""
+    """Return an invalid entry's new record, which adopts only a suspension; None if nothing changes."""
     if not parsed.suspended or not (old or parsed.name):
         return None
     if old is None:
--- a/lanelift/tenants/sync_config.py
+++ b/lanelift/tenants/sync_config.py
@@ -1,7 +1,8 @@
 """Configuration of the sync process: the directories, the search, the attribute map and the times.
 
-Pure and without the LDAP client, as the balancer's process imports this module, too. The configuration is
-sent to the sync process as JSON with the keys of the operator's file; only this module maps them to fields.
+This module is pure and does not import the LDAP client, as the balancer's process imports this module, too.
+The configuration is sent to the sync process as JSON with the keys of the operator's file; only this module
+maps them to fields.
 """
 
 from __future__ import annotations
@@ -124,7 +125,7 @@
     Args:
         search: The search for all entries.
         attribute_map: Names the attribute that holds the time of an entry's last change.
-        since_us: Microseconds since 1970, cut to whole seconds in the filter.
+        since_us: Microseconds since 1970; the filter has them rounded down to whole seconds.
     """
     stamp = time.strftime("%Y%m%d%H%M%SZ", time.gmtime(since_us // 1_000_000))
     filter_since = f"(&{search.filter}({attribute_map.stamp}>={stamp}))"
--- a/lanelift/tenants/sync_messages.py
+++ b/lanelift/tenants/sync_messages.py
@@ -14,13 +14,13 @@
 from lanelift.tenants.tenant_state import Changes, TenantState
 
 Json = dict[str, Any]
-KnownTenant = tuple[str, bool, float]  # folded name, whether it is suspended, share
+KnownTenant = tuple[str, bool, float]  # folded name, whether the tenant is suspended, share
 
-# Values in one line: each tenant counts as one, and each of its classes and limits as one more. The balancer
-# handles one line in each iteration of its event loop. The last tenant of a line may exceed this number, so a
-# line has at most 229 values of 256 characters (`entries.py`).
+# A line ends once it has this many values. Each tenant counts as one value, and each of its classes and
+# limits as one more. The balancer handles one line in each iteration of its event loop. A line's last tenant
+# may exceed this number, so a line has at most 229 values of 256 characters (`entries.py`).
 MAX_BATCH_VALUES = 100
-MAX_LINE_BYTES = 2**20  # 229 values of 256 characters, with up to 12 bytes in JSON for a character
+MAX_LINE_BYTES = 2**20  # holds 229 values of 256 characters, each with up to 12 bytes in JSON
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
     Attributes:
         config: The new configuration.
-        known: The tenants that the balancer has already (`TenantStore.seed`); None: none are added.
+        known: The tenants that the balancer has already (`TenantStore.seed`); None to add no tenants.
     """
 
     config: SyncConfig
@@ -109,7 +109,7 @@
 
 
 def decoded(line: bytes | str) -> SyncMessage | None:
-    """Parse one line of the sync process; None: the message is of an unknown kind.
+    """Parse one line of the sync process; return None for a message of an unknown kind.
 
     Raises:
         ValueError: The line is not JSON, or a tenant has too many or too few values.
@@ -136,7 +136,7 @@
 
 
 def batches(tenants: Sequence[TenantState]) -> Iterator[list[TenantState]]:
-    """Yield the tenants in the same order; a batch ends when its values reach `MAX_BATCH_VALUES`."""
+    """Yield the tenants in batches, in their order; a batch ends when it has `MAX_BATCH_VALUES` or more."""
     batch: list[TenantState] = []
     size = 0
     for tenant in tenants:
--- a/lanelift/tenants/sync_process.py
+++ b/lanelift/tenants/sync_process.py
@@ -36,10 +36,10 @@
 
 log = logging.getLogger(__name__)
 
-# Wait before an ended process is started again, by the number of consecutive ends without an update. Normally
-# the process does not end.
+# Wait before the process is restarted, by the number of consecutive times that it ended without an update.
+# Normally the process does not end.
 RESTART_BACKOFF_S = (0.2, 1.0, 5.0, 30.0)
-MAX_SHARED_SETS = 4096  # cached sets of classes, and of limits, as most tenants share a few of them
+MAX_SHARED_SETS = 4096  # size of each cache of class sets and of limits, a few of which most tenants share
 LOG_LEVELS = {"info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
@@ -50,7 +50,7 @@
     Attributes:
         config: The configuration of the sync process.
         unknown_tenants: How the requests of a tenant that no directory shows are treated.
-        wait_s: How long /ready waits for the first reading, in seconds; 0: not at all.
+        wait_s: How long /ready waits for the first reading, in seconds; 0: it does not wait.
         configured_tenants: The tenants of the settings, by name, which apply until a directory is read.
     """
 
@@ -74,7 +74,7 @@
         task: Starts the process, and restarts it when it ends.
         first_read_complete: Whether a directory has been read completely.
         gc_frozen: Whether the objects of the first reading have been exempted from garbage collection.
-        updates: Number of messages with changes of tenants.
+        updates: Number of messages that led to a `TenantUpdate`.
     """
 
     def __init__(self, dispatcher: Dispatcher, source: TenantSource) -> None:
@@ -180,9 +180,9 @@
         log.info("tenants read from a directory: %d", count)
         self.dispatcher.post(TenantUpdate(unknown_tenants=self.source.unknown_tenants))
         if not self.gc_frozen:
-            # As at the balancer's start: the present objects are long-lived, and a collection that visits
-            # 50,000 tenants would block the event loop for 30 ms. This is done only once, because garbage
-            # that is present now is never collected.
+            # The present objects are long-lived, and a collection that visits 50,000 tenants would block the
+            # event loop for 30 ms. So they are frozen, as at the balancer's start; but only once, because
+            # garbage that exists at this time is never collected.
             self.gc_frozen = True
             gc.freeze()
 
--- a/lanelift/tenants/sync_worker.py
+++ b/lanelift/tenants/sync_worker.py
@@ -34,14 +34,14 @@
 )
 from lanelift.tenants.tenant_state import Changes
 
-MAX_LOG_CHARACTERS = 1000  # of a log message, as texts from directories may be of any length
-MAX_HUNG_THREADS = 4  # the process exits once so many threads could not be ended (in a DNS lookup)
-INTERVAL_JITTER = 0.1  # random part of an interval, so that balancers do not search a directory in step
-JOIN_TIMEOUT_S = 0.2  # for a thread whose connection was closed
+MAX_LOG_CHARACTERS = 1000  # limits a log message, as texts from directories may have any length
+MAX_HUNG_THREADS = 4  # the process exits once so many threads hang (in a DNS lookup)
+INTERVAL_JITTER = 0.1  # random part of an interval, so that balancers do not all search at once
+JOIN_TIMEOUT_S = 0.2  # longest wait for a thread to end after its connection was closed
 
 
 class SyncWorker:
-    """The main thread of the sync process; only this thread uses the store and the schedule, and sends.
+    """The main thread of the sync process, which alone uses the store and the schedule, and sends messages.
 
     Attributes:
         events: Functions to be run by the main thread, from the readers' threads and from standard input.
@@ -51,7 +51,7 @@
         readers: The thread for each kind of reading.
         began_revision: By kind: the store's revision when the running reading began.
         hung_threads: Number of abandoned threads.
-        awaiting_first_read: Whether no full read has been completed yet.
+        awaiting_first_read: Whether no full read that found entries has been completed yet.
         stopping: Whether the process is to exit.
         faults: By directory: why it can't be read.
         changes_found: Whether the running read of changes has changed a tenant.
@@ -146,7 +146,7 @@
         event()
 
     def _wait_s(self) -> float | None:
-        """Return the seconds until something is due; None: nothing is due before the next event."""
+        """Return the seconds until something is due, or None if nothing is due before the next event."""
         waits = []
         if self.schedule is not None and (due_s := self.schedule.next_s()) is not None:
             waits.append(due_s - self.clock())
@@ -177,8 +177,8 @@
     def _is_current(self, reader: ReplicaReader, order: ReadOrder) -> bool:
         """Return whether a thread still performs the readings of its kind.
 
-        The readings of an abandoned thread are ignored: they belong to an earlier configuration, or have been
-        ordered from another thread.
+        The readings of an abandoned thread are ignored: they belong to an earlier configuration, or
+        another thread has been ordered to perform them.
         """
         return self.schedule is not None and reader is self.readers.get(order.kind)
 
@@ -193,7 +193,7 @@
         self._send_changes(changes)
 
     def _result_received(self, reader: ReplicaReader, order: ReadOrder, result: ReadResult) -> None:
-        """Merge a full read, and plan the next reading of this kind."""
+        """Handle the end of a reading: merge a full read, and plan the next reading of this kind."""
         if not self._is_current(reader, order):
             return
         assert self.schedule is not None
@@ -212,7 +212,8 @@
             self._read_succeeded(order, len(result.entries), now_s)
         self._send_changes(changes)
         if complete and self.awaiting_first_read and result.entries:
-            # From now on a tenant that was not sent is unknown; an empty reading must not make all unknown.
+            # From now on a tenant that was not sent is unknown. So an empty reading does not count, as it
+            # would make all tenants unknown.
             self.awaiting_first_read = False
             self.send(FirstReadComplete(len(self.store.sent)))
 
--- a/lanelift/tenants/tenant_state.py
+++ b/lanelift/tenants/tenant_state.py
@@ -41,10 +41,10 @@
 
 
 def denial_reason(records: Sequence[Record], now_s: float) -> str:
-    """Return why the requests of a tenant are denied; empty: they are served.
+    """Return why the requests of a tenant are denied, or an empty text if they are served.
 
     Args:
-        records: The tenant's records. Any of them can suspend it; the validity is that of the first.
+        records: The tenant's records. Any record can suspend the tenant; the first determines its validity.
         now_s: Seconds since 1970.
     """
     first = records[0]
--- a/lanelift/tenants/validity.py
+++ b/lanelift/tenants/validity.py
@@ -7,7 +7,7 @@
 
 from lanelift.tenants.entries import Record
 
-MIN_HEAP_SLACK = 3  # a heap with no more outdated boundaries than this is not rebuilt
+MIN_HEAP_SLACK = 3  # a heap with at most this many outdated boundaries is not rebuilt
 
 
 @dataclass(slots=True)
@@ -15,7 +15,7 @@
     """The next boundary of each tenant's validity, in seconds since 1970.
 
     Attributes:
-        due: By tenant: when its validity next begins or ends.
+        due: By tenant: when the tenant's validity next begins or ends.
         boundaries: The same times as a heap. Outdated ones stay in the heap until it is twice as long as
             `due`; then it is rebuilt, so that validities that change often do not fill it.
     """
@@ -52,5 +52,5 @@
         return passed
 
     def next_s(self) -> float | None:
-        """Return the earliest time at which a boundary may pass; None: there is none."""
+        """Return the earliest time at which a boundary may pass, or None if there is no boundary."""
         return self.boundaries[0][0] if self.boundaries else None
