--- a/tests/routes/test_match_sets.py
+++ b/tests/routes/test_match_sets.py
@@ -39,7 +39,7 @@
 def table(rule_list: list[Rule]) -> Table | None:
     try:
         return Table(rule_list)
-    except RouteValidationError:  # a rule has the conditions of another one
+    except RouteValidationError:  # two rules have the same conditions
         return None
 
 
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -131,7 +131,7 @@
 def test_the_index_agrees_with_the_definition(rule_list: list[Rule], seed: int) -> None:
     table = None
     kept: list[Rule] = []
-    for i, rule in enumerate(rule_list):  # without rules that have the conditions of another one
+    for i, rule in enumerate(rule_list):  # leaves out rules with the conditions of another rule
         try:
             table = Table([*kept, dataclasses.replace(rule, name=f"r{i}")])
         except RouteValidationError:
--- a/tests/tenants/store_scenario.py
+++ b/tests/tenants/store_scenario.py
@@ -19,7 +19,7 @@
         self.tenants: dict[str, TenantState | None] = {}
 
     def apply(self, changes: Changes) -> Changes:
-        """Apply changes as the balancer would; each must change something."""
+        """Apply changes as the balancer would; assert that each new state differs from the tenant's last."""
         for tenant in changes.tenants:
             assert self.tenants.get(tenant.name) != tenant
             self.tenants[tenant.name] = tenant
@@ -50,7 +50,7 @@
         return tenant
 
     def denial_reason(self, name: str) -> str:
-        """Return why a tenant is denied; empty: it is served."""
+        """Return why a tenant is denied, or an empty text if it is served."""
         return self[name].denial_reason
 
 
--- a/tests/tenants/test_client.py
+++ b/tests/tenants/test_client.py
@@ -114,7 +114,7 @@
 )
 def test_an_incomplete_read_reports_the_reason(manners: ServerFaults, count: int, words: str) -> None:
     """A directory refuses a search, stops at a limit or refers to another directory. The entries received
-    are returned, and so is the reason of the failure.
+    are returned, and so is the reason for the failure.
     """
 
     async def test() -> None:
@@ -168,7 +168,7 @@
     """The connection is cut after each byte of the answers of two pages. Entries of whole pages are returned,
     and the read is incomplete.
     """
-    # ldap3 numbers the messages of all connections of a process: from 1000 on each number has two bytes.
+    # ldap3 counts the messages of all connections of a process. From 1000 on, each number has two bytes.
     monkeypatch.setattr(ldap3.Server, "_message_counter", 1000)
 
     async def test() -> None:
@@ -187,7 +187,7 @@
             assert failure
             counts.append(len(found))
         assert counts == sorted(counts) and set(counts) == {0, 2} and size > 400
-        # A cut directly after the last byte is not tested: the client may notice it before it returns or not.
+        # A cut directly after the last byte is not tested: the client may return before it notices the cut.
         directory.network_faults = NetworkFaults(cut_after=size + 1)
         found, failure = await read(directory_config(directory), search(2))
         assert failure == "" and len(found) == 3
--- a/tests/tenants/test_entries.py
+++ b/tests/tenants/test_entries.py
@@ -166,5 +166,5 @@
      "20261201093000.Z", "19691231235959Z", "٢٠261201093000Z"],
 )  # fmt: skip
 def test_invalid_times(text: str) -> None:
-    """Parts of a text are missing, out of range or of other scripts. It is not a GeneralizedTime."""
+    """Parts of a text are missing, out of range or in another script. The text is not a GeneralizedTime."""
     assert generalized_time(text) is None
--- a/tests/tenants/test_removals.py
+++ b/tests/tenants/test_removals.py
@@ -67,7 +67,7 @@
         removed_count += len(changes.removed)
         if not changes:
             break
-    assert removed_count == 9 and len(scenario.tenants) == 91  # at most a tenth of all within the window
+    assert removed_count == 9 and len(scenario.tenants) == 91  # at most a tenth is removed in the window
     scenario.now_s += WINDOW_S
     assert len(scenario.full(*numbered_entries(89)).removed) == 2
 
--- a/tests/tenants/test_schedule.py
+++ b/tests/tenants/test_schedule.py
@@ -153,7 +153,7 @@
         now += 1.0
     assert now == 1.0 + OVERLAP_S and order.since_us == MARK_US + 1_000_000
     schedule.done(order, now)
-    order = changes_among(schedule.start_due(now + 1, 2 * MARK_US))  # a change
+    order = changes_among(schedule.start_due(now + 1, 2 * MARK_US))  # after a change
     assert order.since_us == 2 * MARK_US - int(OVERLAP_S * 1e6)
 
 
@@ -170,7 +170,7 @@
 
 def test_a_mass_of_changes_is_read_only_twice() -> None:
     """Thousands of entries change in one second. They are read a second time because of late replication, and
-    not again if that finds nothing new.
+    not again if the second read finds nothing new.
     """
     schedule = after_first_full_read(new_schedule())
     for now, any_new, since in ((1.0, True, 0), (2.0, False, 0), (3.0, False, MARK_US + 1_000_000)):
--- a/tests/tenants/test_store.py
+++ b/tests/tenants/test_store.py
@@ -96,10 +96,10 @@
     """
     scenario = Scenario()
     scenario.full(entry("ash", 1, share=2.0, id="b"), entry("ash", 2, share=9.0, id="a"))
-    assert scenario["ash"].share == 2.0  # of the entry that has been unchanged for longer
+    assert scenario["ash"].share == 2.0  # from the entry that has been unchanged for longer
     assert sum("2 entries" in message for message in scenario.messages) == 1
     scenario.partial(entry("ash", 3, True, id="a"))
-    assert scenario.denial_reason("ash") == "suspended"  # by either entry
+    assert scenario.denial_reason("ash") == "suspended"  # either entry can suspend the tenant
     scenario.full(entry("ash", 1, share=2.0, id="b"))
     assert scenario.denial_reason("ash") == "" and scenario["ash"].share == 2.0
 
@@ -131,7 +131,7 @@
     scenario = Scenario()
     scenario.full(entry("ash"), entry("ash"))
     assert len(scenario.store.claims["ash"]) == 1
-    scenario.full(entry("ash", 4, True), entry("ash", 3))  # it changed between the two
+    scenario.full(entry("ash", 4, True), entry("ash", 3))  # the entry changed between two pages
     assert scenario.denial_reason("ash") == "suspended"
     scenario.full(entry("ash", 5, True), entry("ash", 5))
     assert scenario.denial_reason("ash") == "suspended"
@@ -233,7 +233,7 @@
     """
     rng = random.Random(seed)
     scenario = Scenario()
-    truth = {f"t{i:03}": (1, False) for i in range(40)}  # the master: stamp, and whether suspended
+    truth = {f"t{i:03}": (1, False) for i in range(40)}  # the master's stamp and suspension, by tenant
     history = [dict(truth)]
     latest_stamp: dict[str, int] = {}  # the latest stamp in the store, by tenant
     clock = 1
@@ -251,7 +251,7 @@
         elif kind == 1:
             scenario.partial(*rng.sample(entries, rng.randrange(len(entries))))
         elif kind == 2:
-            scenario.full(*entries[: rng.randrange(10)])  # most are missing, by some mistake
+            scenario.full(*entries[: rng.randrange(10)])  # most entries are missing by mistake
         elif kind == 3:
             scenario.full(*entries, source=1)
         else:
@@ -259,6 +259,6 @@
         assert len(scenario.tenants) == 40
         for n in scenario.tenants:
             known = scenario.store.entries[f"id-{n}"].record
-            assert known.stamp_us >= latest_stamp.get(n, 0)  # never an older state
+            assert known.stamp_us >= latest_stamp.get(n, 0)  # the state is never an older one
             latest_stamp[n] = known.stamp_us
             assert (scenario.denial_reason(n) == "suspended") == history[known.stamp_us - 1][n][1]
--- a/tests/tenants/test_validity.py
+++ b/tests/tenants/test_validity.py
@@ -1,4 +1,4 @@
-"""The begin and end of tenants' validity."""
+"""The beginning and end of tenants' validity."""
 
 from __future__ import annotations
 
--- a/tests/tenants/town.py
+++ b/tests/tenants/town.py
@@ -1,8 +1,8 @@
 """Helpers for the tests of directories.
 
-An agent is the entry of a tenant. There are builders of a tree of agents (`town`, `agent`), of the
-configurations of an emulated directory (`directory_config`), of a search (`search`) and of the sync process
-(`sync_config`), and of certificates; `read` performs one full read of a directory.
+An agent is the entry of a tenant. `town` and `agent` build a tree of agents; `directory_config`, `search` and
+`sync_config` build the configurations of an emulated directory, a search and the sync process. There is also
+a builder of certificates, and `read`, which performs one full read of a directory.
 """
 
 from __future__ import annotations
