--- a/lanelift/rehearsal/balancer_supervisor.py
+++ b/lanelift/rehearsal/balancer_supervisor.py
@@ -26,8 +26,8 @@
 from lanelift.rehearsal.worker import Json, read_plan, rows_path, send_message
 from lanelift.standins.seeded_random import keyed_digest
 
-READY_TIMEOUT_S = 30.0  # a balancer that is not ready by then counts as failed (DEPLOY, 'Limits')
-READY_POLL_S = 0.02  # interval of polling /ready, since a balancer does not announce its readiness
+READY_TIMEOUT_S = 30.0  # a balancer has failed if it takes longer to become ready (DEPLOY, 'Limits')
+READY_POLL_S = 0.02  # between two polls of /ready, since a balancer does not announce its readiness
 SAMPLE_INTERVAL_S = 0.5  # between two samples of the resource usage
 # SIGKILL follows SIGTERM after the longest deadline of a class plus this time (PROTOCOL, 'Figures').
 TERMINATION_GRACE_S = 0.7
@@ -47,13 +47,13 @@
 
     process: asyncio.subprocess.Process
     started_ns: int
-    expected_end: str = ""  # how the kit is ending it: kill, term or finish; "": the kit has not ended it
+    expected_end: str = ""  # how the kit ends the process: kill, term or finish; "" until then
     psutil_process: psutil.Process | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Balancer:
-    """A balancer and its present process."""
+    """A balancer and the process that runs it at present."""
 
     number: int
     address: str
@@ -72,7 +72,7 @@
     balancers: list[Balancer] = field(default_factory=list)
     process_runs: list[ProcessRun] = field(default_factory=list)
     resource_samples: list[ResourceSample] = field(default_factory=list)
-    group: asyncio.TaskGroup | None = None  # of the commands that are executed during the day
+    group: asyncio.TaskGroup | None = None  # the tasks that execute commands during the day
 
     def __post_init__(self) -> None:
         self.plan = read_plan(self.job)
--- a/lanelift/rehearsal/client.py
+++ b/lanelift/rehearsal/client.py
@@ -23,14 +23,14 @@
 from lanelift.standins.seeded_random import unit
 from lanelift.standins.upstream_emulator import check_body
 
-CONNECT_TIMEOUT_S = 1.0  # the front abandons a connection attempt after this
-MAX_ANSWER = 1 << 20  # bytes of an answer's body, so that a faulty balancer cannot exhaust the memory
-IDLE_TIMEOUT_S = 30.0  # clients close connections that have been idle for longer
+CONNECT_TIMEOUT_S = 1.0  # an attempt to connect to a balancer is abandoned after this time
+MAX_ANSWER = 1 << 20  # limits the bytes of an answer's body: a faulty balancer cannot exhaust the memory
+IDLE_TIMEOUT_S = 30.0  # clients close a connection that has been idle for longer than this
 
 
 @dataclass(slots=True)
 class Answer:
-    """The result of one exchange. `result` is as in `records.Try`."""
+    """The result of one exchange. `result` has the same values as in `records.Try`."""
 
     result: str
     status: int = 0
@@ -49,9 +49,9 @@
         self.body = bytearray()
         self.retry_after_s = 0.0
         self.started = self.complete = self.closed = False
-        self.unexpected_data = False  # bytes arrived that are not part of an expected answer
+        self.unexpected_data = False  # whether bytes arrived that belong to no expected answer
         self.keep_alive = True
-        self.last_try_id = ""  # the id of the try sent last
+        self.last_try_id = ""  # the id of the most recent try
         self.idle_since = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -134,7 +134,7 @@
     """Emulates the front, the tier that clients connect through, which chooses a balancer for each try.
 
     The front chooses among the balancers of the client's room that it believes to be alive, or among those of
-    all rooms if the client's room has none. It learns only after a delay that a balancer has died."""
+    all rooms if the client's room has none. The front learns only after a delay that a balancer has died."""
 
     def __init__(self, plan: Plan, addresses: Sequence[tuple[str, int]]) -> None:
         self.seed = plan.scenario.seed
@@ -164,16 +164,16 @@
         self.classes = {cls.name: cls for cls in plan.scenario.classes}
         self.idle: list[list[Connection]] = [[] for _ in front.addresses]
         self.tries: list[Try] = []
-        self.start_delays_ns: list[int] = []  # how late each first try was started
+        self.start_delays_ns: list[int] = []  # for each first try, how long after its due time it was started
         self.counts: Counter[str] = Counter()  # for the progress line
-        self.offered = 0  # the combined digests of all first tries, with their due times
-        # Connections that could not be opened because the kit had no descriptor or port left.
+        self.offered = 0  # the combined digests of all first tries and their due times
+        # Counts the connections that could not be opened because the kit had no descriptor or port left.
         self.connect_shortages = 0
         self.group: asyncio.TaskGroup | None = None
 
     async def run(self, start_ns: int) -> None:
-        """Sends all requests and waits until each is finished. An exception in one request ends all of them,
-        since a request that the kit itself lost must not be counted against a balancer."""
+        """Sends all requests and waits until each is finished. An exception in one request cancels the
+        others, since a request that the kit itself lost must not be counted against a balancer."""
         async with asyncio.TaskGroup() as self.group:
             for request in self.requests:
                 due = start_ns + request.due_ns
@@ -212,7 +212,7 @@
         self.counts["unserved"] += 1
 
     async def _try(self, request: ScheduledRequest, number: int, wait_ns: int, abandon_ns: int) -> Answer:
-        """Makes one try. Its timeout, given to the balancer in `X-Deadline-Ms`, starts once it is sent."""
+        """Makes one try. The try's timeout, sent as `X-Deadline-Ms`, starts when the request is sent."""
         balancer = self.front.choose_balancer(request, number)
         data = self._encode(request, number, wait_ns)
         if number == 0:
@@ -237,7 +237,7 @@
                     connection.abort()
                     self._record(request, number, balancer, began, sent, deadline_ns, answer)
                     return answer
-                # The client goes on to its next try. A background task records an answer in the grace time.
+                # The client goes on to its next try. A background task waits for an answer in the grace time.
                 assert self.group is not None
                 self.group.create_task(
                     self._record_after_deadline(
@@ -341,7 +341,7 @@
     def _release(self, balancer: int, connection: Connection) -> None:
         if connection.unexpected_data:
             self._record_unexpected_data(balancer, connection)
-            connection.unexpected_data = False  # so that it is not recorded again
+            connection.unexpected_data = False  # so that the data is not recorded again
         if connection.keep_alive and not connection.closed:
             connection.idle_since = asyncio.get_running_loop().time()
             self.idle[balancer].append(connection)
--- a/lanelift/rehearsal/html_report.py
+++ b/lanelift/rehearsal/html_report.py
@@ -39,7 +39,7 @@
     "left": ("client left", "#BBBBBB"),
 }
 FAULT_COLOUR = "#CC79A7"
-WIDTH = 10.5  # inches, of each chart
+WIDTH = 10.5  # of each chart, in inches
 STYLE = """
 body { font: 15px/1.45 system-ui, sans-serif; margin: 2rem auto; max-width: 66rem; padding: 0 1rem; color:
 #222 } h1 { font-size: 1.5rem; margin-bottom: 0 } h2 { font-size: 1.05rem; margin: 2rem 0 .3rem } p {
@@ -132,7 +132,7 @@
 
 def _mark_faults(axes: Axes, report: Json, alpha: float = 0.13) -> None:
     """Draws a band over the duration of each fault, with its label above the axes."""
-    rows: list[float] = []  # by row of labels: the end of its last label, in seconds
+    rows: list[float] = []  # for each row of labels, where its last label ends, in seconds
     span = report["scenario"]["length_s"]
     for mark in report["marks"]:
         axes.axvspan(
@@ -176,7 +176,7 @@
     """Draws percentiles of the latency over the day, and the aims of the classes."""
     figure, axes = _chart(2.6)
     at = [row["at_s"] for row in report["windows"]]
-    # A latency of 0 means that a window has no answers: the line has a gap there.
+    # A latency of 0 means that a window has no answers; the line has a gap at that window.
     for name, colour in (("p50", "#009E73"), ("p90", "#0072B2"), ("p99", "#D55E00")):
         values = [row["latency_ms"][name] or math.nan for row in report["windows"]]
         axes.plot(at, values, color=colour, label=name, lw=1.3)
--- a/lanelift/rehearsal/operator_config.py
+++ b/lanelift/rehearsal/operator_config.py
@@ -1,6 +1,6 @@
-"""Generates the operator's file of a balancer for scenarios with directories, which list the tenants.
+"""Generates the operator's file of a balancer, for scenarios in which directories list the tenants.
 
-In other scenarios a balancer gets the configuration that the platform gives it (`plan.balancer_settings`).
+In other scenarios a balancer is configured as the platform configures it (`plan.balancer_settings`).
 Performs no I/O.
 """
 
--- a/lanelift/rehearsal/orchestrator.py
+++ b/lanelift/rehearsal/orchestrator.py
@@ -1,5 +1,5 @@
-"""Orchestrates a rehearsal: starts the processes of the kit, which include the one that runs the balancers,
-starts the day, and collects the records.
+"""Orchestrates a rehearsal: starts the kit's processes (one of them runs the balancers), starts the day, and
+collects the records.
 
 Each process reads commands from its standard input, which closes when the orchestrator exits, whether by
 Ctrl-C, a crash or a kill. The process then ends everything that it has started and exits, so that the cleanup
@@ -31,14 +31,16 @@
 from lanelift.standins.seeded_random import uniform
 
 Json = dict[str, Any]
-START_DELAY_S = 0.5  # from the start command to the start of the day, so that all processes have received it
-SETTLE_S = 0.3  # after the last request, so that attempts in flight reach their boxes
+START_DELAY_S = 0.5  # from the start command, which all processes have to receive, to the start of the day
+SETTLE_S = 0.3  # wait after the load processes are done, so that attempts in flight reach their boxes
 FRONT_LEAVE_S = 0.3  # how long the front still uses a balancer that is leaving (PROTOCOL: 0.2 to 0.4 s)
-# Limits the preparation of a process: balancers may take 30 s of it, and a large plan takes time to generate.
+# Limits the preparation of a process. The balancers may take 30 s to start, and a large plan takes time to
+# generate.
 READY_TIMEOUT_S = 60.0
 FINISH_TIMEOUT_S = 30.0  # for writing the records; a process that takes longer is killed
-BOXES_PER_WORKER, RATE_PER_WORKER = 22, 400  # either load uses well under one core in its process
-PORT_RANGE = (20_000, 32_000)  # for balancers: below the ephemeral ports of the kernel
+# Limits of one process: boxes, or requests per second. At either limit the process uses well under one core.
+BOXES_PER_WORKER, RATE_PER_WORKER = 22, 400
+PORT_RANGE = (20_000, 32_000)  # ports for balancers, below the ephemeral ports of the kernel
 
 
 class RehearsalError(Exception):
@@ -50,10 +52,10 @@
     """The options of a run."""
 
     folder: Path
-    command: str = ""  # the command that starts a balancer; "": the one that starts it in production
-    target: tuple[str, int] | None = None  # an external balancer; if given, the kit starts none
-    base_port: int | None = None  # the first port of boxes and discovery; None: any free ports
-    box_workers: int = 0  # 0: as many as needed
+    command: str = ""  # the command that starts a balancer; "" for the one used in production
+    target: tuple[str, int] | None = None  # of an external balancer; if given, the kit starts no balancer
+    base_port: int | None = None  # the first port of boxes and discovery; None for any free ports
+    box_workers: int = 0  # 0 for as many as needed
     load_workers: int = 0
 
 
@@ -65,11 +67,11 @@
     process: asyncio.subprocess.Process
     on_message: Callable[[Json], None]
     ready: asyncio.Future[Json]
-    day_over: asyncio.Event = field(default_factory=asyncio.Event)  # also set when the process exits
-    finished: asyncio.Future[Json] | None = None  # its summary, sent once the records are written
+    day_over: asyncio.Event = field(default_factory=asyncio.Event)  # also set if the process exits
+    finished: asyncio.Future[Json] | None = None  # gets the summary, which the process sends last
     progress: Json = field(default_factory=dict)
     reader: asyncio.Task[None] | None = None
-    failure: str = ""  # why it could not start
+    failure: str = ""  # why the process could not start
 
     async def wait_ready(self) -> Json:
         """Waits until the process is ready. Returns its message. Raises RehearsalError."""
@@ -186,7 +188,7 @@
             worker.send({"do": "start", "at_ns": start_ns})
         await self._wait_for_load(start_ns)
         await asyncio.sleep(SETTLE_S)
-        # Balancers first: the boxes have to receive the attempts that balancers still send while stopping.
+        # The balancers finish first: boxes have to receive the attempts that balancers send while stopping.
         finished: dict[str, Json] = {}
         lost_workers = []
         for worker in sorted(self.workers, key=lambda w: w.name != "balancers"):
@@ -225,7 +227,8 @@
     def _on_balancer_event(self, message: Json) -> None:
         """Forwards the up, leaving or down event of a balancer to the load processes.
 
-        `in_s` is the delay after which their front acts on it; for down it is drawn from `front_notice_s`."""
+        `in_s` is the delay after which their front acts on the event; a down event has a random delay from
+        the range `front_notice_s`."""
         number = message["balancer"]
         in_s = {
             "down": uniform(*self.scenario.discovery.front_notice_s, self.scenario.seed, "front", number),
@@ -277,7 +280,7 @@
         boxes = [row for name, row in finished.items() if name.startswith("boxes")]
         load = [row for name, row in finished.items() if name.startswith("load")]
         late = [row["due_late_ms"] for row in load]
-        # What an external balancer has learned about drains is unknown.
+        # The kit does not know which drains an external balancer was told of.
         own_balancers = self.options.target is None
         return Day(
             self.plan,
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -19,10 +19,10 @@
 
 MS = 1_000_000
 NEVER = 1 << 62
-SHARE_BURST_S = 1.0  # seconds of its quota that a tenant may use in a burst before it is over its share
+SHARE_BURST_S = 1.0  # a tenant may use the quota of this many seconds in a burst without exceeding its share
 REPLACEMENT_DELAY_S = 0.5  # from the end of a box in a deploy to the start of its replacement
 BURST_INTERVAL_S = 2.0  # a bursty load changes its rate at this interval
-# How widely cost hints vary around the true work: standard deviation divided by mean.
+# How widely the cost hints of each kind vary around the true work: standard deviation divided by mean.
 HINT_CV = {"none": 0.0, "good": 0.15, "rough": 0.6}
 
 
@@ -36,14 +36,14 @@
     tenant: str
     room: int
     work_ns: int
-    hint_us: int  # 0: no hint
-    over_share: bool  # exceeds its tenant's share
+    hint_us: int  # cost hint; 0 for none
+    over_share: bool  # whether the request exceeds its tenant's share
     object_key: str
-    try_timeout_ns: int  # the client abandons a try after this
+    try_timeout_ns: int  # the client abandons a try after this time
     max_tries: int
     backoff_ns: int  # from the end of a try to the next try
-    honours_retry_after: bool  # waits for a Retry-After that is longer than its backoff
-    abandon_after_ns: int  # the client leaves this long after the due time; 0: never
+    honours_retry_after: bool  # whether the client waits for a Retry-After that is longer than the backoff
+    abandon_after_ns: int  # the client abandons the request this long after the due time; 0: never
 
     def try_id(self, number: int) -> str:
         """Returns the X-Request-Id of a try: the id of the request, with a suffix for retries."""
@@ -69,31 +69,32 @@
 
 
 class Step(NamedTuple):
-    """An action on a place: die, start (a new cold instance), drain, stop, freeze, share or vanish."""
+    """An action on a place's box: die, start (a new cold instance), drain, stop, freeze, share or vanish."""
 
     at_ns: int
     action: str
     place: int
-    value: float = 0.0  # freeze: ns; share: the share of the machine that another program takes
+    value: float = 0.0  # freeze: its length in ns; share: the part of the machine used by another program
 
 
 class Notification(NamedTuple):
-    """A change of a box's state, which discovery sends to one balancer at that time."""
+    """A change of a box's state, which discovery sends to one balancer at the time `at_ns`."""
 
     at_ns: int
     balancer: int
     place: int
     instance: int
-    state: str  # Ready, Terminating, Gone
+    state: str  # Ready, Terminating or Gone
 
 
 class Command(NamedTuple):
-    """A command: kill, restart or hup for a balancer; silent (an outage) or heard (its end) for discovery."""
+    """A command to a balancer (kill, restart or hup), or to start or end an outage of discovery (silent or
+    heard)."""
 
     at_ns: int
     action: str
     balancer: int = -1  # -1: the command is for discovery
-    back_ns: int = 0  # from the end of a balancer to its restart
+    back_ns: int = 0  # from the end of the balancer's process to its restart
 
 
 class SuspensionPeriod(NamedTuple):
@@ -110,12 +111,12 @@
     at_ns: int
     until_ns: int
     how: str
-    servers: str  # first or all
+    servers: str  # which directories fail: first or all
     delay_s: float
 
 
 class FaultMark(NamedTuple):
-    """The period and the label of a fault in a chart."""
+    """A fault as charts show it: its period and its label."""
 
     at_ns: int
     until_ns: int
@@ -224,8 +225,8 @@
 
 
 def _pick(weights: Sequence[float], position: float) -> int:
-    """Returns an index chosen by weight. Each index has a part of the range from 0 to 1, in proportion to its
-    weight; the result is the index in whose part `position` lies."""
+    """Returns an index chosen by weight: the range from 0 to 1 is divided among the indices in proportion to
+    their weights, and `position` lies in the part of the returned index."""
     position *= sum(weights)
     for i, weight in enumerate(weights):
         position -= weight
@@ -235,7 +236,7 @@
 
 
 class _ShareBucket:
-    """The share of a tenant as a token bucket of work."""
+    """A token bucket of work, which decides whether a tenant's requests are within its share."""
 
     def __init__(self, work_per_s: float) -> None:
         self.per_s = work_per_s
@@ -304,8 +305,8 @@
         self.scenario = scenario
         self.places = places
         self.instances = [0] * len(places)  # the number of the present instance of each place
-        # When each place is available to a fault that ends its box. Before that time the place has no box, or
-        # one that another fault is ending.
+        # For each place, the time from which a fault may end its box. Before that time the place has no box,
+        # or another fault ends the box.
         self.available_ns = [0] * len(places)
         self.steps: list[Step] = []
         self.notifications: list[Notification] = []
@@ -398,8 +399,8 @@
     def _choose_places(
         self, part: float, at: int, name: tuple[object, ...], include_unavailable: bool = False
     ) -> list[int]:
-        """Chooses places at random, `part` of all if enough are available. With `include_unavailable`, places
-        are also chosen that have no box or whose box another fault ends."""
+        """Chooses places at random: the share `part` of all places, or fewer if too few are available. With
+        `include_unavailable`, places that have no box, or whose box another fault ends, are eligible too."""
         free = [p.number for p in self.places if include_unavailable or self.available_ns[p.number] <= at]
         return sorted(self._rng(name).sample(free, min(len(free), round(part * len(self.places)))))
 
@@ -415,7 +416,7 @@
             at += max(MS, self._duration_ns(every_s, *name, "turn", turn))
 
     def _notify(self, at: int, place: int, state: str, delay_s: tuple[float, float] | None = None) -> None:
-        """Adds a notification of each balancer, after a delay from the range `delay_s` or `notice_s`."""
+        """Adds a notification to each balancer, with a delay from `delay_s` or else from `notice_s`."""
         instance = self.instances[place]
         delay_s = delay_s or self.scenario.discovery.notice_s
         # Half of the delay is discovery's own; the delivery to each balancer adds the other half.
--- a/lanelift/rehearsal/records.py
+++ b/lanelift/rehearsal/records.py
@@ -35,7 +35,7 @@
     id: str
     balancer: int
     began_ns: int
-    sent_ns: int  # when the last byte of the request was written; 0: never
+    sent_ns: int  # when the last byte of the request was written; 0 if it was not
     ended_ns: int
     deadline_ns: int  # when the client abandons the try
     result: str
@@ -65,7 +65,7 @@
 
 
 class StandingChange(NamedTuple):
-    """A change of a tenant's standing in the directories, to `standing`: suspended or active."""
+    """A change of a tenant's standing in the directories. `standing` is the new one: suspended or active."""
 
     at_ns: int
     tenant: str
@@ -73,8 +73,8 @@
 
 
 class BoxSample(NamedTuple):
-    """The state of the box at a place: requests held, and capacity in seconds of work per second, which is 0
-    while the box is down, frozen or vanished."""
+    """The state of the box at a place: the requests that it holds, and its capacity in seconds of work per
+    second. The capacity is 0 while the box is down, frozen or vanished."""
 
     at_ns: int
     place: int
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -15,7 +15,7 @@
 from lanelift.rehearsal.verdict import SECOND, Day, outcomes, verdict, windows
 
 SCHEMA = 1  # version of the JSON, incremented when a key changes its meaning or is removed
-CHART_WINDOW_S = 0.5  # length of the windows in charts
+CHART_WINDOW_S = 0.5  # length of the time windows in charts
 OUTCOME_LETTERS = {
     "served": "s",
     "late": "a",
@@ -68,7 +68,7 @@
 
 
 def _boxes(day: Day) -> Json:
-    """Returns the mean load and capacity of each place in each second, or None if it has no sample."""
+    """Returns the mean load and capacity of each place in each second; None for a second without samples."""
     seconds = int(day.plan.scenario.length_s) + 1
     held: dict[int, list[list[int]]] = defaultdict(lambda: [[] for _ in range(seconds)])
     capacity: dict[int, list[list[float]]] = defaultdict(lambda: [[] for _ in range(seconds)])
@@ -144,7 +144,7 @@
 
 # ---- comparison ------------------------------------------------------------------------------------------
 
-# The name of each figure in a comparison, and its section and key in the verdict.
+# For each figure in a comparison, by name: its section and its key in the verdict.
 COMPARED = {
     "figure": ("worth", "figure"),
     "whole": ("worth", "whole"),
@@ -162,15 +162,15 @@
 
 
 def compared_figures(report: Json) -> dict[str, float]:
-    """Returns the figures of one report that `compare` compares, by name."""
+    """Returns, by name, the figures of one report that `compare` uses."""
     return {name: report["verdict"][part][key] for name, (part, key) in COMPARED.items()}
 
 
 def compare(a: list[Json], b: list[Json]) -> list[Json]:
     """Compares two sets of reports. Each returned row has the keys name, a, b, change and noise.
 
-    `noise` is the change that chance alone explains: two standard errors of the difference, from the spread
-    of the runs on each side. It is None if a side has only one run."""
+    `noise` is the change that chance alone explains: two standard errors of the difference, estimated from
+    the spread of the runs on each side. `noise` is None if a side has only one run."""
     rows = []
     for name in COMPARED:
         left, right = ([compared_figures(report)[name] for report in side] for side in (a, b))
--- a/lanelift/rehearsal/scenario.py
+++ b/lanelift/rehearsal/scenario.py
@@ -1,4 +1,4 @@
-"""The schema of scenario files. The suffix of a name says whether a time is in seconds or milliseconds.
+"""The schema of scenario files. The suffix of a key says whether a time is in seconds or milliseconds.
 
 A value that a file gives as a range `[low, high]` is drawn separately for each box, request or fault, from
 the seed.
@@ -25,9 +25,11 @@
     tables,
 )
 
-MAX_BOXES, MAX_BALANCERS = 500, 64  # on one machine, each box is a listener and each balancer a process
+# A rehearsal runs on one machine, where each box is a listener and each balancer a process.
+MAX_BOXES, MAX_BALANCERS = 500, 64
 MAX_LENGTH_S, MAX_RATE = 3600.0, 20_000.0
-MAX_REQUESTS = 1_000_000  # generated in advance and kept until the verdict, some hundred bytes each
+# Requests are generated in advance and kept until the verdict; each takes some hundred bytes.
+MAX_REQUESTS = 1_000_000
 
 
 def _check_range(values: tuple[float, float]) -> tuple[float, float]:
@@ -113,7 +115,7 @@
     usage: Annotated[float, Field(ge=0, le=1000)] = 1.0
 
 
-# The defaults: classes and tenants of rate-quotes-pos (the brief, 'Work' and 'Who shares it').
+# The default classes and tenants are those of rate-quotes-pos (the brief, 'Work' and 'Who shares it').
 CLASSES = [
     ClassTable(name="rate-lookup", share=36, work_ms=75, cv=0.62, worth=3),
     ClassTable(name="fee-quote", share=27, work_ms=78, cv=0.68, worth=5),
@@ -139,8 +141,8 @@
 class Clients(Table):
     """The behaviour of clients: they abandon a try after a part of the class's deadline and then retry.
 
-    `honour` is the share of requests whose client waits for a Retry-After, and `walk_off` the share that is
-    abandoned early."""
+    `honour` is the share of requests whose client waits for a Retry-After, and `walk_off` is the share of
+    requests that the client abandons early."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 3
     try_part: PartPair = (0.33, 0.55)
@@ -161,7 +163,7 @@
 
 
 class Limits(Table):
-    """The limits that are given to the balancers."""
+    """The limits in the configuration of the balancers."""
 
     max_attempts: Annotated[int, Field(ge=1, le=100)] = 5
     retry_after: bool = True
@@ -171,7 +173,7 @@
 
 
 class Rules(Table):
-    """The parameters of the rules."""
+    """The parameters of the rules that the verdict checks."""
 
     drain_grace_ms: Annotated[float, Field(ge=0, le=60_000)] = 500.0
     fall_multiple: Annotated[float, Field(gt=0, le=1000)] = 2.5
@@ -179,7 +181,7 @@
 
 
 class DirectoryTable(Table):
-    """The LDAP directories that list the tenants, and `more` tenants that send no requests."""
+    """The LDAP directories that list the tenants. `more` is a number of tenants that send no requests."""
 
     servers: Annotated[int, Field(ge=1, le=4)] = 2
     unknown: Literal["share", "deny"] = "deny"
@@ -272,8 +274,8 @@
 
 
 class Suspend(_Fault):
-    """`count` random tenants, or the named one, are suspended at random times within `len_s`, each for a time
-    from the range `for_s` or else until the end of the day."""
+    """`count` random tenants, or the named one, are suspended at random times within `len_s`. Each suspension
+    lasts for a time from the range `for_s` or, without `for_s`, until the end of the day."""
 
     kind: Literal["suspend"]
     len_s: Seconds = 0.0
--- a/lanelift/rehearsal/upstream_workers.py
+++ b/lanelift/rehearsal/upstream_workers.py
@@ -13,7 +13,7 @@
 from lanelift.standins.discovery import Agent, DrainNotice, Entry, start_agents
 from lanelift.standins.upstream_emulator import SocketOptions, UpstreamEmulator
 
-SAMPLE_INTERVAL_S = 0.25  # how often the load of each box is sampled
+SAMPLE_INTERVAL_S = 0.25  # between two samples of the load of each box
 
 
 def call_at(when_ns: int, call: Callable[..., object], *args: Any) -> None:
@@ -118,7 +118,7 @@
 
 
 def entry_of(plan: Plan, place: Place, instance: int, address: str, state: str, started_ms: int) -> Entry:
-    """Returns the discovery entry of an instance."""
+    """Returns the entry of an instance in discovery's list."""
     return Entry(
         place.instance_id(instance),
         address,
--- a/lanelift/rehearsal/verdict.py
+++ b/lanelift/rehearsal/verdict.py
@@ -20,19 +20,19 @@
 SECOND, MS = 1_000_000_000, 1_000_000
 WINDOW_S = 10  # length of a window; the window with the lowest share of worth is reported
 WEIGHTS = {"whole": 0.6, "worst_window": 0.1, "worst_class": 0.2, "worst_tenant": 0.1}  # the brief, 'Score'
-# A balancer counts as notified this long after the planned time of a notification, even if it never arrived.
+# A balancer counts as notified this long after a notification was due, even if the notification never came.
 NOTIFICATION_LIMIT_NS = 6 * SECOND
-MAX_BREACHES_SHOWN = 20  # per rule; all are counted
-# The run is void if the kit's event loops ran late, or requests were started late, by more than this. With an
-# aim of 264 ms, a delay of a hundredth of it does not show in a figure that itself varies by a hundredth; a
-# stall of a quarter of it is enough to make answers late.
+MAX_BREACHES_SHOWN = 20  # per rule; the counts include all breaches
+# The run is void if the event loops of the kit ran, or requests were started, later than this. The limits are
+# for the 99th percentile and the maximum. The aim is 264 ms: a delay of a hundredth of the aim does not show
+# in a figure that itself varies by a hundredth, but a stall of a quarter of it can make answers late.
 LATE_P99_MS, STALL_MS = 5.0, 66.0
 # No request of a suspended tenant may be sent to a box later than this after the suspension began. When the
-# suspension ends, requests of the tenant must resume within the same time and have no worth until then.
+# suspension ends, requests of the tenant must resume within this time, and they have no worth until then.
 SUSPENSION_LIMIT_S = 5.0
 
-# The kinds of outcomes, in this order: a 200 within the aim; a 200 after it; a 429 or 503; a 403; any other
-# answer; no answer; abandoned by the client.
+# The kinds of outcomes mean, in this order: a 200 within the aim; a 200 after the aim; a 429 or 503; a
+# 403; any other answer; no answer; a request that the client abandoned.
 OUTCOME_KINDS = ("served", "late", "refused", "denied", "failed", "lost", "left")
 RULES = {
     1: "one final answer, in time",
@@ -46,7 +46,7 @@
 class Breach(NamedTuple):
     """A breach of a rule, or a crash of a balancer."""
 
-    rule: int  # 0: a crash
+    rule: int  # a key of `RULES`, or 0 for a crash
     request: str
     balancer: int
     at_s: float
@@ -55,7 +55,7 @@
 
 class Attempt(NamedTuple):
     """One request as it reached a box. Has the same fields as `standins.upstream_emulator.Attempt`, which is
-    not imported here because its module uses sockets, and this one must not."""
+    not imported here because that module uses sockets and this module must not."""
 
     id: str
     box: str
@@ -68,9 +68,9 @@
 
 
 class DrainNotice(NamedTuple):
-    """A balancer was told that a box drains or is gone. Has the same fields as
-    `standins.discovery.DrainNotice`, which is not imported here because its module uses sockets, and this one
-    must not."""
+    """Records that a balancer was told that a box drains or is gone. Has the same fields as
+    `standins.discovery.DrainNotice`, which is not imported here because that module uses sockets and this
+    module must not."""
 
     at_ns: int
     balancer: int
@@ -90,7 +90,7 @@
     process_runs: Sequence[ProcessRun] = ()
     resource_samples: Sequence[ResourceSample] = ()
     box_samples: Sequence[BoxSample] = ()
-    cold_overloads: Sequence[tuple[int, str, str]] = ()  # when, instance id, the request that caused it
+    cold_overloads: Sequence[tuple[int, str, str]] = ()  # time, instance id, request that caused it
     complaints: Sequence[str] = ()
     lateness: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # of each process of the kit
     due_late_ms: Mapping[str, float] = field(default_factory=dict)
@@ -106,7 +106,7 @@
 
     request: ScheduledRequest
     kind: str
-    latency_ms: float  # from its due time to the end of the try that decided its kind; 0 without a try
+    latency_ms: float  # from the due time to the end of the try that decided the kind; 0 without a try
     tries: int
     box: str  # the id of the instance that served it, or ""
 
@@ -145,16 +145,16 @@
 
 
 class Suspension(NamedTuple):
-    """A suspension of a tenant, and when a box received the last of its requests during the suspension."""
+    """A suspension of a tenant, and the time of the tenant's last request to a box during it."""
 
     tenant: str
     at_ns: int
     until_ns: int  # when the suspension or the day ended
-    last_sent_ns: int  # 0: none
+    last_sent_ns: int  # 0 if no request was sent
 
     @property
     def took_s(self) -> float:
-        """The seconds until the last request of the tenant was sent; 0 if none was."""
+        """Seconds from the suspension to the tenant's last request during it; 0 if none was sent."""
         return max(0, self.last_sent_ns - self.at_ns) / SECOND
 
 
@@ -165,7 +165,7 @@
     for attempt in day.attempts:
         sent[tenants.get(request_id_of(attempt.id), "")].append(attempt.first_ns)
     found = []
-    ends: dict[str, int] = {}  # by tenant: the time of its next change
+    ends: dict[str, int] = {}  # for each tenant, the time of the change that follows in the day
     for change in reversed(day.standing_changes):
         if change.standing == "suspended":
             until = ends.get(change.tenant, day.start_ns + day.plan.length_ns)
@@ -198,7 +198,7 @@
 
 
 class _WorthTotal:
-    """The total worth of some requests, and the worth of those of them that were answered in time."""
+    """The total worth of some requests (`asked`), and of those answered in time (`served`)."""
 
     def __init__(self) -> None:
         self.asked = self.served = 0.0
@@ -214,7 +214,7 @@
 
 def worth(plan: Plan, found: Iterable[Outcome]) -> dict[str, Any]:
     """Returns the share of the worth that was answered in time: in total, in the worst window, by class, and
-    by tenant (only requests within its share). The figure is a mean of these, weighted by `WEIGHTS`."""
+    by tenant (only requests within the tenant's share). `figure` is a mean weighted by `WEIGHTS`."""
     load = plan.scenario.load
     value = {c.name: c.worth for c in plan.scenario.classes}
     whole = _WorthTotal()
@@ -356,9 +356,9 @@
                 )
 
     def _check_drains(self) -> None:
-        """Rule 3: no new attempt to a box once the grace time after the notification has passed.
+        """Rule 3: a balancer starts no attempt at a box later than the grace time after its drain notice.
 
-        Not checked without drain notices, as with an external balancer."""
+        Without drain notices, as with an external balancer, the rule is not checked."""
         told_ns: dict[tuple[int, str], int] = {}
         for notice in self.day.drain_notices:
             key = notice.balancer, notice.box
--- a/lanelift/rehearsal/worker.py
+++ b/lanelift/rehearsal/worker.py
@@ -1,9 +1,9 @@
 """A process of the kit: `python -m lanelift.rehearsal.worker`. Its first input line sets its role.
 
 The process reads JSON lines from standard input, first its job and then commands, and writes messages as JSON
-lines to standard output. When standard input ends, the orchestrator has exited for whatever reason: the
-process then ends everything that it has started and exits, so that no process remains after the orchestrator
-has crashed or was killed.
+lines to standard output. The end of standard input means that the orchestrator has exited. The process then
+ends everything that it has started and exits, so that no process remains after the orchestrator has crashed
+or was killed.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from lanelift.rehearsal.scenario import Scenario
 
 Json = dict[str, Any]
-CHECK_INTERVAL_S = 0.02  # how often a process checks how late its event loop is
-PROGRESS_INTERVAL_S = 0.5  # how often a process reports its progress
+CHECK_INTERVAL_S = 0.02  # between two checks of how late the process's event loop is
+PROGRESS_INTERVAL_S = 0.5  # between two progress reports of a process
 
 
 class Role(Protocol):
@@ -37,11 +37,11 @@
         """Runs the role's part of the day, which begins at `start_ns`, until it is over or cancelled."""
 
     async def command(self, message: Json) -> None:
-        """Handles a command of the orchestrator other than start and finish."""
+        """Handles a command from the orchestrator, except start and finish."""
         ...
 
     def progress(self) -> Json:
-        """Returns counts for the progress line, or nothing."""
+        """Returns counts for the progress line; none if the role has nothing to report."""
         ...
 
     async def finish(self) -> Json:
@@ -138,7 +138,7 @@
                 for coroutine in (run_day(message["at_ns"]), monitor.run(), report_progress()):
                     running.append(group.create_task(coroutine))
             elif message["do"] == "finish":
-                for task in running:  # no role may act any more while the records are written
+                for task in running:  # the role must not act while the records are written
                     task.cancel()
                 await asyncio.wait(running)
                 late = monitor.summary()
@@ -157,15 +157,15 @@
     try:
         try:
             send_message({"ready": await role.prepare()})
-        except OSError as error:  # such as a port in use, or a command that does not exist
+        except OSError as error:  # for example a port is in use, or a command does not exist
             send_message({"failed": str(error)})
             return
         gc.collect()
-        gc.freeze()  # the plan is permanent: a collection during the day must not traverse it
+        gc.freeze()  # the plan stays in memory: garbage collections during the day must not traverse it
         # An error in any task ends this process and is written to its log; the orchestrator notices the exit.
         async with asyncio.TaskGroup() as group:
             await receive_commands(group)
-            for task in running:  # they still run if the orchestrator has exited during the day
+            for task in running:  # if the orchestrator has exited during the day, the tasks still run
                 task.cancel()
     finally:
         await role.close()
