--- a/lanelift/standins/box.py
+++ b/lanelift/standins/box.py
@@ -1,4 +1,5 @@
-"""The queueing model of one box: its capacity, its jobs, and when each ends. Callers pass the time; no I/O.
+"""The queueing model of one box: its capacity, its jobs, and when each job ends. Performs no I/O: callers
+pass the time.
 
 The work of a job is the time that the job takes alone on one core of speed 1. A box has `cores` and runs up
 to `slots` jobs concurrently. Each running job gets an equal share of the cores and at most one core; further
@@ -20,18 +21,18 @@
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
-# A cold box warms up in this many equal steps, which differ from a linear ramp by at most 1/128 of its range.
+# A cold box warms up in this many equal steps, so its warmth is within 1/128 of the range of a linear ramp.
 WARM_STEPS = 64
-# A box with `warm_by_work` is warm, at the latest, once it has done this share of the work that it could do
-# at full capacity during the ramp. Under low load, the ramp ends first; under full load, the work warms the
-# box in about half the time.
+# A box with `warm_by_work` is warm, at the latest, once it has done this share of the work that a box at full
+# capacity does during the ramp. Under low load, the ramp ends first; under full load, the work warms the box
+# in about half the time of the ramp.
 WARM_WORK = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class BoxSpec:
-    """The parameters of a box. Times are in ns. Each request held beyond `thrash_at` per core lowers the
-    capacity, which is multiplied by 1 / (1 + thrash x excess)."""
+    """The parameters of a box. Times are in ns. If a box holds more than `thrash_at` requests per core, its
+    capacity is multiplied by 1 / (1 + thrash x excess per core)."""
 
     cores: int = 1
     slots: int = 1
@@ -59,7 +60,7 @@
     """The work offered within the last `span_ns`."""
 
     span_ns: int
-    offers: deque[tuple[int, int]] = field(default_factory=deque)  # time, work
+    offers: deque[tuple[int, int]] = field(default_factory=deque)  # the time and the work of each offer
     work_ns: int = 0
 
     def add(self, work_ns: int, now: int) -> int:
@@ -78,16 +79,16 @@
         self.spec = spec
         self.started_ns = self.at_ns = now
         self.warm_level = 0 if cold and spec.cold_ns > 0 else WARM_STEPS
-        self.attained = 0.0  # ns of work that a job would have received if it had run since the start
+        self.attained = 0.0  # ns of work that a job running since the start would have received
         self.done_ns = 0.0  # total work done by all jobs
-        # A heap: `attained` at which the job ends, arrival order, job.
+        # A heap of rows: the value of `attained` at which the job ends, the order of arrival, the job.
         self.running: list[tuple[float, int, str]] = []
         self.waiting: deque[tuple[int, str, int]] = deque()  # arrival order, job, work
-        self.completed: list[Completion] = []  # not yet returned by `advance`
+        self.completed: list[Completion] = []  # jobs that `advance` has not yet returned
         self.arrival_count = 0
         self.stolen_share = 0.0  # share of the machine that another program uses
         self.frozen_until_ns = 0
-        self.overloaded_ns = 0  # when it failed from overload while cold; 0: it has not
+        self.overloaded_ns = 0  # when the box failed from overload while cold; 0 if it has not
         self.recent_work = _RecentWork(spec.overload_window_ns)
 
     # ---- state ------------------------------------------------------------------------------------------
@@ -147,7 +148,7 @@
         if self.overloaded_ns:
             return False
         if self.warm_level < WARM_STEPS:
-            # Rejected work counts as well, since it is the offered load that overloads a cold box.
+            # Rejected work counts as well, since a cold box is overloaded by the load that is offered to it.
             window_capacity = self.spec.cores * self.spec.speed * self.warmth * self.spec.overload_window_ns
             if self.recent_work.add(work_ns, now) > self.spec.overload_multiple * window_capacity:
                 self.overloaded_ns = now
@@ -162,8 +163,8 @@
         return True
 
     def drop(self, job: str, now: int) -> bool:
-        """Removes a waiting job whose caller has disconnected. Returns whether the job was removed; a running
-        job is not."""
+        """Removes a job whose caller has disconnected, if the job is waiting. A running job continues.
+        Returns whether the job was removed."""
         self._advance_to(now)
         if not self.spec.drops_queued:
             return False
@@ -184,7 +185,7 @@
         self.stolen_share = stolen_share
 
     def charge(self, work_ns: int, now: int) -> None:
-        """Does work outside the queue, such as answering a probe, by which it delays the running jobs."""
+        """Does work outside the queue, such as answering a probe. This delays the running jobs."""
         self._advance_to(now)
         if self.running:
             self.attained -= work_ns / max(self.spec.cores, len(self.running))
@@ -236,7 +237,7 @@
         return self.at_ns + max(0, math.ceil((self.running[0][0] - self.attained) / rate))
 
     def _next_rate_change(self) -> int | None:
-        """Returns when the rate changes next without an arrival or a departure."""
+        """Returns when the rate changes next, if no job arrives or departs before."""
         if self.frozen:
             return self.frozen_until_ns
         if self.warm_level >= WARM_STEPS:
--- a/lanelift/standins/directory.py
+++ b/lanelift/standins/directory.py
@@ -19,11 +19,11 @@
 class NetworkFaults:
     """Faults of the network and transport. The defaults inject none."""
 
-    delay_s: float = 0.0  # before each answer
-    silent: bool = False  # connections are accepted, and no request is answered
+    delay_s: float = 0.0  # wait before each answer
+    silent: bool = False  # whether connections are accepted but no request is answered
     cut_after: int = -1  # bytes of search answers after which a connection is closed; -1: never
-    garbage: bytes = b""  # sent instead of each answer
-    trickle_s: float = 0.0  # between any two bytes
+    garbage: bytes = b""  # bytes that are sent instead of each answer
+    trickle_s: float = 0.0  # wait between any two bytes of an answer
 
 
 @dataclass(slots=True, eq=False)
@@ -77,7 +77,7 @@
         )
         self.transport: asyncio.Transport | None = None
         self.answered = 0  # bytes of search answers that were sent
-        self.task: asyncio.Task[None] | None = None  # the TLS handshake, or a slow answer
+        self.task: asyncio.Task[None] | None = None  # performs the TLS handshake, or sends a slow answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
--- a/lanelift/standins/discovery.py
+++ b/lanelift/standins/discovery.py
@@ -17,8 +17,8 @@
 from lanelift.standins.http import Connection, Request, Server, Timer
 
 MAX_HOLD_MS = 60_000  # longest hold time of a watch
-CHANGE_HISTORY = 1000  # changes that are kept; a watch from an older version gets the full list
-MAX_QUEUE_NS = 2_000_000_000  # in ask mode, a call that would wait longer is rejected
+CHANGE_HISTORY = 1000  # limits the changes kept; a watch from a version before them gets the full list
+MAX_QUEUE_NS = 2_000_000_000  # in ask mode, a call that would wait longer than this is rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
 
 class DrainNotice(NamedTuple):
-    """A balancer was told that a box drains or is gone. `at_ns` is a time of the monotonic clock."""
+    """Records that a balancer was told that a box drains or is gone, at `at_ns` of the monotonic clock."""
 
     at_ns: int
     balancer: int
@@ -70,12 +70,12 @@
         self.balancer, self.drain_notices, self.service = balancer, drain_notices, service
         self.version = 1
         self.entries: dict[str, Entry] = {}
-        self.changed: dict[str, tuple[int, Entry]] = {}  # by id: the latest change of a box, and its version
+        self.changed: dict[str, tuple[int, Entry]] = {}  # by box id: version and entry of the last change
         self.oldest_version = 1  # a watch from an earlier version gets the full list
         self.silent = False
-        # By connection: the request, the version from which it watches, and the timer of its hold time.
+        # For each connection: the request, the version from which it watches, and the timer of the hold time.
         self.watches: dict[Connection, tuple[Request, int, Timer]] = {}
-        self.held_requests: list[Request] = []  # received while silent, answered afterwards
+        self.held_requests: list[Request] = []  # received during an outage, and answered after it
 
     # ---- updates ----------------------------------------------------------------------------------------
 
@@ -100,7 +100,7 @@
         self._answer_watches()
 
     def set_silent(self, silent: bool) -> None:
-        """Starts or ends an outage during which calls and watches hang. At its end they are answered."""
+        """Starts or ends an outage. Calls and watches hang during an outage, and are answered at its end."""
         self.silent = silent
         if not silent:
             held_requests, self.held_requests = self.held_requests, []
@@ -169,7 +169,7 @@
                 self._send_list(request, since)
 
     def _send_list(self, request: Request, since: int | None) -> None:
-        """Sends the changes after the version `since`, or the full list if None. Records drain notices."""
+        """Sends the changes after version `since`, or for None the full list. Records drain notices."""
         if since is None:
             body = self.snapshot()
             # A full list also tells the balancer which boxes are gone, since they are not in it.
--- a/lanelift/standins/http.py
+++ b/lanelift/standins/http.py
@@ -30,8 +30,8 @@
     body: bytes
     first_ns: int
     last_ns: int
-    number: int  # position on its connection, from 0
-    disconnected_ns: int = 0  # when the caller closed the connection; 0: it is open
+    number: int  # position among the requests on its connection, from 0
+    disconnected_ns: int = 0  # when the caller closed the connection; 0 while it is open
 
     @property
     def path(self) -> str:
@@ -165,7 +165,7 @@
         return f"{self.host}:{self.port}"
 
     async def listen(self, port: int = 0) -> None:
-        """Listens on `port`; 0: the previous port or else a free one. Raises OSError if that fails."""
+        """Listens on `port`, or for 0 on the previous port or else a free one. May raise OSError."""
         self.listener = await asyncio.get_running_loop().create_server(
             lambda: Connection(self), self.host, port or self.port, backlog=BACKLOG
         )
@@ -196,7 +196,7 @@
 
 
 class Timer:
-    """A single pending call, which can be rescheduled."""
+    """A timer with at most one pending call, which can be rescheduled."""
 
     def __init__(self, call: Callable[[], None]) -> None:
         self.call = call
--- a/lanelift/standins/ldap.py
+++ b/lanelift/standins/ldap.py
@@ -24,8 +24,8 @@
 PAGED = b"1.2.840.113556.1.4.319"  # RFC 2696
 START_TLS = b"1.3.6.1.4.1.1466.20037"  # RFC 4511, 4.14
 DISCONNECTION_NOTICE = b"1.3.6.1.4.1.1466.20036"  # RFC 4511, 4.4.1
-MAX_DEPTH = 50  # of nested filters; deeper ones are refused
-MAX_PAGED = 16  # open paged searches per session; beyond this the oldest is discarded
+MAX_DEPTH = 50  # depth of nested filters; a filter that is nested deeper is refused
+MAX_PAGED = 16  # open paged searches per session; one more discards the oldest
 MODIFY_TIMESTAMP, ENTRY_UUID = "modifytimestamp", "entryuuid"
 # Attributes that are returned only if requested by name.
 OPERATIONAL = frozenset({MODIFY_TIMESTAMP, ENTRY_UUID, "createtimestamp", "entrydn"})
@@ -160,12 +160,12 @@
         )
 
 
-FilterTest = Callable[[Entry], bool | None]  # None: undefined, which does not match, nor does its negation
+FilterTest = Callable[[Entry], bool | None]  # None is undefined: neither such a test nor its negation matches
 
 
 def read_filter(tag: int, content: bytes, ordering: bool = True, depth: int = 0) -> FilterTest:
-    """Decodes a search filter (RFC 4511, 4.5.1.7) into a test of entries. `>=` and `<=` are undefined unless
-    `ordering`. Raises BerError."""
+    """Decodes a search filter (RFC 4511, 4.5.1.7) into a test of entries. Without `ordering`, the results of
+    `>=` and `<=` are undefined. Raises BerError."""
     if depth > MAX_DEPTH:
         raise BerError("the filter is nested too deeply")
     if tag in (0xA0, 0xA1):
@@ -189,7 +189,7 @@
     at_least = tag == 0xA5
 
     def ordered(e: Entry) -> bool | None:
-        # Only GeneralizedTime in one time zone is compared here, for which the order of texts is right.
+        # All values compared here are GeneralizedTime in one time zone, and these sort correctly as text.
         found = [normalized(v) for v in e.values(name)]
         return any(v >= value if at_least else v <= value for v in found) if found else None
 
@@ -248,14 +248,14 @@
 
     code: Code = Code.SUCCESS
     after: int = 0
-    referral: str = ""  # URL that searches are referred to or, with `references`, parts of them
+    referral: str = ""  # URL to which searches are referred or, with `references`, parts of the results
     references: bool = False
-    empty: bool = False  # searches succeed and return no entries
+    empty: bool = False  # whether searches succeed but return no entries
     # Attributes (lower case) that are withheld, as after a lost permission.
     hidden: frozenset[str] = frozenset()
-    most: int = 0  # entries in one answer, the administrator's limit; 0: no limit
-    pages: bool = True  # paged results are supported
-    ordering: bool = True  # >= and <= are supported in filters
+    most: int = 0  # the administrator's limit of entries in one answer; 0: no limit
+    pages: bool = True  # whether paged results are supported
+    ordering: bool = True  # whether >= and <= are supported in filters
 
 
 @dataclass(slots=True, eq=False)
@@ -266,7 +266,7 @@
     `closing` is set when the connection has to be closed after the answers are sent."""
 
     tree: Tree
-    users: Mapping[str, str]  # password by name; empty: anonymous clients may read
+    users: Mapping[str, str]  # passwords by name; if empty, anonymous clients may read
     server_faults: ServerFaults = field(default_factory=ServerFaults)
     offers_tls: bool = False
     wants_tls: bool = False
@@ -355,7 +355,7 @@
         """Returns the answers to a search: its entries, one page of them, or an error."""
         self.searches += 1
         base, scope = _decode(fields.expect(ber.OCTETS)), fields.integer(ber.ENUMERATED)
-        fields.integer(ber.ENUMERATED)  # how aliases are dereferenced: there are none
+        fields.integer(ber.ENUMERATED)  # how to dereference aliases, which this tree does not have
         size_limit, _, types_only = fields.integer(), fields.integer(), fields.boolean()
         test = read_filter(*fields.next_field(), self.server_faults.ordering)
         wanted = [_decode(content) for _, content in ber.elements(fields.expect(ber.SEQUENCE))]
@@ -438,7 +438,7 @@
         )
 
     def _entry(self, entry: Entry, wanted: list[str], types_only: bool) -> bytes:
-        """Encodes an entry with those of the wanted attributes that it has."""
+        """Encodes an entry with its attributes that are in `wanted`."""
         names = {w.lower() for w in wanted}
         every, operational = not names or "*" in names, "+" in names
         rows = []
@@ -463,7 +463,7 @@
 
 
 def _controls(content: bytes | None) -> dict[bytes, tuple[bool, bytes]]:
-    """Decodes the controls of a message. Returns the criticality and the value of each by its OID."""
+    """Decodes the controls of a message. Returns, by OID, whether each is critical, and its value."""
     found = {}
     for tag, row in ber.elements(content or b""):
         if tag != ber.SEQUENCE:
--- a/lanelift/standins/seeded_random.py
+++ b/lanelift/standins/seeded_random.py
@@ -12,7 +12,7 @@
 from statistics import NormalDist
 
 STANDARD = NormalDist()
-STEPS = 1 << 53  # evenly spaced values between 0 and 1: a double represents whole numbers up to this
+STEPS = 1 << 53  # count of evenly spaced values in (0, 1); a double represents all whole numbers up to it
 
 
 def unit(seed: int, *name: object) -> float:
--- a/lanelift/standins/upstream_emulator.py
+++ b/lanelift/standins/upstream_emulator.py
@@ -18,8 +18,8 @@
 from lanelift.standins.seeded_random import keyed_digest, unit
 
 NOT_RUN = (("X-Not-Run", "1"),)
-SWEEP_NS = 100_000_000  # idle connections are closed at most this much after their timeout
-MAX_COMPLAINTS = 100  # kept per box, so that a faulty caller cannot exhaust the memory
+SWEEP_NS = 100_000_000  # an idle connection is closed at most this long after its timeout
+MAX_COMPLAINTS = 100  # complaints kept per box, so that a faulty caller cannot exhaust the memory
 
 
 class Attempt(NamedTuple):
@@ -30,8 +30,8 @@
     first_ns: int
     last_ns: int
     closed_ns: int
-    result: str  # served, error, full, draining, dropped, cold fall, died, unknown, unanswered
-    ran: bool  # the box has worked on it
+    result: str  # served, error, full, draining, dropped, cold fall, died, unknown or unanswered
+    ran: bool  # whether the box has worked on the request
     work_ns: int
 
 
@@ -42,8 +42,8 @@
     connections: int = 500
     idle_ns: int = 15_000_000_000
     handshake_ns: int = 100_000  # extra work of the first request on a connection
-    probe_ns: int = 40_000  # work of answering a probe
-    report_ns: int = 2_000_000  # greatest age of a load report
+    probe_ns: int = 40_000  # work that answering a probe takes
+    report_ns: int = 2_000_000  # the age at which a load report is made anew
     error_part: float = 0.0
 
 
@@ -77,15 +77,15 @@
         self.instance_id, self.work_of = instance_id, work_of
         self.instance_number = -1
         self.box = Box(spec, 0)
-        # By "id/count", since an id may be sent again: the request, the instance that received it, its work.
+        # By "id/count", since an id may be sent again: the request, the instance that received it, the work.
         self.open_attempts: dict[str, tuple[Request, str, int]] = {}
         self.attempt_count = 0
-        self.withheld: list[Request] = []  # received while frozen or vanished
+        self.withheld: list[Request] = []  # requests received while the box is frozen or vanished
         self.attempts: list[Attempt] = []
-        self.cold_overloads: list[tuple[int, str, str]] = []  # when, instance id, the request that caused it
+        self.cold_overloads: list[tuple[int, str, str]] = []  # time, instance id, request that caused it
         self.complaints: list[str] = []  # requests that no client sent, and bytes that are not HTTP
         self.draining = self.vanished = False
-        self.load_report = (0, 0, 0)  # when it was made, inflight, queue
+        self.load_report = (0, 0, 0)  # time at which the report was made, inflight, queue
         self.timer = Timer(self._tick)
         self.sweeper = Timer(self._sweep)
 
@@ -130,7 +130,7 @@
 
     def connected(self, connection: Connection) -> None:
         if len(self.connections) >= self.sockets.connections:
-            connection.abort()  # before a request was read, so that none can have run
+            connection.abort()  # no request has been read yet, so none can have run
             return
         super().connected(connection)
         if self.sweeper.handle is None:
