--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -40,8 +40,9 @@
 CHEAP_PROBES = {"limits": Limits(3, False, True, True, retry_after=True), "load_report_fields": ("inflight",)}
 PEERS = {"limits": Limits(3, False, True, peer_messages=True, retry_after=True)}
 # The names of the days must not change, as the output is compared line by line with that of older revisions.
-# The days are: attempts announced to peers ("told"), load probes ("asked"), own counts only, and one attempt
-# only. The load is a share of the upstreams' capacity.
+# Balancers know the load of upstreams from messages of their peers ("told"), from load probes ("asked"), or
+# from their own counts alone; on the last of these days a request has one attempt. The load is a share of the
+# upstreams' capacity.
 DAYS: dict[str, tuple[dict[str, Any], int, int, float]] = {  # settings, replicas, upstreams, load
     "told": (PEERS, 12, 18, 0.6),
     "told, crowded": (PEERS, 12, 12, 1.1),
@@ -135,7 +136,7 @@
 
 
 def play_churn() -> tuple[int, str]:
-    """Play four hours of the churn of `tests/policy/test_churn.py`. Returns the same as `play_day`."""
+    """Play four hours of the churn of `tests/policy/test_churn.py`. Returns the action count and a digest."""
     churn, digest = Churn(5), hashlib.sha256()
     recorded = RecordingBalancer(churn.balancer, 0, digest)
     churn.balancer = recorded  # type: ignore[assignment]
@@ -173,7 +174,7 @@
 
 
 def main() -> int:
-    """Print the digests; return 1 if the revision given with `--before` has other ones."""
+    """Print the digests; return 1 if those of the revision given with `--before` differ."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--before", metavar="REV", type=revision, help="a revision to compare with")
     args = parser.parse_args()
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -143,7 +143,7 @@
 
 
 def failover_ns(seed: int) -> int | None:
-    """Returns the nanoseconds without a holder after a holder was killed; None: there is no such time."""
+    """Returns the time in ns from the kill of a holder to the next holding; None without one of the two."""
     world = HolderKillSimulation(Schedule(seed, tuple("abcde"), ("p1", "p2", "p3"), UNTIL_MS), TIMING)
     world.play()
     after = [at for at, *_ in world.findings.holdings if at > world.killed_ns]
@@ -163,7 +163,7 @@
 
 
 def holding_cost(voters: int, timing: LeaseTiming) -> tuple[float, float]:
-    """Returns the messages and the bytes of all nodes per second, while one of them holds the lease."""
+    """Returns how many messages and bytes all nodes send per second while one node holds the lease."""
     lease_s = timing.lease_ns / 1e9
     world = SteadyHolderSimulation(
         Schedule(1, tuple("abcdefghi"[:voters]), ("p1",), int(40_000 * lease_s)), timing
@@ -214,7 +214,7 @@
 
 
 def process_faults(rng: random.Random, voters: str, contenders: list[str], until_ms: int) -> Iterator[Step]:
-    """Yields faults of processes, about one in each half lease; each fault is undone within three leases."""
+    """Yields faults of processes, about two per length of a lease; each is undone within three lengths."""
     at = 2500
     while (at := at + int(rng.expovariate(1 / 500))) < until_ms:
         who, other = rng.choice([*voters, *contenders]), rng.choice(voters)
--- a/benchmarks/queue_on_sockets.py
+++ b/benchmarks/queue_on_sockets.py
@@ -3,7 +3,7 @@
 
 Independent boxes have one slot each, and Poisson arrivals at a load of 0.7 (M/M/1, and M/G/1 with cv 0.6).
 Concurrent requests use separate connections, which are kept open. The pure model is run with the very same
-arrivals and works, so a difference between the model and the sockets is caused by the sockets.
+arrivals and work per job, so a difference between the model and the sockets is caused by the sockets.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def jobs(box: int, count: int, load: float, cv: float) -> list[tuple[int, int]]:
-    """Return the arrival and the work of each job of one box, in ns."""
+    """Return the arrival time and the work of each job of one box, in ns."""
     found, now = [], 0.0
     for i in range(count):
         now += exponential(MEAN_MS * MS / load, 1, box, i, "gap")
@@ -40,7 +40,7 @@
 
 
 def modelled_wait_ms(rows: list[tuple[int, int]]) -> float:
-    """Return the mean wait in the model, in ms."""
+    """Return the mean wait of these jobs in the model, in ms."""
     box, arrivals, waited = Box(SPEC, 0), {}, 0
     for i, (at, work) in enumerate(rows):
         waited += sum(done.at_ns - arrivals[done.job][0] - arrivals[done.job][1] for done in box.advance(at))
@@ -65,7 +65,7 @@
 
 
 async def waits_on_sockets(number: int, rows: list[tuple[int, int]], start: int) -> list[float]:
-    """Return the waits of a box's jobs over sockets in ms: from due time to answer, less the work."""
+    """Return the wait of each job over sockets in ms: from its due time to its answer, less its work."""
     loop = asyncio.get_running_loop()
     works = {f"{number}.{i}": work for i, (_, work) in enumerate(rows)}
     box = UpstreamEmulator(SPEC, SOCKETS, 1, lambda n: f"box-{n}", works.get)
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -79,7 +79,7 @@
     with ThreadPoolExecutor(at_once) as pool:
         rows = list(zip(jobs, pool.map(play_and_summarize, jobs), strict=True))
     found = {name: [run for job, run in rows if job == name] for name in ("month-end", "quarter-dies")}
-    write_json(out, found)  # before the evaluation, as the runs took minutes
+    write_json(out, found)  # saved before the evaluation, since the runs took minutes
     for name, runs in found.items():
         for part in PARTS if any(not run["void"] for run in runs) else ():
             shares = [run["worth"][part] for run in runs if not run["void"]]
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -20,7 +20,7 @@
 
 
 def rules(count: int) -> list[Rule]:
-    """Return rules for partners with a host each; of ten rules of a partner, one has a wildcard."""
+    """Return rules for partners. Each partner has one host and ten rules, one of them with a wildcard."""
     found = []
     for i in range(count):
         partner, part = divmod(i, 10)
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -39,10 +39,10 @@
 
 BASE = "ou=agents,dc=trust,dc=example"
 MAP = AttributeMap(standing="agentStanding", share="agentShare", quota="agentQuota", classes="agentClass")
-TICK_S = 0.001  # between two measurements of the event loop's lateness
+TICK_S = 0.001  # time between two measurements of the event loop's lateness
 STEADY_S = 10.0
-IDLE_S = 20.0  # as long as a first reading takes: measures the lateness that the machine alone causes
-SETTLE_S = 45.0  # after the first reading: entries that were loaded in one second are read again meanwhile
+IDLE_S = 20.0  # an idle time as long as a first reading: shows the lateness that the machine alone causes
+SETTLE_S = 45.0  # wait after the first reading, in which entries loaded in one second are read again
 
 
 @click.group()
@@ -156,7 +156,7 @@
     def __init__(self) -> None:
         self.late_ms: list[float] = []
         self.work_ms: list[float] = []
-        self.skip = False  # whether to leave out the running tick, which the measurement itself has delayed
+        self.skip = False  # whether to leave out the current tick, which the evaluation itself has delayed
 
     async def measure_ticks(self) -> None:
         loop = asyncio.get_running_loop()
@@ -187,7 +187,7 @@
 
 
 class InThreadSync(SyncProcess):
-    """The alternative that was considered: the sync worker as a thread of the balancer's process."""
+    """The alternative that was considered: the sync worker runs as a thread of the balancer's process."""
 
     def start(self) -> None:
         from lanelift.tenants.sync_worker import SyncWorker
@@ -224,7 +224,7 @@
     settings = Settings(classes={"fee-quote": RequestClass("fee-quote")})
     dispatcher = Dispatcher(settings, 1, Upstreams(settings.limits, 100, ()))
     gc.collect()
-    gc.freeze()  # as the balancer does at its start
+    gc.freeze()  # the balancer does the same at its start
     before = me.memory_info().rss
     sync = kind(dispatcher, TenantSource(sync_config(port), UnknownTenants.DENY, 0.0))
     probe = EventLoopProbe()
@@ -244,7 +244,7 @@
     found["after"] = probe.summary()
     if reader:
         found["reader_mb"] = round(reader.memory_info().rss / 2**20, 1)
-    task.cancel()  # its ticks would be counted as work of the balancer
+    task.cancel()  # the ticks of the probe would be counted as work of the balancer
     used = (me.cpu_times(), reader.cpu_times() if reader else None)
     await asyncio.sleep(STEADY_S)
     later = (me.cpu_times(), reader.cpu_times() if reader else None)
@@ -280,7 +280,7 @@
     logging.disable(logging.WARNING)
     found = []
     for _ in range(times):
-        if thread:  # run with `--times 1`, in a process for each run, as memory is counted
+        if thread:  # use `--times 1`, a new process for each run, as memory is measured
             found.append(asyncio.run(measure_large(count, changed, InThreadSync, settle_s)))
         else:
             found.append(asyncio.run(measure_large(count, changed, SyncProcess, settle_s)))
--- a/lanelift/rehearsal/orchestrator.py
+++ b/lanelift/rehearsal/orchestrator.py
@@ -68,7 +68,7 @@
     on_message: Callable[[Json], None]
     ready: asyncio.Future[Json]
     day_over: asyncio.Event = field(default_factory=asyncio.Event)  # also set if the process exits
-    finished: asyncio.Future[Json] | None = None  # gets the summary, which the process sends last
+    finished: asyncio.Future[Json] | None = None  # gets the summary once the records are written
     progress: Json = field(default_factory=dict)
     reader: asyncio.Task[None] | None = None
     failure: str = ""  # why the process could not start
