--- a/tests/pinned/beat.py
+++ b/tests/pinned/beat.py
@@ -1,7 +1,7 @@
 """A task that records when it acts: `python beat.py FILE [stubborn]`. It imports nothing of lanelift.
 
-Each act is one line, `TOKEN TIME PID`, in one write; times are of CLOCK_BOOTTIME, which all processes of the
-machine share. The task acts until SIGTERM; with `stubborn` it ignores SIGTERM.
+Each act is recorded as one line, `TOKEN TIME PID`, in one write. Times are of CLOCK_BOOTTIME, which all
+processes of the machine share. The task acts until SIGTERM; with `stubborn` it ignores SIGTERM.
 """
 
 from __future__ import annotations
--- a/tests/pinned/ends.py
+++ b/tests/pinned/ends.py
@@ -16,10 +16,10 @@
 from tests.pinned.processes import clean_environ
 
 WAIT_S = 30
-MOST = 1 << 20  # bytes of a message
-SILENT = b""  # in place of an answer: the upstream never answers
+MOST = 1 << 20  # largest size of a message in bytes
+SILENT = b""  # used in place of an answer: the upstream never answers
 READY = b"GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n"
-RESET = b"reset"  # in place of an answer: the connection is closed
+RESET = b"reset"  # used in place of an answer: the upstream closes the connection
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
@@ -77,7 +77,7 @@
 
 
 async def ask(address: tuple[str, int], *requests: bytes) -> list[str]:
-    """Returns the answers to these requests on one connection, and whether the balancer then closed it."""
+    """Sends requests on one connection. Returns the answers, and whether the balancer then closed it."""
     async with asyncio.timeout(WAIT_S):
         reader, writer = await asyncio.open_connection(*address, limit=MOST)
         found = []
--- a/tests/pinned/forking.py
+++ b/tests/pinned/forking.py
@@ -1,8 +1,8 @@
 """Runs one program many times: it is imported once, and each run is a process that is forked afterwards.
 
 `processes.py` starts this program. Its standard input is a JSON object with `module` (run as by `python -m`)
-or `script` (a console script of pyproject.toml), `warm` (arguments of runs whose results are discarded, and
-whose imports stay) and `runs`. Its standard output has the exit code and the output of each run.
+or `script` (a console script of pyproject.toml), `warm` (arguments of first runs, whose results are discarded
+but whose imports stay loaded) and `runs`. Its standard output has the exit code and the output of each run.
 """
 
 from __future__ import annotations
--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -41,7 +41,7 @@
     "view": messages.LeaseList,
     "hello": messages.VoterStatus,
 }
-# The field at each position on the wire. A rename changes a word here, but not the order.
+# The fields of each kind of message, in the order of the wire. A rename changes a word here, not the order.
 FLEET_FIELDS: dict[str, tuple[str, ...]] = {
     "ask": ("lease", "ballot", "nonce", "proposer", "request_id", "waited_ns", "wants_queue"),
     "take": ("lease", "ballot", "nonce", "proposer", "request_id"),
@@ -107,7 +107,7 @@
 
 
 def fleet_refusal(data: bytes) -> tuple[str, str]:
-    """Returns why a datagram is dropped: "garbage", or "unknown" (of a later release), and the reason."""
+    """Returns why a datagram is dropped: "garbage" or "unknown" (of a later release), and the error text."""
     try:
         codec.decode(data)
     except codec.MessageDecodeError as error:
@@ -231,7 +231,7 @@
 
 
 def state_refusal(folder: Path, member: str) -> str:
-    """Returns the error text with which a state file, or its folder, is refused."""
+    """Returns the error text for a state file, or a folder, that is refused."""
     try:
         state_file = StateFile(folder, member)
     except VoterStateError as error:
@@ -246,7 +246,7 @@
 
 
 def locked_state(folder: Path, member: str) -> str:
-    """Returns the error text with which a second process with the same id is refused."""
+    """Returns the error text for a second process that uses a voter's id."""
     state_file = StateFile(folder, member)
     try:
         return state_refusal(folder, member)
@@ -262,12 +262,12 @@
     heard: Iterable[Mapping[str, Any]] = (),
     wanted: int = 0,
 ) -> tuple[bool, int | None, int]:
-    """Starts a voter on its state file and passes answers of other voters to it; its writes go to the file.
+    """Starts a voter on its state file, to which it writes, and passes answers of other voters to it.
 
-    `heard`: the answers as dicts with the keys voter, voting, blank, floor and left. `wanted`: a ballot for
-    which the voter reserves a block in the file afterwards; 0: none. Returns whether the voter may vote,
+    `heard` has the answers, as dicts with the keys voter, voting, blank, floor and left. `wanted` is a ballot
+    for which the voter then reserves a block in the file, or 0 for none. Returns whether the voter may vote,
     until when it is silent (ns after its start), and the ballot above which it votes. Raises ValueError with
-    the text of a refusal.
+    the error text if the file is refused.
     """
     plan = made_plan(voters, "trust", lease_ms * MS, 10 * MS, 100 * MS)
     state_file = StateFile(folder, member)
@@ -289,7 +289,7 @@
     return recovery.may_vote, recovery.ready_ns, recovery.ballot_floor
 
 
-MAX_WRITES = 8  # of a voter's state, after one message
+MAX_WRITES = 8  # limits the writes of a voter's state after one message
 
 
 def _written(recovery: VoterRecovery, state_file: StateFile) -> None:
@@ -395,7 +395,7 @@
         super()._apply_step(step)
 
     def _leave(self, name: str) -> None:
-        """Lets a member announce that it leaves, and end; only this simulation has this event."""
+        """Lets a member announce that it leaves, and then end. Only this simulation has this event."""
         detector = self.detector(int(name))
         if detector is not None:
             self.line("leave", name)
--- a/tests/pinned/processes.py
+++ b/tests/pinned/processes.py
@@ -41,7 +41,7 @@
 
 
 def clean_environ(**more: str) -> dict[str, str]:
-    """Returns the environment without variables that the programs read; the tree's code is imported first."""
+    """Returns the environment without variables that the programs read; PYTHONPATH begins with this tree."""
     kept = {k: v for k, v in os.environ.items() if not k.startswith(("BALANCER_", "LANELIFT_", "_LANELIFT"))}
     path = os.pathsep.join(filter(None, (str(ROOT), os.environ.get("PYTHONPATH", ""))))
     return {**kept, "PYTHONPATH": path, "COLUMNS": "80", "PYTHONHASHSEED": "0", **more}
@@ -64,7 +64,7 @@
 def run_many(
     runs: Iterable[Run], cwd: Path, *, module: str = "", script: str = "", warm: Iterable[str] = ()
 ) -> list[Done]:
-    """Does the same as `run` for each run, in much less time: see `forking.py`."""
+    """Returns for each run what `run` returns, in much less time (see `forking.py`)."""
     told: dict[str, Any] = {
         **({"module": module} if module else {"script": script}),
         "warm": [words.split() for words in warm],
@@ -103,7 +103,7 @@
 
 
 def changed(value: Any, leaf: Any) -> Any:
-    """Returns the same tables with `leaf` in place of the value of each key."""
+    """Returns a copy of the tables in which each key has the value `leaf`."""
     if isinstance(value, dict):
         return {key: changed(each, leaf) for key, each in value.items()}
     if isinstance(value, list) and value and isinstance(value[0], dict):
@@ -112,7 +112,7 @@
 
 
 def with_keys(value: Any, more: dict[str, Any] | None) -> Any:
-    """Returns the same tables with `more` keys in each; None: with a misspelt copy of each key."""
+    """Returns a copy with the keys `more` added to each table, or, for None, a misspelt copy of each key."""
     if isinstance(value, list):
         return [with_keys(each, more) for each in value]
     if not isinstance(value, dict):
--- a/tests/pinned/releases.py
+++ b/tests/pinned/releases.py
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Stay:
-    """One task's acts under one token; times in nanoseconds of CLOCK_BOOTTIME."""
+    """The acts of one task under one token. Times are nanoseconds of CLOCK_BOOTTIME."""
 
     file: str
     token: int
@@ -77,9 +77,9 @@
 
 
 class Fleet:
-    """Members a, b and c and any number of holders of one lease. A context manager that ends its processes.
+    """Members a, b and c, and any number of holders of one lease. A context manager: its exit ends them all.
 
-    `lease_ms` and the other timings are those of `TIMES`; after its start, a voter is silent for a lease.
+    The operator's file has the timings of `TIMES`. After its start, a voter is silent for `lease_ms`.
     """
 
     TIMES = "lease_ms = 1000\nanswer_ms = 60\nmargin_ms = 300\ndrift_ppm = 1000\n"
@@ -88,7 +88,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.releases: dict[str, Path] = {}  # the release of the last start
+        self.releases: dict[str, Path] = {}  # the release that was started last under each name
         self.starts: dict[str, int] = {}
         self.ports = dict(zip(self.VOTERS, free_ports(socket.SOCK_DGRAM, 3), strict=True))
         listens = free_ports(socket.SOCK_STREAM, 6)
@@ -113,7 +113,7 @@
             if process.poll() is None:
                 process.kill()
             process.wait()
-        for stay in self.stays():  # a watchdog that failed leaves its task, which must not outlive the test
+        for stay in self.stays():  # a task whose watchdog failed still runs, and must not outlive the test
             if alive(stay):
                 os.kill(stay.pid, signal.SIGKILL)
 
@@ -177,7 +177,7 @@
         return next(filter(self.acts, names))
 
     def until_bound(self, name: str) -> None:
-        """Waits until each member reports that it is bound to this holder, over releases."""
+        """Waits until each member, of either release, reports that it is bound to this holder."""
         for voter in self.VOTERS:
             self.until(f"{voter} is bound to {name}", lambda voter=voter: name in self.bound(voter))  # type: ignore[misc]
 
@@ -209,7 +209,7 @@
         return "\n".join(f"--- {path.name}\n{path.read_text()}" for path in sorted(self.folder.glob("*.log")))
 
     def stays(self) -> list[Stay]:
-        """Returns all stays, in the order of their first acts, without a last line that a kill cut off."""
+        """Returns all stays in the order of their first acts. Ignores a last line that a kill cut off."""
         found = []
         for path in sorted(self.folder.glob("*.beats")):
             lines = [line for line in path.read_text().splitlines(keepends=True) if line.endswith("\n")]
@@ -220,7 +220,7 @@
         return sorted(found, key=lambda stay: stay.first_ns)
 
     def judged(self) -> list[Stay]:
-        """Returns all stays; fails if two acted at the same time, or a token did not increase."""
+        """Returns all stays. Fails if two tasks acted at the same time, or a token did not increase."""
         stays = self.stays()
         for earlier, later in pairwise(stays):
             assert earlier.last_ns < later.first_ns, f"both act: {earlier}, {later}"
@@ -229,7 +229,7 @@
 
 
 def alive(stay: Stay) -> bool:
-    """Returns whether a task still runs. One that has ended and was not waited for has no command line."""
+    """Returns whether a task still runs. An ended task that was not waited for has no command line."""
     try:
         words = Path(f"/proc/{stay.pid}/cmdline").read_bytes().split(b"\0")
     except FileNotFoundError:
--- a/tests/pinned/settings_names.py
+++ b/tests/pinned/settings_names.py
@@ -91,7 +91,7 @@
 
 
 def of_operator(path: Path) -> Values:
-    """Returns the settings that the operator's file gives with its defaults, by the platform's keys."""
+    """Returns, by the platform's keys, the settings that the operator's file and its defaults give."""
     told = read_operator_file(path).config()
     values = _values(told.settings)
     upstreams = [
@@ -160,7 +160,7 @@
 
 
 def _plain(value: Any) -> Any:
-    """Returns a value as in JSON; of an enum its value."""
+    """Returns a value as JSON has it; for a member of an enum, the member's value."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, dict):
--- a/tests/pinned/state_files.py
+++ b/tests/pinned/state_files.py
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True)
 class Start:
-    """One start of voter `a`. `before` and `after` are files of the folder; no `before`: an empty disk.
+    """One start of voter `a`. `before` and `after` are files of the folder; "" is an empty disk.
 
-    `votes`, `silent_ns` and `base`: whether the voter may vote afterwards, how long it is silent after its
-    start, and the ballot above which it votes.
+    `votes` is whether the voter may vote afterwards, `silent_ns` how long it is silent after its start, and
+    `base` the ballot above which it votes.
     """
 
     before: str
@@ -69,11 +69,11 @@
     ),
     # A restart under the same plan: the voter begins above all ballots that it may have promised.
     Start("fresh", "restarted", "abc", 1000, (), True, S, BLOCK),
-    # Another list of voters: the voter waits for a majority of the former voters.
+    # After a change of the list of voters, the voter waits for a majority of the former voters.
     Start("fresh", "moved", "abcde", 1000, (), False, None, 0),
     Start("moved", "moved", "abcde", 1000, (heard("d", False, True),), False, None, 0),
     Start("moved", "arrived", "abcde", 1000, (heard("b", True, False, 3 * BLOCK),), True, S, 3 * BLOCK),
-    # A voter that is counted came from a list of b and f, which may still have a majority.
+    # One of the counted voters came from a list of b and f; a majority of that list may still exist.
     Start(
         "moved",
         "moved",
@@ -84,12 +84,12 @@
         None,
         0,
     ),
-    # Change to a third list before that, and back.
+    # While the voter still waits, the list changes to a third one, and back to the first.
     Start("moved", "moved-twice", "abd", 1000, (), False, None, 0),
     Start("moved-twice", "moved-back", "abc", 1000, (), False, None, 0),
     # A blank voter changes its list: it knows no ballot under either list.
     Start("blank", "blank-moved", "abd", 1000, (), False, None, 0),
-    # Leases were 5 s before: the voter is silent for as long, even if it restarts in between.
+    # Leases were 5 s long before: the voter is still silent for 5 s, even if it restarts in between.
     Start("", "long", "abc", 5000, (heard("b", False, True), heard("c", False, True)), True, 5 * S, 0),
     Start(
         "long",
@@ -102,7 +102,8 @@
         BLOCK,
     ),
     Start("shortened", "shortened-restarted", "abc", 1000, (), True, 5 * S, 2 * BLOCK),
-    # The ballots of a block are used up: another block is reserved. A longer silence, once kept, is dropped.
+    # When the ballots of a block are used up, another block is reserved. A longer silence that the voter has
+    # kept is then dropped from the file.
     Start("fresh", "next-block", "abc", 1000, (), True, S, BLOCK, wanted=200_000),
     Start("shortened", "shortened-next-block", "abc", 1000, (), True, 5 * S, 2 * BLOCK, wanted=200_000),
 ]
--- a/tests/pinned/test_balancer_config.py
+++ b/tests/pinned/test_balancer_config.py
@@ -97,7 +97,7 @@
     "limits": {"sockets": 512},
     "settings": SETTINGS,
 }
-WRONG: list[Any] = ["?", True, {}]  # at least one of these is wrong for each type of value
+WRONG: list[Any] = ["?", True, {}]  # for each type of value, at least one of these is wrong
 
 
 def leaves(value: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
@@ -156,7 +156,7 @@
 def test_a_key_under_another_name_is_skipped(path: tuple[str | int, ...]) -> None:
     """Unknown keys are ignored: the renamed key has its default, and all others keep their values."""
     if isinstance(path[-1], int) or path[-1] == "name":
-        return  # not a key, or a required one
+        return  # an index is not a key, and `name` is required
     misspelt = copy.deepcopy(SETTINGS)
     at: Any = misspelt
     for key in path[:-1]:
@@ -214,7 +214,7 @@
     if by == "variables":
         config = {key: value for key, value in CONFIG.items() if key not in addresses}
         variables = {f"BALANCER_{key.upper()}": value for key, value in addresses.items()}
-    else:  # keys of the file take precedence
+    else:  # keys of the file take precedence over these variables
         variables = {f"BALANCER_{key.upper()}": "nowhere" for key in addresses}
     path = tmp_path / "c.json"
     path.write_text(json.dumps(config))
--- a/tests/pinned/test_fleet_bytes.py
+++ b/tests/pinned/test_fleet_bytes.py
@@ -17,7 +17,7 @@
 DIGEST = b"12345678"
 HEAD = "4c46" + "01" + "3132333435363738"  # magic, version, digest
 LONGEST, MOST = "x" * 64, 2**62 - 1  # the longest name, the largest count
-N, C = "d940" + "78" * 64, "cf3fffffffffffffff"  # both as MessagePack
+N, C = "d940" + "78" * 64, "cf3fffffffffffffff"  # LONGEST and MOST as MessagePack
 SEEN = f"96a47365656e{N}{N}{C}{C}{C}"  # one lease of the largest view
 LEFT = f"92{N}a161"  # one former list of voters of the largest hello
 
@@ -184,7 +184,7 @@
 @pytest.mark.parametrize(("row", "values"), DEFAULTS, ids=lambda row: f"{row[0]}-{len(row)}")
 def test_fields_that_are_left_out_at_the_end_have_defaults(row: list[Any], values: tuple[Any, ...]) -> None:
     assert names.decode_fleet(framed(row)) == (DIGEST, row[0], values)
-    # This release does not omit them.
+    # This release writes these fields even if they have their defaults.
     assert names.encode_fleet(DIGEST, *row) == framed([row[0], *values])
 
 
@@ -196,7 +196,7 @@
 
 
 def test_a_verdict_of_a_later_release_is_read_as_its_word() -> None:
-    """The answer is still valid: its receiver decides that it does not know the word."""
+    """The answer is still decoded; its receiver finds that it does not know the verdict."""
     row = ["answer", "nightly", 8, 9, "a", "postponed", 1, "p", 2, 3, 4]
     assert names.decode_fleet(framed(row)) == (DIGEST, "answer", tuple(row[1:]))
 
@@ -266,8 +266,8 @@
     ("voters", "about", "digest"),
     [
         ("abc", {}, "70ad1fe084793671"),
-        ("cab", {}, "70ad1fe084793671"),  # in any order
-        ("abc", {"others": "de"}, "70ad1fe084793671"),  # only voters count
+        ("cab", {}, "70ad1fe084793671"),  # the order of the voters does not count
+        ("abc", {"others": "de"}, "70ad1fe084793671"),  # members that do not vote do not count
         ("abcd", {}, "3b21d47eb677e5f6"),
         (["ab", "c"], {}, "596747c0d435dabf"),
         ("abc", {"name": "trusu"}, "63afa4762cf3fadf"),
--- a/tests/pinned/test_gossip_bytes.py
+++ b/tests/pinned/test_gossip_bytes.py
@@ -90,7 +90,7 @@
     head, known = "01040003000400050006", "00010100020003"
     read = (TELL, 3, 4, 5, 6, ((1, SUSPECT, 2, 3),))
     assert names.decode_gossip(bytes.fromhex(head + known + tail)) == read
-    if len(tail) == 14:  # if the update is complete, only this one is ignored
+    if len(tail) == 14:  # a complete update that is invalid does not affect the next one
         assert names.decode_gossip(bytes.fromhex(head + tail + known)) == read
 
 
--- a/tests/pinned/test_mixed_versions.py
+++ b/tests/pinned/test_mixed_versions.py
@@ -31,7 +31,7 @@
 def test_the_two_releases_are_what_their_processes_import(
     before: Path, present: Path, tmp_path: Path
 ) -> None:
-    """Without this, the tests below would not test two releases."""
+    """If the processes imported the same code, the tests below would not test two releases."""
     for release in (before, present):
         done = subprocess.run(
             [sys.executable, "-c", "import lanelift; print(lanelift.__file__)"],
@@ -53,12 +53,12 @@
 
 
 def test_a_lease_passes_between_releases_and_back(before: Path, present: Path, tmp_path: Path) -> None:
-    """A rolling upgrade that is half undone, while holders of both releases come and go.
+    """A rolling upgrade is undone in part, while holders of both releases come and go.
 
     Two members are of the previous release and one is of the present code. Holders of both releases are
     killed, are stopped, and release the lease. Members of both are killed and started from the other release,
-    on the same state files, and are bound to the holder again. Finally all are killed together and change
-    releases again. At no time do two tasks act, and the token increases from holder to holder.
+    on the same state files, and are bound to the holder again. Finally all members are killed together and
+    change releases again. Two tasks never act at the same time, and the token increases with each holder.
     """
     with Fleet(tmp_path) as fleet:
         for voter, release in (("a", before), ("b", present), ("c", before)):
@@ -112,14 +112,14 @@
         for voter in "bc":
             fleet.ended(voter)
             fleet.member(voter, present)
-        fleet.until_voting(*"bc")  # without the others: no other member knows the highest ballot
+        fleet.until_voting(*"bc")  # a is still down: b and c have to know the highest ballot
         fleet.holder("p7", before)
         fleet.until_acts("p7")
         fleet.member("a", before)
         fleet.until_voting("a")
         fleet.until_bound("p7")
         highest = fleet.stays()[-2].token
-        assert fleet.stays()[-1].token > highest + 10_000  # above all ballots promised before
+        assert fleet.stays()[-1].token > highest + 10_000  # the token is above all ballots promised before
 
     stays = fleet.judged()
     assert [stay.file for stay in stays] == [f"p{n}-1" for n in range(1, 8)]
@@ -132,7 +132,7 @@
     """An upgrade in place: the holder runs the previous release, and starts its watchdog from the new files.
 
     The files are replaced while the holder waits for a lease. Then the holder gets the lease, starts its task
-    with the present code's watchdog, and is stopped: the task must have ended before the next one acts.
+    with the present code's watchdog, and is stopped. The task must have ended before the next task acts.
     """
     installed = tmp_path / "installed"
     shutil.copytree(before / "lanelift", installed / "lanelift")
@@ -141,7 +141,7 @@
             first_member.bind((LOOPBACK, fleet.ports["a"]))
             first_member.settimeout(releases.WITHIN_S)
             fleet.holder("p1", installed, "stubborn")
-            first_member.recv(2048)  # a request: the modules that wait for the lease are loaded
+            first_member.recv(2048)  # a request shows that the modules that wait for the lease are loaded
         shutil.rmtree(installed / "lanelift")
         copy_present(installed)
         for voter in "abc":
--- a/tests/pinned/test_outside_names.py
+++ b/tests/pinned/test_outside_names.py
@@ -29,7 +29,7 @@
 
 
 def written_names(tree: ast.AST) -> Iterator[str]:
-    """Yields the names of class fields and keyword arguments, which may be written out under these names."""
+    """Yields the names of class fields and keyword arguments, as output may contain these names."""
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef):
             for statement in node.body:
--- a/tests/pinned/test_simulator_wire.py
+++ b/tests/pinned/test_simulator_wire.py
@@ -128,7 +128,7 @@
 
 
 def conversation(sent: dict[tuple[int, str, int], int]) -> list[str]:
-    """Returns a conversation with all kinds of events. `sent`: the upstream of each attempt, if known."""
+    """Returns a conversation with all kinds of events. `sent` has the upstream of each known attempt."""
     talk = Conversation()
     rows = [
         row(11),
@@ -231,7 +231,7 @@
 
 
 def test_the_conversation_has_every_kind() -> None:
-    """Except `fetch`, `write_log` and `fault`, which the balancers do not cause here."""
+    """The kinds `fetch`, `write_log` and `fault` are excepted, as the balancers do not cause them here."""
     folder = Path(__file__).parent / "golden"
     said = [json.loads(line) for line in (folder / "wire-said.jsonl").read_text().splitlines()]
     heard = [json.loads(line) for line in (folder / "wire-heard.jsonl").read_text().splitlines()]
@@ -264,7 +264,7 @@
 
 
 def test_a_fault_is_told_as_an_action() -> None:
-    """An attempt ends that was never made. The place of the exception is not pinned, the rest is."""
+    """The fault is the end of an attempt that was never made. All but the exception's place is pinned."""
     talk = Conversation()
     talk.say({"t": "directory", "buffer": 0, "rows_in": [row(11)]}, *begin(1))
     talk.say(submit("a", talk.now, balancer=1))
@@ -301,7 +301,7 @@
 
 
 def test_what_is_said_of_each_key_that_is_wrong_or_missing(tmp_path: Path) -> None:
-    """The exit code is 2 with one line of output, or, if the value is allowed, 0 without output."""
+    """A refused value gives exit code 2 and one line of output; an allowed one gives 0 and no output."""
     start: list[Json] = [{"t": "directory", "buffer": 0, "rows_in": [row(11)]}, *begin(1)]
     cases: dict[str, Any] = {}
     for kind, event in WHOLE.items():
@@ -346,7 +346,7 @@
 
 
 def test_the_message_that_balancers_send_each_other() -> None:
-    """It has eleven bytes: the kind, the upstream's number and the work in units of 0.1 ms, big-endian."""
+    """A message has eleven bytes: the kind, the upstream's number and the work in 0.1 ms, big-endian."""
     _, replies = played()
     told = [c for line in replies for c in json.loads(line)["cmds"] if c["t"] == "announce"]
     assert told and {c["balancer"] for c in told} == {2} and {c["dst"] for c in told} <= {0, 2}
--- a/tests/pinned/test_traces.py
+++ b/tests/pinned/test_traces.py
@@ -19,7 +19,7 @@
 
 
 def test_a_trace_has_what_an_observer_sees() -> None:
-    """Guards against a hook that a rename has disconnected: the digest of an empty trace would not change."""
+    """Fails if a rename has disconnected a hook; the digest of an empty trace would never change again."""
     leases, membership = traces.PLAYS["leases"](0), traces.PLAYS["membership"](1)
     for lines, whats in (
         (leases, {"send", "come", "start", "step", "write", "written", "act", "token"}),
--- a/tests/pinned/test_warden_contract.py
+++ b/tests/pinned/test_warden_contract.py
@@ -2,8 +2,8 @@
 
     python -m lanelift.leases.warden TERM_NS KILL_NS COMMAND...
 
-Both are times of CLOCK_BOOTTIME. The tests pin the arguments, the lines on standard input and output, the
-signals to the command and their times, and the exit codes. Each test starts real processes.
+TERM_NS and KILL_NS are times of CLOCK_BOOTTIME. The tests pin the arguments, the lines on standard input and
+output, the signals to the command and their times, and the exit codes. Each test starts real processes.
 """
 
 from __future__ import annotations
@@ -23,7 +23,8 @@
 ROOT = Path(__file__).parents[2]
 NOT_HELD = 75
 NEVER_S = 600.0
-SOON_S = 2.0  # until a deadline in the arguments; on a busy machine the process must have started before it
+# From the start to a deadline in the arguments, within which a process has to start even on a busy machine.
+SOON_S = 2.0
 STUBBORN = "trap '' TERM; "
 
 
@@ -53,7 +54,7 @@
         return self.process
 
     def script(self, term_s: float, kill_s: float, first: str, last: str = "") -> subprocess.Popen[bytes]:
-        """Returns a script that is ready after `first`, and then runs `last` or waits for ever."""
+        """Starts a script that is ready after `first`, and then runs `last` or else waits for ever."""
         last = last or "while :; do sleep 0.01; done"
         process = self.start(term_s, kill_s, "sh", "-c", f'{first}echo $$ > "$READY.new"; {MOVE}; {last}')
         until(self.ready.exists)
@@ -181,7 +182,7 @@
 
 
 def test_the_end_of_its_input_ends_the_command_at_once(warden: Warden) -> None:
-    """The holder has ended, so the lease can't be renewed any more."""
+    """The end of its input shows that the holder has ended, so the lease can't be renewed any more."""
     process = warden.script(NEVER_S, NEVER_S, "trap 'exit 0' TERM; ")
     assert process.stdin is not None
     process.stdin.close()
--- a/tests/rehearsal/relay.py
+++ b/tests/rehearsal/relay.py
@@ -1,7 +1,7 @@
 """A deliberately bad balancer for the tests, which sends requests to the boxes round-robin.
 
-It implements PROTOCOL's wire format and nothing else: it does not limit what a box is sent, never makes a
-second attempt and refuses nothing. The environment variable SIN names a violation that the kit has to find:
+It implements PROTOCOL's wire format and nothing else: it does not limit the requests to a box, never makes a
+second attempt and refuses no request. The environment variable SIN names a violation that the kit must find:
 silent (no answer), garbage (no HTTP), forge (an answer that no box made), extra (bytes after an answer),
 twice (two attempts at a time), deaf (ignores drains), push (overloads the newest box) or crash.
 """
@@ -15,8 +15,8 @@
 from contextlib import suppress
 from typing import Any
 
-VIOLATE_EVERY = 10  # silent, garbage, forge, extra and twice affect every tenth request
-OVERLOAD_NEWEST = "push"  # violation: all requests go to the box that started last
+VIOLATE_EVERY = 10  # the violations silent, garbage, forge, extra and twice affect every tenth request
+OVERLOAD_NEWEST = "push"  # a violation: all requests go to the box that started last
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, dict[bytes, bytes], bytes]:
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -23,7 +23,7 @@
 
 LANELIFT = Path(sys.executable).with_name("lanelift")
 RELAY = f"{sys.executable} -m tests.rehearsal.relay"
-CONCURRENT_RUNS = 3  # rehearsals at a time: each keeps a part of a core busy
+CONCURRENT_RUNS = 3  # rehearsals that run at the same time; each keeps a part of a core busy
 TIMEOUT_S = 120
 
 SMALL = """
@@ -133,7 +133,7 @@
         return found
 
 
-# By name: the text added to the small scenario, the violation, and further arguments of the command.
+# For each run: the text added to the small scenario, the violation, and further arguments of the command.
 RUNS: dict[str, tuple[str, str, list[str]]] = {
     "calm": ("", "", []),
     "faults": (FAULTS.replace("balancers = 1", ""), "", ["--balancers", "3"]),
@@ -194,7 +194,7 @@
     run = runs["calm"]
     verdict = run.report["verdict"]
     assert run.breaches() == {}, run.output
-    # On a busy machine the run may be void, and the exit code has to say so.
+    # On a busy machine the run may be void, which the exit code has to show.
     assert run.code == (1 if verdict["void"] else 0)
     assert verdict["requests"]["asked"] > 100 and verdict["complaints"] == []
     assert verdict["requests"]["served"] > 0.8 * verdict["requests"]["asked"]
@@ -298,7 +298,7 @@
 def test_a_rehearsal_against_an_external_balancer(tmp_path: Path) -> None:
     """The daemon runs with its own file and a static list of upstreams, without discovery."""
     base = consecutive_ports(8)
-    listen = base + 7  # after six boxes and discovery
+    listen = base + 7  # the port after those of six boxes and discovery
     boxes = "".join(f'[[upstream]]\nname = "b{i}"\naddress = "127.0.0.1:{base + i}"\n' for i in range(6))
     classes = "".join(
         f'[[class]]\nname = "{name}"\neffect = "safe"\naim_ms = 264\ndeadline_ms = 661\n'
--- a/tests/rehearsal/test_verdict.py
+++ b/tests/rehearsal/test_verdict.py
@@ -190,7 +190,7 @@
     day = perfect(plan())
     one = day.attempts[5]
     add_attempt(day, 5, last_ns=one.closed_ns + MS)
-    assert breaches(day) == []  # consecutive attempts
+    assert breaches(day) == []  # the two attempts do not overlap
     add_attempt(day, 5, last_ns=one.closed_ns - 51 * MS)
     (found,) = breaches(day)
     assert (found.rule, found.request) == (2, one.id) and "while an attempt was out" in found.what
--- a/tests/standins/test_box.py
+++ b/tests/standins/test_box.py
@@ -32,7 +32,7 @@
 
 
 def mean_wait(load: float, cv2: float, count: int, seed: int) -> float:
-    """Returns the mean wait over the mean work: one server, first come first served, Poisson arrivals."""
+    """Returns mean wait divided by mean work, for one server, first come first served, Poisson arrivals."""
     rng = random.Random(seed)
     box = Box(BoxSpec(queue=10_000_000), 0)
     now, jobs = 0.0, []
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("cv2", [0.0, 1.0, 0.4])
 def test_mean_waits_follow_pollaczek_khinchine(load: float, count: int, cv2: float, long_runs: bool) -> None:
     """The mean wait is W = rho (1 + cv^2) / (2 (1 - rho)) times the mean work (M/M/1 if cv = 1). The long run
-    has to agree within 3%; the short run, with a tenth of the jobs, within three times that."""
+    has to agree within 3%, and the short run, which has a tenth of the jobs, within 9%."""
     count, within = (count, 0.03) if long_runs else (count // 10, 0.09)
     expected = load * (1 + cv2) / (2 * (1 - load))
     waits = [mean_wait(load, cv2, count, seed) for seed in (1, 2)]
@@ -81,7 +81,7 @@
     if held_when == "before":
         assert box.offer("a", 10 * MS, 0)
         box.freeze(104 * MS, 4 * MS)
-        box.freeze(50 * MS, 8 * MS)  # within the first freeze: no further delay
+        box.freeze(50 * MS, 8 * MS)  # lies within the first freeze and adds no delay
         assert box.advance(50 * MS) == [] and box.frozen
     else:
         box.freeze(104 * MS, 0)
@@ -100,7 +100,7 @@
 
 def test_probes_delay_the_running_jobs() -> None:
     box = Box(BoxSpec(cores=2, slots=2), 0)
-    box.charge(5 * MS, 0)  # idle: no job is delayed
+    box.charge(5 * MS, 0)  # the box is idle, so that no job is delayed
     box.offer("a", 10 * MS, 0)
     box.offer("b", 20 * MS, 0)
     box.charge(4 * MS, MS)
@@ -112,7 +112,7 @@
         box = Box(BoxSpec(drops_queued=drops), 0)
         for job in "abc":
             box.offer(job, 10 * MS, 0)
-        assert box.drop("a", MS) is False  # running: it continues
+        assert box.drop("a", MS) is False  # a running job continues
         assert box.drop("b", MS) is drops
         assert [d.job for d in box.advance(ENDLESS)] == (["a", "c"] if drops else ["a", "b", "c"])
 
@@ -120,7 +120,7 @@
 @pytest.mark.parametrize("busy", [False, True])
 @pytest.mark.parametrize("by_work", [False, True])
 def test_a_cold_box_warms_up_along_the_specified_curve(busy: bool, by_work: bool) -> None:
-    """Warming by time is a linear ramp; warming by work is the same when idle and never slower."""
+    """Warming by time is a linear ramp. Warming by work is never slower, and the same in an idle box."""
     spec = BoxSpec(
         queue=100_000, cold_from=0.4, cold_ns=8 * SECOND, warm_by_work=by_work, overload_multiple=1e9
     )
@@ -249,7 +249,7 @@
     plain = play(Box(spec, 0, cold=True), jobs)
     assert time_in_system.keys() == plain.keys()
     for job, time in plain.items():
-        assert abs(time_in_system[job] - time) <= 64 * 30  # rounding to whole ns at each call
+        assert abs(time_in_system[job] - time) <= 64 * 30  # each call rounds to whole ns
 
 
 def test_random_values_depend_only_on_seed_and_name() -> None:
--- a/tests/standins/test_upstream_emulator.py
+++ b/tests/standins/test_upstream_emulator.py
@@ -109,7 +109,7 @@
                 assert (await (await client(emulator)).request(f"p{i}", path="/health")).status == 200
             late = await (await client(emulator)).request("r9")
             assert (late.status, late.headers["x-not-run"]) == (503, "1")
-            await asyncio.sleep(SocketOptions().report_ns / 1e9)  # a load report may be as old as this
+            await asyncio.sleep(SocketOptions().report_ns / 1e9)  # the greatest age of a load report
             load = await (await client(emulator)).request("", path="/status/load", X_Request_Id=None)
             assert (load.status, load.body) == (200, b"inflight=2,queue=1")
 
@@ -194,7 +194,7 @@
             link.send("r3")
             await until(lambda: any(c.open for c in emulator.connections))
             assert not link.reader.at_eof() and [a.id for a in emulator.attempts] == ["r2", "r1"]
-            # It is recorded although unanswered: a balancer may have been told that the box is gone.
+            # The attempt is recorded although unanswered: a balancer may know that the box is gone.
             last = emulator.finish_attempts()[-1]
             assert (last.id, last.result, last.ran) == ("r3", "unanswered", False)
 
@@ -228,7 +228,7 @@
             emulator.die()
             await emulator.start(cold=True)
             links = [await client(emulator) for _ in range(2)]
-            # The capacity is 0.3 s per second: 2.5 times that is 1.1 s in the window of 1.5 s.
+            # The capacity is 0.3 s per second, so 2.5 times the capacity is 1.1 s in the window of 1.5 s.
             links[0].send("r0")
             await until(lambda: emulator.box.held)
             links[1].send("r1")
@@ -277,11 +277,11 @@
             )
             assert [(t.balancer, t.box, t.state) for t in one.drain_notices] == [(0, "b", "Terminating")]
             one.update(Entry("b", "127.0.0.1:2", state="Gone"))
-            one.update(Entry("never", "127.0.0.1:2", state="Gone"))  # not in the list: no change
+            one.update(Entry("never", "127.0.0.1:2", state="Gone"))  # the list has no such box: no change
             assert [r["id"] for r in (await ask(link, "?from=2&hold_ms=5"))["servers"]] == ["b"]
             assert [r["id"] for r in (await ask(link))["servers"]] == ["a"]
-            assert (await ask(link, "?from=3&hold_ms=5"))["servers"] == []  # no change in the hold time
-            assert (await ask(link, "?from=99&hold_ms=5"))["full"]  # another agent's version: the full list
+            assert (await ask(link, "?from=3&hold_ms=5"))["servers"] == []  # no change within the hold time
+            assert (await ask(link, "?from=99&hold_ms=5"))["full"]  # version of another agent: full list
             assert (await ask(link, "?from=x"))["status"] == 400
             assert (await ask(link, path="/v2"))["status"] == 404
 
