--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -71,7 +71,7 @@
     )
     try:
         until = time.monotonic() + 10
-        while True:  # a benchmark may poll: the requests are few
+        while True:  # polling is acceptable here, as it adds few requests
             try:
                 client = await Client.to(("127.0.0.1", port))
                 if (await client.raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200:
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -435,7 +435,7 @@
         self.available_ns[place] = at
 
     def _drain(self, at: int, place: int, drain_s: tuple[float, float], name: tuple[object, ...]) -> int:
-        """Adds the drain and the stop of the box at a place. Returns when it stops."""
+        """Adds the drain and the stop of the box at a place. Returns the time of the stop."""
         end = at + self._duration_ns(drain_s, *name, place, "drain")
         self.steps += [Step(at, "drain", place), Step(end, "stop", place)]
         self._notify(at, place, "Terminating")
@@ -444,7 +444,7 @@
         return end
 
     def _deploy(self, fault: s.Deploy, at: int, name: tuple[object, ...]) -> int:
-        """Adds a rolling deploy. Returns when the last old box stops."""
+        """Adds a rolling deploy. Returns the time at which the last old box stops."""
         places = self._choose_places(fault.part, at, name)
         self._rng((*name, "order")).shuffle(places)
         size = max(1, round(fault.batch * len(self.places)))
--- a/lanelift/rehearsal/worker.py
+++ b/lanelift/rehearsal/worker.py
@@ -48,7 +48,7 @@
         """Writes the records at the end of the day. Returns a summary."""
 
     async def close(self) -> None:
-        """Ends immediately everything that the role has started."""
+        """Immediately ends everything that the role has started."""
 
 
 class LoopMonitor:
--- a/lanelift/standins/box.py
+++ b/lanelift/standins/box.py
@@ -128,7 +128,7 @@
         return spec.cores * spec.speed * self.warmth * (1 - self.stolen_share) / (1 + spec.thrash * excess)
 
     def next_ns(self) -> int | None:
-        """Returns when `advance` has to be called if no other event occurs, or None if never."""
+        """Returns the time at which `advance` has to be called if no other event occurs, or None if never."""
         if self.completed:
             return self.at_ns
         if not self.running or self.overloaded_ns:
@@ -237,7 +237,7 @@
         return self.at_ns + max(0, math.ceil((self.running[0][0] - self.attained) / rate))
 
     def _next_rate_change(self) -> int | None:
-        """Returns when the rate changes next, if no job arrives or departs before."""
+        """Returns the time of the next change of the rate, if no job arrives or departs before."""
         if self.frozen:
             return self.frozen_until_ns
         if self.warm_level >= WARM_STEPS:
--- a/tests/pinned/test_simulator_wire.py
+++ b/tests/pinned/test_simulator_wire.py
@@ -203,7 +203,7 @@
 
 @functools.cache
 def played() -> tuple[list[str], list[str]]:
-    """Returns the conversation, repeated until it no longer depends on unknown answers."""
+    """Plays the conversation, up to five times, until no answer is unknown. Returns its lines and replies."""
     sent: dict[tuple[int, str, int], int] = {}
     for _ in range(5):
         lines = conversation(sent)
--- a/tests/pinned/test_state_files.py
+++ b/tests/pinned/test_state_files.py
@@ -1,4 +1,4 @@
-"""A voter's state file: read and written byte by byte as by the previous release; and refused files."""
+"""Voters read and write state files byte by byte as the previous release does, and refuse unusable ones."""
 
 from __future__ import annotations
 
--- a/tests/standins/test_box.py
+++ b/tests/standins/test_box.py
@@ -18,7 +18,7 @@
 
 
 def play(box: Box, jobs: list[tuple[int, int]]) -> dict[str, int]:
-    """Offers jobs given as (arrival, work). Returns the time in system of each job that was accepted."""
+    """Offers jobs, given as (arrival, work). Returns how long each accepted job was in the system."""
     arrived: dict[str, int] = {}
     time_in_system: dict[str, int] = {}
     for i, (at, work) in enumerate(jobs):
