--- a/lanelift/policy/actions.py
+++ b/lanelift/policy/actions.py
@@ -25,7 +25,7 @@
 
 
 class Reject(NamedTuple):
-    """Give a request its final answer: a rejection, after which a retry is harmless.
+    """Give a request its final answer: a rejection, after which a retry by the client is harmless.
 
     Either the request never ran, or it may run again without harm (`legality.may_reject`). An idempotent
     request whose attempts have all failed also gets this answer.
@@ -33,7 +33,7 @@
     Attributes:
         request: The request's identifier.
         retry_after_ns: How long the client should wait before it retries; 0 means not stated.
-        rate_limited: Whether the reason is a rate limit that was set for the tenant.
+        rate_limited: Whether the request is rejected because of a rate limit that was set for the tenant.
     """
 
     request: str
@@ -87,7 +87,7 @@
 class SetTimer(NamedTuple):
     """Set the timer.
 
-    Only one timer runs at a time: this one replaces the previous one, which need not fire any more.
+    Only one timer runs at a time: the new timer replaces the previous timer, which need not fire any more.
     """
 
     delay_ns: int
--- a/lanelift/policy/admission.py
+++ b/lanelift/policy/admission.py
@@ -36,9 +36,9 @@
 
 # A request is shed immediately if it is expected to take more than this multiple of its remaining time.
 HOPELESS_FACTOR = 1.3
-MIN_HINT_SAMPLES = 8  # hopeless requests are shed only once the estimate by hint has this many samples
-QUEUE_TIME_SHARE = 0.5  # share of a request's spare time that it may spend in the queue
-OVER_SHARE_QUEUE_TIME_SHARE = 0.1  # replaces QUEUE_TIME_SHARE if the tenant is over its share
+MIN_HINT_SAMPLES = 8  # fewest samples of the estimate by cost hint before hopeless requests are shed
+QUEUE_TIME_SHARE = 0.5  # largest share of a request's spare time that serving the queue may take
+OVER_SHARE_QUEUE_TIME_SHARE = 0.1  # used instead of QUEUE_TIME_SHARE if the tenant is over its share
 
 
 class Admission:
@@ -61,7 +61,7 @@
         self.probing = probing
 
     def request_arrived(self, event: RequestArrived, now: int) -> None:
-        """Admit or shed a new request, or answer it because of its tenant."""
+        """Admit or shed a new request, or answer it immediately if its tenant is denied or over a limit."""
         state = self.state
         answer = state.tenants.immediate_answer(event, now)
         if answer is not None:
@@ -126,9 +126,9 @@
     def _is_too_old(request: PendingRequest, expected_ns: float, age_ns: int) -> bool:
         """Return whether a request was received so long ago that its answer would come too late.
 
-        The request has waited unread, because this replica itself is late. If all such requests were served
-        in order, the work on them would make the requests behind them late as well. If `expected_ns` is far
-        too high, too many requests are shed.
+        Such a request has waited unread, because this replica itself is late. If all such requests were
+        served in order, serving them would make later requests late as well. If `expected_ns` is far too
+        high, too many requests are shed.
         """
         request_class = request.request_class
         return expected_ns < request_class.latency_objective_ns < age_ns + expected_ns and not (
@@ -136,7 +136,7 @@
         )
 
     def take_token(self, request: PendingRequest, now: int) -> None:
-        """Take a token for a request from its tenant's bank; if it has none, buffer or shed the request."""
+        """Take a token for a request from its tenant's bank; without a token, buffer or shed the request."""
         request.place = WaitingPlace.NOWHERE
         result = self._request_token(request, now)
         if result is TokenResult.OVERFLOW:
--- a/lanelift/policy/answers.py
+++ b/lanelift/policy/answers.py
@@ -17,7 +17,7 @@
 from lanelift.policy.units import SECOND_NS
 
 MAX_RETRY_AFTER_NS = SECOND_NS  # longest Retry-After; the limits may set a shorter one
-MIN_RETRY_AFTER_SHARE = 0.25  # shortest Retry-After, as a share of the longest
+MIN_RETRY_AFTER_SHARE = 0.25  # shortest Retry-After, as a share of the longest Retry-After
 
 
 class FinalAnswers:
--- a/lanelift/policy/attempts.py
+++ b/lanelift/policy/attempts.py
@@ -16,18 +16,18 @@
     """One attempt of a request.
 
     Attributes:
-        upstream: The upstream that it was sent to.
-        sent_ns: When it was sent; for a request whose body was pending, when the body was complete.
-        expected_ns: How long it is expected to take.
+        upstream: The upstream that the attempt was sent to.
+        sent_ns: When the attempt was sent; for a request whose body was pending, when the body was complete.
+        expected_ns: How long the attempt is expected to take.
         assumed_queue_length: The number of requests that the upstream was assumed to hold, including this
             one.
         queued_work_ns: The estimated work that the upstream had queued before this attempt.
         work_ns: The estimated work of this attempt.
-        opens_connection: Whether it raised the number of attempts in flight at the upstream to a new peak, so
-            that a connection had to be opened for it.
-        result: How it ended; None while it is in flight.
-        response_started: Whether its response is being passed on, so that its upstream has done its work.
-        overdue: Whether it was found to take much longer than expected (`hedging.py`).
+        opens_connection: Whether the attempt raised the number of attempts in flight at the upstream to a new
+            peak, so that a connection had to be opened for the attempt.
+        result: How the attempt ended; None while the attempt is in flight.
+        response_started: Whether the response is being passed on, so that the upstream has done the work.
+        overdue: Whether the attempt was found to take much longer than expected (`hedging.py`).
     """
 
     upstream: Upstream
@@ -43,5 +43,5 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether its upstream may have executed the request, or may still do so."""
+        """Whether the attempt's upstream may have executed the request, or may still execute it."""
         return self.result not in NOT_EXECUTED
--- a/lanelift/policy/balancer.py
+++ b/lanelift/policy/balancer.py
@@ -44,7 +44,7 @@
 
     Attributes:
         settings: The settings of the balancer.
-        state: The state that its rules share.
+        state: The state that the rules share.
     """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
@@ -122,9 +122,9 @@
 
     @property
     def known_tenants(self) -> Mapping[str, Tenant] | None:
-        """All tenants by name, once a directory has named some; None before that."""
+        """All tenants by name; None until a directory has named some tenants."""
         return self.state.tenants.known_tenants
 
     def endpoints_out_of_rotation(self, now: int) -> int:
-        """Return how many listed upstreams get no requests now because they drain or are ejected."""
+        """Return the number of listed upstreams that get no requests now, as they drain or are ejected."""
         return self.state.registry.out_of_rotation(now)
--- a/lanelift/policy/concurrency.py
+++ b/lanelift/policy/concurrency.py
@@ -16,24 +16,26 @@
 MIN_CONGESTION_THRESHOLD = 0.35  # lowest congestion threshold, as a latency ratio
 MAX_CONGESTION_THRESHOLD = 0.8  # highest congestion threshold, as a latency ratio
 CONGESTION_MULTIPLE = 3.0  # congestion threshold as a multiple of the baseline latency ratio
-# Time constants of the smoothed latency ratio and of a rising baseline. If they were numbers of responses,
-# congestion would become the baseline within a second at a high response rate, and one slow response would
-# count as congestion.
+# Time constants with which the latency ratio is smoothed and the baseline rises. If the smoothing counted
+# responses instead of time, congestion would become the baseline within a second at a high response rate, and
+# one slow response would count as congestion.
 CONGESTION_SEEN_NS = SECOND_NS // 4
 BASELINE_RISE_NS = 60 * SECOND_NS
-MAX_RATIO_SMOOTHING = 0.1  # largest weight of the latest latency ratio
+MAX_RATIO_SMOOTHING = 0.1  # largest weight of the latest latency ratio in the smoothed ratio
 MAX_BASELINE_RISE = 0.002  # largest weight of the smoothed ratio in a rising baseline
 BASELINE_FALL = 0.05  # weight of the smoothed ratio in a falling baseline
-INTERVAL_SMOOTHING = 0.05  # weight of the latest interval between outcomes
+INTERVAL_SMOOTHING = 0.05  # weight of the latest interval between outcomes in the mean interval
 MAX_LATENCY_RATIO = 1.5  # larger latency ratios are clamped to this value
-# If the latency ratio differs by 1 from the congestion threshold, the window changes by this many attempts,
-# divided by the width of the subset.
+# With each outcome, the window changes by this number of attempts, multiplied by the distance of the latency
+# ratio from the congestion threshold and divided by the width of the subset.
 WINDOW_STEP = 0.5
-DEFAULT_WINDOW = 0.5  # window (attempts for each upstream) until the first endpoint list
+DEFAULT_WINDOW = 0.5  # window, in attempts for each upstream, before the first endpoint list is received
 INITIAL_MEAN_SERVICE_TIME_NS = SECOND_NS / 50
-MAX_INITIAL_SERVICE_TIME_SHARE = 0.08  # largest initial mean, as a share of the shortest latency objective
-MIN_SERVICE_TIME_SMOOTHING = 0.05  # least weight of the latest sample; the first samples weigh more
-INITIAL_REQUESTS_PER_UPSTREAM = 8  # requests that all replicas together begin with
+# Largest initial mean service time, as a share of the shortest latency objective.
+MAX_INITIAL_SERVICE_TIME_SHARE = 0.08
+# Least weight of the latest sample in the mean service time; the first samples weigh more.
+MIN_SERVICE_TIME_SMOOTHING = 0.05
+INITIAL_REQUESTS_PER_UPSTREAM = 8  # requests that all replicas together may initially send to one upstream
 
 
 def initial_window(upstreams: int, replicas: int, subset_size: int) -> float:
@@ -49,8 +51,8 @@
     """Estimates the concurrency window and the mean service time of a queued request.
 
     Attributes:
-        initial_window: The window before there are outcomes. A narrower window may widen up to it even if no
-            request waits.
+        initial_window: The window before any attempt has ended. A narrower window may widen up to the initial
+            window even if no request waits.
         window: How many attempts this replica may have in flight for each upstream that its pool draws from.
         latency_ratio: The smoothed latency ratio of recent responses.
         baseline_ratio: The latency ratio without congestion.
@@ -58,7 +60,8 @@
         observed_at_ns: When the last outcome was observed.
         congestion_threshold: The latency ratio above which upstreams are congested.
         samples: The number of samples of the mean service time.
-        mean_service_time_ns: The mean time that an upstream takes for each request that it holds.
+        mean_service_time_ns: The mean of the duration of an attempt divided by the number of requests that
+            the upstream was assumed to hold.
     """
 
     __slots__ = (
@@ -88,8 +91,8 @@
         """Update the mean service time.
 
         An attempt that opened a connection is skipped: its duration includes the handshake, and would look
-        like congestion whenever a replica starts. The first samples weigh more, as a replica with little
-        traffic would need too long for twenty samples.
+        like congestion whenever a replica starts. The first samples weigh more than later ones, as a replica
+        with little traffic would need too long to collect twenty samples.
         """
         if attempt.opens_connection:
             return
--- a/lanelift/policy/deadlines.py
+++ b/lanelift/policy/deadlines.py
@@ -3,7 +3,7 @@
 Inputs: the request's objective and deadline, its expected time, and the mean deviation of durations from
 expected times. A waiting request is given up when it needs more time than is left until its objective, but
 not before it has waited a quarter of the time until its deadline. Reason: an answer after the objective earns
-little or nothing, and the work of an upstream on it would make other answers late.
+little or nothing, and an upstream that works on such a request makes other answers late.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from lanelift.policy.service_time import DURATION_MARGIN
 from lanelift.policy.state import PolicyState
 
-MIN_WAIT_DIVISOR = 4  # a request may wait at least this part (1/4) of the time until its deadline
+MIN_WAIT_DIVISOR = 4  # a request may always wait a quarter (1 / this number) of the time until its deadline
 
 
 class Deadlines:
@@ -39,7 +39,7 @@
         self.state.timers.call_at(request.give_up_at_ns, self._give_up, request)
 
     def _give_up(self, request: PendingRequest, now: int) -> None:
-        """Reject or fail a request whose wait timeout is over, if it still waits."""
+        """Reject or fail a request that still waits when its wait timeout is over."""
         if request.place is not WaitingPlace.NOWHERE and now >= request.give_up_at_ns:
             self.state.rate.unplaceable += request.place is WaitingPlace.POOL_QUEUE
             self.answers.reject_or_fail(request, now)
--- a/lanelift/policy/ejection.py
+++ b/lanelift/policy/ejection.py
@@ -3,8 +3,8 @@
 Inputs: attempts that fail or are overdue, and responses. An upstream is ejected
 
 - for an attempt that was rejected, timed out, could not connect or is overdue;
-- for a connection that broke, unless at least `SHARED_RESET_RATE` of all attempts break (the network is then
-  at fault) and fewer than `MIN_CONSECUTIVE_RESETS` broke in a row at this upstream;
+- for a connection that broke, unless the connections of at least `SHARED_RESET_RATE` of all attempts break
+  (the network is then at fault) and fewer than `MIN_CONSECUTIVE_RESETS` broke in a row at this upstream;
 - for an error response, if nearly all of its responses are errors (`ERROR_EJECTION_RATE`), unless most
   responses of all upstreams are errors (`SHARED_ERROR_RATE`): the requests or the network are then at fault.
 
@@ -30,15 +30,19 @@
 
 MAX_EJECTION_NS = 3 * SECOND_NS  # longest ejection, before jitter
 MAX_DOUBLINGS = 5
-MIN_LENGTH_FACTOR = 0.75  # lowest jitter factor; the jitter keeps replicas from returning together
+# Lowest jitter factor of an ejection; the jitter keeps replicas from returning together.
+MIN_LENGTH_FACTOR = 0.75
 MAX_LENGTH_FACTOR = 1.25
-MAX_EJECTED_SHARE = 0.7  # largest ejected share of the upstreams that are drawn from
-ERROR_EJECTION_RATE = 0.95  # an upstream whose share of error responses is higher is ejected
+# A failing upstream is ejected only if less than this share of the upstreams drawn from is ejected already.
+MAX_EJECTED_SHARE = 0.7
+ERROR_EJECTION_RATE = 0.95  # an upstream is ejected if its share of error responses is above this value
 # If at least this share of all responses are errors, no upstream is ejected for errors.
 SHARED_ERROR_RATE = 0.8
-SHARED_RESET_RATE = 0.05  # if at least this share of all attempts break, one break ejects no upstream
-MIN_CONSECUTIVE_RESETS = 3  # this many breaks in a row eject an upstream in any case
-OVERALL_RATE_SMOOTHING = 0.02  # weight of the latest response or break in the rates of all upstreams
+# If the connections of at least this share of all attempts break, a single break ejects no upstream.
+SHARED_RESET_RATE = 0.05
+# This many breaks in a row at an upstream eject it, whatever share of all attempts break.
+MIN_CONSECUTIVE_RESETS = 3
+OVERALL_RATE_SMOOTHING = 0.02  # weight of the latest response or break in the rates over all upstreams
 UPSTREAM_RATE_SMOOTHING = 0.05  # weight of the latest response in the error rate of one upstream
 
 
@@ -46,8 +50,8 @@
     """Ejects upstreams, and ends their ejections.
 
     Attributes:
-        error_rate: The recent share of all responses that were errors.
-        reset_rate: The recent share of all attempts whose connections broke.
+        error_rate: Errors as a share of all recent responses.
+        reset_rate: Attempts whose connections broke, as a share of all recent attempts.
     """
 
     __slots__ = ("error_rate", "pool", "reset_rate", "rng", "timers")
@@ -65,13 +69,13 @@
         Args:
             attempt: The attempt that failed or is overdue.
             now: The time.
-            base_ns: The length of a first ejection.
+            base_ns: The length of the ejection if it is the first since the upstream's last success.
         """
         self._eject(attempt, now, base_ns)
         self.timers.wake_at(attempt.upstream.ejected_until_ns)
 
     def _eject(self, attempt: Attempt, now: int, base_ns: float) -> None:
-        """Count the failure, and eject the upstream unless too many are ejected.
+        """Count the failure, and eject the upstream unless too many upstreams are ejected.
 
         If an upstream stops, the attempts in flight there fail one after another, so all attempts sent
         before the ejection count as one failure. Otherwise eight attempts would cause seven ejections in
@@ -113,8 +117,8 @@
     def record_reset(self, upstream: Upstream) -> bool:
         """Record a connection that broke; return whether its upstream is to be ejected for it.
 
-        If at least `SHARED_RESET_RATE` of all attempts break, the network or a device in it is at fault. If
-        half of the upstreams were ejected for such breaks, the others would be congested.
+        If the connections of at least `SHARED_RESET_RATE` of all attempts break, the network or a device in
+        it is at fault. If half of the upstreams were ejected for such breaks, the others would be congested.
         """
         self.reset_rate += OVERALL_RATE_SMOOTHING * (1.0 - self.reset_rate)
         upstream.consecutive_resets += 1
--- a/lanelift/policy/events.py
+++ b/lanelift/policy/events.py
@@ -26,20 +26,21 @@
     DELTA = 0  # only changed entries
     SNAPSHOT = 1  # all entries
     CACHED = 2  # all entries as known before a restart; may be outdated
-    FAILED = 3  # a call failed or the subscription broke; no entries
+    FAILED = 3  # no entries: a call failed or the subscription broke
 
 
 class AttemptResult(Enum):
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; may have run
-    REJECTED = "full"  # the upstream rejected it before running it
-    TIMEOUT = "timeout"  # may have run, or may still be running
-    CONNECT_FAILED = "connect_failed"  # no connection, or not written completely; never ran
-    RESET = "reset"  # the connection broke; may have run
-    CANCELLED = "cancelled"  # cancelled by the balancer; may have run
-    NOT_SENT = "moot"  # not sent at all; never ran
+    ERROR = "error"  # the upstream answered with an error; the request may have run
+    REJECTED = "full"  # the upstream rejected the request before running it
+    TIMEOUT = "timeout"  # the request may have run, or may still be running
+    # No connection, or request not written completely; the request never ran.
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"  # the connection broke; the request may have run
+    CANCELLED = "cancelled"  # cancelled by the balancer; the request may have run
+    NOT_SENT = "moot"  # the request was not sent at all, so it never ran
 
 
 NOT_EXECUTED = frozenset({AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT})
@@ -50,11 +51,11 @@
 
     Attributes:
         id: The upstream's number.
-        state: Whether it takes requests.
-        zone: The zone in which it runs.
+        state: Whether the upstream takes requests.
+        zone: The zone in which the upstream runs.
         cell: The group of upstreams inside its zone that share idempotency keys.
-        weight: Its capacity relative to other upstreams. Not used by any decision.
-        started_ns: The clock time of its last start; 0 means long ago.
+        weight: The upstream's capacity relative to other upstreams. No decision uses this weight.
+        started_ns: The clock time of the upstream's last start; 0 means long ago.
         kind: The kind of machine.
     """
 
@@ -80,8 +81,8 @@
     Attributes:
         tenants: Tenants that are new or changed.
         removed: Names of tenants that no longer exist.
-        unknown_tenants: How tenants that no update has named are handled from now on; set once all tenants
-            have been named. None means that their handling does not change.
+        unknown_tenants: How tenants that no update has named are handled from now on; set once updates have
+            named all tenants. None means that the handling of such tenants does not change.
     """
 
     tenants: Sequence[Tenant] = ()
@@ -100,7 +101,7 @@
         cost_hint_ns: How long the client expects the request to take; 0 means not stated.
         key: Its ordering key; empty if it has none.
         retry: Whether the client says that this request repeats an earlier one.
-        received_ns: When its last byte was received, if that was before now; 0 means now.
+        received_ns: When the last byte of the request was received, if earlier than now; 0 means now.
         body_pending: Whether its body is still being received and can be sent only once. The request's time
             is then counted from `BodyReceived` on.
     """
@@ -124,7 +125,7 @@
         attempt: The attempt's number, from 0.
         upstream: The upstream's number.
         result: How it ended.
-        duration_ns: How long it took.
+        duration_ns: How long the attempt took.
         request_complete: Whether the request has its final answer, or its client has disconnected.
         report: The upstream's load report, if the response carried one.
         body_consumed: Whether the attempt consumed part of a body that is not buffered, so that the request
--- a/lanelift/policy/feedback.py
+++ b/lanelift/policy/feedback.py
@@ -14,7 +14,7 @@
     """Runs the feedback loops.
 
     Attributes:
-        ran_at_ns: When the loops ran last.
+        ran_at_ns: The time at which the loops last ran.
     """
 
     __slots__ = ("admission", "ran_at_ns", "state")
@@ -25,7 +25,7 @@
         self.ran_at_ns = now
 
     def run_if_due(self, now: int) -> None:
-        """Run the loops if the interval is over."""
+        """Run the feedback loops if the current interval is over."""
         if now - self.ran_at_ns < FEEDBACK_INTERVAL_NS:
             return
         self.ran_at_ns = now
--- a/lanelift/policy/forwarding.py
+++ b/lanelift/policy/forwarding.py
@@ -18,7 +18,7 @@
 
 
 class Forwarding:
-    """Starts attempts, and releases what was counted for them."""
+    """Starts attempts, and stops counting them against the window and their upstreams."""
 
     __slots__ = ("state",)
 
--- a/lanelift/policy/hedging.py
+++ b/lanelift/policy/hedging.py
@@ -17,8 +17,11 @@
 from lanelift.policy.service_time import DURATION_MARGIN
 from lanelift.policy.state import PolicyState
 
-DEVIATIONS = 3  # mean deviations, beyond the margin, after which an attempt is overdue
-MAX_LATENESS_NS = 10_000_000  # if a check is later than this, the replica itself is late, not the upstream
+# An attempt is overdue after its expected time multiplied by the sum of DURATION_MARGIN and this multiple of
+# the mean relative deviation.
+DEVIATIONS = 3
+# If a check runs this long after its due time, this replica is late, not the upstream.
+MAX_LATENESS_NS = 10_000_000
 
 
 class Hedging:
@@ -45,8 +48,8 @@
             return
         if now - due_ns > MAX_LATENESS_NS:
             # This replica is late itself, so the response may already be here, unread. The attempt is checked
-            # again after the same delay. If the upstream has stopped as well, its stop is detected later
-            # by that delay.
+            # again after as long as the check was late. If the upstream has stopped as well, its stop is
+            # detected that much later.
             again_ns = 2 * now - due_ns
             self.state.timers.call_at(again_ns, self._check, request, attempt, again_ns)
             return
--- a/lanelift/policy/load_probe_settings.py
+++ b/lanelift/policy/load_probe_settings.py
@@ -9,7 +9,8 @@
 
 from lanelift.policy.settings import Settings
 
-PROBES_PER_REQUEST = 3  # upstreams drawn and probed before an attempt, in addition to the previous choice
+# Upstreams that are drawn at random and probed before an attempt, in addition to the previous choice.
+PROBES_PER_REQUEST = 3
 MAX_PROBES_PRICE = 0.01  # largest share of a request's value that its probes may cost
 IN_FLIGHT_FIELD = "inflight"  # the platform's name of the load report field for requests in flight
 
--- a/lanelift/policy/ordering.py
+++ b/lanelift/policy/ordering.py
@@ -65,7 +65,7 @@
             self.state.timers.call_at(queue.cooldown_until_ns, self._check, queue)
 
     def _check(self, queue: KeyQueue, now: int) -> None:
-        """Admit a queue's first request if it may go on, or forget an unused key."""
+        """Admit a queue's first request if it may be forwarded now, or forget an unused key."""
         waiting = queue.waiting
         if not waiting:
             if now >= queue.cooldown_until_ns:
--- a/lanelift/policy/outcomes.py
+++ b/lanelift/policy/outcomes.py
@@ -18,7 +18,8 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.units import SECOND_NS
 
-FAILURE_EJECTION_NS = SECOND_NS / 4  # length of a first ejection for a failure that does not indicate load
+# Length of an upstream's first ejection if the failure does not indicate load.
+FAILURE_EJECTION_NS = SECOND_NS / 4
 # A rejection by an upstream counts as a response that took exactly its latency objective.
 REJECTION_LATENCY_RATIO = 1.0
 FAILURES = frozenset(
@@ -62,7 +63,8 @@
         if request is None or request.attempts[event.attempt].result is not None:
             return
         attempt = request.attempts[event.attempt]
-        upstream = attempt.upstream  # a removed upstream is updated too, as its counts must balance
+        # A removed upstream is updated too, as each attempt counted there must also be released.
+        upstream = attempt.upstream
         attempt.result = event.result
         upstream.unreachable = event.result is AttemptResult.CONNECT_FAILED
         request.body_consumed = request.body_consumed or event.body_consumed
@@ -83,7 +85,7 @@
     def _response_ended(self, request: PendingRequest, event: AttemptFinished, now: int) -> None:
         """End an attempt whose response was passed on.
 
-        What was counted for it was released when the response started.
+        The attempt has not been counted since its response started.
         """
         self.state.rate.late_or_failed += event.result not in NORMAL_STREAM_ENDS
         if event.request_complete:
--- a/lanelift/policy/peer_load.py
+++ b/lanelift/policy/peer_load.py
@@ -22,8 +22,9 @@
 WORK_UNIT_NS = 100_000
 MAX_WORK_UNITS = 0xFFFF
 MAX_RECIPIENTS = 12
-MAX_ANNOUNCEMENT_PRICE = 0.005  # largest price of an attempt's messages, as a share of a request's value
-PRICED_MESSAGE_BYTES = 256  # size of a message that costs the price of a peer message
+# Largest price of the messages for one attempt, as a share of a request's value.
+MAX_ANNOUNCEMENT_PRICE = 0.005
+PRICED_MESSAGE_BYTES = 256  # message size, in bytes, that the price of a peer message is stated for
 
 
 class PeerLoad:
@@ -60,7 +61,7 @@
         return [SendPeerMessage(data, replica) for replica in members if replica != self.settings.replica]
 
     def receive(self, event: PeerMessageReceived, now: int) -> None:
-        """Add the work of an attempt that another replica announced; ignore any other message."""
+        """Add the work of an attempt that another replica announced; ignore messages of other kinds."""
         if len(event.data) != ATTEMPT_STARTED.size:
             return
         kind, number, units = ATTEMPT_STARTED.unpack(event.data)
--- a/lanelift/policy/placement.py
+++ b/lanelift/policy/placement.py
@@ -3,8 +3,8 @@
 Inputs: the queue, the concurrency window and the attempts in flight, and the upstreams with the work that
 each has queued. Serving stops if the head of the queue waits for load reports, the window is full or no
 upstream is eligible. A request is shed if the upstream that becomes free first would need more than
-`MAX_TIME_SHARE` of the time left until the request's objective. Reason: an answer that comes too late makes
-those behind it late as well.
+`MAX_TIME_SHARE` of the time left until the request's objective. Reason: work on an answer that will be too
+late makes the later answers late as well.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.upstreams import Upstream
 
-MAX_TIME_SHARE = 0.8  # largest share of the time until the objective for queued work and request
-# Overdue attempts are not counted up to this share of the window (at least one attempt), or up to twice as
-# many without congestion.
+MAX_TIME_SHARE = 0.8  # largest share of the time until the objective that queued work and request may take
+# Largest number of overdue attempts that are not counted, as a share of the window (but at least one
+# attempt). Without congestion, up to twice this number are not counted.
 OVERDUE_WINDOW_SHARE = 0.25
 
 
@@ -58,7 +58,7 @@
         while pool.queue:
             request = pool.queue[0]
             if request.probed_upstreams and self.probing.is_waiting(request, now):
-                break  # it waits for a load report, not for capacity: the pool is not saturated
+                break  # the request waits for a load report, not for capacity: the pool is not saturated
             pool.blocked_since_ns = pool.blocked_since_ns or now
             if self._window_is_full(pool, now):
                 pool.saturated = True
@@ -82,7 +82,7 @@
 
         Attempts at upstreams that have stopped must not fill the window while other responses are quick, so
         some overdue attempts are not counted. If other responses are slow too, upstreams are congested and
-        overdue attempts are still running there, so fewer of them are left out.
+        overdue attempts are still running there, so fewer of these attempts are left out of the count.
         """
         state = self.state
         window = max(1.0, state.concurrency.window * pool.subset.in_rotation(now))
--- a/lanelift/policy/pool.py
+++ b/lanelift/policy/pool.py
@@ -24,8 +24,8 @@
 from lanelift.policy.upstreams import Upstream
 
 DRAWS = 2  # random draws in addition to the previous choice
-DRAWS_WITH_PEER_LOAD = 8  # random draws in addition to the previous choice; most of a subset
-TRIES_PER_DRAW = 4  # random tries for each draw before the eligible upstreams are listed
+DRAWS_WITH_PEER_LOAD = 8  # random draws in addition to the previous choice; they cover most of a subset
+TRIES_PER_DRAW = 4  # random tries for each draw; if no try succeeds, all eligible upstreams are listed
 
 
 class UpstreamPool:
--- a/lanelift/policy/probing.py
+++ b/lanelift/policy/probing.py
@@ -25,7 +25,8 @@
 MIN_PROBE_TIMEOUT_NS = SECOND_NS // 333
 MAX_PROBE_TIMEOUT_NS = SECOND_NS // 100
 PROBE_TIMEOUT_SHARE = 0.04  # probe timeout as a share of the shortest latency objective
-QUICK_REPORT_DIVISOR = 4  # reports within this part (1/4) of the timeout leave time for a second round
+# Reports that arrive within a quarter (1 / this number) of the timeout leave time for a second round.
+QUICK_REPORT_DIVISOR = 4
 
 
 class LoadProbing:
@@ -109,7 +110,7 @@
         return True
 
     def probe_finished(self, event: LoadProbeFinished, now: int) -> None:
-        """Record the load report of a probe, or that there is none."""
+        """Record the load report of a probe, or the fact that the probe ended without one."""
         upstream = self.state.registry.upstreams.get(event.upstream)
         if upstream is None:
             return
--- a/lanelift/policy/queued_work.py
+++ b/lanelift/policy/queued_work.py
@@ -12,8 +12,9 @@
 
 from lanelift.policy.units import SECOND_NS
 
-MAX_RESERVATIONS = 64  # most attempts remembered for each upstream; more than its queue holds
-# Upper bound of the estimate, so that a wrong announcement does not leave an upstream idle for long.
+MAX_RESERVATIONS = 64  # largest number of reservations at one upstream; its queue holds fewer attempts
+# Upper bound of the queued work of one upstream, so that a wrong announcement does not leave an upstream idle
+# for long.
 MAX_QUEUED_WORK_NS = SECOND_NS
 
 
@@ -24,9 +25,10 @@
     Attributes:
         in_flight: The number of this replica's attempts in flight at the upstream.
         probe_sent_ns: When the unanswered load probe was sent; 0 if there is none.
-        reported_at_ns: When its last load report was received.
-        reservations: The attempts that it has not completed: when each was sent, and its work in nanoseconds.
-        free_at_ns: When it is expected to have completed all of them.
+        reported_at_ns: When the upstream's last load report was received.
+        reservations: The attempts that the upstream has not completed: when each attempt was sent, and its
+            work in nanoseconds.
+        free_at_ns: When the upstream is expected to have completed all reservations.
     """
 
     in_flight: int = 0
--- a/lanelift/policy/rate_control.py
+++ b/lanelift/policy/rate_control.py
@@ -15,25 +15,29 @@
 from lanelift.policy.units import SECOND_NS
 
 FEEDBACK_INTERVAL_NS = SECOND_NS // 2
-MIN_OUTCOMES = 8  # outcomes that are needed to adjust R
-MAX_INTERVALS = 4  # intervals after which R is adjusted with fewer outcomes
-TOLERATED_EXCESS = 0.2  # excess over the congestion threshold (share of the objective) that does not lower R
+MIN_OUTCOMES = 8  # R is adjusted after an interval only if there were at least this many outcomes
+MAX_INTERVALS = 4  # R is adjusted after this many intervals, even with fewer outcomes
+# Largest excess over the congestion threshold (share of the objective) that does not lower R.
+TOLERATED_EXCESS = 0.2
 QUICK_EXCESS = -0.1  # if the excess is below this, responses count as quick
-GROWTH = 1.1  # least factor by which R is raised in one interval
-MIN_GROWTH_PER_S = 0.5  # added to R after R is multiplied by its growth factor
-# GROWTH is raised by this multiple of the distance of the latency ratio below the congestion threshold.
+GROWTH = 1.1  # least factor by which R is multiplied in an interval that raises R
+# Requests per second that are added to R after its multiplication by the growth factor.
+MIN_GROWTH_PER_S = 0.5
+# The growth factor is GROWTH plus this multiple of the distance of the latency ratio below the congestion
+# threshold.
 GROWTH_PER_SLACK = 2.0
 MIN_SHARE_OF_BEST = 0.2  # R is not cut below this share of the best goodput
-BEST_DECAY = 0.98  # share of the best goodput that is kept after an interval; it decays within a minute
+BEST_DECAY = 0.98  # the best goodput keeps this share per interval, so that it decays within a minute
 MAX_CUT = 0.3  # largest share by which R is cut in one interval
 MIN_SHARE_OF_GOODPUT = 0.9  # R is not cut below this share of the interval's goodput
 # Unless responses are quick, a cut of R starts from no more than the attempt rate multiplied by the headroom,
 # plus the margin.
 ATTEMPT_RATE_HEADROOM = 1.2
 ATTEMPT_RATE_MARGIN_PER_S = 1
-MIN_TENANT_RATE_PER_S = 0.05  # minimum rate of a token bank, however small its share of R
-MIN_WEIGHTS_LEFT = 1e-9  # lower bound of the remaining weight, which may round to 0 before the last division
-DEMAND_SMOOTHING = 0.5  # weight of the latest interval in a tenant's demand
+MIN_TENANT_RATE_PER_S = 0.05  # minimum rate of a token bank, even if its share of R is smaller
+# Lower bound of the remaining weight, which rounding may reduce to 0 before the last division.
+MIN_WEIGHTS_LEFT = 1e-9
+DEMAND_SMOOTHING = 0.5  # weight of the latest interval in the smoothed demand of a tenant
 OVER_SHARE_FACTOR = 1.1  # a tenant is over its share if its demand is above this multiple of the share
 
 
@@ -42,11 +46,11 @@
 
     Attributes:
         banks: The token banks that share R.
-        total_weight: The sum of their weights.
+        total_weight: The sum of the weights of these banks.
         rate_per_s: R, in requests per second.
         interval_started_at_ns: When the current interval began.
-        attempt_rate_per_s: Attempts that ended per second, in the last interval.
-        goodput_per_s: Attempts that ended in time per second, in the last interval.
+        attempt_rate_per_s: The number of attempts per second that ended in the last interval.
+        goodput_per_s: The number of attempts per second that ended in time in the last interval.
         on_time: Attempts of this interval that were answered in time, or with an error.
         late_or_failed: Attempts of this interval that were late or failed.
         unplaceable: Requests of this interval that no upstream had capacity for in time.
@@ -118,7 +122,8 @@
         self.attempt_rate_per_s = (self.on_time + self.late_or_failed) * SECOND_NS / elapsed
         self.best_goodput_per_s = max(self.goodput_per_s, self.best_goodput_per_s * BEST_DECAY)
         quick = excess < QUICK_EXCESS
-        # The excess is smoothed over recent responses: the few of one interval are not representative.
+        # The excess is smoothed over recent responses: the few responses of one interval are not
+        # representative.
         unplaceable_share = self.unplaceable / max(1, total) if count_unplaceable else 0.0
         excess += unplaceable_share - TOLERATED_EXCESS
         if excess > 0:
@@ -160,7 +165,7 @@
         self.rate_per_s = min(INITIAL_RATE_PER_S, self.rate_per_s * growth + MIN_GROWTH_PER_S)
 
     def _divide(self, now: int) -> None:
-        """Give each bank its share of R by weight, and lend what some tenants do not use to the others."""
+        """Give each bank its share of R by weight, and lend shares that tenants do not use to the others."""
         total_weight = self.total_weight
         lent, fair = self._water_fill(self.rate_per_s), self._water_fill(self.goodput_per_s)
         for i, bank in enumerate(self.banks):
--- a/lanelift/policy/registry.py
+++ b/lanelift/policy/registry.py
@@ -21,7 +21,8 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-MIN_REPORTED_EJECTION_NS = SECOND_NS // 2  # shorter ejections are brief pauses, which metrics do not count
+# Metrics do not count ejections shorter than this, which are brief pauses.
+MIN_REPORTED_EJECTION_NS = SECOND_NS // 2
 
 
 class UpstreamRegistry:
@@ -120,13 +121,13 @@
     def forget_if_removed(self, upstream: Upstream) -> None:
         """Forget an upstream if it is removed and holds no attempt.
 
-        Nothing about it is needed later, as ids are never used twice.
+        No record of the upstream is needed later, as ids are never used twice.
         """
         if upstream.endpoint.state is EndpointState.REMOVED and not upstream.in_flight:
             self.upstreams.pop(upstream.id, None)
 
     def out_of_rotation(self, now: int) -> int:
-        """Return how many listed upstreams get no requests now because they drain or are ejected."""
+        """Return the number of listed upstreams that get no requests now, as they drain or are ejected."""
         return sum(
             upstream.endpoint.state is EndpointState.DRAINING
             or upstream.ejected_until_ns > max(now, upstream.ejected_at_ns + MIN_REPORTED_EJECTION_NS)
--- a/lanelift/policy/requests.py
+++ b/lanelift/policy/requests.py
@@ -20,10 +20,10 @@
 class WaitingPlace(Enum):
     """Where a request waits."""
 
-    NOWHERE = "nowhere"  # it has an attempt in flight, or is finished
-    KEY_QUEUE = "key queue"  # for earlier requests of its ordering key
-    TOKEN_BUFFER = "token buffer"  # for a token of its tenant
-    POOL_QUEUE = "pool queue"  # for an upstream
+    NOWHERE = "nowhere"  # the request has an attempt in flight, or is finished
+    KEY_QUEUE = "key queue"  # the request waits for earlier requests of its ordering key
+    TOKEN_BUFFER = "token buffer"  # the request waits for a token of its tenant
+    POOL_QUEUE = "pool queue"  # the request waits for an upstream
 
 
 @dataclass(slots=True, eq=False)
@@ -46,9 +46,9 @@
         response_started: Whether a response to it is being passed on.
         body_pending: Whether its body is still being received, so that its time is not counted yet.
         body_consumed: Whether part of its body was consumed, so that it can't be sent again.
-        place: Where it waits.
+        place: Where the request waits.
         cooldown_until_ns: When the cooldown of its key is over.
-        give_up_at_ns: When it is given up if it still waits.
+        give_up_at_ns: The time at which the request is given up if it still waits.
         probed_upstreams: The upstreams that were probed for their load on its behalf.
         probed_at_ns: When the load probes for it were sent.
         busy_upstreams: The upstreams of a first round of probes, if all of them had work queued.
@@ -81,7 +81,7 @@
 
     @property
     def attempts_in_flight(self) -> int:
-        """How many of its attempts have not ended."""
+        """The number of the request's attempts that have not ended."""
         return sum(attempt.result is None for attempt in self.attempts)
 
 
--- a/lanelift/policy/service_time.py
+++ b/lanelift/policy/service_time.py
@@ -19,18 +19,19 @@
 # A request is late if it takes longer than its expected time multiplied by the sum of this margin and a
 # multiple of the relative deviation.
 DURATION_MARGIN = 1.3
-MIN_SAMPLE_WEIGHT = 0.01  # least weight of a new sample of the regression
+MIN_SAMPLE_WEIGHT = 0.01  # least weight of a new sample in the regression
 PRIOR_SAMPLES = 8.0  # the prior slope weighs as much as this many samples
-PRIOR_SLOPE = 0.5  # slope with few samples; a slope of 1 means a time proportional to the hint
-UNKNOWN_CLASS_DIVISOR = 8  # a class without samples is assumed to take this part (1/8) of its objective
-CLASS_SMOOTHING = 0.05  # weight of the latest sample of a class
-MAX_CLASS_GROWTH = 8  # a larger sample of a class is clamped to this multiple of the estimate
-INITIAL_DEVIATION = 0.5  # relative deviation before there are samples
-DEVIATION_SMOOTHING = 0.05  # weight of the latest sample of the relative deviation
-MAX_DEVIATION = 3.0  # larger samples of the relative deviation are clamped to this
-FACTOR_SMOOTHING = 0.2  # weight of the latest sample of an upstream's service time factor
-MIN_FACTOR = 0.1  # smaller samples of an upstream's service time factor are clamped to this
-MAX_FACTOR = 10.0  # larger samples of that factor are clamped to this
+PRIOR_SLOPE = 0.5  # prior slope, used with few samples; with a slope of 1, time is proportional to the hint
+# A class without samples is assumed to take an eighth (1 / this number) of its objective.
+UNKNOWN_CLASS_DIVISOR = 8
+CLASS_SMOOTHING = 0.05  # weight of the latest sample in the estimate of a class
+MAX_CLASS_GROWTH = 8  # a sample of a class counts as at most this multiple of its estimate
+INITIAL_DEVIATION = 0.5  # relative deviation that is assumed before there are samples
+DEVIATION_SMOOTHING = 0.05  # weight of the latest sample in the relative deviation
+MAX_DEVIATION = 3.0  # upper bound of each sample of the relative deviation
+FACTOR_SMOOTHING = 0.2  # weight of the latest sample in an upstream's service time factor
+MIN_FACTOR = 0.1  # lower bound of each sample of an upstream's service time factor
+MAX_FACTOR = 10.0  # upper bound of each sample of an upstream's service time factor
 
 
 class HintRegression:
@@ -77,9 +78,10 @@
     """Estimates how long requests take if no work is queued before them.
 
     Attributes:
-        by_class_ns: Time by class name, for requests without a hint.
-        by_hint: Time by hint, for requests with one.
-        relative_deviation: The mean deviation of durations from the expected times, as a share of the latter.
+        by_class_ns: Estimated time by class name, for requests without a cost hint.
+        by_hint: Estimated time by cost hint, for requests with a hint.
+        relative_deviation: The mean deviation of durations from the expected times, as a share of the
+            expected times.
     """
 
     __slots__ = ("by_class_ns", "by_hint", "relative_deviation")
--- a/lanelift/policy/slow_start.py
+++ b/lanelift/policy/slow_start.py
@@ -13,7 +13,7 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-BUDGET_SHARE = 0.7  # attempts use this share of the rate that an upstream can handle while it warms up
+BUDGET_SHARE = 0.7  # attempts use this share of the rate that a warming upstream can handle
 SUSTAINED_RATE_SMOOTHING = 0.2
 
 
--- a/lanelift/policy/subscription.py
+++ b/lanelift/policy/subscription.py
@@ -14,13 +14,14 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.units import SECOND_NS
 
-FIRST_CALL_DIVISOR = 4  # the first call comes within this part (1/4) of the notification deadline
+# The first call is made within a quarter (1 / this number) of the notification deadline.
+FIRST_CALL_DIVISOR = 4
 FIRST_BACKOFF_NS = SECOND_NS
-BACKOFF_BASE = 2.0  # the delay grows by this factor with each failure
-MAX_BACKOFF_MULTIPLE = 8.0  # longest delay as a multiple of the first backoff, before jitter
-MIN_BACKOFF_FACTOR = 0.5  # lowest jitter factor; the jitter keeps replicas from calling together
+BACKOFF_BASE = 2.0  # the delay before the next call is multiplied by this after each further failure
+MAX_BACKOFF_MULTIPLE = 8.0  # longest delay before jitter, as a multiple of FIRST_BACKOFF_NS
+MIN_BACKOFF_FACTOR = 0.5  # lowest jitter factor of a delay; the jitter keeps replicas from calling together
 MAX_BACKOFF_FACTOR = 1.5
-MAX_BACKOFF_SHARE = 0.8  # longest delay as a share of the notification deadline
+MAX_BACKOFF_SHARE = 0.8  # longest delay before the next call, as a share of the notification deadline
 
 
 class EndpointSubscription:
--- a/lanelift/policy/subsets.py
+++ b/lanelift/policy/subsets.py
@@ -17,13 +17,13 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-MIN_SUBSET_SIZE = 4  # fewest upstreams in a subset, if there are so many
-PAUSE_TOLERANT_SIZE = 10  # a subset of this size still serves while a few of its upstreams pause
+MIN_SUBSET_SIZE = 4  # fewest upstreams in a subset, unless fewer are ready
+PAUSE_TOLERANT_SIZE = 10  # size with which a subset still serves while a few of its upstreams pause
 # Subsets are enlarged up to PAUSE_TOLERANT_SIZE only while at most this many replicas share an upstream.
-# Subsets of MIN_SUBSET_SIZE may need more replicas for each upstream.
+# More replicas may share an upstream if subsets would otherwise be smaller than MIN_SUBSET_SIZE.
 MAX_DEGREE = 6
-MAX_DEGREE_WITH_PEER_MESSAGES = 4  # replaces MAX_DEGREE if replicas may send messages to one another
-UNREACHABLE_REMEMBERED_NS = SECOND_NS  # how long an upstream counts as unreachable after its ejection
+MAX_DEGREE_WITH_PEER_MESSAGES = 4  # used instead of MAX_DEGREE if replicas may send messages to one another
+UNREACHABLE_REMEMBERED_NS = SECOND_NS  # time after its ejection for which an upstream counts as unreachable
 
 
 def stable_hash(number: int, salt: int) -> int:
--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -17,12 +17,14 @@
 from lanelift.policy.token_bucket import TokenBucket
 
 MIN_WEIGHT = 1e-6  # minimum weight of a token bank, as R is divided by the sum of weights
-UNKNOWN_TENANTS_WEIGHT = 0.05  # weight of all unknown tenants together, as a share of the known ones' weight
+# Weight of all unknown tenants together, relative to the weight of all known tenants.
+UNKNOWN_TENANTS_WEIGHT = 0.05
 # A directory may name any number of tenants; only those that sent requests recently have banks. Dividing R
 # among this many banks takes a few milliseconds. All tenants beyond this number share one bank.
 MAX_TOKEN_BANKS = 1024
-OVERFLOW_TENANTS_WEIGHT = 0.5  # weight of that shared bank, as a share of the other banks' weight
-MAX_TOKEN_BUCKETS = 8192  # most buckets in use; further limits are not enforced until full ones are removed
+OVERFLOW_TENANTS_WEIGHT = 0.5  # weight of the bank that those tenants share, relative to the other banks
+# Largest number of buckets in use; further limits are not enforced until full buckets are removed.
+MAX_TOKEN_BUCKETS = 8192
 MAX_RETRY_AFTER_JITTER = 1.5  # highest jitter factor of Retry-After; keeps clients from returning together
 
 
@@ -31,8 +33,8 @@
 
     Attributes:
         banks: Token banks by tenant name; "" is the bank of all requests while no tenant is listed.
-        known_tenants: All tenants by name, once a directory has named some; None before that.
-        unknown_tenants: How all other tenants are handled, once a directory has named all; None before that.
+        known_tenants: All tenants by name; None until a directory has named some tenants.
+        unknown_tenants: How all other tenants are handled; None until a directory has named all tenants.
         shared_banks: The banks of tenants without a bank of their own, by their relative weight.
         removed_banks: The banks of tenants that were removed, until they are full.
         buckets: The token buckets of rate limits in use, by tenant and class.
--- a/lanelift/policy/timers.py
+++ b/lanelift/policy/timers.py
@@ -19,8 +19,8 @@
     Attributes:
         calls: The due time, sequence number, function (None if the queues only have to be run) and arguments
             of each call.
-        added: The number of calls that were ever added.
-        timer_due_ns: When the current timer is due; 0 if none is set.
+        added: The total number of calls added so far.
+        timer_due_ns: When the current timer is due; 0 if no timer is set.
         timer_number: The number of the current timer, which is also its name.
     """
 
@@ -63,7 +63,7 @@
         """Return the timer to set, if a call is due before the current timer."""
         calls = self.calls
         while calls and self._is_settled(*calls[0][3]):
-            heapq.heappop(calls)  # its request or attempt has ended
+            heapq.heappop(calls)  # the request or attempt that the call is about has ended
         if not calls or (self.timer_due_ns and calls[0][0] >= self.timer_due_ns):
             return None
         self.timer_due_ns = calls[0][0]
--- a/lanelift/policy/token_bank.py
+++ b/lanelift/policy/token_bank.py
@@ -19,19 +19,19 @@
 from lanelift.policy.units import SECOND_NS
 
 INITIAL_RATE_PER_S = 10_000.0  # initial and highest R, above the capacity of any one replica
-BANK_CAPACITY_S = 0.5  # C_T is the number of tokens that accrue in this many seconds
-BUFFER_SHARE = 0.2  # C_J as a share of C_T
-MIN_BANK_CAPACITY = 4  # lower bound of C_T, in tokens
-MIN_BUFFER_CAPACITY = 1  # lower bound of C_J, in requests
-SPARE_DIVISOR = 4  # tokens above this part (1/4) of C_T are spare
+BANK_CAPACITY_S = 0.5  # the bank capacity C_T is the number of tokens that accrue in this many seconds
+BUFFER_SHARE = 0.2  # buffer capacity C_J as a share of the bank capacity C_T
+MIN_BANK_CAPACITY = 4  # lower bound of the bank capacity C_T, in tokens
+MIN_BUFFER_CAPACITY = 1  # lower bound of the buffer capacity C_J, in requests
+SPARE_DIVISOR = 4  # tokens above a quarter (1 / this number) of the bank capacity C_T are spare
 
 
 class TokenResult(Enum):
     """The result of offering a request to a token bank."""
 
-    ADMITTED = "admitted"  # it took a token
-    BUFFERED = "buffered"  # it waits for a token
-    OVERFLOW = "overflow"  # there is no token, and the buffer is full
+    ADMITTED = "admitted"  # the request took a token
+    BUFFERED = "buffered"  # the request waits in the buffer for a token
+    OVERFLOW = "overflow"  # the bank has no token, and the buffer is full
 
 
 class TokenBank:
--- a/lanelift/policy/token_bucket.py
+++ b/lanelift/policy/token_bucket.py
@@ -31,11 +31,11 @@
 
     @property
     def capacity(self) -> float:
-        """The most tokens that it holds: at least one, as otherwise no request would be within the limit."""
+        """The most tokens that the bucket holds: at least one, or no request would be within the limit."""
         return max(1.0, self.rate_per_s * BURST_S)
 
     def wait_ns(self, rate_per_s: float, now: int) -> int:
-        """Return how long it takes until a request is within the limit; 0 if it is now.
+        """Return the time until a request is within the limit; 0 if a request is within the limit now.
 
         The limit may have changed since the last call.
         """
@@ -48,5 +48,5 @@
         return math.ceil((1 - self.tokens) / rate_per_s * SECOND_NS)
 
     def is_full(self, now: int) -> bool:
-        """Return whether the bucket is full. It is then the same as a new one, and can be forgotten."""
+        """Return whether the bucket is full. A full bucket equals a new one, and can be forgotten."""
         return self.tokens + self.rate_per_s * (now - self.updated_at_ns) / SECOND_NS >= self.capacity
--- a/lanelift/policy/upstreams.py
+++ b/lanelift/policy/upstreams.py
@@ -27,11 +27,12 @@
         consecutive_ejections: How many failures since its last success ejected it, or would have if fewer
             upstreams had been ejected (`ejection.py`).
         unreachable: Whether the last attempt failed to connect to it (`outcomes.py`).
-        ejected_until_ns: It gets no attempt before this time, the end of its ejection (`ejection.py`) or its
-            pacing interval (`forwarding.py`, `registry.py`).
+        ejected_until_ns: The upstream gets no attempt before this time, which is the end of its ejection
+            (`ejection.py`) or its pacing interval (`forwarding.py`, `registry.py`).
         ejected_at_ns: When it was last ejected (`ejection.py`).
-        peak_in_flight: The most attempts that this replica has had in flight there (`forwarding.py`).
-        error_rate: The recent share of its responses that were errors (`ejection.py`).
+        peak_in_flight: The most attempts that this replica has had in flight at the upstream
+            (`forwarding.py`).
+        error_rate: Errors as a share of the upstream's recent responses (`ejection.py`).
         consecutive_resets: The number of connections to it that broke in a row (`ejection.py`).
     """
 
--- a/lanelift/settings.py
+++ b/lanelift/settings.py
@@ -25,7 +25,7 @@
 
 Json = dict[str, Any]
 
-# The platform's names are on the left, the policy's on the right. No other module uses the former.
+# The platform's names are on the left, the policy's on the right. No other module uses the platform's names.
 CLASS_FIELDS = {
     "window_ns": "deduplication_window_ns",
     "aim_ns": "latency_objective_ns",
@@ -71,7 +71,7 @@
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 DISCOVERY_PUSH = {"push": True, "ask": False}
-SHOWN_CHARACTERS = 80  # most characters of a wrong value that a message shows
+SHOWN_CHARACTERS = 80  # largest number of characters of a wrong value that an error message shows
 TYPE_NAMES = {
     int: "a whole number",
     float: "a number",
