--- a/lanelift/policy/concurrency.py
+++ b/lanelift/policy/concurrency.py
@@ -53,7 +53,7 @@
     Attributes:
         initial_window: The window before any attempt has ended. A narrower window may widen up to the initial
             window even if no request waits.
-        window: How many attempts this replica may have in flight for each upstream that its pool draws from.
+        window: How many attempts this replica may have in flight for each upstream that a pool draws from.
         latency_ratio: The smoothed latency ratio of recent responses.
         baseline_ratio: The latency ratio without congestion.
         response_interval_ns: The mean time from one outcome to the next.
--- a/lanelift/policy/events.py
+++ b/lanelift/policy/events.py
@@ -100,10 +100,10 @@
         deadline_ns: When its client gives up.
         cost_hint_ns: How long the client expects the request to take; 0 means not stated.
         key: Its ordering key; empty if it has none.
-        retry: Whether the client says that this request repeats an earlier one.
+        retry: Whether the client says that this request repeats an earlier request.
         received_ns: When the last byte of the request was received, if earlier than now; 0 means now.
-        body_pending: Whether its body is still being received and can be sent only once. The request's time
-            is then counted from `BodyReceived` on.
+        body_pending: Whether the request's body is still being received, and can be sent only once. The
+            request's time is then counted from `BodyReceived` on.
     """
 
     request: str
--- a/lanelift/policy/requests.py
+++ b/lanelift/policy/requests.py
@@ -35,11 +35,11 @@
         request_class: Its class.
         tenant_name: Its tenant's name.
         token_bank: The bank from which its token is taken.
-        pool: The pool of upstreams that it may go to.
-        deadline_ns: When its client gives up.
+        pool: The pool of upstreams that the request may be sent to.
+        deadline_ns: When the request's client gives up.
         objective_at_ns: An answer by this time earns the full priority weight.
-        cost_hint_ns: How long its client expects it to take; 0 means not stated.
-        client_retry: Whether the client says that this request repeats an earlier one.
+        cost_hint_ns: How long the client expects the request to take; 0 means not stated.
+        client_retry: Whether the client says that this request repeats an earlier request.
         key_queue: The queue of its ordering key, if its class is ordered by key.
         attempts: Its attempts, in order.
         finished: Whether it has its final answer, or its client has disconnected.
--- a/lanelift/policy/settings.py
+++ b/lanelift/policy/settings.py
@@ -15,9 +15,10 @@
 class Idempotency(Enum):
     """Whether a request of a class may be executed more than once."""
 
-    IDEMPOTENT = "safe"  # may be retried, or rejected, even if it has run
-    IDEMPOTENCY_KEY = "keyed"  # carries a key, by which one group of upstreams drops repeats for a while
-    NON_IDEMPOTENT = "unsafe"  # must never be executed twice
+    IDEMPOTENT = "safe"  # the request may be retried, or rejected, even if it has run
+    # The request carries a key by which one group of upstreams drops repeats for a while.
+    IDEMPOTENCY_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"  # the request must never be executed twice
 
 
 class DeduplicationScope(Enum):
@@ -31,7 +32,7 @@
 class UnknownTenants(Enum):
     """How requests of tenants that the directory does not name are handled."""
 
-    SHARE = "share"  # all of them share one small token bank
+    SHARE = "share"  # all unknown tenants share one small token bank
     DENY = "deny"
 
 
@@ -100,7 +101,7 @@
 
     Attributes:
         max_attempts: The most attempts for one request, including the first.
-        hedging: Whether a second attempt may run beside an overdue first one.
+        hedging: Whether a second attempt may run beside an overdue first attempt.
         may_cancel: Whether attempts may be cancelled.
         load_probes: Whether upstreams may be probed for their load.
         peer_messages: Whether replicas may send messages to one another.
@@ -172,13 +173,13 @@
     Attributes:
         replica: This balancer's number among its replicas, from 0.
         replica_count: How many replicas there are.
-        zone: The zone in which it runs; empty if unknown. Not used by any decision.
+        zone: The zone in which the balancer runs; empty if unknown. Not used by any decision.
         discovery_push: Whether discovery pushes changes of the endpoint list.
         classes: Request classes by name.
         tenants: Listed tenants by name.
-        limits: The limits on what it may do.
-        rules: The rules that it follows.
-        prices: The prices that it is charged.
+        limits: The limits on what the balancer may do.
+        rules: The rules that the balancer follows.
+        prices: The prices that the balancer is charged.
         load_report_fields: The names of the values in a load report.
         load_reports_in_responses: Whether upstreams attach load reports to their responses. Not used by any
             decision.
--- a/lanelift/wirehost.py
+++ b/lanelift/wirehost.py
@@ -78,7 +78,7 @@
 
 
 def _read_request(row: Json) -> Event:
-    tenant = row.get("user_group") or ""  # a site with no tenants may send 0
+    tenant = row.get("user_group") or ""  # a deployment without tenants may send 0
     return RequestArrived(
         require(row, "ticket", str),
         require(row, "kind", str),
@@ -182,7 +182,8 @@
     def run_batch(self, line: str | bytes) -> str:
         """Handle one batch.
 
-        The events of each balancer are collected and handled together, so that it sees the whole batch.
+        The events of each balancer are collected and handled together, so that each balancer sees the whole
+        batch.
 
         Returns:
             The reply, as one line without the line break.
