--- a/tests/policy/checked_balancer.py
+++ b/tests/policy/checked_balancer.py
@@ -85,7 +85,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    """Return settings with the classes above, two tenants, hedging and slow start, then apply `changes`."""
+    """Return settings with the classes above, two tenants, hedging and slow start, changed by `changes`."""
     base: dict[str, object] = {
         "classes": {
             c.name: c for c in (READ, PAY, KEYED_IN_CELL, KEYED_ANYWHERE, ORDERED, WEST_ONLY, BIG_ONLY)
@@ -235,7 +235,7 @@
         return request in self.body_pending and any(r == request for r, _ in self.attempts_in_flight())
 
     def result(self, request: str, number: int, result: AttemptResult) -> AttemptFinished:
-        """Return the event which reports that an attempt ends now with this result."""
+        """Return the event that reports the end of an attempt, now and with this result."""
         upstream, sent = self.attempts[request][number]
         over = request in self.answer or request in self.notified_complete
         if request in self.response_started:
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -53,7 +53,8 @@
         lost_share: The share of peer messages that is lost.
         messages: The number of peer messages that were sent.
         emulators: Emulators by upstream number.
-        unresponsive: Upstreams that are cut off: attempts at them, and their responses, are lost.
+        unresponsive: Upstreams that are cut off: attempts sent to these upstreams, and their responses, are
+            lost.
         killed: Replicas that were killed: they handle no further events.
         due: Scheduled events: time, sequence number, name of the method, details.
         tenant: The tenant of each request.
@@ -156,7 +157,7 @@
         """Deliver an attempt to its upstream, which may reject it."""
         name, attempt, number = details
         if number in self.unresponsive:
-            return  # the attempt will time out
+            return  # the attempt is lost, and will time out
         if not self.emulators[number].offer(f"{name}#{attempt}", int(name.partition("/")[2]), self.now):
             self._ended(name, attempt, AttemptResult.REJECTED)
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -27,8 +27,8 @@
 
 
 def test_requests_with_much_time_do_not_fill_the_queue_for_requests_with_little() -> None:
-    """Incident i31aba8: requests with two seconds to spare filled the queue, and short ones were always
-    shed.
+    """Incident i31aba8: requests with two seconds to spare filled the queue, and requests with little time
+    were always shed.
     """
     slow = RequestClass("slow", Idempotency.IDEMPOTENT, latency_objective_ns=20 * SECOND)
     checked = CheckedBalancer(
@@ -49,8 +49,8 @@
 def test_a_request_that_is_handled_too_late_is_rejected_immediately(
     waited_ms: int, answer: str | None
 ) -> None:
-    """The replica is late itself: it handles a request long after receiving it, and an answer would come too
-    late.
+    """The replica itself is late: it handles a request so long after receiving the request that an answer
+    would come too late.
     """
     checked = CheckedBalancer()
     received_ns = checked.now - waited_ms * MS
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -26,7 +26,7 @@
 
 
 def test_a_served_request_gets_no_other_answer() -> None:
-    """A request is served by its only attempt: no other answer follows."""
+    """A request is served by its only attempt: the balancer gives no other answer."""
     checked = CheckedBalancer()
     assert len(actions_of_type(StartAttempt, checked.handle(arrival(1, checked.now)))) == 1
     assert not actions_of_type(Fail, checked.finish("r1")) and checked.answer["r1"] == "served"
@@ -65,7 +65,7 @@
 
 
 def test_a_client_that_disconnects_ends_its_request() -> None:
-    """A disconnect is reported twice, then one of an unknown request: only the first report has an effect."""
+    """A client's disconnect is reported twice, then that of an unknown request: only the first counts."""
     checked = CheckedBalancer()
     checked.handle(
         arrival(1, checked.now),
@@ -78,7 +78,7 @@
 
 
 def test_retry_after_is_jittered() -> None:
-    """Thirty requests are rejected together: their clients must not return together."""
+    """Thirty requests are rejected at the same time: their clients must not all retry at the same time."""
     checked = CheckedBalancer(upstream_count=0)
     checked.handle(*(arrival(i, checked.now) for i in range(30)))
     checked.advance(600 * MS)
--- a/tests/policy/test_checker.py
+++ b/tests/policy/test_checker.py
@@ -46,29 +46,32 @@
         return checked
 
     one, pay = arrival(1, START), arrival(1, START, PAY)
-    check_illegal(fresh(one), Reject("r1"), StartAttempt("r1", 1))  # 1: an attempt after the final answer
-    check_illegal(fresh(one), Reject("r1"), Fail("r1"))  # 1: two answers
-    check_illegal(fresh(one), StartAttempt("r1", 1), StartAttempt("r1", 2))  # 2: two in flight, no hedging
+    # Rule 1: an attempt after the final answer.
+    check_illegal(fresh(one), Reject("r1"), StartAttempt("r1", 1))
+    check_illegal(fresh(one), Reject("r1"), Fail("r1"))  # rule 1: a second final answer
+    # Rule 2: two attempts in flight without hedging.
+    check_illegal(fresh(one), StartAttempt("r1", 1), StartAttempt("r1", 2))
     ran = fresh(pay)
     ran._check(StartAttempt("r1", 1))
     ran.results["r1", 0] = AttemptResult.ERROR
-    check_illegal(ran, Reject("r1"))  # 2: rejected though it may have run
-    check_illegal(ran, StartAttempt("r1", 2))  # 2: not idempotent, and sent again
+    check_illegal(ran, Reject("r1"))  # rule 2: the request is rejected though it may have run
+    check_illegal(ran, StartAttempt("r1", 2))  # rule 2: a non-idempotent request is sent again
     drains = fresh(
         one,
         EndpointUpdate(
             EndpointUpdateKind.DELTA, [mixed_endpoints(1)[0]._replace(state=EndpointState.DRAINING)]
         ),
     )
-    check_illegal(drains, StartAttempt("r1", 1))  # 3: the upstream drains
-    with pytest.raises(AssertionError):  # 4: attempts not paced
+    check_illegal(drains, StartAttempt("r1", 1))  # rule 3: the upstream drains
+    with pytest.raises(AssertionError):  # rule 4: the attempts are not paced
         check_slow_start_budget([START + i * MS for i in range(60)], START, Rules(slow_start_ns=SECOND), 10.0)
     row = [arrival(i, START, ORDERED, key="k") for i in (1, 2)]
-    check_illegal(fresh(*row), StartAttempt("r2", 1))  # 5: before the first of its key
+    check_illegal(fresh(*row), StartAttempt("r2", 1))  # rule 5: the second request of a key is sent first
     cools_down = fresh(*row)
     cools_down._check(StartAttempt("r1", 1))
     cools_down._record(cools_down.result("r1", 0, AttemptResult.RESET))
     cools_down._check(Fail("r1"))
-    check_illegal(cools_down, StartAttempt("r2", 1))  # 5: in the cooldown of its key
-    check_illegal(fresh(arrival(1, START, WEST_ONLY)), StartAttempt("r1", 2))  # 6: zone
-    check_illegal(fresh(arrival(1, START, BIG_ONLY)), StartAttempt("r1", 2))  # 6: kind
+    check_illegal(cools_down, StartAttempt("r2", 1))  # rule 5: a request is sent in the cooldown of its key
+    check_illegal(fresh(arrival(1, START, WEST_ONLY)), StartAttempt("r1", 2))  # rule 6: forbidden zone
+    # Rule 6: forbidden kind of machine.
+    check_illegal(fresh(arrival(1, START, BIG_ONLY)), StartAttempt("r1", 2))
--- a/tests/policy/test_churn.py
+++ b/tests/policy/test_churn.py
@@ -160,7 +160,7 @@
 
 
 def growing_types(found: list[Counter[str]]) -> dict[str, list[int]]:
-    """Return the types that have clearly more objects after every later day than after the first."""
+    """Return the types that have clearly more objects after every later day than after the first day."""
     return {
         kind: [day[kind] for day in found]
         for kind in found[0] | found[-1]
@@ -181,7 +181,8 @@
     from lanelift.policy.registry import UpstreamRegistry
     from lanelift.policy.requests import PendingRequest
 
-    if what == "upstreams":  # a list keeps them in addition to the registry's table
+    # A list keeps all upstreams, also those that the registry has forgotten.
+    if what == "upstreams":
         leaked: list[object] = []
         update = UpstreamRegistry.update
 
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -15,8 +15,8 @@
 
 
 def test_the_window_does_not_grow_unbounded_before_the_first_responses() -> None:
-    """Incident i4eb9e9: requests queued at the start, and each wider window looked good before its requests
-    had ended.
+    """Incident i4eb9e9: requests queued at the start, and the window was widened again and again before the
+    requests that it let through had ended.
     """
     checked = CheckedBalancer(settings(replica_count=20))
     for i in range(300):
@@ -46,7 +46,7 @@
 
 
 def test_slow_responses_narrow_the_window_and_quick_ones_widen_it_again() -> None:
-    """Responses take nearly all of their objective, then little of it."""
+    """Responses first take nearly all of their latency objective, then a small part of the objective."""
     checked = CheckedBalancer(settings(replica_count=10))
     start = checked.balancer.state.concurrency.window
     serve_requests(checked, 280 * MS)
@@ -69,7 +69,9 @@
 
 @pytest.mark.parametrize("answers", [4, 400])
 def test_congestion_does_not_become_the_baseline_at_any_response_rate(answers: int) -> None:
-    """For seconds, few or many responses take most of their objective: they must not become the baseline."""
+    """For seconds, few or many responses take most of their objective: such latency must not become the
+    baseline.
+    """
     concurrency = CheckedBalancer().balancer.state.concurrency
     for second, latency_ratio in enumerate([0.15] * 10 + [0.7] * 5):
         for i in range(answers):
--- a/tests/policy/test_directory.py
+++ b/tests/policy/test_directory.py
@@ -81,8 +81,8 @@
 
 
 def test_settings_apply_until_a_directory_has_named_all_tenants() -> None:
-    """A directory names one tenant: all tenants are served until it has named all tenants; then unlisted
-    tenants are denied.
+    """A directory names one tenant: all tenants are served until the directory has named all tenants; then
+    unlisted tenants are denied.
     """
     plain = PlainBalancer(settings(ash=1))
     assert actions_of_type(StartAttempt, plain.request("ash")) and actions_of_type(
@@ -107,7 +107,7 @@
     assert all(plain.serve("nobody") for _ in range(50))
     plain.handle(tenant_update(deny=False))
     assert "" not in plain.balancer.state.tenants.banks
-    assert plain.serve("nobody")  # with the small shared bank now
+    assert plain.serve("nobody")  # the tenant now uses the small bank that unknown tenants share
     assert tenants.UNKNOWN_TENANTS_WEIGHT in plain.balancer.state.tenants.shared_banks
 
 
@@ -211,8 +211,8 @@
     ],
 )
 def test_a_waiting_request_is_denied_immediately(where: WaitingPlace) -> None:
-    """A tenant is suspended while its request waits: it fails immediately, and requests of other tenants
-    keep waiting.
+    """A tenant is suspended while its request waits: the request fails immediately, and requests of other
+    tenants keep waiting.
     """
     plain = PlainBalancer(settings(ash=1, birch=1))
     name = make_request_wait(plain, where, "ash")
@@ -254,7 +254,7 @@
 
 
 def test_a_request_that_waits_for_its_key_is_denied_and_the_next_is_forwarded() -> None:
-    """The second of three requests of a key is denied: the third follows the first."""
+    """The second of three requests of a key is denied: the third is forwarded after the first."""
     ordered = RequestClass(
         "quote",
         Idempotency.IDEMPOTENT,
@@ -284,16 +284,18 @@
 
 
 def test_a_request_over_a_limit_gets_a_retry_after() -> None:
-    """A tenant exceeds the limit of one class: it is rejected, with the time until the next token; other
-    classes are not.
+    """A tenant exceeds the limit of one class: its requests of this class are rejected, with the time until
+    the next token; its requests of other classes are served.
     """
     plain = PlainBalancer(settings())
     plain.handle(tenant_update(Tenant("ash", rate_limits=(("quote", 4.0),))))
     answers = [plain.request("ash") for _ in range(6)]
-    assert all(actions_of_type(StartAttempt, a) for a in answers[:4])  # a burst of one second
+    # The bucket holds the tokens of one second.
+    assert all(actions_of_type(StartAttempt, a) for a in answers[:4])
     rejected = [actions_of_type(Reject, a)[0] for a in answers[4:]]
     assert all(r.rate_limited and 0.25 * SECOND <= r.retry_after_ns <= 0.375 * SECOND for r in rejected)
-    assert actions_of_type(StartAttempt, plain.request("ash", "history"))  # the limit is not for this class
+    # The limit does not apply to this class.
+    assert actions_of_type(StartAttempt, plain.request("ash", "history"))
     plain.now += SECOND // 4
     assert actions_of_type(StartAttempt, plain.request("ash"))
     assert actions_of_type(Reject, plain.request("ash"))
@@ -305,9 +307,9 @@
     plain = PlainBalancer(known)
     plain.handle(tenant_update(Tenant("ash", rate_limits=(("", 8.0),))))
     served = sum(bool(actions_of_type(StartAttempt, plain.request("ash"))) for _ in range(10))
-    assert served == 2  # a quarter of eight
+    assert served == 2  # each of four replicas enforces a quarter of the limit of 8
     plain.handle(tenant_update(Tenant("ash", rate_limits=(("", 400.0),))))
-    plain.request("ash")  # the old limit applies up to now
+    plain.request("ash")  # the bucket is filled at the old limit up to now
     plain.now += SECOND // 10
     assert sum(bool(actions_of_type(StartAttempt, plain.request("ash"))) for _ in range(20)) >= 3
 
@@ -326,7 +328,8 @@
         now += gap
         wait = bucket.wait_ns(rate, now)
         if wait:
-            assert TokenBucket.wait_ns(bucket, rate, now + wait) == 0  # the returned time is enough
+            # A token is available after the returned time.
+            assert TokenBucket.wait_ns(bucket, rate, now + wait) == 0
             now += wait
         bucket.tokens -= 1
         assert taken <= rate * now / SECOND + max(1.0, rate) + 1e-6
@@ -383,8 +386,8 @@
 
 
 def test_tokens_of_a_removed_tenant_are_not_lent_twice() -> None:
-    """A tenant spends its tokens, is removed and is added again: it has its former bank, and
-    not a new one.
+    """A tenant spends its tokens, is removed and is added again: it gets its former bank, and not a new, full
+    one.
     """
     plain = PlainBalancer(settings(ash=1, birch=1), upstreams=100)
     token_bank = plain.balancer.state.tenants.banks["ash"]
@@ -413,14 +416,14 @@
 
 
 def test_only_the_ratio_of_shares_counts() -> None:
-    """Shares need not sum to one: only their ratio counts."""
+    """The shares of tenants need not sum to one: only the ratio of the shares counts."""
     for scale in (1e-5, 1.0, 1e6):
         plain = PlainBalancer(settings())
         plain.handle(tenant_update(Tenant("ash", scale), Tenant("birch", 3 * scale), deny=True))
         plain.request("ash"), plain.request("birch")
         token_banks = plain.balancer.state.tenants.banks
         for token_bank in token_banks.values():
-            token_bank.demand_per_s = 1e6  # both demand more than the rate
+            token_bank.demand_per_s = 1e6  # both tenants demand more than the rate R
         plain.handle(tenant_update(Tenant("ash", scale * 1.000001)))
         assert token_banks["birch"].rate_per_s == pytest.approx(3 * token_banks["ash"].rate_per_s, rel=0.01)
 
@@ -450,7 +453,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_changes_of_one_tenant_do_not_affect_the_others(seed: int) -> None:
-    """One tenant changes every second: the others are served as in a run without changes."""
+    """One tenant is updated every second: the other tenants are served as in a run without updates."""
     calm = simulate({}, seed)
     changes: dict[float, TenantUpdate] = {0.5: tenant_update(deny=True)}
     for i in range(1, 19):
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -19,7 +19,9 @@
 
 
 def test_attempts_that_stall_together_cause_one_ejection() -> None:
-    """An upstream pauses, and all its attempts become overdue: one pause must not eject it for seconds."""
+    """An upstream pauses, and all its attempts become overdue: one pause must not cause an ejection of
+    seconds.
+    """
     checked = CheckedBalancer(upstream_count=1)
     for i in range(6):
         checked.handle(arrival(i, checked.now, wait_ns=100 * MS))
@@ -49,7 +51,7 @@
 
 @pytest.mark.parametrize("faulty", [1, 6])
 def test_a_failing_upstream_is_ejected_unless_all_upstreams_fail(faulty: int) -> None:
-    """An upstream that answers each request with an error immediately looks like the least loaded of all."""
+    """An upstream that immediately answers each request with an error looks like the least loaded of all."""
     checked = CheckedBalancer(upstream_count=6)
     serve_rounds(
         checked, 300, lambda upstream, n: AttemptResult.ERROR if upstream <= faulty else AttemptResult.OK
@@ -59,8 +61,8 @@
 
 
 def test_resets_at_all_upstreams_eject_none() -> None:
-    """One attempt in ten broke, over all upstreams: half of the upstreams were ejected for that, and the
-    others were congested.
+    """The connections of one attempt in ten broke, over all upstreams: half of the upstreams were ejected for
+    these breaks, and the others were congested.
     """
     checked = CheckedBalancer(upstream_count=6)
     serve_rounds(checked, 200, lambda upstream, n: AttemptResult.RESET if n % 8 == 0 else AttemptResult.OK)
@@ -80,7 +82,7 @@
     registry = checked.balancer.registry
     (upstream,) = registry.upstreams.values()
     sent = checked.now
-    for late_ms in (100, 300, 500):  # each after the previous ejection ended
+    for late_ms in (100, 300, 500):  # each attempt fails after the previous ejection ended
         checked.balancer.ejection.eject(Attempt(upstream, sent, 1.0, 1.0), sent + late_ms * MS, 10 * MS)
     assert upstream.consecutive_ejections == 1
     checked.balancer.ejection.eject(Attempt(upstream, sent + 600 * MS, 1.0, 1.0), sent + 900 * MS, 10 * MS)
--- a/tests/policy/test_full_size.py
+++ b/tests/policy/test_full_size.py
@@ -104,8 +104,8 @@
     first = [t for t in at if t <= START + within // 4]
     tenths = Counter((t - START) * 10 // (within // 4) for t in first)
     assert len(tenths) >= 10 and max(tenths.values()) <= 3 * len(first) / 10
-    # Later calls come in no bursts either, however often calls fail: in no tenth of a second do more than a
-    # tenth of all replicas call.
+    # Later calls are also spread, however often calls fail: at most a tenth of all replicas call in any tenth
+    # of a second.
     assert max(Counter((t - START) // (SECOND // 10) for t in at).values()) <= 20
 
 
@@ -194,7 +194,8 @@
         assert not [t for t in to if t > 6 * SECOND]
     tried = [t for t in to if t > 5 * SECOND]
     sent = [t for t, _, _ in simulation.attempt_log if t > 5 * SECOND]
-    assert len(tried) <= 0.15 * len(sent)  # they are a quarter of all upstreams, and most attempts avoid them
+    # A quarter of all upstreams is cut off, and most attempts avoid them.
+    assert len(tried) <= 0.15 * len(sent)
     cut = set(simulation.unresponsive)
     simulation.unresponsive = set()
     if list_is_updated:
@@ -253,7 +254,8 @@
 def test_unreachable_upstreams_are_replaced_in_the_subset(result: AttemptResult, replaced: bool) -> None:
     """A whole subset was in a zone that was cut off, and its replica served nothing for 5 s.
 
-    Upstreams that fail or are congested are not replaced, as nothing is known of the load outside the subset.
+    Upstreams that fail or are congested are not replaced, as a replica knows nothing of the load outside its
+    subset.
     """
     checked = CheckedBalancer(config(40, classes={"read": READ}), upstream_count=40)
     pool = checked.balancer.registry.unrestricted_pool
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -13,8 +13,8 @@
 
 
 def test_an_attempt_is_waited_for_past_the_latency_objective() -> None:
-    """Requests were rejected at their objective, and a fifth of all clients repeated requests that upstreams
-    were still processing.
+    """Requests were rejected at their objective, and a fifth of all clients sent a request again while an
+    upstream was still processing it.
     """
     checked = CheckedBalancer(settings(limits=Limits(may_cancel=True)))
     checked.handle(arrival(1, checked.now, READ, wait_ns=READ.latency_objective_ns + 200 * MS))
@@ -28,7 +28,7 @@
     """The check of an overdue attempt is late: the response may already be here, unread, and its upstream is
     not ejected.
     """
-    for step_ns, ejected_count in ((5 * MS, 1), (120 * MS, 0)):  # checked in time, and too late
+    for step_ns, ejected_count in ((5 * MS, 1), (120 * MS, 0)):  # the check runs in time, then too late
         checked = CheckedBalancer()
         checked.handle(arrival(1, checked.now))
         checked.advance(120 * MS, step_ns)
--- a/tests/policy/test_legality.py
+++ b/tests/policy/test_legality.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
 def test_a_non_idempotent_request_that_never_ran_is_retried(result: AttemptResult) -> None:
-    """An attempt ends before its upstream ran the request: a retry is safe, whatever its class."""
+    """An attempt ends before its upstream ran the request: a retry is safe for requests of any class."""
     checked = CheckedBalancer()
     checked.handle(arrival(1, checked.now, PAY))
     checked.now += MS
--- a/tests/policy/test_many_replicas.py
+++ b/tests/policy/test_many_replicas.py
@@ -81,12 +81,12 @@
         check_slow_start_budget(sends, back, balancers[0].config.rules, 20)
     assert (
         sum(len(attempt_times(balancers, number, back)) for number in range(7, 13)) > 12
-    )  # and all of them are used
+    )  # and all restarted upstreams are used
 
 
 def test_a_successor_is_paced_while_its_predecessor_drains() -> None:
-    """An upstream drains as its successor starts: the first gets no more attempts, and the second only what
-    it can handle.
+    """An upstream drains as its successor starts: the draining upstream gets no more attempts, and its
+    successor only as many as it can handle.
     """
     checked = CheckedBalancer(settings(limits=PEER_LIMITS), upstream_count=3)
     serve_rounds([checked], 10, "w")
@@ -106,8 +106,8 @@
 @pytest.mark.parametrize("kind", [EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.DELTA])
 @pytest.mark.parametrize("left", [1, 0])
 def test_a_list_that_shrinks_to_one_or_none_and_grows_back(left: int, kind: EndpointUpdateKind) -> None:
-    """The endpoint list shrinks to one upstream or none: requests go to the one or are rejected immediately,
-    and spread again later.
+    """The endpoint list shrinks to one upstream or none: requests go to the remaining upstream or are
+    rejected immediately, and are spread again when the list grows.
     """
     checked = CheckedBalancer(settings(limits=PEER_LIMITS, replica_count=40), upstream_count=12)
     serve_rounds([checked], 5, "a")
--- a/tests/policy/test_ordering.py
+++ b/tests/policy/test_ordering.py
@@ -20,7 +20,7 @@
 
 
 def test_requests_of_one_key_run_one_at_a_time_and_other_keys_do_not_wait() -> None:
-    """Two requests share a key, one has another key and one has none: only the second of the two waits."""
+    """Two requests share a key, a third has another key, a fourth has none: only the second waits."""
     checked = CheckedBalancer()
     checked.handle(
         arrival(1, checked.now, ORDERED, key="k"),
--- a/tests/policy/test_outcomes.py
+++ b/tests/policy/test_outcomes.py
@@ -30,14 +30,15 @@
     upstream = first.attempts[0].upstream
     in_flight = upstream.in_flight
     checked.handle(ResponseStarted(first.id, 0, upstream.id, 20 * MS))
-    assert checked.balancer.state.attempts_in_flight == 2  # the third request takes its place
+    # The third request takes the place of the first request in the window.
+    assert checked.balancer.state.attempts_in_flight == 2
     assert upstream.in_flight <= in_flight
     on_time, latency_ratio = (
         checked.balancer.state.rate.on_time,
         checked.balancer.state.concurrency.latency_ratio,
     )
     assert on_time == 1
-    checked.advance(2 * SECOND)  # past its deadline
+    checked.advance(2 * SECOND)  # past the deadline of the first request
     assert first.id not in checked.answer and not first.finished
     checked.handle(AttemptFinished(first.id, 0, upstream.id, AttemptResult.OK, 3 * SECOND, True))
     assert (
@@ -58,7 +59,8 @@
     r = checked.balancer.requests["r1"]
     upstream = r.attempts[0].upstream
     checked.handle(ResponseStarted("r1", 0, upstream.id, 20 * MS))
-    checked.handle(ResponseStarted("r1", 0, upstream.id, 20 * MS))  # reported twice: counted once
+    # The start of the response is reported twice, but counted once.
+    checked.handle(ResponseStarted("r1", 0, upstream.id, 20 * MS))
     assert (upstream.in_flight, checked.balancer.state.attempts_in_flight) == (0, 0)
     was = checked.balancer.state.rate.late_or_failed
     checked.handle(AttemptFinished("r1", 0, upstream.id, result, SECOND, True))
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -152,8 +152,8 @@
 
 
 def test_no_request_is_rejected_by_its_hint_before_responses_confirm_hints() -> None:
-    """A client hints at two seconds before there are any responses, so nothing shows yet that hints are
-    right.
+    """A client hints at two seconds before there are any responses, so no response has confirmed yet that
+    cost hints are accurate.
     """
     checked = sharing_balancer()
     checked.handle(arrival(1, checked.now)._replace(cost_hint_ns=2 * SECOND))
@@ -178,7 +178,7 @@
     "result", [AttemptResult.REJECTED, AttemptResult.ERROR, AttemptResult.CONNECT_FAILED]
 )
 def test_a_rejected_attempt_is_not_queued_work(result: AttemptResult) -> None:
-    """The upstream did not execute the request: its work is not queued there."""
+    """The upstream did not execute the request, so the request's work is not queued at the upstream."""
     checked = sharing_balancer()
     checked.handle(arrival(1, checked.now))
     upstream = checked.balancer.registry.upstreams[checked.attempts["r1"][0][0].id]
@@ -187,7 +187,7 @@
 
 
 def test_a_request_that_takes_longer_than_its_client_waits_is_rejected_immediately() -> None:
-    """Hints have proved right, and one request would take longer than its client waits."""
+    """Cost hints have proved accurate, and one request would take longer than its client waits."""
     checked = sharing_balancer()
     for i in range(1, 200):
         checked.balancer.state.service_times.by_hint.observe(i * MS, i * MS)
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize(("ahead_ms", "answer"), [(0, None), (100, None), (260, "rejected")])
 def test_a_request_that_queued_work_would_make_late_is_rejected(ahead_ms: int, answer: str | None) -> None:
-    """All upstreams had a backlog: all responses were late, and each client repeated its request."""
+    """All upstreams had work queued: all responses were late, and each client sent its request again."""
     checked = sharing_balancer()
     for s in checked.balancer.registry.upstreams.values():
         checked.handle(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, s.id, max(1, 10 * ahead_ms))))
@@ -209,8 +209,8 @@
 
 @pytest.mark.parametrize("power", [0.3, 1.0, 0.0])
 def test_the_relation_of_hints_and_durations_is_learned(power: float) -> None:
-    """Requests with hints of 6 ms took 30 ms and those of 200 ms took 80 ms, so the sum of raw hints was
-    misleading.
+    """Requests with hints of 6 ms took 30 ms and requests with hints of 200 ms took 80 ms, so the sum of raw
+    hints was misleading.
     """
     regression, rng = HintRegression(), random.Random(3)
     assert regression.estimate_ns(20 * MS) == 20 * MS
@@ -233,7 +233,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_announcements_raise_the_served_share_and_lost_messages_cost_little(seed: int) -> None:
-    """A replica with one request in flight learns nearly nothing of two drawn upstreams from its counts."""
+    """The counts of a replica with one request in flight say nearly nothing about two drawn upstreams."""
     without_messages, announcing, with_losses = (
         simulate_busy_replicas(seed, False),
         simulate_busy_replicas(seed, True),
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -29,9 +29,12 @@
 
 
 def test_overdue_attempts_free_a_part_of_the_window_but_not_all_of_it() -> None:
-    """One upstream that stopped must not block all others; if all are slow, the window must still apply."""
+    """One upstream that stopped must not block all others; if all upstreams are slow, the window still
+    applies.
+    """
     for latency_ratio, additional in ((1.0, 1), (0.1, 2)):
-        checked = CheckedBalancer(settings(replica_count=16), upstream_count=4)  # a window of two
+        # The window allows two attempts.
+        checked = CheckedBalancer(settings(replica_count=16), upstream_count=4)
         checked.handle(*(arrival(i, checked.now) for i in range(10)))
         assert len(checked.attempts_in_flight()) == 2
         checked.balancer.state.overdue_attempts, checked.balancer.state.concurrency.latency_ratio = (
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -110,10 +110,10 @@
 def test_there_is_no_second_round_of_probes_if_an_upstream_is_idle_or_all_were_probed(
     upstream_count: int, in_flight: float
 ) -> None:
-    """A second round of probes can find nothing better and would cost time, so there is none."""
+    """A second round of probes would find no better upstream and cost time, so there is no second round."""
     checked = probing_balancer(upstream_count=upstream_count)
     checked.balancer.rng.seed(3)
-    for number in range(6):  # until one request has probed all upstreams
+    for number in range(6):  # until the probes of one request reach all upstreams
         first = probed_by(checked.handle(arrival(number, checked.now)))
         checked.now += MS
         others = probed_by(checked.handle(*reports(first, in_flight)))
@@ -151,7 +151,7 @@
 
 
 def test_one_probe_is_in_flight_at_each_upstream_and_serves_all_requests() -> None:
-    """Each request sent its own probes: in half a second 160 connections were open, and none was free."""
+    """Probes were sent for each request: in half a second 160 connections were open, and none was free."""
     checked = probing_with_retry_after(3)
     actions = checked.handle(*(arrival(i, checked.now) for i in range(20)))
     probed = [a.upstream for a in actions if isinstance(a, ProbeLoad)]
--- a/tests/policy/test_rate_control.py
+++ b/tests/policy/test_rate_control.py
@@ -16,7 +16,7 @@
 
 
 def test_lost_responses_do_not_lower_the_rate() -> None:
-    """One response in five is lost, and the others are quick: R used to fall without end in this case."""
+    """One response in five is lost, and the others are quick: R used to be cut again and again."""
     checked = CheckedBalancer(settings(replica_count=10, limits=Limits(max_attempts=1)))
     for i in range(400):
         checked.handle(arrival(i, checked.now, PAY))
@@ -63,8 +63,8 @@
 def test_a_rejected_burst_lowers_the_rate_only_if_upstreams_are_slow(
     latency_ratio: float, remains: bool
 ) -> None:
-    """In a burst at startup nearly all requests were rejected, and R stayed at the low rate of forwarded ones
-    for seconds.
+    """In a burst at startup nearly all requests were rejected, and for seconds R stayed at the low rate of
+    the few forwarded requests.
     """
     checked = CheckedBalancer()
     rate = checked.balancer.state.rate
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -56,7 +56,7 @@
         for replica in range(40)
     ]
     for checked in checked_balancers:
-        for i in range(40):  # first show what a warm upstream sustains: 50 ms per request
+        for i in range(40):  # the replica first observes what a warm upstream sustains: 50 ms per request
             checked.handle(arrival(f"w{i}", checked.now))
             checked.advance(50 * MS)
             for request, number in checked.attempts_in_flight():
--- a/tests/policy/test_subsets.py
+++ b/tests/policy/test_subsets.py
@@ -48,8 +48,8 @@
 def test_an_upstream_that_is_added_or_removed_moves_no_other() -> None:
     """Subsets used to be consecutive positions on one ring.
 
-    When six in ten of sixty upstreams were replaced within seconds, each change moved four times as many
-    upstreams as necessary.
+    When six in ten of sixty upstreams were replaced within seconds, each replacement changed four times as
+    many subset entries as necessary.
     """
     listed, moved = upstreams(60), 0
     subsets = [subset_of(replica, 40, listed) for replica in range(40)]
--- a/tests/policy/test_tenants.py
+++ b/tests/policy/test_tenants.py
@@ -55,7 +55,8 @@
     unknown_served = sum(
         n for (tenant, what), n in flood.counts.items() if what == "served" and "nobody" in tenant
     )
-    assert unknown_served > 50  # unknown tenants have a share of their own, but nothing is lent to them
+    # Unknown tenants have a share of their own, but no unused rate is lent to them.
+    assert unknown_served > 50
 
 
 def test_few_requests_of_unknown_tenants_are_admitted() -> None:
--- a/tests/policy/test_token_bank.py
+++ b/tests/policy/test_token_bank.py
@@ -28,7 +28,7 @@
 
 
 def run_steps(bank: TokenBank, steps: list[int]) -> tuple[list[int], list[int], list[str]]:
-    """Each second, add one token and offer the given number of requests.
+    """For each step, advance one second, which adds one token, and offer the step's number of requests.
 
     Returns the values of U, the overflows so far, and the requests in the order in which they were forwarded.
     """
@@ -82,7 +82,7 @@
 def test_overflow_depends_on_the_sum_of_the_capacities_only(
     total: int, data: st.DataObject, steps: list[int]
 ) -> None:
-    """Theorem 3.1: the overflow depends on C_T + C_J, and not on either of them alone."""
+    """Theorem 3.1: the overflow depends on the sum C_T + C_J, and not on how the sum is divided."""
     a, b = (data.draw(st.integers(1, total)) for _ in "ab")
     balance = data.draw(st.integers(max(a, b), total))
     assert (
--- a/tests/sim/test_wirehost.py
+++ b/tests/sim/test_wirehost.py
@@ -152,8 +152,8 @@
 
 
 def test_power_off_forgets_the_balancer() -> None:
-    """The host receives an event for a balancer that was powered off: the balancer is unknown, and the host
-    ends with a plain message.
+    """The host receives an event for a balancer that was powered off: the host does not know this balancer,
+    and ends with a plain message.
     """
     now = 2 * 10**9
     done = run(
@@ -233,7 +233,7 @@
 
 
 def test_invalid_utf_8_is_reported_like_other_bad_input() -> None:
-    """A line is not UTF-8: it is reported like any other bad input, without a traceback."""
+    """A line is not UTF-8: the host reports the line like any other bad input, without a traceback."""
     done = subprocess.run(
         [sys.executable, "-m", "lanelift.wirehost"],
         input=b'{"round": "\xff"}\n',
@@ -245,8 +245,8 @@
 
 
 def test_an_exception_in_a_balancer_is_reported_as_its_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The decision code raises an exception: it is reported as that balancer's fault, with the function that
-    raised it, and the host goes on.
+    """A balancer raises an exception: the host reports the exception as that balancer's fault, with the
+    function that raised the exception, and goes on.
     """
 
     def broken(self: Balancer, now: int, events: object) -> list[Action]:
