--- a/lanelift/policy/eligibility.py
+++ b/lanelift/policy/eligibility.py
@@ -17,7 +17,7 @@
 
 
 class Eligibility:
-    """Checks whether upstreams may be chosen."""
+    """Checks whether an upstream may be chosen for an attempt."""
 
     __slots__ = ("concurrency", "load_probing", "slow_start")
 
--- a/lanelift/policy/events.py
+++ b/lanelift/policy/events.py
@@ -95,11 +95,11 @@
 
     Attributes:
         request: The request's identifier, unique among open requests.
-        class_name: The name of its request class.
-        tenant: The name of its tenant.
+        class_name: The name of the request's class.
+        tenant: The name of the request's tenant.
         deadline_ns: When its client gives up.
         cost_hint_ns: How long the client expects the request to take; 0 means not stated.
-        key: Its ordering key; empty if it has none.
+        key: The request's ordering key; empty if the request has none.
         retry: Whether the client says that this request repeats an earlier request.
         received_ns: When the last byte of the request was received, if earlier than now; 0 means now.
         body_pending: Whether the request's body is still being received, and can be sent only once. The
@@ -147,7 +147,7 @@
 
     Attributes:
         request: The request's identifier.
-        deadline_ns: When its client gives up; replaces the deadline of `RequestArrived`.
+        deadline_ns: When the client gives up; replaces the deadline of `RequestArrived`.
     """
 
     request: str
--- a/lanelift/policy/legality.py
+++ b/lanelift/policy/legality.py
@@ -3,7 +3,7 @@
 The numbers are those of the platform's protocol page ("rules"; docs/glossary.md lists them).
 
 Rule 1: a request gets one final answer, by its deadline unless it is streamed, and nothing after it.
-Rule 2: a request gets no more attempts than allowed. If it may have run, a further one must do no harm.
+Rule 2: a request gets no more attempts than allowed. If it may have run, a further attempt must do no harm.
 Rule 3: an upstream that drains or is removed gets no attempt.
 Rule 5: the requests of an ordering key run one at a time (`ordering.py`).
 Rule 6: a class uses only the zones and kinds of machines that it is restricted to (`restrictions.py`).
--- a/lanelift/policy/ordering.py
+++ b/lanelift/policy/ordering.py
@@ -1,9 +1,9 @@
 """Ordering by key, rule 5 of the protocol: the requests of one key run one at a time, in order of arrival.
 
 Inputs: the key of each request whose class is ordered by key, the ends of attempts, and the cooldown of a key
-(`Rules.key_cooldown_ns`). A request waits until all earlier ones of its key have finished with no attempt in
-flight, and until the cooldown after an attempt that may still be running has passed. While it waits, it holds
-no token and delays only requests of the same key.
+(`Rules.key_cooldown_ns`). A request waits until all earlier requests of its key have finished with no attempt
+in flight, and until the cooldown after an attempt that may still be running has passed. A waiting request
+holds no token, and delays only requests of the same key.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
     def __init__(self, state: PolicyState, admit: Callable[[PendingRequest, int], None]) -> None:
         self.state = state
-        self.admit = admit  # called with each request that becomes the first of its key
+        self.admit = admit  # function that is called with each request that becomes the first of its key
         self.queues: dict[str, KeyQueue] = {}
 
     def join(self, request: PendingRequest, key: str) -> None:
--- a/lanelift/policy/probing.py
+++ b/lanelift/policy/probing.py
@@ -73,7 +73,7 @@
         )
 
     def candidates(self, request: PendingRequest, now: int) -> list[Upstream] | None:
-        """Return the upstreams that reported (possibly an empty list), or None if others were probed now."""
+        """Return the upstreams that reported (possibly an empty list), or None if a second round began."""
         is_eligible = self.state.registry.eligibility.is_eligible
         reported = [
             upstream
@@ -95,7 +95,7 @@
         return reported
 
     def _probe_others(self, request: PendingRequest, busy: Sequence[Upstream], now: int) -> bool:
-        """Probe a few upstreams other than the busy ones; return whether there are any."""
+        """Probe a few upstreams other than the busy upstreams; return whether there are others."""
         subset, is_eligible = request.pool.subset, self.state.registry.eligibility.is_eligible
         others = [
             upstream
--- a/lanelift/policy/queued_work.py
+++ b/lanelift/policy/queued_work.py
@@ -38,7 +38,7 @@
     free_at_ns: float = 0
 
     def reserve(self, now: int, work_ns: float) -> None:
-        """Add the work of an attempt that this replica or another one made."""
+        """Add the work of an attempt that this replica or another replica made."""
         if self.free_at_ns <= now:
             self.reservations.clear()
         elif len(self.reservations) >= MAX_RESERVATIONS:
--- a/lanelift/policy/rate_control.py
+++ b/lanelift/policy/rate_control.py
@@ -51,7 +51,7 @@
         interval_started_at_ns: When the current interval began.
         attempt_rate_per_s: The number of attempts per second that ended in the last interval.
         goodput_per_s: The number of attempts per second that ended in time in the last interval.
-        on_time: Attempts of this interval that were answered in time, or with an error.
+        on_time: Attempts of this interval that got a response in time, or an error response at any time.
         late_or_failed: Attempts of this interval that were late or failed.
         unplaceable: Requests of this interval that no upstream had capacity for in time.
         best_goodput_per_s: The best recent goodput, which decays slowly.
--- a/lanelift/policy/requests.py
+++ b/lanelift/policy/requests.py
@@ -31,29 +31,31 @@
     """A request that has no final answer yet, or still has an attempt in flight.
 
     Attributes:
-        id: Its identifier.
-        request_class: Its class.
-        tenant_name: Its tenant's name.
-        token_bank: The bank from which its token is taken.
+        id: The request's identifier.
+        request_class: The request's class.
+        tenant_name: The name of the request's tenant.
+        token_bank: The bank from which the request's token is taken.
         pool: The pool of upstreams that the request may be sent to.
         deadline_ns: When the request's client gives up.
-        objective_at_ns: An answer by this time earns the full priority weight.
+        objective_at_ns: The end of the latency objective: an answer by this time earns the full priority
+            weight.
         cost_hint_ns: How long the client expects the request to take; 0 means not stated.
         client_retry: Whether the client says that this request repeats an earlier request.
-        key_queue: The queue of its ordering key, if its class is ordered by key.
-        attempts: Its attempts, in order.
-        finished: Whether it has its final answer, or its client has disconnected.
-        response_started: Whether a response to it is being passed on.
-        body_pending: Whether its body is still being received, so that its time is not counted yet.
-        body_consumed: Whether part of its body was consumed, so that it can't be sent again.
+        key_queue: The queue of the request's ordering key, if the request's class is ordered by key.
+        attempts: The request's attempts, in order.
+        finished: Whether the request has its final answer, or its client has disconnected.
+        response_started: Whether a response to the request is being passed on.
+        body_pending: Whether the request's body is still being received, so that the request's time is not
+            counted yet.
+        body_consumed: Whether part of the body was consumed, so that the request can't be sent again.
         place: Where the request waits.
-        cooldown_until_ns: When the cooldown of its key is over.
+        cooldown_until_ns: When the cooldown of the request's ordering key is over.
         give_up_at_ns: The time at which the request is given up if it still waits.
-        probed_upstreams: The upstreams that were probed for their load on its behalf.
-        probed_at_ns: When the load probes for it were sent.
-        busy_upstreams: The upstreams of a first round of probes, if all of them had work queued.
-        denial_reason: Why its tenant may no longer make this request, which then gets no further attempt;
-            empty if the tenant may make it.
+        probed_upstreams: The upstreams that were probed for their load on behalf of the request.
+        probed_at_ns: When the load probes for the request were sent.
+        busy_upstreams: The upstreams of a first round of probes, if all these upstreams had work queued.
+        denial_reason: Why the tenant may no longer make this request, which then gets no further attempt;
+            empty if the tenant may make the request.
     """
 
     id: str
@@ -91,7 +93,7 @@
 
     Attributes:
         key: The key.
-        waiting: Its requests; only the first may have attempts.
+        waiting: The requests of this key; only the first request may have attempts.
         cooldown_until_ns: The time after which no attempt of an earlier request can still be running.
     """
 
--- a/lanelift/policy/restrictions.py
+++ b/lanelift/policy/restrictions.py
@@ -1,7 +1,7 @@
 """Restrictions, rule 6 of the protocol: a request class may be limited to zones and kinds of machines.
 
 Inputs: the endpoint's zone and kind, and the class. No attempt goes to any other upstream, even if only that
-one has free capacity.
+upstream has free capacity.
 """
 
 from __future__ import annotations
--- a/lanelift/policy/retries.py
+++ b/lanelift/policy/retries.py
@@ -1,6 +1,6 @@
 """Retries: a request whose attempts have all ended without a response is retried, or gets its final answer.
 
-Inputs: the request's attempts, whether another one is legal at any upstream (`legality.py`), and its wait
+Inputs: the request's attempts, whether another attempt is legal at any upstream (`legality.py`), and its wait
 timeout. A retry goes to the head of its pool's queue and takes no further token. Reason: the request has
 already waited, and has taken a token.
 """
--- a/lanelift/policy/settings.py
+++ b/lanelift/policy/settings.py
@@ -47,15 +47,16 @@
         deduplication_window_ns: How long upstreams drop repeats, counted from the first attempt that may have
             run.
         latency_objective_ns: An answer within this time earns the full priority weight.
-        deadline_ns: The longest time that a client of this class waits, over all its attempts.
+        deadline_ns: The longest time that a client of this class waits, over all attempts of its request.
         priority_weight: The value of an answer within the objective, relative to other classes. Not used by
             any decision.
         late_weight: The share of the priority weight that an answer after the objective still earns.
         streaming: Whether responses are long, so that their latency is measured when they start.
         ordered_by_key: Whether requests with the same key run one at a time, in the order in which they
             arrived.
-        zones: The only zones that its requests may be forwarded to; empty means any.
-        machine_kinds: The only kinds of machine that its requests may be forwarded to; empty means any.
+        zones: The only zones that requests of the class may be forwarded to; empty means any zone.
+        machine_kinds: The only kinds of machine that requests of the class may be forwarded to; empty means
+            any kind.
     """
 
     name: str
@@ -78,11 +79,11 @@
 
     Attributes:
         name: The name that requests carry.
-        share: Its weight relative to other tenants when capacity is short.
+        share: The tenant's weight relative to other tenants when capacity is short.
         quota_per_s: The contracted requests per second over all replicas; 0 means not stated. Not used by any
             decision.
-        denial_reason: Why all its requests are denied; empty if they are served.
-        classes: The only request classes that it may use; empty means any.
+        denial_reason: Why all requests of the tenant are denied; empty if the tenant's requests are served.
+        classes: The only request classes that the tenant may use; empty means any class.
         rate_limits: Pairs of a class name ("" for all classes) and a limit in requests per second over all
             replicas.
     """
--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -2,7 +2,8 @@
 
 Inputs: the names of the tenant and the class, updates of a directory, and the time. A request is denied
 (`Fail`) if its tenant is unknown, suspended, may not use the class or has a limit of 0, and rejected if a
-token bucket of its tenant is empty. Reason: neither kind of request may take a token from another tenant.
+token bucket of its tenant is empty. Reason: neither denied nor rejected requests may take a token from
+another tenant.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
         banks: Token banks by tenant name; "" is the bank of all requests while no tenant is listed.
         known_tenants: All tenants by name; None until a directory has named some tenants.
         unknown_tenants: How all other tenants are handled; None until a directory has named all tenants.
-        shared_banks: The banks of tenants without a bank of their own, by their relative weight.
+        shared_banks: The banks shared by tenants without a bank of their own, by the bank's relative weight.
         removed_banks: The banks of tenants that were removed, until they are full.
         buckets: The token buckets of rate limits in use, by tenant and class.
         rate: The controller of R.
@@ -84,7 +85,7 @@
         return self.shared_banks[share]
 
     def denial_reason(self, name: str, class_name: str) -> str:
-        """Return why a tenant may not use this class; empty if it may.
+        """Return why a tenant may not use this class; the reason is empty if the tenant may use it.
 
         Must not be called before a directory has named some tenants.
         """
--- a/lanelift/policy/timers.py
+++ b/lanelift/policy/timers.py
@@ -21,7 +21,7 @@
             of each call.
         added: The total number of calls added so far.
         timer_due_ns: When the current timer is due; 0 if no timer is set.
-        timer_number: The number of the current timer, which is also its name.
+        timer_number: The number of the current timer; the timer's name is this number.
     """
 
     __slots__ = ("added", "calls", "timer_due_ns", "timer_number")
@@ -54,13 +54,13 @@
         """Record that the current timer has fired.
 
         The timer is recognised by its name and not by the clock: otherwise a timer that fires a little early
-        would be taken for an old one, and no timer would ever be set again.
+        would be taken for an old timer, and no timer would ever be set again.
         """
         if event.name == str(self.timer_number):
             self.timer_due_ns = 0
 
     def next_timer(self, now: int) -> SetTimer | None:
-        """Return the timer to set, if a call is due before the current timer."""
+        """Return the timer to set if a call is due before the current timer, and None otherwise."""
         calls = self.calls
         while calls and self._is_settled(*calls[0][3]):
             heapq.heappop(calls)  # the request or attempt that the call is about has ended
--- a/lanelift/policy/upstreams.py
+++ b/lanelift/policy/upstreams.py
@@ -17,23 +17,25 @@
     """An upstream that is listed, or still holds an attempt of this replica.
 
     Attributes:
-        id: Its number.
-        endpoint: Its entry in the endpoint list (`registry.py`).
-        common_order: Its sort key among all upstreams, the same on every replica (`subsets.py`).
-        own_order: Its sort key in this replica's own order of the upstreams outside its subset
+        id: The upstream's number.
+        endpoint: The upstream's entry in the endpoint list (`registry.py`).
+        common_order: The upstream's sort key among all upstreams, equal on every replica (`subsets.py`).
+        own_order: The upstream's sort key in this replica's own order of the upstreams outside the subset
             (`subsets.py`).
-        subset_members: The replicas that have it in their subset, as far as computed (`subsets.py`).
-        service_time_factor: Its service time relative to that of all upstreams (`service_time.py`).
-        consecutive_ejections: How many failures since its last success ejected it, or would have if fewer
-            upstreams had been ejected (`ejection.py`).
-        unreachable: Whether the last attempt failed to connect to it (`outcomes.py`).
+        subset_members: The replicas that have this upstream in their subset, as far as computed
+            (`subsets.py`).
+        service_time_factor: The upstream's service time relative to the service time of all upstreams
+            (`service_time.py`).
+        consecutive_ejections: The number of failures since the last success that caused an ejection, or would
+            have caused one if fewer upstreams had been ejected (`ejection.py`).
+        unreachable: Whether the last attempt failed to connect to the upstream (`outcomes.py`).
         ejected_until_ns: The upstream gets no attempt before this time, which is the end of its ejection
             (`ejection.py`) or its pacing interval (`forwarding.py`, `registry.py`).
-        ejected_at_ns: When it was last ejected (`ejection.py`).
+        ejected_at_ns: When the upstream was last ejected (`ejection.py`).
         peak_in_flight: The most attempts that this replica has had in flight at the upstream
             (`forwarding.py`).
         error_rate: Errors as a share of the upstream's recent responses (`ejection.py`).
-        consecutive_resets: The number of connections to it that broke in a row (`ejection.py`).
+        consecutive_resets: The number of connections to the upstream that broke in a row (`ejection.py`).
     """
 
     id: int
