--- a/lanelift/policy/admission.py
+++ b/lanelift/policy/admission.py
@@ -7,7 +7,7 @@
    step does not apply to streaming classes, or while the body is being received.
 3. If it was received so long ago that its answer would miss the latency objective, it is shed, unless a late
    answer earns something or the class streams.
-4. If it is not the first of its ordering key, it waits until it is (`ordering.py`).
+4. If it is not the first request of its ordering key, it waits until it is the first (`ordering.py`).
 5. If no upstream that it may use is listed, or its tenant's token bank and buffer are exhausted, it is shed.
    A client's retry takes only spare tokens, so that retries do not starve fresh requests (`token_bank.py`).
 6. If its pool is saturated, and serving the requests that are queued there would take more than
@@ -185,7 +185,7 @@
         """Return whether serving the queue would take more than the allowed share of a request's spare time.
 
         Spare time beyond the shortest objective is not counted, so that requests with much spare time do not
-        make the queue too long for requests with little.
+        make the queue too long for requests with little spare time.
         """
         state = self.state
         share = OVER_SHARE_QUEUE_TIME_SHARE if request.token_bank.over_share else QUEUE_TIME_SHARE
--- a/lanelift/policy/pool.py
+++ b/lanelift/policy/pool.py
@@ -1,8 +1,8 @@
 """Choice of an upstream: among a few random draws and the previous choice, the one that becomes free first.
 
 Inputs: the eligible upstreams of the subset, and the work that each has queued (nanoseconds). There are
-`DRAWS` draws if a replica knows only its own attempts, and `DRAWS_WITH_PEER_LOAD` if replicas announce
-theirs. Reason: random draws keep replicas from all choosing the same upstream. The previous choice adds
+`DRAWS` draws if a replica knows only its own attempts, and `DRAWS_WITH_PEER_LOAD` if replicas announce their
+attempts. Reason: random draws keep replicas from all choosing the same upstream. The previous choice adds
 memory to the random draws at no cost.
 
 Source: the power of two choices (Mitzenmacher 2001), with memory (Mitzenmacher, Prabhakar, Shah 2002).
@@ -109,7 +109,7 @@
 
         Args:
             now: The time.
-            allowed: The only upstreams to choose from; None means any that this replica draws from.
+            allowed: The only upstreams to choose from; None means any upstream that this replica draws from.
         """
         if allowed is None:
             candidates = self.draw(DRAWS_WITH_PEER_LOAD if self.peer_load.enabled else DRAWS, now)
--- a/lanelift/policy/probing.py
+++ b/lanelift/policy/probing.py
@@ -2,8 +2,8 @@
 
 Inputs: the upstreams of the pool and load reports. A request waits for the reports for at most
 `PROBE_TIMEOUT_SHARE` of the shortest latency objective. If all upstreams that reported have work queued and
-little time has passed, a few others are probed, once. Reason: with many replicas, a replica's own counts say
-little about an upstream.
+little time has passed, a few other upstreams are probed, but only once. Reason: with many replicas, a
+replica's own counts say little about an upstream.
 
 Each upstream has at most one probe in flight, and its report serves all requests that wait for it. Otherwise,
 if requests arrive faster than reports, the probes of each request would need further connections. An upstream
--- a/lanelift/policy/token_bank.py
+++ b/lanelift/policy/token_bank.py
@@ -52,7 +52,7 @@
         buffered: Requests that wait for tokens, in order. The bank does not depend on their type.
         offered: Requests offered since R was last divided.
         demand_per_s: The tenant's demand in requests per second, smoothed.
-        wake_at_ns: When the buffer is checked next, as the next token becomes available.
+        wake_at_ns: When the next token becomes available, and the buffer is checked next.
         over_share: Whether the tenant's demand is above its share of the goodput.
         was_exhausted: Whether a request found no token since R was last divided.
     """
--- a/tests/policy/test_many_replicas.py
+++ b/tests/policy/test_many_replicas.py
@@ -152,8 +152,8 @@
     ("replicas", "upstream_count"), [(1, 60), (1, 1), (176, 60), (176, 3), (3, 500), (40, 1)]
 )
 def test_any_number_of_replicas_and_upstreams_uses_every_upstream(replicas: int, upstream_count: int) -> None:
-    """Whatever the numbers of replicas and upstreams, each upstream is in a subset and each replica has
-    one.
+    """Whatever the numbers of replicas and upstreams, each upstream is in a subset, and each replica has a
+    subset.
     """
     subsets: set[int] = set()
     for replica in range(replicas):
--- a/tests/policy/test_module.py
+++ b/tests/policy/test_module.py
@@ -74,7 +74,7 @@
 
 
 def test_the_table_names_constants_that_its_modules_use() -> None:
-    """If a constant is renamed or moved, the table must follow, or it misleads the engineer on call."""
+    """If a constant is renamed or moved, the table must be updated, or it misleads the engineer on call."""
     named: list[tuple[str, str]] = []
     module = ""
     for row in MODULES["__init__.py"]:
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -100,7 +100,7 @@
 
 
 def test_own_attempts_count_as_queued_work() -> None:
-    """Three requests in one instant go to three upstreams, and each has its work queued."""
+    """Three requests arrive at one instant: they go to three upstreams, and each upstream has work queued."""
     checked = sharing_balancer()
     checked.handle(*(arrival(i, checked.now)._replace(cost_hint_ns=40 * MS) for i in range(3)))
     assert len({checked.attempts[f"r{i}"][0][0].id for i in range(3)}) == 3
@@ -139,8 +139,8 @@
 
 
 def test_a_flood_of_messages_needs_bounded_memory() -> None:
-    """A replica announces a thousand attempts at one upstream. The reservations kept for them, and the queued
-    work that they count as, are bounded.
+    """A replica announces a thousand attempts at one upstream. The number of reservations kept for these
+    attempts, and the queued work estimated from them, are bounded.
     """
     checked = sharing_balancer()
     upstream = checked.balancer.registry.unrestricted_pool.subset.order[0]
--- a/tests/policy/test_registry.py
+++ b/tests/policy/test_registry.py
@@ -25,8 +25,8 @@
 
 
 def test_a_removed_upstream_is_forgotten_with_its_last_attempt() -> None:
-    """Upstreams are replaced again and again, by snapshots and deltas: only listed ones and those with
-    attempts are kept.
+    """Upstreams are replaced again and again, by snapshots and deltas: only listed upstreams and upstreams
+    with attempts are kept.
     """
     checked = CheckedBalancer(upstream_count=3)
     checked.handle(*(arrival(i, checked.now) for i in range(6)))
--- a/tests/policy/test_token_bank.py
+++ b/tests/policy/test_token_bank.py
@@ -100,7 +100,7 @@
 
 
 def test_a_buffered_request_that_ends_gives_its_token_back() -> None:
-    """A client disconnects while its request is buffered: the next token is for the request behind it."""
+    """A client disconnects while its request is buffered: the next buffered request gets the next token."""
     bank = token_bank(0, 2, 2)
     first, second = request(1, bank), request(2, bank)
     assert bank.offer(first, 0) is bank.offer(second, 0) is TokenResult.BUFFERED
