--- a/lanelift/policy/probing.py
+++ b/lanelift/policy/probing.py
@@ -2,8 +2,8 @@
 
 Inputs: the upstreams of the pool and load reports. A request waits for the reports for at most
 `PROBE_TIMEOUT_SHARE` of the shortest latency objective. If all upstreams that reported have work queued and
-little time has passed, a few others are probed, once. Reason: with many replicas, a replica's own counts say
-little about an upstream.
+little time has passed, a few other upstreams are probed, but only once. Reason: with many replicas, a
+replica's own counts say little about an upstream.
 
 Each upstream has at most one probe in flight, and its report serves all requests that wait for it. Otherwise,
 if requests arrive faster than reports, the probes of each request would need further connections. An upstream
@@ -25,7 +25,8 @@
 MIN_PROBE_TIMEOUT_NS = SECOND_NS // 333
 MAX_PROBE_TIMEOUT_NS = SECOND_NS // 100
 PROBE_TIMEOUT_SHARE = 0.04  # probe timeout as a share of the shortest latency objective
-QUICK_REPORT_DIVISOR = 4  # reports within this part (1/4) of the timeout leave time for a second round
+# Reports that arrive within a quarter (1 / this number) of the timeout leave time for a second round.
+QUICK_REPORT_DIVISOR = 4
 
 
 class LoadProbing:
@@ -72,7 +73,7 @@
         )
 
     def candidates(self, request: PendingRequest, now: int) -> list[Upstream] | None:
-        """Return the upstreams that reported (possibly an empty list), or None if others were probed now."""
+        """Return the upstreams that reported (possibly an empty list), or None if a second round began."""
         is_eligible = self.state.registry.eligibility.is_eligible
         reported = [
             upstream
@@ -94,7 +95,7 @@
         return reported
 
     def _probe_others(self, request: PendingRequest, busy: Sequence[Upstream], now: int) -> bool:
-        """Probe a few upstreams other than the busy ones; return whether there are any."""
+        """Probe a few upstreams other than the busy upstreams; return whether there are others."""
         subset, is_eligible = request.pool.subset, self.state.registry.eligibility.is_eligible
         others = [
             upstream
@@ -109,7 +110,7 @@
         return True
 
     def probe_finished(self, event: LoadProbeFinished, now: int) -> None:
-        """Record the load report of a probe, or that there is none."""
+        """Record the load report of a probe, or the fact that the probe ended without one."""
         upstream = self.state.registry.upstreams.get(event.upstream)
         if upstream is None:
             return
--- a/lanelift/policy/timers.py
+++ b/lanelift/policy/timers.py
@@ -19,9 +19,9 @@
     Attributes:
         calls: The due time, sequence number, function (None if the queues only have to be run) and arguments
             of each call.
-        added: The number of calls that were ever added.
-        timer_due_ns: When the current timer is due; 0 if none is set.
-        timer_number: The number of the current timer, which is also its name.
+        added: The total number of calls added so far.
+        timer_due_ns: When the current timer is due; 0 if no timer is set.
+        timer_number: The number of the current timer; the timer's name is this number.
     """
 
     __slots__ = ("added", "calls", "timer_due_ns", "timer_number")
@@ -54,16 +54,16 @@
         """Record that the current timer has fired.
 
         The timer is recognised by its name and not by the clock: otherwise a timer that fires a little early
-        would be taken for an old one, and no timer would ever be set again.
+        would be taken for an old timer, and no timer would ever be set again.
         """
         if event.name == str(self.timer_number):
             self.timer_due_ns = 0
 
     def next_timer(self, now: int) -> SetTimer | None:
-        """Return the timer to set, if a call is due before the current timer."""
+        """Return the timer to set if a call is due before the current timer, and None otherwise."""
         calls = self.calls
         while calls and self._is_settled(*calls[0][3]):
-            heapq.heappop(calls)  # its request or attempt has ended
+            heapq.heappop(calls)  # the request or attempt that the call is about has ended
         if not calls or (self.timer_due_ns and calls[0][0] >= self.timer_due_ns):
             return None
         self.timer_due_ns = calls[0][0]
