--- a/lanelift/daemon.py
+++ b/lanelift/daemon.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from lanelift.net.hot_restart import HotRestart
 
-# The environment variable that names the folder in which the processes of a hot restart find each other.
+# The environment variable that names the folder through which the processes of a hot restart find each other.
 HOT_RESTART_FOLDER_VARIABLE = "TMPDIR"
 
 
@@ -60,7 +60,8 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     async def _start_sources(self) -> None:
-        """Starts the parts that notify the balancer; the fleet is first, as its failure aborts the start."""
+        """Starts the parts that notify the balancer. The fleet comes first, as its failure aborts the
+        start."""
         config, dispatcher = self._config, self._dispatcher
         self._fleet = config.fleet.attach(dispatcher) if config.fleet is not None else None
         if self._fleet is not None:
--- a/lanelift/daemon_config.py
+++ b/lanelift/daemon_config.py
@@ -17,7 +17,7 @@
 # Descriptors reserved for the listener, discovery (an old and a new connection), peers, the configuration and
 # the interpreter, and for sockets that were closed in this loop iteration and still count.
 RESERVED_SOCKETS = 32
-CLIENT_FRACTION = 0.55  # share of the remaining descriptors that is for clients; the rest is for upstreams
+CLIENT_FRACTION = 0.55  # clients' share of the descriptors that are not reserved; upstreams get the rest
 
 
 class Source(Protocol):
@@ -46,7 +46,7 @@
         peers_all: The destination of a message to all replicas.
         tenants: The directories that list tenants.
         operator: The address for operators' calls.
-        inherited: The descriptor of the clients' socket, if that was bound before this process started.
+        inherited: The descriptor of the clients' socket, if the socket was bound before this process started.
         fleet: The fleet that this process is a member of; never set on the platform.
     """
 
@@ -123,7 +123,8 @@
 
 
 def connection_caps(sockets: int, processes: int) -> tuple[int, int]:
-    """Returns how many connections to clients, and to upstreams, each of `processes` processes may have."""
+    """Returns how many connections to clients and how many to upstreams each of `processes` processes may
+    have."""
     available = max(2, sockets // processes - RESERVED_SOCKETS)
     clients = max(1, int(available * CLIENT_FRACTION))
     return clients, available - clients
--- a/lanelift/lifecycle.py
+++ b/lanelift/lifecycle.py
@@ -69,8 +69,8 @@
         return can_serve and (self.stage is Stage.SERVING or successor_serves)
 
     def accepts_connections(self, can_serve: bool) -> bool:
-        """Returns whether to accept connections. On a shared address they are accepted only if this process
-        can serve them, as another process may be able to.
+        """Returns whether to accept connections. On a shared address connections are accepted only if this
+        process can serve them: if it can't, another process may be able to.
 
         Args:
             can_serve: Whether this process is able to serve requests.
--- a/lanelift/net/admin.py
+++ b/lanelift/net/admin.py
@@ -29,7 +29,7 @@
 # sending anything must not lock out the others.
 MAX_CALLERS = 8
 CALL_TIMEOUT_S = 10.0  # an incomplete call is aborted after this time
-MAX_CALL_BYTES = 4096  # the longest call; no call needs a body
+MAX_CALL_BYTES = 4096  # longest accepted call, in bytes; no call needs a body
 Answer = tuple[int, Headers, bytes]  # status, headers, body
 
 
--- a/lanelift/net/attempts.py
+++ b/lanelift/net/attempts.py
@@ -51,7 +51,8 @@
     started_ns: int
 
     def duration_ns(self) -> int:
-        """Returns the duration, without the time that the response waited unread in this process."""
+        """Returns the attempt's duration, without the time that its response waited unread in this
+        process."""
         exchange = self.request.attempts[self.number]
         unread_ns = exchange.unread_ns if exchange is not None else 0
         return max(0, time.monotonic_ns() - self.started_ns - unread_ns)
@@ -70,7 +71,7 @@
         if request.overdue_timer is not None:
             request.overdue_timer.cancel()
         if self.runner.settings.classes[request.arrival.class_name].streaming:
-            # streamed responses of this class may have no end, so the progress check is off
+            # streamed responses of this class may never end, so their progress is not checked
             exchange.progress_due_s = math.inf
         request_id = request.arrival.request
         self.runner.post(ResponseStarted(request_id, self.number, self.upstream, self.duration_ns()))
@@ -160,7 +161,7 @@
         if is_allowed:
             try:
                 self._send(attempt, min(action.timeout_ns or left_ns, left_ns))
-            except Exception:  # the attempt gets its one outcome after this block
+            except Exception:  # the attempt's only outcome is reported after this block
                 self.requests.fail_after_exception("an attempt could not start", [action])
         if request.attempts[number] is None:
             attempt.finish(AttemptResult.NOT_SENT)
--- a/lanelift/net/client_connection.py
+++ b/lanelift/net/client_connection.py
@@ -276,7 +276,7 @@
         return not self.reading_paused and self._parse_slice()
 
     def _set_reading(self, enabled: bool) -> None:
-        """Resumes reading when the upstream accepts more of the body, and pauses it when it does not."""
+        """Resumes reading when the upstream accepts more of the body, and else pauses reading."""
         if self.upload is None or self.reading_paused is not enabled or self.transport is None:
             return
         self.reading_paused = not enabled
--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -96,7 +96,7 @@
         self._answer(status, [], f"{reason}\n".encode())
 
     def _reject_input(self, status: int, reason: str) -> None:
-        """Answers invalid input with an error, and reads no more."""
+        """Answers invalid input with an error, and reads no further input."""
         self._answer(status, [], f"{reason}\n".encode(), last=True)
 
     def _answer(self, status: int, headers: Headers, body: bytes, last: bool = False) -> None:
--- a/lanelift/net/connection_phases.py
+++ b/lanelift/net/connection_phases.py
@@ -77,7 +77,8 @@
         self.max_clients = max_clients
         self.by_phase: dict[Phase, dict[TrackedConnection, float]] = {phase: {} for phase in Phase}
         self.timer: asyncio.TimerHandle | None = None
-        self._on_evictable = on_evictable  # called at the cap when a connection enters a phase
+        # called when a connection enters a phase while the number of connections is at the cap
+        self._on_evictable = on_evictable
         self._loop = asyncio.get_running_loop()
 
     def is_filled(self, fraction: float) -> bool:
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -40,7 +40,7 @@
         endpoint: The upstream's entry in the endpoint list.
         idle: Its idle connections in the order in which they were released, the newest last.
         connecting: Exchanges that wait for a new connection.
-        idle_timer: The timer that closes the oldest idle connection.
+        idle_timer: The timer that closes the connection that has been idle for longest.
         keeps_idle: Whether released connections are kept.
     """
 
@@ -148,7 +148,7 @@
     def _take_idle(
         self, target: UpstreamTarget, exchange: Exchange, is_probe: bool
     ) -> UpstreamConnection | None:
-        """Takes the newest settled idle connection, if there is one, so that the older ones can time out.
+        """Takes the newest settled idle connection, if there is one, so that older connections can time out.
 
         Failure guarded against: bytes that a server sends after a response, such as a second copy or noise,
         would be read as the answer to the next request. They arrive within milliseconds, so a connection is
@@ -173,7 +173,8 @@
         return None
 
     def _log_shortage(self) -> None:
-        """Logs that the cap is reached, at intervals: during a shortage each request would log it."""
+        """Logs that the cap is reached, but only at intervals: during a shortage each request would cause a
+        line."""
         now = asyncio.get_running_loop().time()
         if now >= self._shortage_logged_until:
             self._shortage_logged_until = now + SHORTAGE_LOG_INTERVAL_S
@@ -192,7 +193,7 @@
             async with asyncio.timeout(self.connect_timeout_s):
                 await loop.create_connection(lambda: connection, target.endpoint.host, target.endpoint.port)
         except Exception as error:  # an OSError, or any error that an invalid address raises
-            if connection.transport is None:  # otherwise `abort` calls `_forget`, which does this
+            if connection.transport is None:  # in the other case `abort` calls `_forget`, which does the same
                 self.open_connections -= 1
             connection.abort()
             # A shortage of descriptors in this process is no fault of the upstream.
@@ -211,12 +212,13 @@
             exchange.give_up(AttemptResult.CONNECT_FAILED)
         elif exchange.on_finished is None or _client_left(exchange):
             exchange.give_up(AttemptResult.NOT_SENT)
-            self._release(target, connection)  # another exchange can use the connection
+            self._release(target, connection)  # another exchange can use the new connection
         else:
             connection.start(exchange)
 
     def _handshake_overdue(self, exchange: Exchange, due_s: float) -> None:
-        """Gives up an exchange whose handshake takes too long. A late timer is no fault of the upstream."""
+        """Gives up an exchange whose handshake takes too long. If the timer fired late, the upstream is not
+        blamed."""
         is_late = asyncio.get_running_loop().time() > due_s + LATE_TIMER_S
         exchange.give_up(AttemptResult.NOT_SENT if is_late else AttemptResult.CONNECT_FAILED)
 
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -42,16 +42,16 @@
 # before the updates that the watch missed count as delivered.
 PUSH_TIMING = WatchTiming(hold_ms=1_000, response_s=0.5)
 POLL_TIMING = WatchTiming(hold_ms=3_000, response_s=1.5)
-SNAPSHOT_TIMEOUT_S = 2.5  # for a snapshot call, which discovery does not hold
+SNAPSHOT_TIMEOUT_S = 2.5  # time limit of a snapshot call; discovery answers it without holding the call
 # An agent does not respond while discovery is down. The updates that it receives when discovery returns
 # count as delivered immediately, and calls that were made before are never answered. So a new call is made at
 # least this often, each on its own connection: the return is noticed well within the shortest drain grace
 # period, 500 ms. Older calls stay open, as a slow agent may still answer them.
 RETRY_INTERVAL_S = 0.25
-START_TIMEOUT_S = 0.25  # after this wait for the agent, a starting process serves from the cached list
-# at this number the oldest call is cancelled; an agent that works responds before that
+START_TIMEOUT_S = 0.25  # without an answer after this time, a starting process serves from the cached list
+# at this number of open calls the oldest is cancelled; a working agent responds before the number is reached
 MAX_PARALLEL_CALLS = 4
-# shortest time between a response and the next call; well below the longest allowed pause
+# shortest time between a response and the next call; well below the longest pause that is allowed there
 MIN_CALL_INTERVAL_S = 0.02
 MAX_LIST_BYTES = 4 * 1024 * 1024
 LIST_TARGET = b"/v1/endpoints"
@@ -97,9 +97,9 @@
     def start(self, cached: Json | None) -> None:
         """Applies the cached list, and starts the watch if changes are pushed.
 
-        The server that responds may number versions differently from the source of the cached list, so its
-        first snapshot is always accepted. Updates that an agent has sent count as delivered from the start
-        of the process on, so no request is forwarded before the agent has sent its list or
+        The server that responds may number versions differently from the source of the cached list, so the
+        server's first snapshot is always accepted. Updates that an agent has sent count as delivered from the
+        start of the process on, so no request is forwarded before the agent has sent its list or
         `START_TIMEOUT_S` is over.
         """
         if cached is not None:
@@ -177,7 +177,7 @@
                 )
 
     async def _reach_agent(self) -> None:
-        """Requests the snapshot from the agent until it responds, with several calls in parallel."""
+        """Requests the snapshot from the agent, with several calls in parallel, until the agent responds."""
         loop = asyncio.get_running_loop()
         calls: list[asyncio.Task[tuple[UpstreamConnection, Response]]] = []
         try:
@@ -204,7 +204,7 @@
         finally:
             for call in calls:
                 if not call.cancel() and not call.cancelled() and call.exception() is None:
-                    call.result()[0].abort()  # this call succeeded at the same time as another
+                    call.result()[0].abort()  # the call has just succeeded, but its connection is not needed
 
     async def _fetch(self) -> None:
         try:
@@ -214,8 +214,8 @@
             self.dispatcher.update_endpoints(EndpointUpdateKind.FAILED, [])
 
     def _log_failure(self, error: BaseException) -> None:
-        """Logs one line for an outage. An unexpected error is logged each time with its traceback, as it must
-        not silently end the watch.
+        """Logs one line for an outage. An unexpected error is logged each time with its traceback, as an
+        error must not end the watch silently.
         """
         expected = isinstance(error, DiscoveryError | SettingsError)
         if expected and self._failure_logged:
--- a/lanelift/net/dispatch.py
+++ b/lanelift/net/dispatch.py
@@ -49,7 +49,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_PEER_MESSAGES = 256  # at this number, received messages no longer wait for the next event
+# at this number, queued messages of other replicas are handed over without waiting for an event
+MAX_PENDING_PEER_MESSAGES = 256
 NS_PER_S = 1e9
 
 
@@ -168,7 +169,7 @@
         A message needs no decision by itself. It waits for the next event and is handed over just before
         that event: a hand-over for each message would cost more than the message's information is worth. At
         `MAX_PENDING_PEER_MESSAGES` the messages are handed over without an event; the check is for equality,
-        as a hand-over is already scheduled when there are more.
+        as with more messages a hand-over is already scheduled.
         """
         self.pending_peer_messages.append(PeerMessageReceived(sender, data, time.monotonic_ns()))
         if len(self.pending_peer_messages) == MAX_PENDING_PEER_MESSAGES and not self.pending_events:
--- a/lanelift/net/endpoint_list.py
+++ b/lanelift/net/endpoint_list.py
@@ -24,7 +24,8 @@
 }
 NS_PER_MS = 1_000_000
 MAX_STARTED_MS = 1 << 53
-# Difference of the two clocks, computed once so that an upstream's start time does not change between lists.
+# Difference of the monotonic clock and Unix time, in ns; computed once so that an upstream's start time does
+# not change between lists.
 UNIX_TO_MONOTONIC_NS = time.monotonic_ns() - time.time_ns()
 
 
--- a/lanelift/net/endpoints.py
+++ b/lanelift/net/endpoints.py
@@ -13,7 +13,7 @@
 
     Attributes:
         entry: The part of the entry that the balancer uses.
-        host: The IP address; empty for one that was removed.
+        host: The IP address; empty for a removed upstream.
         port: The TCP port.
     """
 
--- a/lanelift/net/exchange.py
+++ b/lanelift/net/exchange.py
@@ -53,7 +53,7 @@
     and is given up only if it makes no progress at all.
 
     Attributes:
-        request: The bytes to write: the head, and the body unless that is an `upload`.
+        request: The bytes to write: the head, and the body unless the body is an `upload`.
         on_finished: Called once with the outcome; None afterwards.
         max_body_bytes: The longest response body that is buffered.
         on_written: Called once when the request's last byte was written.
@@ -62,10 +62,11 @@
         written: Whether the request's last byte was written.
         connection: The connection that carries the exchange.
         timer: The timer of the current time-out.
-        unread_ns: How long the response's end, or its start if it is streamed, waited unread in this process.
+        unread_ns: How long the end of the response (of a streamed response: the start) waited unread in this
+            process.
         streaming: Whether the response is being streamed.
         paused: Whether the sink accepts no more of the streamed response for now.
-        last_progress_s: When part of the response was last forwarded, on the loop's clock.
+        last_progress_s: The time at which part of the response was last forwarded, on the loop's clock.
         progress_due_s: When the response must be complete or must have made progress, on the loop's clock.
         distrust_until_s: Bytes received before this time (loop's clock) are not accepted as the response:
             they may belong to the previous response on the connection.
@@ -196,17 +197,17 @@
         self.sink.forward(data)
 
     def pause(self) -> None:
-        """Pauses reading the response, as the sink accepts no more."""
+        """Pauses reading the response, as the sink accepts no further pieces for now."""
         self.paused = True
         if self.connection is not None and self.connection.transport is not None:
             self.connection.transport.pause_reading()
 
     def resume(self) -> None:
-        """Resumes reading the response, as the sink accepts more again."""
+        """Resumes reading the response, as the sink accepts pieces again."""
         self.paused = False
         self.last_progress_s = asyncio.get_running_loop().time()
         if self.progress_due_s < math.inf and self.on_finished is not None:
-            # No progress was possible while it was paused, so the interval starts again.
+            # No progress was possible while the response was paused, so the interval starts again.
             self.streamed_bytes_at_check = self.streamed_bytes
             self.progress_due_s = max(self.progress_due_s, self.last_progress_s + MIN_PROGRESS_INTERVAL_S)
             self.cancel_timeout()
--- a/lanelift/net/frontend.py
+++ b/lanelift/net/frontend.py
@@ -39,7 +39,7 @@
         self.listener.resume()
 
     def set_max_clients(self, max_clients: int) -> None:
-        """Changes the cap on clients; connections above it are closed after their answers."""
+        """Changes the cap on clients; connections in excess of the cap are closed after their answers."""
         self.table.max_clients = max_clients
         self.listener.resume()
 
--- a/lanelift/net/handshakes.py
+++ b/lanelift/net/handshakes.py
@@ -2,21 +2,22 @@
 
 from __future__ import annotations
 
-# The lower bound of the time-out, however fast earlier handshakes were.
+# The lower bound of a handshake's time-out, which applies however fast earlier handshakes were.
 MIN_HANDSHAKE_TIMEOUT_S = 0.03
 
 
 class HandshakeEstimator:
-    """Estimates the time-out of a handshake from earlier ones, by the algorithm of RFC 6298 (2.2, 2.3).
+    """Estimates the time-out of a handshake from earlier handshakes, by RFC 6298 (2.2, 2.3).
 
-    A lost segment delays a handshake by a second (RFC 6298, 2.1). A request need not wait for that: nothing
-    of it has been written, so it can go to another upstream. The handshake itself continues up to the limit
-    in the settings; if it succeeds late, its time is recorded and its connection is kept.
+    A lost segment delays a handshake by a second (RFC 6298, 2.1). A request need not wait for that second:
+    nothing of the request has been written, so it can go to another upstream. The handshake itself continues
+    up to the limit in the settings; if the handshake succeeds late, its duration is recorded and its
+    connection is kept.
 
     Attributes:
         limit_s: The upper bound from the settings, in seconds.
         mean_s: The smoothed handshake time in seconds; None if none was measured.
-        deviation_s: Its smoothed deviation, in seconds.
+        deviation_s: The smoothed deviation of the handshake time, in seconds.
     """
 
     def __init__(self, limit_s: float) -> None:
--- a/lanelift/net/headers.py
+++ b/lanelift/net/headers.py
@@ -22,7 +22,8 @@
 
 
 def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """Returns the headers to forward: without those of the connection and of the body's framing."""
+    """Returns the headers to forward: all but the headers that concern the connection or the body's
+    framing."""
     rows = list(headers)
     named = {
         token.strip().lower() for name, value in rows if name == b"connection" for token in value.split(b",")
--- a/lanelift/net/hot_restart.py
+++ b/lanelift/net/hot_restart.py
@@ -20,7 +20,7 @@
 
 SOCKET_PREFIX, SOCKET_SUFFIX = "lanelift-", ".sock"
 CONNECT_TIMEOUT_S = 0.2  # the kernel connects immediately; a full backlog must not delay the start
-MAX_PATH_BYTES = 100  # longest path of a socket; a Unix socket's address has room for 108 bytes (unix(7))
+MAX_PATH_BYTES = 100  # longest path of a socket, in bytes; a Unix socket's address has room for 108 (unix(7))
 
 
 class HotRestart:
@@ -43,8 +43,8 @@
 
     @property
     def processes(self) -> int:
-        """How many processes share the limits: two in a hot restart. If more than two run, all but one are
-        shutting down, and the value is still two.
+        """The number of processes that share the limits: two in a hot restart. If more than two run, all but
+        one are shutting down, and the value is still two.
         """
         return 2 if self.links else 1
 
@@ -60,7 +60,7 @@
                     await loop.create_unix_connection(lambda: ProcessLink(self), str(other))
             except ConnectionRefusedError:
                 with suppress(OSError):
-                    other.unlink()  # its process has ended
+                    other.unlink()  # the process that created this socket has ended
             except OSError as error:
                 log.warning("%s: %s", other, error or "timed out")
         try:
@@ -78,7 +78,7 @@
             link.abort()
 
     def link_opened(self, link: ProcessLink) -> None:
-        """Adds a link to another process; the first one means that the limits are shared."""
+        """Adds a link to another process; from the first link on, the limits are shared."""
         self.links.add(link)
         if len(self.links) == 1:
             log.info("another process of this balancer is running: limits are shared")
--- a/lanelift/net/listener.py
+++ b/lanelift/net/listener.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 256
-ACCEPT_RETRY_S = 0.05  # the wait after an accept that failed, usually because no descriptor was free
+ACCEPT_RETRY_S = 0.05  # wait after a failed accept; the usual cause is that no descriptor is free
 
 
 class Listener:
@@ -41,7 +41,8 @@
         bound_socket.listen(BACKLOG)
 
     def resume(self) -> None:
-        """Resumes accepting if that is possible now. Called after each change that may make it possible."""
+        """Resumes accepting if connections can be accepted now. Called after each change that may allow
+        it."""
         frontend = self._frontend
         if self.stopping:
             # `stop_listening` accepts the rest of the backlog
@@ -56,7 +57,7 @@
             self._loop.add_reader(self.socket, self.accept)
 
     def pause(self, seconds: float | None = None) -> None:
-        """Stops accepting for the given time, or without one until the next call of `resume`."""
+        """Stops accepting for the given time; if no time is given, until the next call of `resume`."""
         paused = self.listening or self.stopping
         if self.listening:
             self.listening = False
--- a/lanelift/net/message_parser.py
+++ b/lanelift/net/message_parser.py
@@ -1,8 +1,8 @@
 """The common base of the HTTP/1.1 request and response parsers, which do no I/O.
 
 `httptools` (llhttp) does the parsing, and is strict: bare line feeds, folded headers, two lengths, a length
-together with a coding, and bad chunks are errors. Ambiguous or unbounded input that it accepts is checked
-here.
+together with a coding, and bad chunks are errors. Ambiguous or unbounded input that `httptools` accepts is
+checked here.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 from lanelift.net.http_messages import MessageError, Request, Response
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed, or rejected
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # longest body that is buffered; a longer body is streamed or rejected
 MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024
-MAX_HEAD_BYTES = 16 * 1024  # httptools has no limit of its own
-# A message with its framing may be this many times as long as the longest body: small chunks are mostly
-# framing.
+MAX_HEAD_BYTES = 16 * 1024  # longest head that is accepted; httptools has no limit of its own
+# A message, including the framing of its chunks, may be this many times as long as the longest body: small
+# chunks consist mostly of framing.
 MAX_FRAMING_FACTOR = 8
 MAX_NUMBER_DIGITS = 15
 
@@ -31,11 +31,11 @@
     """A message of which part has been parsed.
 
     Attributes:
-        target: The request target so far.
-        headers: The headers so far.
-        body: The body so far, if it is buffered.
-        size_bytes: The number of bytes read for the message, without those in the same read as the end of the
-            previous message.
+        target: The part of the request target that was received so far.
+        headers: The headers that were received so far.
+        body: The part of the body that was received so far, if the body is buffered.
+        size_bytes: The number of bytes read for the message, not counting a read that also held the end of
+            the previous message.
         head_complete: Whether all headers were received; a later header is a trailer.
     """
 
@@ -72,7 +72,8 @@
         self.partial: PartialMessage | None = None
         self.may_stream = False
         self.streamed_head: Message | None = None
-        self._streamed_partial: PartialMessage | None = None  # the streamed message until it is complete
+        # the message whose body is being streamed, until the message is complete
+        self._streamed_partial: PartialMessage | None = None
         self._body_parts: list[bytes] = []
         self._streamed_bytes = 0
 
--- a/lanelift/net/metrics.py
+++ b/lanelift/net/metrics.py
@@ -7,7 +7,8 @@
 
 from collections.abc import Iterable, Mapping
 
-FULFILLED, THROTTLED, FAULTED = "fulfilled", "throttled", "faulted"  # answered, rejected, failed
+# the outcomes of a request: answered, rejected, failed
+FULFILLED, THROTTLED, FAULTED = "fulfilled", "throttled", "faulted"
 PREFIX = "balancer_"
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
--- a/lanelift/net/peers.py
+++ b/lanelift/net/peers.py
@@ -24,7 +24,7 @@
 
     Attributes:
         peers: The replicas' addresses, in the order of their numbers.
-        broadcast: The address for a message to all replicas; None if there is none.
+        broadcast: The address for a message to all replicas; None if no such address is configured.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
     def _read(self) -> None:
         try:
             data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
-        except OSError:  # no message is waiting, or a peer that is down refused the last message sent
+        except OSError:  # no message is waiting, or the peer to which the last message was sent is down
             return
         sender = self._numbers.get(address)
         if sender is not None and len(data) <= MAX_DATAGRAM_BYTES:
--- a/lanelift/net/request_head.py
+++ b/lanelift/net/request_head.py
@@ -10,7 +10,7 @@
 from lanelift.policy.settings import Idempotency, RequestClass
 
 NS_PER_MS, NS_PER_US = 1_000_000, 1_000
-MAX_REQUEST_ID_BYTES = 128  # limits the size of table keys and log lines
+MAX_REQUEST_ID_BYTES = 128  # longest request identifier; the limit bounds table keys and log lines
 # Headers that this balancer sets itself on forwarded requests.
 REPLACED_HEADERS = frozenset({b"x-deadline-ms"})
 
--- a/lanelift/net/requests.py
+++ b/lanelift/net/requests.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-OVERDUE_S = 0.008  # this long after its deadline a request without an answer is failed with 504
+OVERDUE_S = 0.008  # a request that has no answer this long after its deadline is failed with 504
 NS_PER_S = 1e9
 
 
@@ -37,10 +37,11 @@
         body: The body; empty if it is streamed.
         client: The receiver of the answer.
         upload: The streamed body.
-        attempts: The exchanges of its attempts by number; None for one that has ended or was never sent.
+        attempts: The exchanges of its attempts by number; None for an attempt that has ended or was never
+            sent.
         unfinished_attempts: The number of attempts without an outcome.
         closed: Whether the request was answered or its client has disconnected.
-        last_attempt_timed_out: Whether the attempt that ended last timed out.
+        last_attempt_timed_out: Whether the most recently ended attempt ended by its time-out.
         streaming_attempt: The number of the attempt whose response is streamed.
         overdue_timer: The timer that fails the request if it has no answer soon after its deadline.
     """
--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -32,16 +32,16 @@
 
 log = logging.getLogger(__name__)
 
-# New connections arrive for this long after `/ready` has begun to fail, until the front tier, which routes
-# clients to balancers, has noticed. Idle connections are closed only after that, as their clients would
-# reconnect immediately.
+# New connections may arrive for this long after `/ready` has begun to fail: the front tier, which routes
+# clients to balancers, takes this long to notice the failure. Idle connections are closed only after that, as
+# their clients would reconnect immediately.
 ACCEPT_WHILE_DRAINING_S = 0.5
-LONGEST_DEADLINE_S = 3.0  # longer deadlines count as this long when the end of the process is set
+LONGEST_DEADLINE_S = 3.0  # in computing when the process ends, longer deadlines count as this long
 # The process ends this long after the longest deadline; SIGKILL follows 0.7 s after it.
 EXIT_AFTER_DEADLINE_S = 0.6
-# requests received after SIGTERM get deadlines at least this long before the end
+# requests received after SIGTERM get deadlines at least this long before the process ends
 FINAL_ANSWER_MARGIN_S = 0.03
-CLOSE_IDLE_DELAY_S = 0.02  # between the listener's stop and the closing of idle connections
+CLOSE_IDLE_DELAY_S = 0.02  # time between the listener's stop and the closing of idle connections
 
 
 class GracefulShutdown:
@@ -50,7 +50,7 @@
     Attributes:
         started: Set at SIGTERM.
         finished: Set when the listener is closed and no connection is open.
-        ends_s: When the process ends at the latest, on the loop's clock.
+        ends_s: The latest time at which the process ends, on the loop's clock.
         idle_closed: Whether idle connections have been closed. From then on, each connection that becomes
             idle is closed as well.
     """
@@ -99,8 +99,8 @@
             classes = dispatcher.settings.classes.values()
             longest_s = max((c.deadline_ns for c in classes), default=0) / 1e9
             self.ends_s = self._loop.time() + min(longest_s, LONGEST_DEADLINE_S) + EXIT_AFTER_DEADLINE_S
-            # One loop iteration after the ordinary time-outs that are due at the same time: a rejection (503)
-            # after a time-out is better for the client than the failure (504) that it would get here.
+            # This runs one loop iteration after the ordinary time-outs that are due at the same time: for the
+            # client, a rejection (503) after a time-out is better than the failure (504) that is sent here.
             self._loop.call_at(
                 self.ends_s - FINAL_ANSWER_MARGIN_S / 2, self._loop.call_soon, dispatcher.requests.fail_all
             )
--- a/lanelift/net/socket_options.py
+++ b/lanelift/net/socket_options.py
@@ -14,10 +14,11 @@
 
 # Fields of Linux's `struct tcp_info`: the connection's state, and the milliseconds since data last arrived.
 TCP_INFO = struct.Struct("B51xI")
-TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8  # linux/tcp_states.h: the peer has reset, or has ended its sending
+# states in linux/tcp_states.h: the peer has reset the connection, or has ended its sending
+TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8
 ENDED_STATES = (TCP_CLOSE, TCP_CLOSE_WAIT)
 NS_PER_MS = 1_000_000
-# size of each buffer of a connection with a streamed body; the kernel doubles it
+# size of each buffer of a connection with a streamed body; the kernel doubles this size
 KERNEL_BUFFER_BYTES = 128 * 1024
 
 
@@ -31,12 +32,12 @@
 def peer_state(sock: Socket) -> tuple[bool, int]:
     """Returns whether the peer has ended the connection, and how many ns ago data last arrived.
 
-    An event loop that is late learns of both only after a delay, so that an old request looks new to it, and
-    a client that has disconnected looks connected. The kernel's resolution is about 4 ms.
+    A late event loop learns of received data and of a disconnection only after a delay: to the loop an old
+    request looks new, and a disconnected client looks connected. The kernel's resolution is about 4 ms.
 
     Returns:
-        The two values; (False, 0) if the kernel does not provide them, as if the peer were connected and had
-        just sent data.
+        The two values; (False, 0) if the kernel does not provide them: the peer then counts as connected, and
+        its data as just arrived.
     """
     if sys.platform != "linux":
         return False, 0
--- a/lanelift/net/upload.py
+++ b/lanelift/net/upload.py
@@ -19,7 +19,7 @@
     is paused whenever the upstream accepts no more.
 
     Attributes:
-        set_reading: Called with True to resume reading from the client, and with False to pause it.
+        set_reading: Called with True to resume reading from the client, and with False to pause reading.
         is_client_connected: Returns whether the client is still connected, as a disconnection is not reported
             while reading is paused.
         length_bytes: The stated length; None if the body is sent in chunks.
@@ -55,7 +55,7 @@
         self.connection: UpstreamConnection | None = None
 
     def receive(self, data: bytes) -> None:
-        """Forwards or buffers a piece from the client; drops it if the attempt is over."""
+        """Forwards or buffers a piece from the client; drops the piece if the attempt is over."""
         if self.connection is not None:
             self.connection.write_body(self._frame(data))
         elif not self.consumed:
--- a/lanelift/net/upstream_connection.py
+++ b/lanelift/net/upstream_connection.py
@@ -16,7 +16,8 @@
 READ_BUFFER_BYTES = 64 * 1024
 # Shared by all connections, as the bytes of each read are parsed before the next read.
 READ_BUFFER = memoryview(bytearray(READ_BUFFER_BYTES))
-# How long a response without a stated length is held before it is streamed; a short one is complete by then.
+# How long a response without a stated length is held before it is streamed; a short response is complete by
+# then.
 UNKNOWN_LENGTH_HOLD_S = 0.02
 
 
@@ -86,7 +87,8 @@
         self._update_upload(exchange, exchange.upload)
 
     def _update_upload(self, exchange: Exchange, upload: Upload) -> None:
-        """Resumes reading from the client when the server accepts more of the body, and pauses it when not.
+        """Resumes reading from the client when the server accepts more of the body, and else pauses the
+        reading.
 
         After the body's last byte was written, records that the request is written.
         """
--- a/lanelift/net/upstreams.py
+++ b/lanelift/net/upstreams.py
@@ -16,8 +16,9 @@
 from lanelift.policy.events import AttemptResult
 from lanelift.policy.settings import Limits
 
-NOT_RUN_STATUSES = (503, 504)  # responses with these and `X-Not-Run: 1` state that the request never ran
-RESPONSE_TIME_SMOOTHING = 16  # the weight of a response in the smoothed response time is 1 / this
+# a response with one of these status codes and `X-Not-Run: 1` states that the request never ran
+NOT_RUN_STATUSES = (503, 504)
+RESPONSE_TIME_SMOOTHING = 16  # a response has a weight of 1 / this number in the smoothed response time
 AttemptCallback = Callable[[AttemptResult, Response | None, LoadReport], None]
 
 
@@ -77,7 +78,8 @@
         exchange = Exchange(request, finished, on_written=on_written, sink=sink, upload=upload)
         pool.start(target, exchange)
         if timeout_s is not None:
-            exchange.expire_in(timeout_s)  # last, so that an exchange that failed to start has no time-out
+            # the time-out is set last, so that an exchange that failed to start has none
+            exchange.expire_in(timeout_s)
         return exchange
 
     def probe_load(self, number: int, on_finished: Callable[[AttemptResult, LoadReport], None]) -> bool:
--- a/lanelift/reload.py
+++ b/lanelift/reload.py
@@ -24,7 +24,8 @@
         self._discovery = discovery
         self._tenants = tenants
         self._read = read
-        self._requested = False  # may be set during a reload, as the file may be replaced while it is read
+        # a reload may be requested during another reload, as the file may be replaced while it is read
+        self._requested = False
         self._task: asyncio.Task[None] | None = None
 
     def reload(self) -> None:
