--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def recorded(monkeypatch: pytest.MonkeyPatch) -> EventRecorder:
-    """Records the events that each balancer started by the test gets."""
+    """Records the events received by each balancer that the test starts."""
     recorded = EventRecorder()
     monkeypatch.setattr(dispatch, "Balancer", recorded.recording_subclass(Balancer))
     return recorded
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -47,7 +47,7 @@
 
 @dataclass
 class Message:
-    start: list[str]  # the parts of the first line
+    start: list[str]  # the parts of the message's first line
     headers: dict[str, str]
     body: bytes
     link: int = 0  # the number of the connection on which the message came, from 1
@@ -78,7 +78,7 @@
         self.reply = reply
         self.seen: list[Message] = []
         self.links: list[http.Connection] = []
-        self.ended = 0  # how many connections have ended
+        self.ended = 0  # the number of connections that have ended
         self.waiting: dict[asyncio.Task[None], http.Connection] = {}
 
     @property
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -1,7 +1,7 @@
 """A complete balancer in the test's process, with scripted upstreams and discovery.
 
-`in_process_balancer` starts and ends one. The fixture `recorded` records the events that the `Balancer` gets;
-with `script_balancer` a test makes the decisions in place of the `Balancer`.
+`in_process_balancer` starts and ends one. The fixture `recorded` records the events that the `Balancer`
+receives; with `script_balancer` a test makes the decisions in place of the `Balancer`.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class EventRecorder(Observable):
-    """Records the events that the balancer gets."""
+    """Records the events that the balancer receives."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -21,7 +21,7 @@
 ENTRY_FORM = "TEST ID | COMMAND, WITH ITS SEED | WHAT WAS SEEN | #ISSUE"
 FIELDS = 4
 RUNS = 3
-RUN_S = 600  # a run that takes longer counts as failed
+RUN_S = 600  # a run of a command that takes longer than this counts as failed
 KEEP_VARIABLE = "LANELIFT_KNOWN_RED"  # if set to `run`, no test is deselected
 TEST_ID = re.compile(r"\S+\.py(::\w+)*::\w+(\[.*\])?")
 ISSUE = re.compile(r"#[1-9][0-9]*")
@@ -130,7 +130,8 @@
 
 
 def is_covered(config: pytest.Config, test: str) -> bool:
-    """Returns whether this run would collect the test if it existed: only then is it reported as missing."""
+    """Returns whether this run would collect the test if the test existed: only such a test is reported as
+    missing."""
     option = config.option
     if option.ignore or option.ignore_glob or option.pyargs:
         return False
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -1,4 +1,4 @@
-"""Helpers that several test modules share, to force the order of events and to frame messages; settings."""
+"""Settings, and helpers that force the order of events or frame messages, for several test modules."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
-# half a megabyte; a piece taken from a wrong offset differs from the right one
+# half a megabyte; a piece taken from a wrong offset differs from the right piece
 LONG_BODY = bytes(range(251)) * 2000
 
 
--- a/tests/net/test_backlog_at_shutdown.py
+++ b/tests/net/test_backlog_at_shutdown.py
@@ -17,15 +17,15 @@
 from tests.in_process import InProcessBalancer
 from tests.net.support import send_sigterm, shutting_down_balancer
 
-TWO_PLACES = RESERVED_SOCKETS + 2 * 2  # two clients, two connections to upstreams
+TWO_PLACES = RESERVED_SOCKETS + 2 * 2  # the cap is two clients, with two connections to upstreams
 
 
 def test_clients_in_the_backlog_at_sigterm_are_answered_at_the_cap(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGTERM comes at the cap on clients, while more clients wait in the backlog. They can't be accepted
-    before an open request ends, and closing the listener would reset them. The listener stays open until
-    each of them is answered.
+    """SIGTERM arrives while the number of clients is at its cap and more clients wait in the backlog. The
+    waiting clients can't be accepted before an open request ends, and closing the listener would reset their
+    connections. The listener stays open until each waiting client is answered.
     """
 
     async def test() -> None:
@@ -60,7 +60,7 @@
 def test_a_client_in_a_shared_backlog_at_sigterm_is_left_to_the_next_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGTERM comes while a client waits in the backlog of a listener that another process shares. This
+    """SIGTERM arrives while a client waits in the backlog of a listener that another process shares. This
     process closes its copy immediately, and the other process serves the client.
     """
     listeners: list[socket.socket] = []
@@ -103,9 +103,9 @@
 def test_a_client_in_the_backlog_behind_disconnected_ones_is_answered_at_sigterm(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGTERM comes when the first clients in the backlog, as many as the cap allows, have disconnected. No
-    client is connected, so no disconnection makes the listener accept again. The next client in the backlog
-    is answered nevertheless.
+    """SIGTERM arrives after the first clients in the backlog, as many as the cap allows, have disconnected.
+    No client is connected, so no disconnection makes the listener accept again. The next client in the
+    backlog is answered nevertheless.
     """
     monkeypatch.setattr(discovery, "START_TIMEOUT_S", 2 * TEST_S)
 
@@ -132,8 +132,9 @@
 def test_a_client_in_the_backlog_at_sigterm_is_answered_though_silent_clients_fill_the_cap(
     monkeypatch: pytest.MonkeyPatch, idle: bool
 ) -> None:
-    """SIGTERM comes at the cap, while the connected clients send nothing and can't be evicted. Their
-    connections are closed after the listener has stopped, and the client in the backlog is answered.
+    """SIGTERM arrives while the number of clients is at its cap; the connected clients send nothing and can't
+    be evicted. Their connections are closed after the listener has stopped, and the client that waits in the
+    backlog is answered.
     """
     monkeypatch.setattr(
         connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 2 * TEST_S), (Phase.READING_HEAD, 2 * TEST_S))
@@ -161,7 +162,7 @@
 def test_a_client_in_the_backlog_at_sigterm_is_answered_though_descriptors_are_short(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGTERM comes while no descriptor is free, so that a client in the backlog can't be accepted. The
+    """SIGTERM arrives while no descriptor is free, so that a client in the backlog can't be accepted. The
     accept is repeated until it succeeds, and the client is answered.
     """
 
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -95,7 +95,8 @@
     recorded: EventRecorder,
 ) -> None:
     """A client sends a request and disconnects before the loop reads it, on a new connection or one that
-    was used before. Work for its request would delay other clients, so the request is not begun.
+    was used before. Serving a disconnected client would delay other clients, so the balancer does not begin
+    the request.
     """
 
     async def test() -> None:
@@ -133,7 +134,7 @@
             with socket.create_connection(lb.address) as new:
                 new.sendall(b"GET /quote HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n")
                 sent_ns = time.monotonic_ns()
-                time.sleep(late)  # blocks the loop
+                time.sleep(late)  # blocks the event loop
                 await recorded.until(lambda: len(recorded.of(RequestArrived)) == 3)
             for arrival in recorded.of(RequestArrived)[1:]:
                 assert arrival.received_ns < sent_ns + late / 2 * SECOND
@@ -150,7 +151,7 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        # A server that follows the coding would read the bytes after the empty chunk as another
+        # A server that follows the chunked coding would read the bytes after the empty chunk as another
         # request.
         (
             raw_request(
@@ -189,7 +190,7 @@
 
 def test_a_request_of_a_client_that_reset_its_connection_is_not_begun(recorded: EventRecorder) -> None:
     """A client sends a request and resets its connection, and the loop finds both in one iteration. The
-    kernel is queried, and the request is not begun.
+    balancer queries the kernel, and does not begin the request.
     """
 
     async def test() -> None:
--- a/tests/net/test_client_responses.py
+++ b/tests/net/test_client_responses.py
@@ -23,9 +23,9 @@
 def test_bytes_that_come_as_a_connection_is_closed_do_not_lose_its_last_answer(
     monkeypatch: pytest.MonkeyPatch, when: str
 ) -> None:
-    """A client's bytes come while its connection is being closed. Closing a socket with unread bytes resets
-    the connection, and the last response is lost. So only the sending side is closed, and the client
-    reads its response whether the bytes come before or after the sending side is closed.
+    """Bytes from a client arrive while the balancer closes the client's connection. Closing a socket with
+    unread bytes resets the connection, and the last response is lost. So only the sending side is closed, and
+    the client reads its response whether the bytes come before or after the sending side is closed.
     """
     close_after_response = ClientConnection._close_after_response
     peers: list[socket.socket] = []
@@ -57,7 +57,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A client keeps its connection open after its last response, and continues to send. A half-closed
-    connection would accept that for ever, so it is closed after a time-out.
+    connection would accept the bytes for ever, so the connection is closed after a time-out.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.0)
 
@@ -68,7 +68,7 @@
             assert (await client.answer()).status == 200
             await client.ended()
             with pytest.raises(ConnectionError):
-                while True:  # a half-closed connection would accept this for ever
+                while True:  # a half-closed connection would accept these bytes for ever
                     client.writer.write(b"x" * 65536)
                     await client.writer.drain()
 
@@ -79,7 +79,7 @@
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """A client sends request after request and reads no responses, which would accumulate in memory.
-    Its further requests are not begun, and its connection is closed.
+    The client's further requests are not begun, and the client's connection is closed.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.5)
 
@@ -130,8 +130,8 @@
 
 
 def test_a_client_that_stops_reading_its_response_is_reset(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client stops reading a long response. Its connection would stay open for ever, so it is reset,
-    which shows that the response is incomplete.
+    """A client stops reading a long response. The client's connection would stay open for ever, so the
+    balancer resets it, and the reset shows that the response is incomplete.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.FLUSHING, 0.1)
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.05)
--- a/tests/net/test_connection_phases.py
+++ b/tests/net/test_connection_phases.py
@@ -25,7 +25,7 @@
     async def test() -> None:
         async with in_process_balancer(
             sockets=RESERVED_SOCKETS + 2 * 2
-        ) as lb:  # two clients, two connections to upstreams
+        ) as lb:  # the cap is two clients, with two connections to upstreams
             go_on = asyncio.Event()
             upstream: FakeUpstream = lb.upstreams[0]
 
@@ -41,7 +41,7 @@
                 client.send(f"b{number}")
             await recorded.until(lambda: len(recorded.of(RequestArrived)) == 3)
             await idle.ended()
-            late = await lb.client()  # it waits in the backlog, and is answered once there is room
+            late = await lb.client()  # the client waits in the backlog, and is answered once there is room
             late.send("r1")
             go_on.set()
             for client in busy:
@@ -52,8 +52,8 @@
 
 
 def test_at_the_cap_silent_clients_are_evicted_for_one_that_sends_a_request() -> None:
-    """Clients that send nothing connect until the cap is reached. They are evicted for a client that sends
-    a request, and it is served.
+    """Clients that send nothing connect until the cap is reached. Silent clients are evicted for a client
+    that sends a request, and this client is served.
     """
 
     async def test() -> None:
@@ -69,7 +69,7 @@
 
 def test_at_the_cap_an_idle_client_keeps_its_minimum_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """The cap is reached, and new clients that send nothing keep coming. An idle client is not evicted for
-    them before its minimum time is over.
+    the new clients before the minimum idle time is over.
     """
     monkeypatch.setattr(
         connection_phases, "EVICTION_ORDER", ((Phase.IDLE, 1000.0), (Phase.READING_HEAD, 0.0))
@@ -91,8 +91,8 @@
 
 def test_near_the_cap_a_connection_is_closed_after_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """There are more clients than the cap allows. Idle connections are kept for some seconds, and each new
-    client would wait that long. So above a fraction of the cap each connection is closed after its answer,
-    and all clients are served soon.
+    client would have to wait for that time. So above a fraction of the cap each connection is closed after
+    its answer, and all clients are served soon.
     """
     # Idle connections are kept for 2 s; each client above the cap would have to wait that long.
     (closing,) = (row for row in connection_phases.EVICTION_ORDER if row[0] is Phase.CLOSING)
@@ -122,8 +122,8 @@
 def test_an_incomplete_request_times_out(
     monkeypatch: pytest.MonkeyPatch, part: bytes, status: int | None, used: bool
 ) -> None:
-    """A client sends part of a request, or nothing, and then no more. Its connection is closed after a
-    time-out, with 408 if part of a request had come.
+    """A client sends part of a request or nothing, and then stops sending. Its connection is closed after a
+    time-out, with 408 if part of a request was received.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.READING_HEAD, 0.2)
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.3)
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -54,10 +54,10 @@
 def test_an_idle_connection_with_an_unread_end_or_data_is_not_used(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, unread: str
 ) -> None:
-    """An idle connection ends, or noise comes on it, in the same loop iteration in which it is taken for a
-    request. The loop has not read the end or the noise yet. A request that is written to this connection
-    would be lost, and might be one that must not be repeated. So the kernel is queried first, and another
-    connection is used.
+    """An idle connection ends, or receives noise, in the same loop iteration in which the pool takes the
+    connection for a request. The loop has not read the end or the noise yet. A request that is written to
+    this connection would be lost, and might be one that must not be repeated. So the kernel is queried first,
+    and another connection is used.
     """
 
     async def test() -> None:
@@ -108,7 +108,7 @@
     connection that has not settled is used only for GET requests and load probes, and bytes that come on it
     too early are not accepted.
     """
-    # a second response comes within milliseconds; this leaves a margin
+    # a second response comes within milliseconds; this time leaves a margin
     assert connection_pool.SETTLE_S >= 0.01
     monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)  # longer than the test, on any machine
     monkeypatch.setattr(connection_pool, "MIN_RESPONSE_TO_SETTLE_RATIO", 0 if slow else 1)
@@ -200,8 +200,8 @@
 
 
 def test_no_upstream_is_blamed_when_the_cap_on_connections_is_reached() -> None:
-    """The cap on connections is reached and all are in use. The next request is not sent, and no upstream
-    is blamed for it.
+    """The number of connections is at its cap, and all connections are in use. The next request is not sent,
+    and no upstream is blamed for it.
     """
 
     async def test() -> None:
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -48,11 +48,12 @@
 def test_a_silent_watch_is_given_up_before_its_changes_count_as_delivered(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """A watch call hangs, and its update never comes. After some seconds updates count as delivered, whether
-    or not they came. The watch is given up before that, and the snapshot that is fetched contains the update.
+    """A watch call hangs, and its update never arrives. After some seconds updates count as delivered,
+    whether or not they have arrived. The balancer gives up the watch before that time, and fetches a snapshot
+    that contains the update.
     """
     for hold_ms, answer_s in (discovery.PUSH_TIMING, discovery.POLL_TIMING):
-        # a second remains to reopen the watch before the update counts as delivered
+        # one second is left for reopening the watch before the update counts as delivered
         assert hold_ms / 1000 + answer_s < 5
     monkeypatch.setattr(discovery, "PUSH_TIMING", discovery.WatchTiming(100, 0.1))
 
@@ -110,7 +111,8 @@
 
 
 def install_balancer_that_only_subscribes(monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder) -> None:
-    """Installs a balancer that subscribes once and does nothing else: it requests no further calls."""
+    """Installs a balancer that subscribes once and does nothing else, so that it requests no further
+    calls."""
     events: list[Event] = []
 
     def acts(event: Event, _: int) -> list[Action]:
@@ -148,8 +150,8 @@
 def test_discovery_at_a_new_address_is_called_immediately_though_the_old_one_was_down(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """Discovery is down, and its address changes. The balancer waits for seconds before it retries discovery
-    that is down, but the new server is called immediately.
+    """Discovery is down, and its address changes. The balancer waits for seconds before it calls a server
+    that was down again, but it calls the new server immediately.
     """
     install_balancer_that_only_subscribes(monkeypatch, recorded)
     watchers: list[discovery.Discovery] = []
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -174,7 +174,7 @@
         async with in_process_balancer() as lb:
             await lb.until_watching()
             monkeypatch.setattr(discovery, "RETRY_INTERVAL_S", 1e6)
-            await lb.change_endpoints(lb.upstreams[0].row())  # the watch has been answered once
+            await lb.change_endpoints(lb.upstreams[0].row())  # the agent has answered the watch once
             lb.discovery.close_links()
             lb.discovery.change(lb.upstreams[0].row("Terminating"))
             await recorded.until(
@@ -191,8 +191,8 @@
 def test_a_watch_whose_handshake_hangs_is_reopened(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """An agent closes its connection after a response, and the next handshake hangs. The call is given up
-    soon, and the watch is reopened.
+    """An agent closes its connection after a response, and the next handshake hangs. The balancer soon gives
+    up the call, and reopens the watch.
     """
     monkeypatch.setattr(discovery, "SNAPSHOT_TIMEOUT_S", 2 * TEST_S)
 
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -23,10 +23,10 @@
     row = {"id": "s-5be2a07c", "addr": "127.0.0.9:8000", "state": "Ready", "started_ms": now_ms - 5000}
     first, again = read_endpoint(row), read_endpoint(row)
     assert first == again and (first.host, first.port) == ("127.0.0.9", 8000)
-    # The balancer's clock is monotonic: the start is five seconds ago by that clock, too.
+    # The balancer's clock is monotonic: the upstream's start is five seconds ago by that clock, too.
     assert abs(time.monotonic_ns() - first.entry.started_ns - 5 * SECOND) < SECOND
     assert read_endpoint({**row, "started_ms": 0}).entry.started_ns == 0
-    # Balancers must compute the same number, now and in any later version.
+    # All balancers must compute the same number from an id, in this and in any later version.
     assert upstream_number("s-5be2a07c") == first.entry.id == 9587356208999800076
     odd = [{**row, key: value} for key in ("started_ms", "weight") for value in (float("inf"), float("nan"))]
     addresses = [{**row, "addr": text} for text in ("nowhere", "a.host:80", "127.0.0.1:99999")]
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -42,7 +42,8 @@
 def test_a_late_handshake_is_recorded_and_its_connection_used(monkeypatch: pytest.MonkeyPatch) -> None:
     """An upstream's handshakes suddenly take longer than a request waits for one. If the handshake were
     cancelled when its request stops waiting, its duration would not be recorded, and the upstream would
-    never be reached. So it continues, its duration is recorded, and its connection serves the next request.
+    never be reached. So the handshake continues, its duration is recorded, and its connection serves the next
+    request.
     """
 
     async def test() -> None:
@@ -78,13 +79,13 @@
 
 
 def test_an_unanswered_handshake_is_given_up_long_before_the_limit() -> None:
-    """A handshake is not answered, while earlier ones took milliseconds. Its request goes to another
+    """A handshake is not answered, while earlier handshakes took milliseconds. Its request goes to another
     upstream long before the limit in the settings.
     """
 
     async def test() -> None:
         upstreams = Upstreams(replace(SETTINGS.limits, connect_timeout_ns=60_000_000_000), 8, ())
-        upstreams.pool.handshakes.record(0.001)  # an earlier handshake
+        upstreams.pool.handshakes.record(0.001)  # makes an earlier handshake, whose duration is recorded
         ended = asyncio.get_running_loop().create_future()
         with unresponsive_listener() as address:
             upstreams.pool.update_endpoints([ResolvedEndpoint(Endpoint(1), *address)], True)
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -19,14 +19,15 @@
 def test_a_request_whose_client_disconnects_in_the_backlog_is_not_begun(
     recorded: EventRecorder, how: str
 ) -> None:
-    """The cap is reached, and a client that waits in the backlog has sent its request. It disconnects before
-    it is accepted. Its request is not begun, and the next client in the backlog is served.
+    """The number of clients is at its cap, and a client that waits in the backlog has sent its request. The
+    client disconnects before it is accepted. Its request is not begun, and the next client in the backlog is
+    served.
     """
 
     async def test() -> None:
         async with in_process_balancer(
             settings=NO_CANCEL, sockets=RESERVED_SOCKETS + 2 * 2
-        ) as lb:  # two clients
+        ) as lb:  # the cap is two clients
             go_on = asyncio.Event()
 
             async def slow() -> bytes:
--- a/tests/net/test_requests.py
+++ b/tests/net/test_requests.py
@@ -18,8 +18,8 @@
 
 
 def test_requests_above_the_limit_of_open_requests_are_rejected() -> None:
-    """More requests come than may be open at the same time. Those above the limit are rejected immediately
-    with a Retry-After, and the balancer is not notified of them.
+    """More requests arrive than may be open at the same time. The requests in excess of the limit are
+    rejected immediately with a Retry-After, and the balancer is not notified of them.
     """
 
     async def test() -> None:
@@ -34,15 +34,15 @@
 
 
 def test_after_the_loop_was_blocked_the_balancers_rejection_is_the_answer(recorded: EventRecorder) -> None:
-    """The loop is blocked past every timer of a request. The attempt's time-out and the check for overdue
-    requests are then due in the same iteration. The client gets the rejection with its Retry-After, not a
-    504.
+    """The event loop is blocked until every timer of a request is due. The attempt's time-out and the check
+    for overdue requests are then due in the same iteration. The client gets the rejection with its
+    Retry-After, not a 504.
     """
 
     async def test() -> None:
         async with in_process_balancer() as lb:
             client = await lb.client_with_open_request("r1", X_Deadline_Ms=300)
-            time.sleep(0.4)  # blocks the loop, past every timer of the request
+            time.sleep(0.4)  # blocks the event loop until every timer of the request is due
             got = await read_message(client.reader)
             assert got.status == 503 and "retry-after" in got.headers
             assert recorded.results() == [R.TIMEOUT] and not recorded.of(ClientDisconnected)
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -67,7 +67,7 @@
             client.send("r1", X_Deadline_Ms=250)
             await steps.write(OK + b"Content-Length: 200000\r\n\r\n" + LONG_BODY[:100_000])
             await recorded.until(lambda: recorded.of(ResponseStarted))
-            await asyncio.sleep(0.4)  # past the deadline and OVERDUE_S
+            await asyncio.sleep(0.4)  # longer than the deadline plus OVERDUE_S
             await steps.write(LONG_BODY[100_000:200_000])
             assert (await read_response(client))[1] == LONG_BODY[:200_000]
             assert recorded.results() == [R.OK]
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -169,7 +169,7 @@
         limits = replace(LIMITS, max_attempts=50)  # both ejections may end during a pause of the machine
         async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=limits)) as lb:
             for upstream in lb.upstreams[:2]:
-                upstream.stop()  # its port refuses connections from now on
+                upstream.stop()  # the upstream's port refuses connections from now on
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
             for number in range(8):
                 got = await lb.request(f"r{number}", effect.value, method, body)
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -28,9 +28,9 @@
 def test_a_request_with_a_deadline_beyond_the_end_is_answered_before_it(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, begun: bytes
 ) -> None:
-    """SIGTERM comes, and a client's deadline is later than the end of the process: deadlines above 3 s count
-    as 3 s for the time of SIGKILL, and the process must end before that. The client gets a 504 before the
-    end, or, if its response is in progress, a reset that shows that it is incomplete.
+    """SIGTERM arrives, and a client's deadline is later than the end of the process: deadlines above 3 s
+    count as 3 s for the time of SIGKILL, and the process must end before that. The client gets a 504 before
+    the end, or, if its response is in progress, a reset that shows that it is incomplete.
     """
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 0.1 - LONGEST_DEADLINE_S)
     quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
@@ -118,7 +118,7 @@
 
 
 def test_sigterm_as_the_listener_opens_loses_no_request(tmp_path: Path) -> None:
-    """SIGTERM comes just when the listener opens, with a client connected. Without a handler the signal
+    """SIGTERM arrives just when the listener opens, while a client is connected. Without a handler the signal
     would end the process before that client is answered. The client is answered, and the exit code is 0.
     """
 
@@ -158,7 +158,8 @@
 async def balancer_with_exit_time(
     monkeypatch: pytest.MonkeyPatch, exit_s: float
 ) -> AsyncIterator[InProcessBalancer]:
-    """Runs a balancer in which SIGTERM stops the listener immediately; the end is `exit_s` + 3 s later."""
+    """Runs a balancer in which SIGTERM stops the listener immediately; the process ends `exit_s` + 3 s after
+    SIGTERM."""
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", exit_s)
     async with in_process_balancer() as lb:
@@ -168,8 +169,8 @@
 def test_a_request_that_comes_long_after_sigterm_is_answered_before_the_end(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """SIGTERM comes when half of a request has come, and the rest follows later. The request's own deadline
-    is later than the end of the process. The request is answered before the process ends.
+    """SIGTERM arrives when half of a request was received, and the client sends the rest later. The request's
+    own deadline is later than the end of the process. The request is answered before the process ends.
     """
 
     async def test() -> None:
@@ -191,8 +192,8 @@
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """SIGTERM comes while a response is being streamed. The response's head did not say that it is the last,
-    and the response ends after idle connections have been closed. The connection is closed as well: otherwise
-    requests could arrive on it until the process ends.
+    and the response ends after idle connections have been closed. The connection is closed after the
+    response: otherwise requests could arrive on it until the process ends.
     """
 
     async def test() -> None:
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -133,7 +133,7 @@
                 raise AssertionError("the response ended as if it were complete")
             await recorded.until(lambda: recorded.of(AttemptFinished))
             assert recorded.results() == [R.ERROR if ending == "noise" else R.RESET]
-            assert recorded.of(AttemptFinished)[0].request_complete  # no retry
+            assert recorded.of(AttemptFinished)[0].request_complete  # the request was not retried
             assert (await lb.request("r2")).body == b"s-0"
 
     run(test())
--- a/tests/net/test_upload.py
+++ b/tests/net/test_upload.py
@@ -33,7 +33,7 @@
                 client.send("r1", "pay", "POST", b"x" * 70_000)
             assert (await read_message(client.reader)).status == 413
             await client.ended()
-            assert not lb.upstreams[0].seen  # no complete request
+            assert not lb.upstreams[0].seen  # no upstream gets a complete request
 
     run(test())
 
@@ -146,15 +146,15 @@
             data = request_with_length("r1", LONG_BODY[:150_000])
             for start in range(0, len(data), 25_000):
                 client.writer.write(data[start : start + 25_000])
-                await asyncio.sleep(0.1)  # in total several times the time-out
+                await asyncio.sleep(0.1)  # the pieces take several times the time-out in total
             assert (await read_message(client.reader)).status == 200
 
     run(test())
 
 
 def test_without_an_upstream_a_request_is_rejected_before_its_body_has_come(recorded: EventRecorder) -> None:
-    """No upstream is available for a request with a long body. It is rejected immediately, before its body
-    has come.
+    """No upstream is available for a request with a long body. The request is rejected immediately, before
+    its body was received.
     """
 
     async def test() -> None:
@@ -179,6 +179,6 @@
             ):
                 client.writer.write(request_with_length(f"r{number}", LONG_BODY[:size]))
                 assert (await read_message(client.reader)).status == 200
-            assert len(lb.upstreams[0].links) == 1  # one connection serves them all
+            assert len(lb.upstreams[0].links) == 1  # one connection serves all requests
 
     run(test())
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -201,14 +201,14 @@
 
 
 def test_a_body_is_sent_to_another_upstream_only_if_none_of_it_was_written(recorded: EventRecorder) -> None:
-    """An upstream refuses the connection for a long body: nothing was written, and the request goes to
-    another upstream. A connection breaks when part of a body was written: the request can't be sent again,
-    and it is rejected, as it never ran.
+    """An upstream refuses the connection on which a long body was to be sent: nothing was written, and the
+    request goes to another upstream. A connection breaks after part of a body was written: the request can't
+    be sent again, and is rejected, as it never ran.
     """
 
     async def test() -> None:
         async with in_process_balancer(2, settings=KEYED) as lb:
-            lb.upstreams[0].stop()  # its port refuses connections
+            lb.upstreams[0].stop()  # the upstream's port refuses connections
             number = 0
             while R.CONNECT_FAILED not in recorded.results():  # until the stopped upstream was picked
                 number += 1
@@ -224,7 +224,7 @@
             links = lb.upstreams[1].links
             while not any(
                 link.partial_request is not None for link in links
-            ):  # polled, as no event reports that part of a request has come
+            ):  # polled, as no event reports that an upstream received part of a request
                 await asyncio.sleep(0.001)
             before = len(recorded.results())
             next(link for link in links if link.partial_request is not None).abort()
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -90,7 +90,7 @@
 
 def test_a_request_of_which_no_byte_could_be_written_never_ran() -> None:
     """A connection is reset after it was checked, and before the request is written. The write fails
-    immediately: the request never ran.
+    immediately, so the request never ran.
     """
 
     async def test() -> None:
--- a/tests/operate/test_admin.py
+++ b/tests/operate/test_admin.py
@@ -67,7 +67,7 @@
 
 
 def test_silent_callers_do_not_lock_out_others() -> None:
-    """Callers connect and never complete a call. A new caller replaces the one that connected first, so
+    """Callers connect and never complete a call. A new caller replaces the caller that connected first, so
     that operators are not locked out.
     """
 
@@ -80,7 +80,7 @@
                 client.writer.write(b"GET /api/rea")
                 silent.append(client)
             assert (await call(address, "ready")).status == 200
-            await silent[0].ended()  # the first one was disconnected
+            await silent[0].ended()  # the first caller was disconnected
             last = silent[-1]
             last.writer.write(b"dy HTTP/1.1\r\nHost: o\r\n\r\n")
             assert (await last.answer()).status == 200
@@ -89,7 +89,7 @@
 
 
 def test_an_incomplete_call_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A caller sends half a call and no more. Its connection is closed after a time-out."""
+    """A caller sends half of a call and then nothing more. Its connection is closed after a time-out."""
     monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -153,8 +153,9 @@
 
 
 def test_an_evacuated_balancer_answers_all_requests_closes_connections_and_can_rejoin() -> None:
-    """A balancer is evacuated while clients are idle, have open requests, or are still routed to it. All are
-    answered, each connection is closed after its answer, and connections are kept again after a rejoin.
+    """A balancer is evacuated while clients are idle, have open requests, or are still routed to it. All
+    clients that send a request are answered, each connection is closed after its answer, and connections are
+    kept again after a rejoin.
     """
 
     async def test() -> None:
@@ -172,7 +173,7 @@
             got = await late.request("r2")
             assert (got.status, got.headers["connection"]) == (200, "close")
             await late.ended()
-            await idle.ended()  # it had no open request
+            await idle.ended()  # the client had no open request
             assert (await call(address, "evacuate", "POST")).status == 200  # a repeated call has no effect
             got = await lb.request("r3")
             assert got.headers["connection"] == "close"
@@ -197,7 +198,7 @@
             assert (await idle.request("r1")).status == 200
             await call(address, "evacuate", "POST")
             await call(address, "rejoin", "POST")
-            await asyncio.sleep(0.1)  # past the time at which `idle` would have been closed
+            await asyncio.sleep(0.1)  # waits beyond the time at which `idle` would have been closed
             assert (await idle.request("r2")).status == 200
 
     assert ACCEPT_WHILE_DRAINING_S > 0.3  # the front tier checks every 0.1 s, and routes for 0.2 s more
@@ -207,8 +208,8 @@
 def test_a_request_that_arrives_as_idle_connections_are_closed_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A request is in the kernel's buffer, unread, just when idle connections are closed. Its connection is
-    not idle, and the request is answered.
+    """A request is unread in the kernel's buffer just when the balancer closes idle connections. Its
+    connection is not idle, and the request is answered.
     """
     monkeypatch.setattr(shutdown, "ACCEPT_WHILE_DRAINING_S", 0.0)
 
--- a/tests/operate/test_hot_restart.py
+++ b/tests/operate/test_hot_restart.py
@@ -28,8 +28,8 @@
 
 
 def test_both_processes_detect_each_other_and_the_end_of_either(tmp_path: Path) -> None:
-    """Two processes of one balancer run during a hot restart, and one of them ends or fails. Each detects
-    the other, and its end.
+    """Two processes of one balancer run during a hot restart, and one of them ends or fails. Each process
+    detects the other process and the end of that process.
     """
 
     async def test() -> None:
@@ -53,8 +53,8 @@
 
 
 def test_the_socket_of_a_killed_process_does_not_count_as_a_process(tmp_path: Path) -> None:
-    """A killed process has left its socket behind. No process listens on it, so it is not counted, and the
-    socket is removed.
+    """A killed process has left its socket behind. No process listens on the socket, so the killed process is
+    not counted, and the socket is removed.
     """
 
     async def test() -> None:
@@ -89,7 +89,7 @@
             counter = ProcessCounter(tmp_path, 1)
             await counter.hot_restart.start()
             assert counter.hot_restart.server is not None
-            assert (tmp_path / "lanelift-9.sock").exists()  # its process may still run
+            assert (tmp_path / "lanelift-9.sock").exists()  # the process that owns the socket may still run
             counter.hot_restart.close()
             for sock in waiting:
                 sock.close()
--- a/tests/operate/test_lifecycle.py
+++ b/tests/operate/test_lifecycle.py
@@ -51,7 +51,7 @@
 
 
 def test_on_a_shared_address_ready_succeeds_during_shutdown() -> None:
-    """Two processes share the clients' address. `/ready` still succeeds in the one that shuts down, as
+    """Two processes share the clients' address. `/ready` still succeeds in the process that shuts down, as
     its successor serves there. A process that can't serve accepts no connections.
     """
     for shared in (False, True):
--- a/tests/program/test_end.py
+++ b/tests/program/test_end.py
@@ -74,7 +74,7 @@
 
 
 def test_from_sigterm_to_its_end_every_request_is_answered(tmp_path: Path) -> None:
-    """SIGTERM comes while clients send request after request, on old and new connections, and half of the
+    """SIGTERM arrives while clients send request after request, on old and new connections, and half of the
     upstreams hang from that moment on. Each request is answered, no non-idempotent request runs twice, and
     the process has ended when SIGKILL would come.
     """
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -110,8 +110,8 @@
 
 
 def test_after_sigterm_open_and_new_requests_are_answered(tmp_path: Path) -> None:
-    """SIGTERM comes while a request is open, and new connections and requests still come. All are answered,
-    each connection is closed after its answer, and the process then exits with code 0.
+    """SIGTERM arrives while a request is open, and clients still open connections and send requests. All
+    requests are answered, each connection is closed after its answer, and the process then exits with code 0.
     """
 
     async def test() -> None:
@@ -231,8 +231,8 @@
 
 def test_a_hot_restart_loses_no_request(tmp_path: Path) -> None:
     """Two processes share one inherited socket during a hot restart. The new one accepts no connection until
-    it can serve; the old one gets SIGTERM while clients send request after request, on connections to both
-    and on new connections. Every request is answered.
+    it can serve; the old process gets SIGTERM while clients send request after request, on connections to
+    both processes and on new connections. Every request is answered.
     """
 
     async def test() -> None:
@@ -268,7 +268,7 @@
                 path.write_text(json.dumps(raw))
                 return {"BALANCER_CONFIG": str(path), "BALANCER_FD": str(fd), "TMPDIR": str(tmp_path)}
 
-            peers = f"127.0.0.1:{free_port()}"  # the same address for both processes
+            peers = f"127.0.0.1:{free_port()}"  # both processes use the same address
             command = (sys.executable, "-m", "lanelift")
             old_environ = write_config(tmp_path / "old.json", known=discovery.snapshot())
             async with started(*command, fds=[fd], **old_environ) as old:
@@ -290,7 +290,7 @@
                     discovery.close_links()
                     while await ready(operators) != 200:
                         await asyncio.sleep(0.02)
-                    assert len(list(tmp_path.glob("lanelift-*.sock"))) == 2  # one socket for each process
+                    assert len(list(tmp_path.glob("lanelift-*.sock"))) == 2  # each process has one socket
                     old.send_signal(signal.SIGTERM)
                     assert await old.wait() == 0
                     count = len(upstream.seen)
--- a/tests/program/test_serve.py
+++ b/tests/program/test_serve.py
@@ -106,7 +106,7 @@
 
 def test_a_change_of_the_kind_of_source_needs_a_restart(tmp_path: Path) -> None:
     """The file is changed to name a discovery server in place of a list of upstreams. A running balancer does
-    not apply that: the change is logged, and the old list stays in use.
+    not apply this change: it logs the change, and the old list stays in use.
     """
 
     async def test() -> None:
--- a/tests/program/test_tenants.py
+++ b/tests/program/test_tenants.py
@@ -94,7 +94,8 @@
         return message.status, message.body.decode().strip()
 
     async def until_not_served(self, tenant: str) -> tuple[int, str]:
-        """Sends requests until one is not answered with 200; returns that answer's status and body."""
+        """Sends requests until an answer has a status other than 200; returns that answer's status and
+        body."""
         while (found := await self.status_and_body(tenant))[0] == 200:
             pass
         return found
@@ -161,7 +162,7 @@
 
 @pytest.mark.parametrize("trouble", ["refused", "silent", "garbage"])
 def test_requests_are_served_during_an_outage_of_the_directory(trouble: str, tmp_path: Path) -> None:
-    """The directory refuses calls, is silent or sends garbage. Tenants are served as read before."""
+    """The directory refuses calls, is silent or sends garbage. Tenants are served by what was read before."""
 
     async def test() -> None:
         directory = Directory(town("ash", "elm"), {READER: SECRET})
@@ -240,8 +241,8 @@
 
 
 def test_a_request_sent_before_a_suspension_gets_its_own_answer(tmp_path: Path) -> None:
-    """A tenant is suspended while one of its requests is at an upstream. That request gets its own answer;
-    the next one is rejected.
+    """A tenant is suspended while one of its requests is at an upstream. That request gets the upstream's
+    answer; the tenant's next request is rejected.
     """
 
     async def test() -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -64,7 +64,8 @@
 
 
 def run_like_test_script(project: Path, *words: str) -> tuple[subprocess.CompletedProcess[str], str]:
-    """Runs pytest as `./test` does; returns the run, and the ids that it wrote for the retries."""
+    """Runs pytest as `./test` does; returns the finished run, and the ids that pytest wrote for the
+    retries."""
     done = python(project, "pytest", "-q", "--known-red-passed=passed.txt", *words)
     path = project / "passed.txt"
     return done, path.read_text() if path.exists() else ""
@@ -127,7 +128,7 @@
         (["test_it.py::test_good"], 0),
         (["test_it.py"], 4),
         (["."], 4),
-        (["-k", "good"], 4),  # all tests were collected, so a missing one is noticed
+        (["-k", "good"], 4),  # all tests were collected, so a missing test is noticed
         (["test_it.py::test_none"], 4),
         (["test_more.py", "-k", "more"], 0),
     ],
