--- a/lanelift/__main__.py
+++ b/lanelift/__main__.py
@@ -20,7 +20,7 @@
 
 
 def inherited_socket(descriptor: int) -> socket.socket:
-    """Returns the clients' socket, which was bound before this process started and outlives it.
+    """Returns the clients' socket, which was bound before this process started and outlives the process.
 
     Raises:
         SettingsError: The descriptor is not a TCP socket.
--- a/lanelift/daemon_config.py
+++ b/lanelift/daemon_config.py
@@ -15,7 +15,7 @@
 
 DEFAULT_SOCKETS = 1024
 # Descriptors reserved for the listener, discovery (an old and a new connection), peers, the configuration and
-# the interpreter, and for sockets that were closed in this loop iteration and still count.
+# the interpreter, and for sockets that were closed in this loop iteration and still count as open.
 RESERVED_SOCKETS = 32
 CLIENT_FRACTION = 0.55  # clients' share of the descriptors that are not reserved; upstreams get the rest
 
--- a/lanelift/net/admin.py
+++ b/lanelift/net/admin.py
@@ -25,8 +25,8 @@
 
 log = logging.getLogger(__name__)
 
-# At the cap a new caller replaces the one that connected first: callers that hold a connection open without
-# sending anything must not lock out the others.
+# While this number of callers is connected, a new caller replaces the caller that connected first: callers
+# that hold a connection open without sending anything must not lock out the others.
 MAX_CALLERS = 8
 CALL_TIMEOUT_S = 10.0  # an incomplete call is aborted after this time
 MAX_CALL_BYTES = 4096  # longest accepted call, in bytes; no call needs a body
@@ -80,7 +80,7 @@
             caller.abort()
 
     def caller_connected(self, caller: AdminConnection) -> None:
-        """Registers a new caller; at the cap the oldest one is disconnected."""
+        """Registers a new caller; if there are too many callers, the oldest is disconnected."""
         if len(self.callers) >= MAX_CALLERS:
             next(iter(self.callers)).abort()
         self.callers[caller] = None
--- a/lanelift/net/client_connection.py
+++ b/lanelift/net/client_connection.py
@@ -34,7 +34,8 @@
 ANSWER_MARGIN_NS = 3_000_000
 # The parser gets at most this many bytes at a time, as pipelined requests take less memory unparsed.
 PARSE_SLICE_BYTES = 16 * 1024
-# The time-out of a body starts again only if at least this much was received since it last started.
+# The time-out of a body starts again only if at least this many bytes were received since the time-out last
+# started.
 MIN_BODY_PROGRESS_BYTES = 16 * 1024
 
 
--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -17,10 +17,10 @@
 if TYPE_CHECKING:
     from lanelift.net.frontend import Frontend
 
-# When clients use at least this fraction of the cap, a connection is closed after its answer. `MAX_FILL` is
-# for the answer to an open request, `MAX_FILL_FOR_OWN_ANSWERS` for `/ready` and for the answer to invalid
-# input. Idle connections are kept for some seconds, so with many clients they would take up the whole cap
-# while new clients wait.
+# When the number of clients is at least this fraction of the cap, a connection is closed after its answer.
+# `MAX_FILL` is for the answer to an open request, `MAX_FILL_FOR_OWN_ANSWERS` for `/ready` and for the answer
+# to invalid input. Idle connections are kept for some seconds, so with many clients they would take up the
+# whole cap while new clients wait.
 MAX_FILL_FOR_OWN_ANSWERS, MAX_FILL = 0.75, 0.9
 
 
--- a/lanelift/net/connection_phases.py
+++ b/lanelift/net/connection_phases.py
@@ -82,7 +82,7 @@
         self._loop = asyncio.get_running_loop()
 
     def is_filled(self, fraction: float) -> bool:
-        """Returns whether at least this fraction of the cap is used."""
+        """Returns whether the number of clients is at least this fraction of the cap."""
         return len(self.clients) >= fraction * self.max_clients
 
     def enter(self, client: TrackedConnection, phase: Phase) -> None:
@@ -104,8 +104,8 @@
         """Closes one connection to make room. Its place is free in the next loop iteration.
 
         Returns:
-            Whether a connection was closed, and if not, after how many seconds one can be evicted. The number
-            is None if no connection is in a phase of `EVICTION_ORDER`.
+            Whether a connection was closed; if not, also the number of seconds until a connection can be
+            evicted. The number is None if no connection is in a phase of `EVICTION_ORDER`.
         """
         now = self._loop.time()
         due_times = []
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -82,8 +82,8 @@
         """Applies an update of the endpoint list.
 
         Idle connections to an upstream that drains, restarted, moved or was removed are closed immediately.
-        Exchanges that wait for a new connection to it are given up, so that their requests go elsewhere: the
-        handshake could outlast the drain's grace period.
+        Exchanges that wait for a new connection to such an upstream are given up, so that their requests go
+        to other upstreams: the handshake could outlast the drain's grace period.
         """
         listed = set()
         for new in endpoints:
@@ -152,9 +152,9 @@
 
         Failure guarded against: bytes that a server sends after a response, such as a second copy or noise,
         would be read as the answer to the next request. They arrive within milliseconds, so a connection is
-        used only after `SETTLE_S`. If none has settled, the oldest may serve a load probe, whose wrong result
-        would reach no client. It may also serve a GET request if responses take long on average; bytes that
-        arrive before the exchange's `distrust_until_s` are not accepted as its response.
+        used only after `SETTLE_S`. If no connection has settled, the oldest may serve a load probe, whose
+        wrong result would reach no client. The oldest may also serve a GET request if responses take long on
+        average; bytes that arrive before the exchange's `distrust_until_s` are not accepted as its response.
         """
         idle = target.idle
         settled_s = asyncio.get_running_loop().time() - SETTLE_S
--- a/lanelift/net/endpoint_list.py
+++ b/lanelift/net/endpoint_list.py
@@ -36,7 +36,7 @@
     Attributes:
         version: The list's version; versions increase.
         is_snapshot: Whether it lists all upstreams; otherwise it lists only those that changed.
-        endpoints: Its entries, without the invalid ones.
+        endpoints: The list's valid entries.
     """
 
     version: int
@@ -45,7 +45,8 @@
 
 
 def upstream_number(name: str) -> int:
-    """Returns the number that the balancer uses for an upstream's id; it is the same on every replica."""
+    """Returns the number that the balancer uses for an upstream's id; the number is the same on every
+    replica."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
--- a/lanelift/net/exchange.py
+++ b/lanelift/net/exchange.py
@@ -30,7 +30,7 @@
 
 
 class ResponseSink(Protocol):
-    """The receiver of a streamed response, whose end is reported as the exchange's outcome."""
+    """The receiver of a streamed response; the response's end is reported as the exchange's outcome."""
 
     def start_response(self, head: Response) -> None:
         """Receives the response's head; the body follows in pieces."""
--- a/lanelift/net/http_parser.py
+++ b/lanelift/net/http_parser.py
@@ -126,7 +126,7 @@
         Only a response that states its end, and in one way only, can be distinguished from a truncated one.
         The body of a response is not read if its stated length is too large. A response without a length
         ends with its connection (RFC 9112, 6.3). Such a response is accepted only with `Connection: close`:
-        a corrupt one without it may leave its connection open, and never end.
+        a corrupt response without this header may leave its connection open, and never end.
         """
         super().on_headers_complete()
         assert self.partial is not None and self.parser is not None
--- a/lanelift/net/listener.py
+++ b/lanelift/net/listener.py
@@ -36,7 +36,8 @@
         self.closed = False
         self._frontend = frontend
         self._loop = asyncio.get_running_loop()
-        self._setup_tasks: set[asyncio.Task[None]] = set()  # a task without a reference may be collected
+        # a task to which nothing refers may be garbage-collected
+        self._setup_tasks: set[asyncio.Task[None]] = set()
         bound_socket.setblocking(False)
         bound_socket.listen(BACKLOG)
 
@@ -69,9 +70,9 @@
         """Accepts the connections in the backlog, up to the cap.
 
         At the cap one connection is evicted (`ConnectionTable.evict`), and its place is used in the next loop
-        iteration. If none can be evicted yet, new connections stay in the backlog until one can be or a
-        client disconnects: each accepted connection must get an answer, so none is accepted only to be
-        dropped.
+        iteration. If no connection can be evicted yet, new connections stay in the backlog until an eviction
+        is possible or a client disconnects: each accepted connection must get an answer, so no connection is
+        accepted only to be dropped.
 
         Returns:
             Whether the backlog is known to be empty; False at the cap, where the backlog is not checked.
--- a/lanelift/net/shutdown.py
+++ b/lanelift/net/shutdown.py
@@ -10,8 +10,8 @@
    `CLOSE_IDLE_DELAY_S` after it has closed. Connections with an open request are closed after the answer.
 4. When the listener is closed and no connection is open, `finished` is set and the process ends.
 5. The process ends at the latest at `ends_s`: `EXIT_AFTER_DEADLINE_S` after the longest deadline of any
-   class, which counts as `LONGEST_DEADLINE_S` at most. Half of `FINAL_ANSWER_MARGIN_S` before that, requests
-   that are still open get a 504, and streamed responses are reset.
+   class, which counts as `LONGEST_DEADLINE_S` at most. Half of `FINAL_ANSWER_MARGIN_S` before `ends_s`,
+   requests that are still open get a 504, and streamed responses are reset.
 
 SIGINT has the same effect as SIGTERM.
 """
--- a/lanelift/net/upstream_connection.py
+++ b/lanelift/net/upstream_connection.py
@@ -173,7 +173,7 @@
             self.hold_timer = loop.call_later(UNKNOWN_LENGTH_HOLD_S, self._end_hold, exchange)
 
     def _end_hold(self, exchange: Exchange) -> None:
-        """Starts to stream a response without a stated length after it was held."""
+        """Starts to stream a response without a stated length after the response was held."""
         self.hold_timer = None
         if self.exchange is exchange and self.parser.length_unknown:
             self.parser.start_streaming()
--- a/lanelift/reload.py
+++ b/lanelift/reload.py
@@ -11,8 +11,8 @@
 from lanelift.daemon_config import Config
 
 APPLIED_FIELDS = frozenset({"discovery", "tenants"})
-# These fields are used at the start only; a change of them needs no warning, as they may differ each time the
-# configuration is read.
+# These fields are used at the start only; a change of these fields needs no warning, as they may differ each
+# time the configuration is read.
 START_FIELDS = frozenset({"seed", "cached_endpoints"})
 
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -50,7 +50,7 @@
     start: list[str]  # the parts of the message's first line
     headers: dict[str, str]
     body: bytes
-    link: int = 0  # the number of the connection on which the message came, from 1
+    link: int = 0  # the number of the connection on which the message came, counted from 1
 
     @property
     def status(self) -> int:
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -67,7 +67,8 @@
         (answer(503), R.ERROR),
         (None, R.RESET),
         (answer(200, b"whole")[:-2], R.TIMEOUT),  # an incomplete response
-        (b"not HTTP at all\r\n\r\n", R.ERROR),  # the request has run, and the connection did not break
+        # the request has run, and the upstream's connection did not break
+        (b"not HTTP at all\r\n\r\n", R.ERROR),
         (OK + b"\r\nbody", R.ERROR),  # a response without a length can't be known to be complete
         (OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
         (OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", R.ERROR),
@@ -153,7 +154,8 @@
     recorded = EventRecorder()
 
     def acts(event: Event, upstream: int) -> list[Action]:
-        if isinstance(event, RequestArrived):  # a parallel copy and an unlisted upstream are not allowed
+        # neither a second attempt in parallel nor an attempt at an unlisted upstream is allowed
+        if isinstance(event, RequestArrived):
             return [StartAttempt("r1", upstream), StartAttempt("r1", upstream), StartAttempt("r1", 99)]
         return []
 
@@ -193,7 +195,7 @@
             gate.open.set()
             assert (await lb.request("r2")).status == 200
             assert request_ids(lb.upstreams[0]) == ["r2"]
-            assert recorded.results() == [R.NOT_SENT, R.OK]  # not the upstream's fault
+            assert recorded.results() == [R.NOT_SENT, R.OK]  # the disconnection is not the upstream's fault
 
     run(test())
 
@@ -222,7 +224,8 @@
         async with in_process_balancer(2, settings=NO_CANCEL) as lb:
             first, second = lb.upstreams
             first.script = [b"\x00", invalid_response]
-            assert (await lb.request("r1")).body == second.name.encode()  # `second` has a connection now
+            # the upstream `second` has a connection now
+            assert (await lb.request("r1")).body == second.name.encode()
 
             def watched(connection: UpstreamConnection, exchange: Exchange) -> None:
                 if b"X-Request-Id: r2" in exchange.request or b"x-request-id: r2" in exchange.request:
@@ -233,6 +236,7 @@
 
             monkeypatch.setattr(UpstreamConnection, "start", watched)
             assert (await lb.request("r2")).body == second.name.encode()
-            assert ended == [False, True]  # whether first's connection had ended before each attempt of r2
+            # before each attempt of r2: whether the connection to `first` had ended
+            assert ended == [False, True]
 
     run(test())
--- a/tests/net/test_backlog_at_shutdown.py
+++ b/tests/net/test_backlog_at_shutdown.py
@@ -17,7 +17,7 @@
 from tests.in_process import InProcessBalancer
 from tests.net.support import send_sigterm, shutting_down_balancer
 
-TWO_PLACES = RESERVED_SOCKETS + 2 * 2  # the cap is two clients, with two connections to upstreams
+TWO_PLACES = RESERVED_SOCKETS + 2 * 2  # room for two clients and two connections to upstreams
 
 
 def test_clients_in_the_backlog_at_sigterm_are_answered_at_the_cap(
--- a/tests/net/test_connection_phases.py
+++ b/tests/net/test_connection_phases.py
@@ -25,7 +25,7 @@
     async def test() -> None:
         async with in_process_balancer(
             sockets=RESERVED_SOCKETS + 2 * 2
-        ) as lb:  # the cap is two clients, with two connections to upstreams
+        ) as lb:  # room for two clients and two connections to upstreams
             go_on = asyncio.Event()
             upstream: FakeUpstream = lb.upstreams[0]
 
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -110,7 +110,8 @@
     """
     # a second response comes within milliseconds; this time leaves a margin
     assert connection_pool.SETTLE_S >= 0.01
-    monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)  # longer than the test, on any machine
+    # a time longer than the test takes on any machine
+    monkeypatch.setattr(connection_pool, "SETTLE_S", TEST_S)
     monkeypatch.setattr(connection_pool, "MIN_RESPONSE_TO_SETTLE_RATIO", 0 if slow else 1)
 
     def acts(event: Event, to: int) -> list[Action]:
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -35,7 +35,8 @@
             assert (await lb.request("r1")).status == 200
             lb.discovery.change(gone.row("Gone"))
             calls = len(lb.discovery.seen)
-            await lb.discovery.until(lambda: len(lb.discovery.seen) > calls + 1)  # it tries again, and again
+            # the balancer calls again, and again
+            await lb.discovery.until(lambda: len(lb.discovery.seen) > calls + 1)
             lb.discovery.down = False
             await lb.until_watching()
             last = [e for e in recorded.of(EndpointUpdate) if e.kind is EndpointUpdateKind.SNAPSHOT][-1]
@@ -61,7 +62,7 @@
         async with in_process_balancer(2) as lb:
             await lb.until_watching()
             gone = lb.discovery.rows.pop(0)
-            lb.discovery.version += 1  # without a notification on the watch call that is held
+            lb.discovery.version += 1  # the watch call that is held gets no notification
             await recorded.until(lambda: any(len(e.endpoints) == 1 for e in recorded.of(EndpointUpdate)))
             assert (await lb.request("r1")).body != gone["id"].encode()
 
@@ -140,7 +141,7 @@
         async with in_process_balancer(2, settings=POLLED) as lb:
             await lb.until_watching()
             lb.discovery.rows.pop(0)
-            lb.discovery.version += 1  # without a notification on the watch call that is held
+            lb.discovery.version += 1  # the watch call that is held gets no notification
             await recorded.until(lambda: any(len(e.endpoints) == 1 for e in recorded.of(EndpointUpdate)))
             assert all(e.kind is not EndpointUpdateKind.FAILED for e in recorded.of(EndpointUpdate))
 
@@ -150,8 +151,8 @@
 def test_discovery_at_a_new_address_is_called_immediately_though_the_old_one_was_down(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """Discovery is down, and its address changes. The balancer waits for seconds before it calls a server
-    that was down again, but it calls the new server immediately.
+    """Discovery is down, and its address changes. The balancer waits for seconds before it retries a failed
+    server, but it calls the new server immediately.
     """
     install_balancer_that_only_subscribes(monkeypatch, recorded)
     watchers: list[discovery.Discovery] = []
--- a/tests/net/test_discovery_agent.py
+++ b/tests/net/test_discovery_agent.py
@@ -46,7 +46,8 @@
                 await watcher._watch()
 
     run(test())
-    assert 2 * discovery.RETRY_INTERVAL_S <= 0.5  # the grace period allows for a lost call and the next one
+    # the grace period leaves time for a lost call and the next call
+    assert 2 * discovery.RETRY_INTERVAL_S <= 0.5
     for turn in range(12):
         drawn = sorted(each[turn] for each in waits)
         assert drawn[0] > 0.3 * discovery.RETRY_INTERVAL_S and drawn[-1] <= discovery.RETRY_INTERVAL_S
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -62,7 +62,8 @@
                 answer(200, json.dumps(full_list, indent=4).encode()), lb.discovery.reply
             )
             lb.discovery.close_links()
-            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) == 3)  # cached, first, this one
+            # the cached list, the first list and this list
+            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) == 3)
             assert {u.id for u in recorded.of(EndpointUpdate)[2].endpoints} == {upstream_number("s-0")}
             lines = [r.getMessage() for r in caplog.records if "skipped" in r.getMessage()]
             assert lines == ["discovery: entries skipped: 1002; the first: 'nowhere' is not HOST:PORT"]
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -68,7 +68,8 @@
         may_connect.set()
         await asyncio.gather(*upstreams.pool.connect_tasks)
         assert upstreams.pool.handshakes.mean_s is not None and upstreams.pool.handshakes.mean_s > 0.001
-        assert len(upstreams.pool.targets[1].idle) == 1 and not upstream.seen  # nothing was sent on it
+        # nothing was sent on this connection
+        assert len(upstreams.pool.targets[1].idle) == 1 and not upstream.seen
         upstreams.start_attempt(1, request, None, lambda result, *_: results.put_nowait(result))
         assert await results.get() is AttemptResult.OK
         assert upstreams.pool.open_connections == 1
@@ -85,14 +86,15 @@
 
     async def test() -> None:
         upstreams = Upstreams(replace(SETTINGS.limits, connect_timeout_ns=60_000_000_000), 8, ())
-        upstreams.pool.handshakes.record(0.001)  # makes an earlier handshake, whose duration is recorded
+        upstreams.pool.handshakes.record(0.001)  # the duration of an earlier handshake
         ended = asyncio.get_running_loop().create_future()
         with unresponsive_listener() as address:
             upstreams.pool.update_endpoints([ResolvedEndpoint(Endpoint(1), *address)], True)
             upstreams.start_attempt(
                 1, b"GET / HTTP/1.1\r\n\r\n", None, lambda result, *_: ended.set_result(result)
             )
-            assert await asyncio.wait_for(ended, LIMIT_S) is AttemptResult.CONNECT_FAILED  # it never ran
+            # the request never ran
+            assert await asyncio.wait_for(ended, LIMIT_S) is AttemptResult.CONNECT_FAILED
         upstreams.close()
 
     run(test())
--- a/tests/net/test_http_parser.py
+++ b/tests/net/test_http_parser.py
@@ -105,8 +105,8 @@
 
 
 def test_an_upgrade_is_ignored_in_a_request_and_an_error_in_a_response() -> None:
-    """A request asks for another protocol. The request is parsed as an ordinary request, and is the last on
-    its connection. A response that claims to change the protocol is an error.
+    """A request asks for another protocol. The request is parsed as if it asked for no other protocol, and is
+    the last on its connection. A response that claims to change the protocol is an error.
     """
     upgrade = b"Connection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader = RequestParser()
@@ -227,8 +227,8 @@
 def test_pipelined_messages_do_not_mix_whatever_their_length_and_split(
     wanted: list[tuple[int, bool]], step: int
 ) -> None:
-    """Long and short requests are pipelined, and come in pieces of any size. Each parsed request consists of
-    its own bytes only.
+    """Long and short requests are pipelined, and come in pieces of any size. Each parsed request has all of
+    its own bytes and no others.
     """
     data = b"".join(
         (chunked_request if in_chunks else request_with_length)(
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -87,7 +87,7 @@
     async def test() -> None:
         async with in_process_balancer() as lb:
             lb.upstreams[0].script = [response_with_length(LONG_BODY), chunked_response(LONG_BODY)]
-            assert (await lb.request("r1")).status == 503  # its length is stated
+            assert (await lb.request("r1")).status == 503  # the response states its length
             client = await lb.client()
             client.send("r2")
             with suppress(ConnectionError, asyncio.IncompleteReadError):
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -166,7 +166,8 @@
     monkeypatch.setattr(handshakes, "MIN_HANDSHAKE_TIMEOUT_S", 1.0)
 
     async def test() -> None:
-        limits = replace(LIMITS, max_attempts=50)  # both ejections may end during a pause of the machine
+        # the ejections of both upstreams may end while the machine pauses
+        limits = replace(LIMITS, max_attempts=50)
         async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=limits)) as lb:
             for upstream in lb.upstreams[:2]:
                 upstream.stop()  # the upstream's port refuses connections from now on
@@ -195,7 +196,8 @@
             exchanges = [o for o in gc.get_objects() if isinstance(o, Exchange) and b"r1" in o.request]
             assert len(exchanges) == 1 and exchanges[0].timer is not None
             due = exchanges[0].timer.when()
-            upstream.links[0].write(answer(200, b"there"))  # into the kernel's buffer; the loop is blocked
+            # the data stays in the kernel's buffer, as the loop is blocked
+            upstream.links[0].write(answer(200, b"there"))
             while loop.time() < due + 10 * MS / SECOND:
                 pass
             assert (await client.answer()).body == b"there"
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -169,8 +169,9 @@
 def test_a_request_that_comes_long_after_sigterm_is_answered_before_the_end(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """SIGTERM arrives when half of a request was received, and the client sends the rest later. The request's
-    own deadline is later than the end of the process. The request is answered before the process ends.
+    """SIGTERM arrives when half of a request has been received, and the client sends the rest later. The
+    request's own deadline is later than the end of the process. The request is answered before the process
+    ends.
     """
 
     async def test() -> None:
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -127,7 +127,8 @@
                 await steps.end()
             else:
                 await steps.write(b"zz\r\n")
-            with pytest.raises(ConnectionError):  # a reset, not the regular end of the connection
+            # the client sees a reset, not the regular end of the connection
+            with pytest.raises(ConnectionError):
                 while await client.reader.read(65536):
                     pass
                 raise AssertionError("the response ended as if it were complete")
@@ -176,7 +177,8 @@
                 # are both buffers of two connections (doubled by the kernel), one read and the write limit.
                 assert left < 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2 * len(READ_BUFFER)
                 got = b""
-                while got.count(piece) < sent // len(piece):  # all written data arrives once the client reads
+                # all data that was written arrives once the client reads
+                while got.count(piece) < sent // len(piece):
                     got += await loop.sock_recv(slow, 1 << 20)
             await recorded.until(lambda: recorded.of(ClientDisconnected))
             await recorded.until(lambda: recorded.of(AttemptFinished))
--- a/tests/net/test_upload.py
+++ b/tests/net/test_upload.py
@@ -73,7 +73,8 @@
             client.writer.write(LONG_BODY[100_000:])
             assert (await read_message(client.reader)).status == 200
             (outcome,) = recorded.of(AttemptFinished)
-            assert outcome.duration_ns < 200_000_000  # without the time that the client took
+            # the duration does not include the time that the client took to send the body
+            assert outcome.duration_ns < 200_000_000
 
     run(test())
 
@@ -89,7 +90,8 @@
             client = await lb.client()
             rows = (f"Content-Length: {len(LONG_BODY)}", "X-Deadline-Ms: 200")
             client.writer.write(request_head("r1", "pay", *rows) + LONG_BODY)
-            assert (await read_message(client.reader)).status == 504  # not rejected, as it may have run
+            # the request is not rejected, as it may have run
+            assert (await read_message(client.reader)).status == 504
             assert recorded.results() == [R.TIMEOUT]
 
     run(test())
@@ -154,7 +156,7 @@
 
 def test_without_an_upstream_a_request_is_rejected_before_its_body_has_come(recorded: EventRecorder) -> None:
     """No upstream is available for a request with a long body. The request is rejected immediately, before
-    its body was received.
+    its body is received.
     """
 
     async def test() -> None:
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -194,7 +194,8 @@
                 ended.cancel()
             # The client's and the server's buffers may grow to 4 MB each; between them are the balancer's.
             assert sent < 2 * 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2_000_000
-            assert recorded.results() == [R.CONNECT_FAILED]  # the last byte was not written, so it never ran
+            # the last byte was not written, so the request never ran
+            assert recorded.results() == [R.CONNECT_FAILED]
             assert recorded.of(AttemptFinished)[0].body_consumed
 
     run(test())
@@ -210,7 +211,8 @@
         async with in_process_balancer(2, settings=KEYED) as lb:
             lb.upstreams[0].stop()  # the upstream's port refuses connections
             number = 0
-            while R.CONNECT_FAILED not in recorded.results():  # until the stopped upstream was picked
+            # sends requests until the balancer picks the stopped upstream
+            while R.CONNECT_FAILED not in recorded.results():
                 number += 1
                 got = await lb.request(f"r{number}", "book", "POST", LONG_BODY, Idempotency_Key=f"k{number}")
                 assert (got.status, got.body) == (200, b"s-1")
--- a/tests/net/test_upstreams.py
+++ b/tests/net/test_upstreams.py
@@ -13,8 +13,8 @@
 
 
 def test_a_request_is_rejected_if_its_upstream_refuses_the_connection(recorded: EventRecorder) -> None:
-    """An upstream's port refuses connections. The request never ran, and is rejected, whatever its class
-    is."""
+    """An upstream's port refuses connections. The request never ran, so it is rejected, whatever its
+    class."""
 
     async def test() -> None:
         async with in_process_balancer() as lb:
--- a/tests/operate/test_admin.py
+++ b/tests/operate/test_admin.py
@@ -201,7 +201,8 @@
             await asyncio.sleep(0.1)  # waits beyond the time at which `idle` would have been closed
             assert (await idle.request("r2")).status == 200
 
-    assert ACCEPT_WHILE_DRAINING_S > 0.3  # the front tier checks every 0.1 s, and routes for 0.2 s more
+    # the front tier checks `/ready` every 0.1 s, and routes clients here for 0.2 s more
+    assert ACCEPT_WHILE_DRAINING_S > 0.3
     run(test())
 
 
--- a/tests/program/test_end.py
+++ b/tests/program/test_end.py
@@ -11,7 +11,8 @@
 from tests.program.test_program import config, connect, listen_address, program
 
 DEADLINE_S = 0.6
-ACCEPT_WHILE_DRAINING_S = 0.4  # how long clients connect after SIGTERM; they use connections up to SIGKILL
+# how long clients open connections after SIGTERM; they use open connections until SIGKILL
+ACCEPT_WHILE_DRAINING_S = 0.4
 KILL_S = DEADLINE_S + 0.7
 SETTINGS = {
     "profiles": [
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -282,7 +282,8 @@
                         int(json.loads((tmp_path / "new.json").read_text())["operator"].rpartition(":")[2]),
                     )
                     assert await ready(operators) == 503
-                    for _ in range(20):  # the old process accepts all of them: the new one would answer 503
+                    # the old process accepts all connections: the new process would answer 503
+                    for _ in range(20):
                         fresh = await Client.to(address)
                         assert (await fresh.request("front", path="/ready")).status == 200
                         fresh.close()
