--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -190,8 +190,8 @@
             self.transport.write(data)
 
     def _flush(self) -> None:
-        """Ends a response whose last byte was passed to the transport. If part of the response still waits in
-        the write buffer, the connection counts as idle only after the client has read that part.
+        """Ends a response after its last byte was passed to the transport. If part of the response still
+        waits in the write buffer, the connection counts as idle only after the client has read that part.
         """
         if self.write_paused and self.transport is not None and not self.transport.is_closing():
             # with this limit `resume_writing` is called only when the buffer is empty
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -271,7 +271,7 @@
         return True
 
     def set_max_connections(self, connections: int) -> None:
-        """Changes the cap. Excess connections are closed: idle ones now, others when they are released."""
+        """Changes the cap. Excess connections are closed: idle connections now, others on their release."""
         self.max_connections = connections
         while self.open_connections > connections and self._close_longest_idle():
             pass
--- a/lanelift/net/endpoint_list.py
+++ b/lanelift/net/endpoint_list.py
@@ -35,7 +35,7 @@
 
     Attributes:
         version: The list's version; versions increase.
-        is_snapshot: Whether it lists all upstreams; otherwise it lists only those that changed.
+        is_snapshot: Whether the list has all upstreams; otherwise it has only upstreams that changed.
         endpoints: The list's valid entries.
     """
 
--- a/lanelift/net/frontend.py
+++ b/lanelift/net/frontend.py
@@ -44,7 +44,8 @@
         self.listener.resume()
 
     def client_lost(self, client: ClientConnection) -> None:
-        """Removes a connection that has ended, which may make room for another or complete the shutdown."""
+        """Removes a connection that has ended; this may make room for another client or complete the
+        shutdown."""
         self.table.clients.discard(client)
         self.table.leave(client)
         self.listener.resume()
--- a/lanelift/net/static_endpoints.py
+++ b/lanelift/net/static_endpoints.py
@@ -30,7 +30,7 @@
 class StaticDiscovery:
     """Sends the list as a snapshot on each fetch.
 
-    An upstream that is missing from a new list is removed: it gets no new attempts, and those in progress
+    An upstream that is missing from a new list is removed: it gets no new attempts, and attempts in progress
     run to their end.
     """
 
--- a/lanelift/net/upstream_connection.py
+++ b/lanelift/net/upstream_connection.py
@@ -154,7 +154,7 @@
         parser = self.parser
         if parser.streamed_head is not None and parser.error is None:
             if parser.streamed_head.status != 200:
-                # A long error response: the status is sufficient, and the body is not forwarded.
+                # The body of a long error response is not forwarded, as the status is sufficient.
                 exchange.finish(AttemptResult.OK, parser.streamed_head)
                 self.abort()
                 return
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -56,7 +56,7 @@
 
 
 def read_entries(text: str) -> list[Entry]:
-    """Returns the entries of the file, in order; empty lines and those that begin with `#` are skipped.
+    """Returns the entries of the file, in order; empty lines and lines that begin with `#` are skipped.
 
     Raises:
         MalformedEntryError: An entry is invalid, or its test is listed twice.
@@ -80,7 +80,8 @@
 
 
 class KnownRed:
-    """The pytest plugin that deselects and prints the listed tests, and rejects unknown ones.
+    """The pytest plugin that deselects and prints the listed tests, and rejects listed tests that do not
+    exist.
 
     Raises:
         pytest.UsageError: The file is malformed, or lists a missing test that this run covers.
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -235,7 +235,7 @@
     recorded: EventRecorder,
 ) -> None:
     """A client disconnects during a response that never ends, where attempts may not be cancelled. The
-    upstream's connection is of no more use, and is closed.
+    upstream's connection has no further use, and is closed.
     """
 
     async def test() -> None:
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -42,7 +42,7 @@
 COMPLETE_RESPONSE = answer(200, b"late")
 
 
-NEVER_RAN, MAY_HAVE_RUN = True, False  # whether it is certain that the request never ran
+NEVER_RAN, MAY_HAVE_RUN = True, False  # whether an attempt that ends in this way certainly never ran
 
 
 async def write_and_reset(link: Connection, data: bytes) -> None:
@@ -159,8 +159,8 @@
 def test_a_refused_attempt_is_retried_at_another_upstream(
     monkeypatch: pytest.MonkeyPatch, effect: Idempotency
 ) -> None:
-    """Two of three upstreams refuse connections. Nothing of a request was written to them, so a request of
-    any class is retried until it reaches the third, and each client is served.
+    """Two of three upstreams refuse connections. Nothing of a request was written to these two, so a request
+    of any class is retried until it reaches the third upstream, and each client is served.
     """
     # On a busy machine the handshake of a good upstream may take more than 30 ms.
     monkeypatch.setattr(handshakes, "MIN_HANDSHAKE_TIMEOUT_S", 1.0)
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -29,8 +29,8 @@
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, begun: bytes
 ) -> None:
     """SIGTERM arrives, and a client's deadline is later than the end of the process: deadlines above 3 s
-    count as 3 s for the time of SIGKILL, and the process must end before that. The client gets a 504 before
-    the end, or, if its response is in progress, a reset that shows that it is incomplete.
+    count as 3 s for the time of SIGKILL, and the process must end before that. Before the end the client gets
+    a 504; if its response is in progress, it gets a reset, which shows that the response is incomplete.
     """
     monkeypatch.setattr(shutdown, "EXIT_AFTER_DEADLINE_S", 0.1 - LONGEST_DEADLINE_S)
     quote = replace(SETTINGS.classes["quote"], deadline_ns=90 * SECOND)
@@ -192,9 +192,9 @@
 def test_a_connection_whose_last_answer_began_before_sigterm_is_not_kept(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """SIGTERM comes while a response is being streamed. The response's head did not say that it is the last,
-    and the response ends after idle connections have been closed. The connection is closed after the
-    response: otherwise requests could arrive on it until the process ends.
+    """SIGTERM arrives while a response is being streamed. The response's head did not say that the response
+    is the last, and the response ends after idle connections have been closed. The connection is closed after
+    the response: otherwise requests could arrive on it until the process ends.
     """
 
     async def test() -> None:
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "ending"),  # noise: invalid bytes, which can be detected only between chunks
+    ("how", "ending"),  # noise, that is, invalid bytes, can be detected only between chunks
     [(how, ending) for how in ("told", "chunked", "1.0") for ending in ("reset", "end")]
     + [("chunked", "noise")],
 )
@@ -219,7 +219,8 @@
             lb.upstreams[0].script = [
                 b"HTTP/1.1 %d X\r\nContent-Length: 9000000\r\n\r\n" % status + LONG_BODY
             ]
-            assert (await lb.request("r1")).status == 503  # only one attempt is allowed
+            # the settings allow only one attempt for each request
+            assert (await lb.request("r1")).status == 503
             assert recorded.results() == [R.ERROR]
             await lb.upstreams[0].until(lambda: lb.upstreams[0].ended == 1)
 
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -40,8 +40,8 @@
     recorded: EventRecorder,
 ) -> None:
     """A client with a long body disconnects while the upstream's connection is being established. Reading
-    from the client is paused, so its disconnection is not reported. The kernel is queried before the request
-    would be sent, and it is not sent.
+    from the client is paused, so the client's disconnection is not reported. The kernel is queried before the
+    request would be sent, and the request is not sent.
     """
 
     async def test() -> None:
@@ -64,7 +64,7 @@
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """A client disconnects while its upstream accepts no more of the request. The last byte has not been
-    written, so the request never ran, and it is given up even if attempts may not be cancelled.
+    written, so the request never ran, and its attempt is given up even if attempts may not be cancelled.
     """
     connection_made = UpstreamConnection.connection_made
 
@@ -204,7 +204,7 @@
 def test_a_body_is_sent_to_another_upstream_only_if_none_of_it_was_written(recorded: EventRecorder) -> None:
     """An upstream refuses the connection on which a long body was to be sent: nothing was written, and the
     request goes to another upstream. A connection breaks after part of a body was written: the request can't
-    be sent again, and is rejected, as it never ran.
+    be sent again, and is rejected, as the request never ran.
     """
 
     async def test() -> None:
--- a/tests/net/test_upstreams.py
+++ b/tests/net/test_upstreams.py
@@ -20,15 +20,15 @@
         async with in_process_balancer() as lb:
             lb.upstreams[0].port = free_port()
             await lb.change_endpoints(lb.upstreams[0].row())
-            assert (await lb.request("r1", "pay", "POST")).status == 503  # rejected, as it never ran
+            assert (await lb.request("r1", "pay", "POST")).status == 503  # rejected: the request never ran
             assert recorded.results() == [R.CONNECT_FAILED]
 
     run(test())
 
 
 def test_a_handshake_that_is_never_answered_is_given_up(recorded: EventRecorder) -> None:
-    """A handshake is never answered. The attempt is given up at the limit in the settings, and the request
-    is rejected, as it never ran.
+    """A handshake is never answered. The attempt is given up at the limit in the settings, and the request is
+    rejected, as the request never ran.
     """
 
     async def test() -> None:
--- a/tests/program/test_program.py
+++ b/tests/program/test_program.py
@@ -52,7 +52,8 @@
 def test_an_invalid_configuration_ends_the_process_with_one_line_and_exit_code_2(
     tmp_path: Path, text: str | None
 ) -> None:
-    """The configuration can't be read or is invalid. The process reports it in one line, with exit code 2."""
+    """The configuration can't be read or is invalid. The process reports the error in one line and exits with
+    code 2."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -230,9 +231,9 @@
 
 
 def test_a_hot_restart_loses_no_request(tmp_path: Path) -> None:
-    """Two processes share one inherited socket during a hot restart. The new one accepts no connection until
-    it can serve; the old process gets SIGTERM while clients send request after request, on connections to
-    both processes and on new connections. Every request is answered.
+    """Two processes share one inherited socket during a hot restart. The new process accepts no connection
+    until it can serve; the old process gets SIGTERM while clients send request after request, on connections
+    to both processes and on new connections. Every request is answered.
     """
 
     async def test() -> None:
--- a/tests/program/test_serve.py
+++ b/tests/program/test_serve.py
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("mistake", [False, True])
 def test_sighup_applies_a_changed_list(tmp_path: Path, mistake: bool) -> None:
     """The file's list of upstreams changes, or the file gets a mistake. After SIGHUP a removed upstream
-    finishes its open requests and gets no new ones; a file with a mistake changes nothing.
+    finishes its open requests and gets no new requests; a file with a mistake changes nothing.
     """
 
     async def test() -> None:
--- a/tests/program/test_tenants.py
+++ b/tests/program/test_tenants.py
@@ -185,14 +185,15 @@
     async def test() -> None:
         async with shop(tmp_path, top='unknown = "deny"', begun="connect") as s:
             for name in ("ash", "nobody"):
-                assert (await s.status_and_body(name))[0] == 200  # an outage must not deny all tenants
+                # an outage of the directory must not deny all tenants
+                assert (await s.status_and_body(name))[0] == 200
 
     run(test())
 
 
 def test_a_start_that_waits_is_not_ready_until_tenants_are_read_or_the_wait_times_out(tmp_path: Path) -> None:
     """A balancer is configured to wait for its directory, which is unreachable. `/ready` fails until tenants
-    have been read or the wait has timed out; requests that arrive meanwhile are served.
+    have been read or the wait has timed out; requests that arrive before that are served.
     """
 
     async def test() -> None:
