--- a/lanelift/net/admin.py
+++ b/lanelift/net/admin.py
@@ -80,7 +80,7 @@
             caller.abort()
 
     def caller_connected(self, caller: AdminConnection) -> None:
-        """Registers a new caller; if there are too many callers, the oldest is disconnected."""
+        """Registers a new caller; if `MAX_CALLERS` are connected, the oldest is disconnected."""
         if len(self.callers) >= MAX_CALLERS:
             next(iter(self.callers)).abort()
         self.callers[caller] = None
--- a/lanelift/net/discovery.py
+++ b/lanelift/net/discovery.py
@@ -51,7 +51,7 @@
 START_TIMEOUT_S = 0.25  # without an answer after this time, a starting process serves from the cached list
 # at this number of open calls the oldest is cancelled; a working agent responds before the number is reached
 MAX_PARALLEL_CALLS = 4
-# shortest time between a response and the next call; well below the longest pause that is allowed there
+# shortest time between a response and the next call; well below the longest pause that is allowed
 MIN_CALL_INTERVAL_S = 0.02
 MAX_LIST_BYTES = 4 * 1024 * 1024
 LIST_TARGET = b"/v1/endpoints"
