--- a/lanelift/net/client_responses.py
+++ b/lanelift/net/client_responses.py
@@ -17,10 +17,10 @@
 if TYPE_CHECKING:
     from lanelift.net.frontend import Frontend
 
-# When clients use at least this fraction of the cap, a connection is closed after its answer. `MAX_FILL` is
-# for the answer to an open request, `MAX_FILL_FOR_OWN_ANSWERS` for `/ready` and for the answer to invalid
-# input. Idle connections are kept for some seconds, so with many clients they would take up the whole cap
-# while new clients wait.
+# When the number of clients is at least this fraction of the cap, a connection is closed after its answer.
+# `MAX_FILL` is for the answer to an open request, `MAX_FILL_FOR_OWN_ANSWERS` for `/ready` and for the answer
+# to invalid input. Idle connections are kept for some seconds, so with many clients they would take up the
+# whole cap while new clients wait.
 MAX_FILL_FOR_OWN_ANSWERS, MAX_FILL = 0.75, 0.9
 
 
@@ -96,7 +96,7 @@
         self._answer(status, [], f"{reason}\n".encode())
 
     def _reject_input(self, status: int, reason: str) -> None:
-        """Answers invalid input with an error, and reads no more."""
+        """Answers invalid input with an error, and reads no further input."""
         self._answer(status, [], f"{reason}\n".encode(), last=True)
 
     def _answer(self, status: int, headers: Headers, body: bytes, last: bool = False) -> None:
@@ -190,8 +190,8 @@
             self.transport.write(data)
 
     def _flush(self) -> None:
-        """Ends a response whose last byte was passed to the transport. If part of the response still waits in
-        the write buffer, the connection counts as idle only after the client has read that part.
+        """Ends a response after its last byte was passed to the transport. If part of the response still
+        waits in the write buffer, the connection counts as idle only after the client has read that part.
         """
         if self.write_paused and self.transport is not None and not self.transport.is_closing():
             # with this limit `resume_writing` is called only when the buffer is empty
--- a/lanelift/net/frontend.py
+++ b/lanelift/net/frontend.py
@@ -39,12 +39,13 @@
         self.listener.resume()
 
     def set_max_clients(self, max_clients: int) -> None:
-        """Changes the cap on clients; connections above it are closed after their answers."""
+        """Changes the cap on clients; connections in excess of the cap are closed after their answers."""
         self.table.max_clients = max_clients
         self.listener.resume()
 
     def client_lost(self, client: ClientConnection) -> None:
-        """Removes a connection that has ended, which may make room for another or complete the shutdown."""
+        """Removes a connection that has ended; this may make room for another client or complete the
+        shutdown."""
         self.table.clients.discard(client)
         self.table.leave(client)
         self.listener.resume()
--- a/lanelift/net/listener.py
+++ b/lanelift/net/listener.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 256
-ACCEPT_RETRY_S = 0.05  # the wait after an accept that failed, usually because no descriptor was free
+ACCEPT_RETRY_S = 0.05  # wait after a failed accept; the usual cause is that no descriptor is free
 
 
 class Listener:
@@ -36,12 +36,14 @@
         self.closed = False
         self._frontend = frontend
         self._loop = asyncio.get_running_loop()
-        self._setup_tasks: set[asyncio.Task[None]] = set()  # a task without a reference may be collected
+        # a task to which nothing refers may be garbage-collected
+        self._setup_tasks: set[asyncio.Task[None]] = set()
         bound_socket.setblocking(False)
         bound_socket.listen(BACKLOG)
 
     def resume(self) -> None:
-        """Resumes accepting if that is possible now. Called after each change that may make it possible."""
+        """Resumes accepting if connections can be accepted now. Called after each change that may allow
+        it."""
         frontend = self._frontend
         if self.stopping:
             # `stop_listening` accepts the rest of the backlog
@@ -56,7 +58,7 @@
             self._loop.add_reader(self.socket, self.accept)
 
     def pause(self, seconds: float | None = None) -> None:
-        """Stops accepting for the given time, or without one until the next call of `resume`."""
+        """Stops accepting for the given time; if no time is given, until the next call of `resume`."""
         paused = self.listening or self.stopping
         if self.listening:
             self.listening = False
@@ -68,9 +70,9 @@
         """Accepts the connections in the backlog, up to the cap.
 
         At the cap one connection is evicted (`ConnectionTable.evict`), and its place is used in the next loop
-        iteration. If none can be evicted yet, new connections stay in the backlog until one can be or a
-        client disconnects: each accepted connection must get an answer, so none is accepted only to be
-        dropped.
+        iteration. If no connection can be evicted yet, new connections stay in the backlog until an eviction
+        is possible or a client disconnects: each accepted connection must get an answer, so no connection is
+        accepted only to be dropped.
 
         Returns:
             Whether the backlog is known to be empty; False at the cap, where the backlog is not checked.
--- a/lanelift/reload.py
+++ b/lanelift/reload.py
@@ -11,8 +11,8 @@
 from lanelift.daemon_config import Config
 
 APPLIED_FIELDS = frozenset({"discovery", "tenants"})
-# These fields are used at the start only; a change of them needs no warning, as they may differ each time the
-# configuration is read.
+# These fields are used at the start only; a change of these fields needs no warning, as they may differ each
+# time the configuration is read.
 START_FIELDS = frozenset({"seed", "cached_endpoints"})
 
 
@@ -24,7 +24,8 @@
         self._discovery = discovery
         self._tenants = tenants
         self._read = read
-        self._requested = False  # may be set during a reload, as the file may be replaced while it is read
+        # a reload may be requested during another reload, as the file may be replaced while it is read
+        self._requested = False
         self._task: asyncio.Task[None] | None = None
 
     def reload(self) -> None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -21,7 +21,7 @@
 ENTRY_FORM = "TEST ID | COMMAND, WITH ITS SEED | WHAT WAS SEEN | #ISSUE"
 FIELDS = 4
 RUNS = 3
-RUN_S = 600  # a run that takes longer counts as failed
+RUN_S = 600  # a run of a command that takes longer than this counts as failed
 KEEP_VARIABLE = "LANELIFT_KNOWN_RED"  # if set to `run`, no test is deselected
 TEST_ID = re.compile(r"\S+\.py(::\w+)*::\w+(\[.*\])?")
 ISSUE = re.compile(r"#[1-9][0-9]*")
@@ -56,7 +56,7 @@
 
 
 def read_entries(text: str) -> list[Entry]:
-    """Returns the entries of the file, in order; empty lines and those that begin with `#` are skipped.
+    """Returns the entries of the file, in order; empty lines and lines that begin with `#` are skipped.
 
     Raises:
         MalformedEntryError: An entry is invalid, or its test is listed twice.
@@ -80,7 +80,8 @@
 
 
 class KnownRed:
-    """The pytest plugin that deselects and prints the listed tests, and rejects unknown ones.
+    """The pytest plugin that deselects and prints the listed tests, and rejects listed tests that do not
+    exist.
 
     Raises:
         pytest.UsageError: The file is malformed, or lists a missing test that this run covers.
@@ -130,7 +131,8 @@
 
 
 def is_covered(config: pytest.Config, test: str) -> bool:
-    """Returns whether this run would collect the test if it existed: only then is it reported as missing."""
+    """Returns whether this run would collect the test if the test existed: only such a test is reported as
+    missing."""
     option = config.option
     if option.ignore or option.ignore_glob or option.pyargs:
         return False
--- a/tests/net/test_handshakes.py
+++ b/tests/net/test_handshakes.py
@@ -42,7 +42,8 @@
 def test_a_late_handshake_is_recorded_and_its_connection_used(monkeypatch: pytest.MonkeyPatch) -> None:
     """An upstream's handshakes suddenly take longer than a request waits for one. If the handshake were
     cancelled when its request stops waiting, its duration would not be recorded, and the upstream would
-    never be reached. So it continues, its duration is recorded, and its connection serves the next request.
+    never be reached. So the handshake continues, its duration is recorded, and its connection serves the next
+    request.
     """
 
     async def test() -> None:
@@ -67,7 +68,8 @@
         may_connect.set()
         await asyncio.gather(*upstreams.pool.connect_tasks)
         assert upstreams.pool.handshakes.mean_s is not None and upstreams.pool.handshakes.mean_s > 0.001
-        assert len(upstreams.pool.targets[1].idle) == 1 and not upstream.seen  # nothing was sent on it
+        # nothing was sent on this connection
+        assert len(upstreams.pool.targets[1].idle) == 1 and not upstream.seen
         upstreams.start_attempt(1, request, None, lambda result, *_: results.put_nowait(result))
         assert await results.get() is AttemptResult.OK
         assert upstreams.pool.open_connections == 1
@@ -78,20 +80,21 @@
 
 
 def test_an_unanswered_handshake_is_given_up_long_before_the_limit() -> None:
-    """A handshake is not answered, while earlier ones took milliseconds. Its request goes to another
+    """A handshake is not answered, while earlier handshakes took milliseconds. Its request goes to another
     upstream long before the limit in the settings.
     """
 
     async def test() -> None:
         upstreams = Upstreams(replace(SETTINGS.limits, connect_timeout_ns=60_000_000_000), 8, ())
-        upstreams.pool.handshakes.record(0.001)  # an earlier handshake
+        upstreams.pool.handshakes.record(0.001)  # the duration of an earlier handshake
         ended = asyncio.get_running_loop().create_future()
         with unresponsive_listener() as address:
             upstreams.pool.update_endpoints([ResolvedEndpoint(Endpoint(1), *address)], True)
             upstreams.start_attempt(
                 1, b"GET / HTTP/1.1\r\n\r\n", None, lambda result, *_: ended.set_result(result)
             )
-            assert await asyncio.wait_for(ended, LIMIT_S) is AttemptResult.CONNECT_FAILED  # it never ran
+            # the request never ran
+            assert await asyncio.wait_for(ended, LIMIT_S) is AttemptResult.CONNECT_FAILED
         upstreams.close()
 
     run(test())
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -67,7 +67,7 @@
             client.send("r1", X_Deadline_Ms=250)
             await steps.write(OK + b"Content-Length: 200000\r\n\r\n" + LONG_BODY[:100_000])
             await recorded.until(lambda: recorded.of(ResponseStarted))
-            await asyncio.sleep(0.4)  # past the deadline and OVERDUE_S
+            await asyncio.sleep(0.4)  # longer than the deadline plus OVERDUE_S
             await steps.write(LONG_BODY[100_000:200_000])
             assert (await read_response(client))[1] == LONG_BODY[:200_000]
             assert recorded.results() == [R.OK]
@@ -87,7 +87,7 @@
     async def test() -> None:
         async with in_process_balancer() as lb:
             lb.upstreams[0].script = [response_with_length(LONG_BODY), chunked_response(LONG_BODY)]
-            assert (await lb.request("r1")).status == 503  # its length is stated
+            assert (await lb.request("r1")).status == 503  # the response states its length
             client = await lb.client()
             client.send("r2")
             with suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -235,7 +235,7 @@
     recorded: EventRecorder,
 ) -> None:
     """A client disconnects during a response that never ends, where attempts may not be cancelled. The
-    upstream's connection is of no more use, and is closed.
+    upstream's connection has no further use, and is closed.
     """
 
     async def test() -> None:
--- a/tests/net/test_retries.py
+++ b/tests/net/test_retries.py
@@ -42,7 +42,7 @@
 COMPLETE_RESPONSE = answer(200, b"late")
 
 
-NEVER_RAN, MAY_HAVE_RUN = True, False  # whether it is certain that the request never ran
+NEVER_RAN, MAY_HAVE_RUN = True, False  # whether an attempt that ends in this way certainly never ran
 
 
 async def write_and_reset(link: Connection, data: bytes) -> None:
@@ -159,17 +159,18 @@
 def test_a_refused_attempt_is_retried_at_another_upstream(
     monkeypatch: pytest.MonkeyPatch, effect: Idempotency
 ) -> None:
-    """Two of three upstreams refuse connections. Nothing of a request was written to them, so a request of
-    any class is retried until it reaches the third, and each client is served.
+    """Two of three upstreams refuse connections. Nothing of a request was written to these two, so a request
+    of any class is retried until it reaches the third upstream, and each client is served.
     """
     # On a busy machine the handshake of a good upstream may take more than 30 ms.
     monkeypatch.setattr(handshakes, "MIN_HANDSHAKE_TIMEOUT_S", 1.0)
 
     async def test() -> None:
-        limits = replace(LIMITS, max_attempts=50)  # both ejections may end during a pause of the machine
+        # the ejections of both upstreams may end while the machine pauses
+        limits = replace(LIMITS, max_attempts=50)
         async with in_process_balancer(3, settings=replace(SETTINGS, classes=CLASSES, limits=limits)) as lb:
             for upstream in lb.upstreams[:2]:
-                upstream.stop()  # its port refuses connections from now on
+                upstream.stop()  # the upstream's port refuses connections from now on
             method, body = ("GET", b"") if effect is SAFE else ("POST", b"x")
             for number in range(8):
                 got = await lb.request(f"r{number}", effect.value, method, body)
@@ -195,7 +196,8 @@
             exchanges = [o for o in gc.get_objects() if isinstance(o, Exchange) and b"r1" in o.request]
             assert len(exchanges) == 1 and exchanges[0].timer is not None
             due = exchanges[0].timer.when()
-            upstream.links[0].write(answer(200, b"there"))  # into the kernel's buffer; the loop is blocked
+            # the data stays in the kernel's buffer, as the loop is blocked
+            upstream.links[0].write(answer(200, b"there"))
             while loop.time() < due + 10 * MS / SECOND:
                 pass
             assert (await client.answer()).body == b"there"
--- a/tests/net/test_upload_breaks.py
+++ b/tests/net/test_upload_breaks.py
@@ -40,8 +40,8 @@
     recorded: EventRecorder,
 ) -> None:
     """A client with a long body disconnects while the upstream's connection is being established. Reading
-    from the client is paused, so its disconnection is not reported. The kernel is queried before the request
-    would be sent, and it is not sent.
+    from the client is paused, so the client's disconnection is not reported. The kernel is queried before the
+    request would be sent, and the request is not sent.
     """
 
     async def test() -> None:
@@ -64,7 +64,7 @@
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
     """A client disconnects while its upstream accepts no more of the request. The last byte has not been
-    written, so the request never ran, and it is given up even if attempts may not be cancelled.
+    written, so the request never ran, and its attempt is given up even if attempts may not be cancelled.
     """
     connection_made = UpstreamConnection.connection_made
 
@@ -194,23 +194,25 @@
                 ended.cancel()
             # The client's and the server's buffers may grow to 4 MB each; between them are the balancer's.
             assert sent < 2 * 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2_000_000
-            assert recorded.results() == [R.CONNECT_FAILED]  # the last byte was not written, so it never ran
+            # the last byte was not written, so the request never ran
+            assert recorded.results() == [R.CONNECT_FAILED]
             assert recorded.of(AttemptFinished)[0].body_consumed
 
     run(test())
 
 
 def test_a_body_is_sent_to_another_upstream_only_if_none_of_it_was_written(recorded: EventRecorder) -> None:
-    """An upstream refuses the connection for a long body: nothing was written, and the request goes to
-    another upstream. A connection breaks when part of a body was written: the request can't be sent again,
-    and it is rejected, as it never ran.
+    """An upstream refuses the connection on which a long body was to be sent: nothing was written, and the
+    request goes to another upstream. A connection breaks after part of a body was written: the request can't
+    be sent again, and is rejected, as the request never ran.
     """
 
     async def test() -> None:
         async with in_process_balancer(2, settings=KEYED) as lb:
-            lb.upstreams[0].stop()  # its port refuses connections
+            lb.upstreams[0].stop()  # the upstream's port refuses connections
             number = 0
-            while R.CONNECT_FAILED not in recorded.results():  # until the stopped upstream was picked
+            # sends requests until the balancer picks the stopped upstream
+            while R.CONNECT_FAILED not in recorded.results():
                 number += 1
                 got = await lb.request(f"r{number}", "book", "POST", LONG_BODY, Idempotency_Key=f"k{number}")
                 assert (got.status, got.body) == (200, b"s-1")
@@ -224,7 +226,7 @@
             links = lb.upstreams[1].links
             while not any(
                 link.partial_request is not None for link in links
-            ):  # polled, as no event reports that part of a request has come
+            ):  # polled, as no event reports that an upstream received part of a request
                 await asyncio.sleep(0.001)
             before = len(recorded.results())
             next(link for link in links if link.partial_request is not None).abort()
--- a/tests/program/test_end.py
+++ b/tests/program/test_end.py
@@ -11,7 +11,8 @@
 from tests.program.test_program import config, connect, listen_address, program
 
 DEADLINE_S = 0.6
-ACCEPT_WHILE_DRAINING_S = 0.4  # how long clients connect after SIGTERM; they use connections up to SIGKILL
+# how long clients open connections after SIGTERM; they use open connections until SIGKILL
+ACCEPT_WHILE_DRAINING_S = 0.4
 KILL_S = DEADLINE_S + 0.7
 SETTINGS = {
     "profiles": [
@@ -74,7 +75,7 @@
 
 
 def test_from_sigterm_to_its_end_every_request_is_answered(tmp_path: Path) -> None:
-    """SIGTERM comes while clients send request after request, on old and new connections, and half of the
+    """SIGTERM arrives while clients send request after request, on old and new connections, and half of the
     upstreams hang from that moment on. Each request is answered, no non-idempotent request runs twice, and
     the process has ended when SIGKILL would come.
     """
--- a/tests/program/test_serve.py
+++ b/tests/program/test_serve.py
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("mistake", [False, True])
 def test_sighup_applies_a_changed_list(tmp_path: Path, mistake: bool) -> None:
     """The file's list of upstreams changes, or the file gets a mistake. After SIGHUP a removed upstream
-    finishes its open requests and gets no new ones; a file with a mistake changes nothing.
+    finishes its open requests and gets no new requests; a file with a mistake changes nothing.
     """
 
     async def test() -> None:
@@ -106,7 +106,7 @@
 
 def test_a_change_of_the_kind_of_source_needs_a_restart(tmp_path: Path) -> None:
     """The file is changed to name a discovery server in place of a list of upstreams. A running balancer does
-    not apply that: the change is logged, and the old list stays in use.
+    not apply this change: it logs the change, and the old list stays in use.
     """
 
     async def test() -> None:
