--- a/lanelift/faults/activity_log.py
+++ b/lanelift/faults/activity_log.py
@@ -81,7 +81,7 @@
     Args:
         path: The file to log to; lines are appended.
         duration_s: How long to act.
-        ignores_sigterm: Whether to continue after SIGTERM.
+        ignores_sigterm: Whether the task continues to act after SIGTERM.
 
     Returns:
         The exit code, 0.
@@ -109,7 +109,7 @@
 
 
 def _intervals_of(path: Path) -> list[HoldInterval]:
-    """Returns one file's intervals, one for each token in it."""
+    """Returns the intervals of one file, one interval for each token."""
     actions: dict[int, list[tuple[str, int, int]]] = {}
     for line in path.read_text().splitlines(keepends=True):
         parts = line.split()
--- a/lanelift/faults/process_cluster.py
+++ b/lanelift/faults/process_cluster.py
@@ -59,7 +59,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process still runs, as far as asyncio has been notified."""
+        """Whether the process still runs; its end may not have been reported to asyncio yet."""
         return self.process.returncode is None
 
 
--- a/lanelift/faults/random_schedule.py
+++ b/lanelift/faults/random_schedule.py
@@ -1,7 +1,7 @@
 """Generates a schedule of faults from a seed. Pure.
 
 The schedule of a seed depends on the order of the random draws. The tests contain digests of the traces of
-many seeds, which have to be recorded again if a draw is added, removed or moved.
+many seeds; these digests have to be recorded again if a draw is added, removed or moved.
 """
 
 from __future__ import annotations
@@ -47,7 +47,8 @@
     RandomFault.ASK,
 )
 GAP_LEASES = (0.2, 1.0, 3.0)  # mean times between two faults, in lengths of a lease
-# Durations of faults, in lengths of a lease; some are close to 1, as errors show where a lease ends.
+# Durations of faults, in lengths of a lease; some are close to 1, since errors appear near the end of a
+# lease.
 DURATION_LEASES = (0.05, 0.2, 0.5, 0.95, 1.0, 1.05, 1.5, 3.0)
 # Maximum times between two restarts with another list of voters, in lengths of a lease.
 RESTART_GAP_LEASES = (0.1, 0.5, 1.5)
@@ -87,7 +88,7 @@
         contenders: How many processes compete for the lease.
         until_ms: The length of the schedule.
         lease_ms: The length of a lease.
-        drift: The fraction by which a clock runs slow or fast, unless the clock is exact.
+        drift: The fraction by which each inexact clock runs slow or fast.
         plans: Whether the list of voters changes during the schedule.
     """
     rng = random.Random(seed)
@@ -111,8 +112,8 @@
 def _with_voter_changes(rng: random.Random, schedule: Schedule, lease_ms: int) -> Schedule:
     """Returns the same schedule with changes of the list of voters.
 
-    Each change adds or removes one voter or more. The nodes are restarted in any order; some may keep the
-    former list, and a later change may return to it.
+    Each change adds or removes one or more voters. The nodes are restarted in any order; some may keep the
+    former list, and a later change may return to the former list.
     """
     members = schedule.voters
     new = f"{chr(ord(members[-1]) + 1)}"
--- a/lanelift/faults/schedule.py
+++ b/lanelift/faults/schedule.py
@@ -53,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One fault, or the end of one.
+    """One step of a schedule: a fault, or the end of a fault.
 
     Attributes:
         at_ms: The time of the step, in milliseconds from the start.
         what: A `StepKind`; any word until the step is checked.
         who: The node that the step affects, or the sending end of a link.
-        whom: The receiving end of a link; empty for all other nodes.
+        whom: The receiving end of a link; empty if the step does not affect a link.
         ms: A time, or the number of a list of voters; see `StepKind`.
         part: A fraction of 1; see `StepKind`.
     """
@@ -165,7 +165,8 @@
     try:
         schedule = msgspec.json.decode(data, type=Schedule)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ScheduleError(str(error)) from None  # the message names the place; the traceback adds nothing
+        # the message names the place of the error; the traceback would add nothing
+        raise ScheduleError(str(error)) from None
     names = {*schedule.voters, *schedule.contenders, *(name for plan in schedule.plans for name in plan)}
     for number, step in enumerate(schedule.steps):
         _check_step(f"steps[{number}]", step, names)
--- a/lanelift/faults/simulation.py
+++ b/lanelift/faults/simulation.py
@@ -21,7 +21,8 @@
 LATENCY_NS = (100_000, 3 * MS)  # range of a message's latency without faults
 # Maximum delay of a repeated message, which may arrive while another proposer holds the lease.
 MAX_COPY_DELAY_NS = 600 * MS
-MAX_INBOX_MESSAGES = 256  # messages queued for a stopped node, as in a socket's buffer; further ones are lost
+# Limits the messages queued for a stopped node, as in a socket's buffer; further messages are lost.
+MAX_INBOX_MESSAGES = 256
 MAX_CLOCK_START_NS = 10**15
 
 Outgoing = list[tuple[Any, Any]]
@@ -103,7 +104,7 @@
         messages: How many messages were sent so far.
         plan_of: The number of the list of voters for each node's next start, by the node's name.
         slots: The state of each node, by name.
-        links: The state of each direction that a step has changed, by sender and recipient.
+        links: The state of each link direction that a step has changed, by sender and recipient.
         trace: A line for each event, or None if no trace is kept.
     """
 
@@ -147,7 +148,7 @@
     # For subclasses and tests.
 
     def play(self) -> None:
-        """Runs all events until the schedule ends, by time; simultaneous ones in the order of scheduling."""
+        """Runs events by time until the schedule ends; simultaneous events run in the order of scheduling."""
         until_ns = self.schedule.until_ms * MS
         while self._events and self._events[0][0] <= until_ns:
             self.now, _, callback, arguments = heapq.heappop(self._events)
@@ -155,7 +156,7 @@
             self.after_event()
 
     def call_at(self, when_ns: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Schedules a call at a true time, as an event."""
+        """Schedules a function call as an event at a true time."""
         self._event_count += 1
         heapq.heappush(self._events, (when_ns, self._event_count, callback, arguments))
 
--- a/lanelift/fleet/cluster.py
+++ b/lanelift/fleet/cluster.py
@@ -10,8 +10,11 @@
 from dataclasses import dataclass
 
 MS = 1_000_000  # nanoseconds in a millisecond
-MAX_DRIFT = 0.1  # a larger error means a broken clock; real clocks stay under 0.0005 even while slewed
-RENEWALS_PER_VALIDITY = 4  # renewals until the stop margin of a lease begins; three of them may be lost
+# Upper limit of `LeaseTiming.drift`: a larger error means a broken clock; real clocks stay under 0.0005 even
+# while slewed.
+MAX_DRIFT = 0.1
+# Number of renewals before the stop margin of a lease begins; three of these may be lost.
+RENEWALS_PER_VALIDITY = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +62,7 @@
 
     @property
     def restart_quiet_ns(self) -> int:
-        """How long a restarted voter, which may have forgotten its votes, does not vote, on its clock.
+        """How long, on its clock, a restarted voter does not vote, as it may have forgotten its votes.
 
         Any request that the voter had accepted was sent before the voter forgot its votes, so the lease that
         the request gave ends before the quiet period does, by the inequality shown for `validity_ns`.
@@ -78,12 +81,12 @@
 
     @property
     def waiter_expiry_ns(self) -> int:
-        """How long a waiter keeps its queue position without a request; two requests may be lost."""
+        """How long a waiter that sends no request keeps its queue position; two requests may be lost."""
         return 3 * self.poll_interval_ns
 
     @property
     def queue_head_window_ns(self) -> int:
-        """How long only the first waiter may get a lease that became free; after that any proposer may.
+        """How long only the first waiter may get a lease that became free; then any proposer may get it.
 
         The time is limited: a first waiter that reaches too few voters must not block the others for ever.
         """
--- a/lanelift/fleet/codec.py
+++ b/lanelift/fleet/codec.py
@@ -40,7 +40,7 @@
 
 
 class UnknownMessageError(MessageDecodeError):
-    """A message of another version, or of a kind that this release does not know; receivers skip it.
+    """A message of another version, or of a kind that this release does not know; receivers skip the message.
 
     The reason is also "kind" if the kind is known but a field has a value that is not allowed: a later
     release may allow the value.
--- a/lanelift/fleet/messages.py
+++ b/lanelift/fleet/messages.py
@@ -16,12 +16,13 @@
 
 from msgspec import Meta, Struct
 
-MAX_NAME_CHARACTERS = 64  # length of the name of a lease, a voter or a proposer
-MAX_LEASES_PER_PAGE = 6  # leases in one `LeaseList`: as many as fit a datagram with the longest names
-# Voters in each set of `VoterStatus.former_voter_sets`. Receivers drop a status with a larger set, and its
-# sender can't finish a change of configuration (docs/operating/leases.md, known limits).
+MAX_NAME_CHARACTERS = 64  # maximum length of the name of a lease, a voter or a proposer
+# Maximum number of leases in one `LeaseList`; with the longest names, this many fit in a datagram.
+MAX_LEASES_PER_PAGE = 6
+# Maximum number of voters in each set of `VoterStatus.former_voter_sets`. Receivers drop a status with a
+# larger set, and its sender can't finish a change of configuration (docs/operating/leases.md, known limits).
 MAX_VOTERS = 64
-MAX_VOTER_SETS = 16  # sets in `VoterStatus.former_voter_sets`
+MAX_VOTER_SETS = 16  # maximum number of sets in `VoterStatus.former_voter_sets`
 
 NAME = r"^[!-~]*\Z"  # printable ASCII without spaces, which is written alike in logs, shells and datagrams
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS, pattern=NAME)]
@@ -185,7 +186,7 @@
 
 
 class VoterStatus(Struct, frozen=True, array_like=True, tag="hello"):
-    """A recovering voter's status, or another voter's reply to one (`recovery.py`).
+    """A recovering voter's status, or another voter's reply to a status (`recovery.py`).
 
     Attributes:
         voter: Id of the voter whose status this is.
@@ -194,7 +195,7 @@
         lost_state: Whether the voter knows of no ballot: it has joined its configuration, and has never been
             able to vote under any configuration (`PersistentState.lost_state`). Also true for a new voter;
             false while the voter has `former_voter_sets`.
-        ballot_ceiling: The voter has promised no ballot above this.
+        ballot_ceiling: A limit above which the voter has promised no ballot.
         is_reply: Whether this is a reply, to which no reply is sent.
         former_voter_sets: `PersistentState.former_voter_sets`.
     """
--- a/lanelift/fleet/recovery.py
+++ b/lanelift/fleet/recovery.py
@@ -28,7 +28,8 @@
 from lanelift.settings import SettingsError
 
 BALLOT_BLOCK = 1 << 16  # number of ballots by which each write of the state raises the ceiling
-MAX_FORMER_VOTER_SETS = 8  # successive changes of the voter set without this voter voting in between
+# Maximum number of successive changes of the voter set before a voter may vote again.
+MAX_FORMER_VOTER_SETS = 8
 
 
 class VoterStateError(SettingsError):
@@ -54,7 +55,8 @@
         cluster_digest: Digest of the configuration that the voter joined last, in hexadecimal.
         voters: The voters of that configuration.
         quiet_ns: The longest quiet period of all configurations whose votes may still bind the voter.
-        ballot_ceiling: The voter has promised no ballot above this, including promises that it has forgotten.
+        ballot_ceiling: A limit above which the voter has promised no ballot, not even in promises that it has
+            forgotten.
         former_voter_sets: The voters of former configurations, until this voter may vote again.
         lost_state: Whether the voter knows of no ballot: it has joined its configuration and, as far as its
             disk knows, has never been able to vote under any configuration. Also true for a new voter.
@@ -75,8 +77,8 @@
         may_vote: Whether the recovery has finished. The voter then votes from `ready_ns` on.
         ready_ns: The end of the quiet period on the voter's clock, when it starts to vote; None while that is
             unknown.
-        ballot_floor: The highest ballot that this voter, or after a loss of its state any voter, may have
-            promised.
+        ballot_floor: The highest ballot that this voter may have promised; if this voter has lost its state,
+            the highest ballot that any voter may have promised.
         pending_state: The state that the caller is to persist before it calls `state_written`; None if there
             is nothing to persist.
         persisted: The state that is on disk.
@@ -90,7 +92,7 @@
         Args:
             cluster: The configuration under which the voter was started.
             voter: The voter's id.
-            nonce: New at each start: replies to the status of an earlier start are ignored.
+            nonce: A number that is new at each start: replies to the status of an earlier start are ignored.
             persisted: The state that was on disk; None if there was none.
 
         Raises:
--- a/lanelift/fleet/state_file.py
+++ b/lanelift/fleet/state_file.py
@@ -38,7 +38,7 @@
 
 
 class StateFile:
-    """The state file of one member, `FOLDER/ID.json`. A context manager that unlocks the file at its end.
+    """The state file of one member, `FOLDER/ID.json`. A context manager that unlocks the file on exit.
 
     Attributes:
         path: Path of the file.
--- a/lanelift/fleet/transport.py
+++ b/lanelift/fleet/transport.py
@@ -11,7 +11,8 @@
 from lanelift.fleet.messages import Message
 
 Address = tuple[str, int]
-MAX_LOGGED_ADDRESSES = 64  # addresses of foreign senders; each is remembered, and logged only once
+# Maximum number of foreign senders whose addresses are remembered; each address is logged only once.
+MAX_LOGGED_ADDRESSES = 64
 
 
 class DatagramTransport(asyncio.DatagramProtocol):
@@ -60,7 +61,8 @@
             return
         try:
             data = encode(self.digest, message)
-        except ValueError:  # a status that lists many former voters with long names: treated as lost
+        except ValueError:
+            # a status that lists many former voters with long names does not fit: it is treated as lost
             self.counts["too_large"] += 1
             return
         self.counts["sent"] += 1
--- a/lanelift/leases/acceptor.py
+++ b/lanelift/leases/acceptor.py
@@ -32,8 +32,9 @@
     Verdict,
 )
 
-MAX_LEASES = 1024  # leases that a voter records at a time; each record takes about a kilobyte
-MAX_WAITERS = 64  # proposers in the queue of one lease
+# Maximum number of leases that a voter records at a time; each record takes about a kilobyte.
+MAX_LEASES = 1024
+MAX_WAITERS = 64  # maximum number of proposers in the queue of one lease
 Source = Hashable  # the address of a proposer, of a type that the caller chooses
 
 
@@ -104,8 +105,8 @@
     """One voter's votes on all leases.
 
     Attributes:
-        ballot_floor: No ballot up to this is promised.
-        ballot_ceiling: No ballot above this is promised, until `raise_ceiling` raises it.
+        ballot_floor: The highest ballot that is never promised; only higher ballots are promised.
+        ballot_ceiling: The highest ballot that may be promised, until `raise_ceiling` raises the ceiling.
         highest_promised: The highest ballot promised for any lease, or the first floor. The rejection of a
             stale ballot names this ballot, since the proposer's next ballot must exceed it after a restart
             of the voter.
@@ -298,7 +299,7 @@
     def _wait_for_others_ns(
         self, record: LeaseRecord, message: Prepare, position: int, now: int
     ) -> int | None:
-        """Returns how long other proposers have priority; None if no other proposer has."""
+        """Returns how long other proposers have priority; None if no other proposer has priority."""
         if record.reserved_for and record.reserved_for != message.proposer:
             return record.reserved_until_ns - now
         if record.promised_nonce not in (0, message.nonce) and now < record.promise_until_ns:
--- a/lanelift/leases/client.py
+++ b/lanelift/leases/client.py
@@ -28,7 +28,8 @@
 
     ACQUIRING = "seeking"
     HOLDING = "holds"
-    REJECTED = "refused"  # the client gave up, since others held the lease or came first, or too few answered
+    # the client gave up: other proposers held the lease or came first, or too few voters answered
+    REJECTED = "refused"
     LOST = "lost"  # the client held the lease and could not renew it in time
     RELEASED = "released"
 
@@ -36,7 +37,8 @@
 class LeaseClient:
     """Acquires one lease, and renews it.
 
-    The caller calls `tick` at `due_ns` and `receive` for each response, and sends the messages they return.
+    The caller calls `tick` at `due_ns` and `receive` for each response, and sends the messages that these
+    methods return.
 
     Attributes:
         proposer: The client's proposer.
@@ -66,7 +68,7 @@
         Args:
             lease: Name of the lease.
             name: The holder's name.
-            nonce: New for each client; above 0.
+            nonce: A number above 0, new for each client.
             timing: The cluster's timings.
             voters: How many voters there are.
             rng: Source of the jitter.
@@ -125,7 +127,7 @@
             self._schedule_renewal(now)
             return []
         # Every voter notifies the first waiter. The first notification starts an attempt, which clears
-        # `rejections`, so the other voters' notifications start no further one.
+        # `rejections`, so the other voters' notifications start no further attempt.
         if response.verdict == Verdict.FREE and self._attempt_has_failed:
             self.due_ns = now
             return self.tick(now)
@@ -200,7 +202,8 @@
         if self.wait_timeout_ns == 0 and len(held) > self.voters - majority(self.voters):
             self._end(ClientState.REJECTED, self.reason)
         elif held or queued:
-            # The holder may renew, so a waiter retries at each poll interval and when the votes would end.
+            # The holder may renew, so a waiter retries at each poll interval and when the votes end if there
+            # is no renewal.
             remaining_ns = (response.remaining_ns for response in held + queued if response.remaining_ns)
             soon_ns = min(remaining_ns, default=self.timing.poll_interval_ns)
             pause_ns = min(soon_ns, self.timing.poll_interval_ns) + self.rng.randrange(jitter_range_ns)
--- a/lanelift/leases/holder.py
+++ b/lanelift/leases/holder.py
@@ -19,7 +19,9 @@
 from lanelift.leases.client import ClientState, LeaseClient
 from lanelift.leases.watchdog import NOT_HELD, SIGNAL_EXIT_CODE
 
-MAX_RELEASE_ROUNDS = 3  # sends of a release; if all are lost, other proposers wait until the lease expires
+# Maximum number of times that a release is sent; if all these messages are lost, other proposers wait until
+# the lease expires.
+MAX_RELEASE_ROUNDS = 3
 # A module name that earlier versions of the software have as well: see `warden.py`.
 WATCHDOG_MODULE = "lanelift.leases.warden"
 
@@ -79,7 +81,8 @@
         self.watchdog: asyncio.subprocess.Process | None = None
         self._until_sent_ns = 0  # the lease's end, from which the watchdog's last deadlines were computed
         self._killed_watchdog = False
-        self._command_group: int | None = None  # the command's process group, once the watchdog wrote it
+        # the command's process group, known once the watchdog has reported it
+        self._command_group: int | None = None
         self._watchdog_timer: asyncio.TimerHandle | None = (
             None  # kills a watchdog that does not end the command
         )
--- a/lanelift/leases/listing.py
+++ b/lanelift/leases/listing.py
@@ -9,7 +9,7 @@
 from lanelift.fleet.messages import LeaseList, ListLeases, Message
 from lanelift.fleet.transport import Address, DatagramTransport
 
-LISTING_TIMEOUT_FACTOR = 4  # response timeouts within which all pages must arrive
+LISTING_TIMEOUT_FACTOR = 4  # all pages must arrive within this many response timeouts
 
 
 async def list_leases(cluster: ClusterConfiguration, after: str = "") -> dict[str, list[LeaseList]]:
--- a/lanelift/leases/member.py
+++ b/lanelift/leases/member.py
@@ -25,7 +25,7 @@
 from lanelift.fleet.recovery import PersistentState, VoterRecovery
 from lanelift.leases.acceptor import Acceptor, Source
 
-STATUS_INTERVAL_IN_TIMEOUTS = 2  # response timeouts between two statuses of a recovering voter
+STATUS_INTERVAL_IN_TIMEOUTS = 2  # interval between two statuses of a recovering voter, in response timeouts
 
 
 class VotingMember:
@@ -52,7 +52,7 @@
         Args:
             cluster: The configuration under which the voter votes.
             voter: The voter's id.
-            nonce: New at each start.
+            nonce: A number that is new at each start.
             persisted: The state that was on disk; None if there was none.
             now: The voter's time in nanoseconds.
 
--- a/lanelift/leases/metrics.py
+++ b/lanelift/leases/metrics.py
@@ -10,7 +10,7 @@
 from lanelift.leases.acceptor import LeaseRecord
 from lanelift.leases.member import VotingMember
 
-MAX_LEASES_IN_METRICS = 64  # keeps a scrape small; `lease list` shows all leases
+MAX_LEASES_IN_METRICS = 64  # limits the leases in a scrape to keep it small; `lease list` shows all leases
 
 
 def render(
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -33,7 +33,7 @@
 
 PROPOSERS = range(2)
 NO_HOLDER = -1
-TOKEN_FELL = -2  # replaces the holder's number if its token is not above the highest token so far
+TOKEN_FELL = -2  # replaces the holder's number if the holder's token is not above the highest token so far
 
 
 class State(NamedTuple):
--- a/lanelift/leases/model_nodes.py
+++ b/lanelift/leases/model_nodes.py
@@ -18,7 +18,7 @@
 SLOW, EVEN, FAST = 4, 5, 6  # how far a slow, an exact and a fast clock advance per tick
 LEASE = "x"
 VOTERS = ("a", "b", "c")
-EFFECTIVE = (Verdict.PROMISED, Verdict.ACCEPTED, Verdict.STALE_BALLOT)  # responses that a proposer acts on
+EFFECTIVE = (Verdict.PROMISED, Verdict.ACCEPTED, Verdict.STALE_BALLOT)  # verdicts that a proposer acts on
 
 
 @dataclass(frozen=True, slots=True)
@@ -248,7 +248,7 @@
 
 
 def _without_ordering_times(member: VotingMember) -> VotingMember:
-    """Clears the times that decide nothing but the order of proposers."""
+    """Clears the times that affect only the order of proposers."""
     member.due_ns = None
     if member.acceptor is not None:
         for record in member.acceptor.leases.values():
--- a/lanelift/leases/node.py
+++ b/lanelift/leases/node.py
@@ -21,7 +21,8 @@
 from lanelift.leases.metrics import render
 from lanelift.leases.supervisor import FleetTask, TaskSupervisor
 
-WRITE_RETRY_S = 1.0  # pause before a failed write is retried; an operator has to clear a full disk first
+# Pause before a failed write is retried; if the disk is full, an operator has to free space first.
+WRITE_RETRY_S = 1.0
 MIN_TIMER_S = 0.001
 # The verdicts that do not count as rejections.
 NOT_REJECTED = (Verdict.ACCEPTED, Verdict.PROMISED, Verdict.RELEASED, Verdict.FREE)
@@ -219,7 +220,8 @@
     async def _write_pending(self) -> None:
         """Writes the pending state until none is left.
 
-        Each write runs in a thread: a disk may be slow, and the balancer's requests must not wait for it.
+        Each write runs in a thread: a disk may be slow, and the balancer's requests must not wait for the
+        disk.
         """
         assert self.member is not None and self.state_file is not None
         while (state := self.member.pending_state) is not None:
--- a/lanelift/leases/proposer.py
+++ b/lanelift/leases/proposer.py
@@ -11,7 +11,7 @@
 from lanelift.fleet.cluster import LeaseTiming, majority
 from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
 
-MAX_OPEN_REQUESTS = 16  # number of last requests whose responses count; older ones are forgotten
+MAX_OPEN_REQUESTS = 16  # number of latest requests whose responses count; older requests are forgotten
 
 
 class Phase(Enum):
@@ -34,7 +34,7 @@
         token: The ballot under which this proposer became the holder. Tokens rise from holder to holder; a
             holder keeps its token.
         ballot: The ballot of the proposer's requests.
-        highest_ballot_seen: The proposer only proposes ballots above this.
+        highest_ballot_seen: The highest ballot seen so far; the proposer only proposes higher ballots.
         request_id: The id of the last request.
         sent_ns: When each of the last requests was sent, by its id; at most `MAX_OPEN_REQUESTS`.
         promised_by: The voters that promised `ballot`.
@@ -49,7 +49,7 @@
         Args:
             lease: Name of the lease.
             name: The proposer's name, under which the lease is held.
-            nonce: New for each run; above 0.
+            nonce: A number above 0, new for each run.
             timing: The cluster's timings.
             voters: How many voters there are.
         """
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -308,7 +308,7 @@
         self.held_tokens = held
 
     def _written(self, node: VoterNode, state: PersistentState, incarnation: int) -> None:
-        """Ends a write. If its voter was killed during the write, the new state is kept at random."""
+        """Ends a write. If its voter was killed during the write, the new state is kept or lost at random."""
         slot = self.slots[node.name]
         alive = slot.incarnation == incarnation and slot.node is node
         if alive or (slot.node is None and slot.incarnation == incarnation and self.rng.random() < 0.5):
--- a/lanelift/leases/supervisor.py
+++ b/lanelift/leases/supervisor.py
@@ -2,7 +2,7 @@
 
 The holder keeps the lease from run to run, so that the pause between two runs applies to the whole fleet.
 When the holder dies or is cut off, the next waiter gets the lease and runs the task immediately, since no
-member knows whether the last run was completed. A task must tolerate that.
+member knows whether the last run was completed. A task must tolerate such an early run.
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
 from lanelift.leases.holder import LeaseHolder
 
 MIN_BACKOFF_S = 1.0  # first pause after a task failed, or did not get or keep its lease
-MAX_BACKOFF_S = 60.0  # limit of the pause, which doubles: without a majority, all tasks keep sending requests
+# Upper limit of the pause, which doubles each time: without a majority, all tasks keep sending requests.
+MAX_BACKOFF_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/lanelift/leases/watchdog.py
+++ b/lanelift/leases/watchdog.py
@@ -3,7 +3,7 @@
     python -m lanelift.leases.warden TERM_NS KILL_NS COMMAND...
 
 The holder starts the watchdog through `warden.py`, which runs this module. Earlier software versions have a
-module of that name too, so a holder finds one even if its own files were replaced by another version's.
+`warden` module too, so a holder finds one even if its own files were replaced by another version's.
 
 TERM_NS and KILL_NS are times of the machine's CLOCK_BOOTTIME in nanoseconds. At TERM_NS the command's process
 group is sent SIGTERM, and at KILL_NS SIGKILL, whether the lease holder is running, stopped or gone. For each
@@ -35,7 +35,7 @@
 
 NOT_HELD = 75  # EX_TEMPFAIL of sysexits.h: try again
 NO_COMMAND = 127  # the command could not be started; shells use the same code
-SIGNAL_EXIT_CODE = 128  # a signal's number is added to this, as shells do
+SIGNAL_EXIT_CODE = 128  # a signal's number is added to this exit code, as in shells
 PR_SET_PDEATHSIG = 1  # from prctl(2)
 POLL_S = 0.05  # interval at which the command is polled, as `select` can't wait for the end of a child
 MAX_READ_BYTES = 4096  # maximum size of one read from standard input
@@ -52,7 +52,8 @@
     """
     if time.clock_gettime_ns(time.CLOCK_BOOTTIME) >= term_ns:
         return NOT_HELD
-    libc = ctypes.CDLL(None, use_errno=True)  # loaded before the fork, since loading is unsafe after it
+    # the library is loaded before the fork, since loading it after the fork is unsafe
+    libc = ctypes.CDLL(None, use_errno=True)
     watchdog_pid = os.getpid()
 
     def die_with_watchdog() -> None:
--- a/lanelift/membership/detector.py
+++ b/lanelift/membership/detector.py
@@ -44,9 +44,12 @@
 from lanelift.membership.suspicion import CONFIRMATIONS_NEEDED, suspicion_timeout_ns, zone_is_partitioned
 from lanelift.membership.timing import ProbeTiming
 
-MAX_MEMBERS = 4096  # limits one member's tables; the encoding allows 16 times as many members
-INDIRECT_PROBES = 3  # other members asked to ping a target, so that one lossy path causes no suspicion
-MAX_HEALTH_PENALTY = 4  # an unhealthy member waits up to five times as long before it accuses (Lifeguard)
+# Limits the entries of one member's tables; the encoding has room for 16 times this number.
+MAX_MEMBERS = 4096
+# Number of other members that are asked to ping a target, so that one lossy path causes no suspicion.
+INDIRECT_PROBES = 3
+# An unhealthy member waits up to five times as long before it accuses another member (Lifeguard).
+MAX_HEALTH_PENALTY = 4
 MAX_PROBES_FOR_OTHERS = 64  # with this many pending probes, requests to ping for others are ignored
 ISOLATION_PERIODS = 3  # a member that received no message for this many periods counts itself as cut off
 ABSENT_STATES = (MemberState.SUSPECT, MemberState.UNREACHABLE)
@@ -176,7 +179,7 @@
         return encode(self._compose(MessageKind.UPDATES, 0, self.me, room_bytes))
 
     def leave(self) -> Outgoing:
-        """Returns messages that tell a few members that this member leaves; these inform the others."""
+        """Returns messages that tell a few members of this member's leaving; those members tell others."""
         self.left = True
         updates = (MemberUpdate(self.me, MemberState.LEFT, self.incarnation, self.me),)
         reachable = [r.number for r in self.members.values() if self.is_reachable(r.number)]
@@ -248,7 +251,7 @@
         return duration_ns * (1 + self.health_penalty)
 
     def _is_isolated(self, now: int) -> bool:
-        """Returns whether this member is cut off; it then accuses no other, as all would seem dead."""
+        """Returns whether this member is cut off; it then accuses no other member, as all would seem dead."""
         return now - self.last_received_ns > ISOLATION_PERIODS * self.timing.period_ns
 
     # Updates.
--- a/lanelift/membership/dissemination.py
+++ b/lanelift/membership/dissemination.py
@@ -25,7 +25,7 @@
     def __init__(self, member_count: int) -> None:
         self.max_transmissions = int(RETRANSMISSION_FACTOR * math.log2(member_count + 2))
         self.pending: dict[int, MemberRecord] = {}
-        self.own_announcements = 0  # remaining sends of the update that this member is alive
+        self.own_announcements = 0  # how many more times "this member is alive" is to be sent
 
     def __bool__(self) -> bool:
         return bool(self.pending or self.own_announcements)
--- a/lanelift/membership/suspicion.py
+++ b/lanelift/membership/suspicion.py
@@ -18,7 +18,9 @@
 # suspicions of its members last PARTITION_FACTOR times as long: members behind a partition are alive, and can
 # all be reached again when the partition ends.
 PARTITION_SHARE = 0.6
-PARTITION_MIN_MEMBERS = 3  # in a smaller zone, absent members do not indicate a partition
+# Minimum size of a zone that can count as partitioned: in a smaller zone, absent members do not indicate a
+# partition.
+PARTITION_MIN_MEMBERS = 3
 PARTITION_FACTOR = 3.0
 
 
