--- a/tests/faults/test_datagram_proxy.py
+++ b/tests/faults/test_datagram_proxy.py
@@ -42,13 +42,15 @@
         a, b = End(), End()
         await a.open()
         await b.open()
-        # the address of a is not known beforehand: datagrams for a go to the address from which a last sent
+        # the address of end `a` is not known beforehand: datagrams for `a` go to the address from which `a`
+        # sent its last datagram
         proxy = DatagramProxy("a", "b", {"b": b.endpoint.address}, random.Random(1))
         await proxy.open()
         address_of_a, address_of_b = proxy.address_of("a"), proxy.address_of("b")
         a.endpoint.send(b"1", address_of_b)
         await b.until(1)
-        assert b.sources == {address_of_a}  # the proxy sends from the address that b knows as a's
+        # the proxy sends from the address that end `b` knows as the address of end `a`
+        assert b.sources == {address_of_a}
         b.endpoint.send(b"2", address_of_a)
         await a.until(1)
         proxy.links["a", "b"].change(Step(0, "cut", "a", "b"))
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -15,7 +15,7 @@
 
 @given(st.integers(1, 10**13), st.floats(0, MAX_DRIFT))
 def test_a_holder_stops_before_any_voter_is_free(lease_ns: int, drift: float) -> None:
-    """In true time a lease ends before the votes for it.
+    """In true time a lease ends before the votes that gave the lease.
 
     The holder's clock is the slowest that is allowed, and the voters' clocks are the fastest.
     """
--- a/tests/fleet/test_codec.py
+++ b/tests/fleet/test_codec.py
@@ -58,7 +58,7 @@
 
 @given(st.binary(max_size=200))
 def test_bytes_that_are_not_a_message_are_rejected(data: bytes) -> None:
-    """The port may receive any datagram: bytes that are not a message raise an error of one class only."""
+    """The port may receive any datagram: decoding bytes that are not a message raises one error class."""
     with pytest.raises(MessageDecodeError):
         decode(data)
 
@@ -67,8 +67,8 @@
 def test_a_changed_byte_is_detected(message: Message, at: int, change: int) -> None:
     """A datagram is damaged by the network.
 
-    The checksum detects it. If the digest of the cluster was changed, the transport drops the message as one
-    of another cluster.
+    The checksum detects it. If the digest of the cluster was changed, the transport drops the message as a
+    message of another cluster.
     """
     data = bytearray(encode(DIGEST, message))
     at %= len(data)
--- a/tests/fleet/test_recovery.py
+++ b/tests/fleet/test_recovery.py
@@ -92,14 +92,14 @@
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
     fleet.exchange_statuses()
-    fleet.start(configuration("abc"), "a")  # needs no status of other voters
+    fleet.start(configuration("abc"), "a")  # voter a needs no status of other voters
     recovery = fleet.recoveries["a"]
     assert recovery.may_vote and recovery.ready_ns == 1000 * MS
     assert recovery.ballot_floor == BALLOT_BLOCK and fleet.state_files["a"].ballot_ceiling == 2 * BALLOT_BLOCK
 
 
 def test_a_voter_that_lost_its_state_needs_one_of_each_majority() -> None:
-    """The disk of a is lost while c and d are down.
+    """The disk of voter a is lost while voters c and d are down.
 
     a, c and d may have been a majority whose promises b and e do not know, so the statuses of b and e do not
     suffice for a to vote again. With the status of c they do, and a promises only above the highest ceiling.
@@ -156,7 +156,7 @@
 def test_a_voter_that_returns_to_a_former_configuration_waits_for_a_majority() -> None:
     """b joins the new configuration, and a relies on that join; then b is restarted under the former one.
 
-    b and c would be a majority of the former configuration again, beside a and d under the new one. b may
+    b and c would be a majority of the former configuration again, while a and d run under the new one. b may
     vote only once a majority of the new configuration has returned as well.
     """
     fleet = Fleet()
@@ -252,7 +252,8 @@
         fleet.start(configuration(voters), *who)
         fleet.exchange_statuses()
     assert not fleet.recoveries["b"].may_vote and not fleet.recoveries["c"].may_vote
-    fleet.start(configuration("bcde"), *"bcde")  # contains a majority of each former configuration
+    # these voters contain a majority of each former configuration
+    fleet.start(configuration("bcde"), *"bcde")
     fleet.exchange_statuses()
     assert set(fleet.voting()) >= set("bcde")
 
--- a/tests/fleet/test_state_file.py
+++ b/tests/fleet/test_state_file.py
@@ -57,7 +57,7 @@
 def test_two_processes_under_one_id_are_rejected(tmp_path: Path) -> None:
     """A member is started twice by mistake.
 
-    Each process would vote without knowing the other's promises, so the second one fails with an error.
+    Each process would vote without knowing the other's promises, so the second process fails with an error.
     """
     file = StateFile(tmp_path, "a")
     with pytest.raises(VoterStateError, match="another process runs as a"):
--- a/tests/leases/mistakes.py
+++ b/tests/leases/mistakes.py
@@ -140,7 +140,7 @@
 
 
 class AcceptsUnpromised(Acceptor):
-    """The acceptor accepts any proposer, whether it was promised the ballot or not."""
+    """The acceptor accepts any proposer, even one that was not promised the ballot."""
 
     def accept(self, message: Accept, now: int) -> Response:
         record = self._current_record(message.lease, now)
@@ -150,7 +150,7 @@
 
 
 class ReleasesAnyBallot(Acceptor):
-    """A release ends the present vote even if it has another ballot, as a late release does."""
+    """A release ends the present vote even if the release has another ballot, as a late release has."""
 
     def release(self, message: Release, now: int) -> list[tuple[Source | None, Response]]:
         record = self._current_record(message.lease, now)
@@ -179,7 +179,7 @@
 
 
 class PromiseCountsAsAccepted(Proposer):
-    """A restarted voter counts as bound as soon as it has promised the higher ballot, before it accepts."""
+    """A restarted voter counts as bound as soon as it has promised the higher ballot, before accepting it."""
 
     def receive(self, response: Response, now: int) -> None:
         super().receive(response, now)
--- a/tests/leases/test_acceptor.py
+++ b/tests/leases/test_acceptor.py
@@ -43,7 +43,7 @@
 def test_ballots_rise_and_a_rejection_names_the_ballot_to_exceed() -> None:
     """A proposer sends a ballot that is too low, and another one sends a ballot that was already promised.
 
-    Rule 1: both are rejected, and the rejection names the ballot that the next one must exceed.
+    Rule 1: both are rejected, and the rejection names the ballot that the proposer's next ballot must exceed.
     """
     driver = Driver()
     assert driver.prepare(1, 100).ballot == 100 and driver.prepare(1, 100).verdict == "behind"
@@ -67,7 +67,7 @@
 def test_the_longest_waiter_comes_first_and_is_notified() -> None:
     """Three proposers wait for a held lease, which is then released.
 
-    The longest waiter is notified; until that one has its turn, the others are rejected.
+    The proposer that waited longest is notified; until it has had its turn, the other proposers are rejected.
     """
     driver = Driver()
     driver.give(1, 101)
@@ -150,21 +150,24 @@
 
 
 def test_the_queue_and_the_number_of_leases_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """More proposers wait than the queue has positions, and more leases are requested than records fit.
+    """More proposers wait than the queue has positions, and more leases are requested than may be recorded.
 
-    Both are rejected. Idle leases are dropped to make room, but their ballots are never promised again.
+    The excess requests are rejected. Idle leases are dropped to make room, but their ballots are never
+    promised again.
     """
     driver = Driver()
     driver.give(1, 101)
     verdicts = [driver.prepare(n).verdict for n in range(2, MAX_WAITERS + 3)]
-    assert verdicts.count("held") == len(verdicts)  # "held" tells the proposer more than "full"
+    # the verdict "held" tells the proposer more than "full" does
+    assert verdicts.count("held") == len(verdicts)
     assert len(driver.acceptor.leases["x"].queue) == MAX_WAITERS
     monkeypatch.setattr(acceptor, "MAX_LEASES", 2)
     driver.give(9, 500, "y")
     assert driver.prepare(9, 501, "z").verdict == "full"
     driver.now += TIMING.lease_ns + TIMING.waiter_expiry_ns
-    assert driver.prepare(9, 501, "z").verdict == "promised"  # y was idle, and is dropped
-    assert driver.prepare(9, 500, "y").verdict == "behind"  # but its ballots are not promised again
+    assert driver.prepare(9, 501, "z").verdict == "promised"  # lease y was idle, and its record is dropped
+    # but the ballots of lease y are not promised again
+    assert driver.prepare(9, 500, "y").verdict == "behind"
 
 
 def test_two_hundred_leases_are_listed_page_by_page() -> None:
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -1,4 +1,4 @@
-"""The small model, explored in full, and the shortest counterexample of each planted mistake in it."""
+"""The small model, explored in full, and the shortest counterexample for each planted mistake."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 def test_a_clock_beyond_the_drift_bound_breaks_the_rules() -> None:
-    """A clock slower than the bound leads to two holders: the proof does not apply beyond its assumptions."""
+    """A clock slower than the drift bound leads to two holders: the proof does not apply to such clocks."""
     too_slow = replace(HOLDS, proposer_rates=(2, EVEN), voter_rates=(FAST, FAST, FAST))
     assert explored(too_slow).violation == "two proposers hold the lease"
     assert SLOW < EVEN < FAST
--- a/tests/leases/test_node.py
+++ b/tests/leases/test_node.py
@@ -96,7 +96,7 @@
 def test_a_full_disk_costs_the_fleet_only_one_vote(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The disk of c is full when c is restarted, and is cleared later.
+    """The disk of voter c is full when c is restarted, and space is freed later.
 
     c does not vote until it can persist its state; a and b are a majority in the meantime.
     """
@@ -120,7 +120,7 @@
         nodes["c"] = FleetNode(FleetSource(fleet, "c", tmp_path, Clock(), "json"))
         await nodes["c"].start()
         async with lease_holder(fleet, "x", "p1") as holder:
-            assert await holder.acquire()  # with the votes of a and b
+            assert await holder.acquire()  # the votes of a and b suffice
             assert not may_vote(nodes["c"])
             full[0] = False
             await until(lambda: may_vote(nodes["c"]))
@@ -149,7 +149,7 @@
 
 
 def test_the_named_successor_gets_the_lease_before_a_longer_waiter(tmp_path: Path) -> None:
-    """p2 waits longer than p3, but the holder names p3 as its successor: p3 gets the lease."""
+    """Proposer p2 waits longer than p3, but the holder names p3 as its successor: p3 gets the lease."""
 
     async def scenario(fleet: ClusterConfiguration, nodes: dict[str, FleetNode]) -> None:
         first = LeaseHolder(fleet, Clock(), "x", "p1", logger("json"), successor="p3")
@@ -241,7 +241,8 @@
             )
             assert "lanelift_lease_changes_total 1" in metrics and "lanelift_fleet_seated 1" in metrics
             earlier = nodes["a"].metrics()
-            await until(lambda: nodes["a"].metrics() != earlier)  # the holding time has changed
+            # the holding time in the metrics has changed
+            await until(lambda: nodes["a"].metrics() != earlier)
 
     with_fleet(tmp_path, scenario, "a")
 
@@ -249,8 +250,8 @@
 def test_a_command_is_ended_without_deadlines_from_its_holder(tmp_path: Path) -> None:
     """The holder is stopped from the beginning, and writes no deadline to its watchdog.
 
-    The watchdog has both deadlines as arguments: it does not start a command after the first one, and ends a
-    command at the second one.
+    The watchdog has both deadlines as arguments: it does not start a command after the first deadline, and
+    ends a command at the second deadline.
     """
     activity_log = tmp_path / "task.beats"
 
--- a/tests/leases/test_processes.py
+++ b/tests/leases/test_processes.py
@@ -153,7 +153,8 @@
 
     run_scenario(tmp_path, scenario)
     first, second = checked_intervals(tmp_path)
-    assert second.token > first.token + 10_000  # above all ballots that the members may have promised before
+    # the second token is above all ballots that the members may have promised before
+    assert second.token > first.token + 10_000
 
 
 def test_a_holder_whose_messages_are_lost_ends_in_time(tmp_path: Path) -> None:
@@ -176,7 +177,7 @@
 def test_the_checks_detect_overlaps_without_the_watchdog(tmp_path: Path) -> None:
     """The watchdog is disabled and the holder is stopped, so two tasks act at the same time.
 
-    The checks of the tasks' logs detect the overlap, so they can be trusted where they find none.
+    The checks of the tasks' logs detect the overlap, so the checks can be trusted where they find no overlap.
     """
     (tmp_path / "sitecustomize.py").write_text(WITHOUT_WATCHDOG)
     environment = {**os.environ, "PYTHONPATH": str(tmp_path)}
@@ -193,7 +194,7 @@
 
 
 def test_a_lease_is_listed_and_released_by_commands(tmp_path: Path) -> None:
-    """A lease is listed, shown and refused to another holder; SIGTERM to the holder makes it free."""
+    """A lease is listed, shown and refused to another holder; SIGTERM to the holder frees the lease."""
 
     def lanelift(*arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
@@ -206,7 +207,7 @@
 
     async def scenario(fleet: ProcessCluster) -> None:
         await start_all(fleet, "p1", arguments=("3600",))
-        for voter in fleet.voters:  # including voters that rejected p1's first ballot as too low
+        for voter in fleet.voters:  # also the voters that rejected p1's first ballot as too low
             await fleet.until("a voter is bound", lambda voter=voter: fleet.logged(voter, "lease_given"))  # type: ignore[misc]
         file = ("--config", str(fleet.file("p2")))
         listed = await asyncio.to_thread(lanelift, "lease", "list", *file)
@@ -245,7 +246,7 @@
 def test_a_holder_with_other_timings_is_ignored(tmp_path: Path, key: str) -> None:
     """A holder's file has another `lease_ms`.
 
-    The holder's messages have another digest: the members ignore these messages, and log that once.
+    The holder's messages have another digest: the members ignore these messages, and log only the first.
     """
 
     async def scenario(fleet: ProcessCluster) -> None:
@@ -262,7 +263,7 @@
 
 
 def test_a_fleet_task_moves_to_another_member_when_its_member_is_killed(tmp_path: Path) -> None:
-    """The member that runs a fleet task is killed: another one runs it, and never two at the same time."""
+    """The member that runs a fleet task is killed: another member runs it, but never two at the same time."""
 
     async def scenario(fleet: ProcessCluster) -> None:
         for voter in fleet.voters:
--- a/tests/leases/test_proposer.py
+++ b/tests/leases/test_proposer.py
@@ -19,7 +19,7 @@
         self.proposer.receive(Response("x", 7, number, voter, verdict, ballot), now)
 
     def holds_since(self, sent: int) -> None:
-        """Makes a and b promise and accept requests that were sent at this time."""
+        """Makes voters a and b promise and accept requests that were sent at this time."""
         prepare = self.proposer.prepare(sent)
         for voter in "ab":
             self.receive(voter, Verdict.PROMISED, prepare.request_id, sent)
@@ -98,7 +98,7 @@
 
 
 def test_open_requests_are_bounded() -> None:
-    """No voter responds for a long time while the proposer keeps sending; it keeps only the last requests."""
+    """No voter responds for long while the proposer keeps sending; it stores only its last requests."""
     driver = Driver()
     driver.holds_since(0)
     for now in range(100):
@@ -141,6 +141,7 @@
     accept = driver.proposer.accept(340 * MS)
     assert accept.ballot == 65_537
     driver.receive("b", Verdict.ACCEPTED, accept.request_id, 350 * MS)
-    assert driver.proposer.until_ns == 300 * MS + VALIDITY_NS  # a accepted the former ballot, b the new one
+    # voter a accepted the former ballot, and voter b the new one
+    assert driver.proposer.until_ns == 300 * MS + VALIDITY_NS
     driver.receive("c", Verdict.ACCEPTED, accept.request_id, 350 * MS)
     assert driver.proposer.until_ns == 340 * MS + VALIDITY_NS and driver.proposer.token == token
--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -49,7 +49,7 @@
     assert fenced <= late
 
 
-FOUND_BY_SCHEDULES = [  # mistakes found within 150 schedules; the model finds the others
+FOUND_BY_SCHEDULES = [  # mistakes that are found within 150 schedules; the model finds the other mistakes
     "no silence after a start",
     "the token is not kept",
     "promises while it is bound",
@@ -226,7 +226,7 @@
 def test_a_holder_keeps_its_lease_while_all_members_are_restarted_in_turn(voters: int) -> None:
     """All members are restarted in turn, at intervals longer than a lease.
 
-    Each voter accepts the holder again, under a higher ballot, before the next one is killed, so there is
+    Each voter accepts the holder again, under a higher ballot, before the next voter is killed, so there is
     only one holding.
     """
     names = "abcde"[:voters]
@@ -243,7 +243,7 @@
 
 
 class EndlessTask(LeaseSimulation):
-    """A holder whose task does not end, while the others wait."""
+    """A simulation in which the holder's task does not end, while the other proposers wait."""
 
     wait_timeouts = (None,)
     task = (100.0, 100.0)
@@ -251,13 +251,13 @@
 
 @pytest.mark.parametrize("voters", [1, 2])
 def test_a_fleet_of_one_or_two_voters_gives_no_lease_during_a_quiet_period(voters: int) -> None:
-    """The only voter, or one of two, is killed and restarted.
+    """The only voter of a fleet, or one of two voters, is killed and restarted.
 
-    No proposer gets the lease during the voter's quiet period; one gets it afterwards.
+    No proposer gets the lease during the voter's quiet period; a proposer gets the lease afterwards.
     """
     found = simulate(calm(Step(5_000, "kill", "a"), Step(6_000, "start", "a"), voters=voters), TIMING)
     assert not found.breaches
     assert not [
         h for h in found.holdings if 6_100 * MS < h[0] < 6_900 * MS
-    ]  # a is quiet, and its vote is needed
+    ]  # voter a is quiet, and its vote is needed
     assert [h for h in found.holdings if h[0] > 7_000 * MS]
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -108,7 +108,7 @@
 
 
 def test_one_way_loss_is_bridged_by_indirect_probes() -> None:
-    """Messages from member 0 to member 1 are lost, but those from 1 to 0 are not. Each still
+    """Messages from member 0 to member 1 are lost, but messages from member 1 to member 0 are not. Each still
     receives the other's acknowledgement through third members, so neither accuses the other.
     """
     simulation = simulate(Step(20_000, "cut", "0", "1"), Step(50_000, "heal", "0", "1"))
@@ -321,7 +321,7 @@
 ) -> None:
     assert callable(wrong)
     assert wrong(simulate(*steps, loss=loss, until_s=until_s, detector=planted))
-    if planted is not SkipsIndirectProbes:  # without the mistake there are suspicions too, only fewer
+    if planted is not SkipsIndirectProbes:  # without the mistake suspicions occur too, but fewer
         assert not wrong(simulate(*steps, loss=loss, until_s=until_s))
 
 
