--- a/lanelift/faults/activity_log.py
+++ b/lanelift/faults/activity_log.py
@@ -80,7 +80,7 @@
 
     Args:
         path: The file to log to; lines are appended.
-        duration_s: How long to act.
+        duration_s: How long the task acts.
         ignores_sigterm: Whether the task continues to act after SIGTERM.
 
     Returns:
--- a/lanelift/faults/random_schedule.py
+++ b/lanelift/faults/random_schedule.py
@@ -17,7 +17,7 @@
 
 
 class RandomFault(StrEnum):
-    """A kind of random fault, which results in one or more steps, including the steps that undo it."""
+    """A kind of random fault, which results in one or more steps, including the steps that undo the fault."""
 
     KILL = "kill"
     STOP = "stop"
--- a/lanelift/faults/simulation.py
+++ b/lanelift/faults/simulation.py
@@ -19,7 +19,7 @@
 
 MS = 1_000_000  # nanoseconds in a millisecond
 LATENCY_NS = (100_000, 3 * MS)  # range of a message's latency without faults
-# Maximum delay of a repeated message, which may arrive while another proposer holds the lease.
+# Maximum delay of a repeated message; the copy may arrive while another proposer holds the lease.
 MAX_COPY_DELAY_NS = 600 * MS
 # Limits the messages queued for a stopped node, as in a socket's buffer; further messages are lost.
 MAX_INBOX_MESSAGES = 256
--- a/lanelift/leases/acceptor.py
+++ b/lanelift/leases/acceptor.py
@@ -9,7 +9,7 @@
 3. The acceptor accepts only the ballot that it promised last, and only from the proposer to which this ballot
    was promised.
 4. The acceptor is bound for `lease_ns` from when it accepted. A release under another ballot does not unbind
-   it.
+the acceptor.
 
 The queue, the reservations and the expiry of a promise only decide the order of the proposers. They serve
 fairness; safety does not depend on them.
--- a/lanelift/leases/node.py
+++ b/lanelift/leases/node.py
@@ -63,7 +63,7 @@
 class FleetNode:
     """One member of the fleet: votes, if it is a voter, and runs the fleet's tasks.
 
-    A failure here costs the fleet this member's vote, and does not affect the requests of the balancer.
+    A failure here deprives the fleet of this member's vote, but does not affect the balancer's requests.
 
     Attributes:
         transport: The member's socket.
--- a/lanelift/leases/proposer.py
+++ b/lanelift/leases/proposer.py
@@ -70,7 +70,7 @@
     def until_ns(self) -> int:
         """When the lease ends, computed from the latest request that a majority accepted; 0 if there is none.
 
-        The lease counts from when that request was sent: see `LeaseTiming.validity_ns`.
+        The duration of the lease counts from when that request was sent: see `LeaseTiming.validity_ns`.
         """
         if len(self.accepted_ns) < self.majority:
             return 0
--- a/lanelift/membership/detector.py
+++ b/lanelift/membership/detector.py
@@ -48,9 +48,10 @@
 MAX_MEMBERS = 4096
 # Number of other members that are asked to ping a target, so that one lossy path causes no suspicion.
 INDIRECT_PROBES = 3
-# An unhealthy member waits up to five times as long before it accuses another member (Lifeguard).
+# Limit of the health penalty: an unhealthy member waits up to five times as long before it accuses another
+# member (Lifeguard).
 MAX_HEALTH_PENALTY = 4
-MAX_PROBES_FOR_OTHERS = 64  # with this many pending probes, requests to ping for others are ignored
+MAX_PROBES_FOR_OTHERS = 64  # while this many probes are pending, requests to ping for others are ignored
 ISOLATION_PERIODS = 3  # a member that received no message for this many periods counts itself as cut off
 ABSENT_STATES = (MemberState.SUSPECT, MemberState.UNREACHABLE)
 SEQUENCE_COUNT = 1 << 16  # sequence numbers wrap around at this number
@@ -85,9 +86,9 @@
             if number != me
         }
         self.zone_sizes = Counter(record.zone for record in self.members.values())
-        self.zone_absent: Counter[str] = Counter()  # suspected or unreachable members of each zone
+        self.zone_absent: Counter[str] = Counter()  # number of suspected or unreachable members of each zone
         self.suspects: dict[int, MemberRecord] = {}
-        self.unknown_incarnations = set(self.members)  # members without any received update
+        self.unknown_incarnations = set(self.members)  # members about which no update was received
         self.probe_order: list[int] = []  # members still to be probed in this round
         self.probes: dict[int, PendingProbe] = {}  # pending probes by sequence number
         self.sequence = 0
--- a/lanelift/membership/dissemination.py
+++ b/lanelift/membership/dissemination.py
@@ -45,7 +45,7 @@
     def take(self, capacity: int, own: MemberUpdate) -> list[MemberUpdate]:
         """Returns at most `capacity` updates for one message, the least often sent first.
 
-        `own` is the update that this member is alive; it comes first while it has to be announced.
+        `own`, the update that this member is alive, comes first while it has to be announced.
         """
         taken: list[MemberUpdate] = []
         if self.own_announcements:
--- a/lanelift/membership/records.py
+++ b/lanelift/membership/records.py
@@ -37,7 +37,7 @@
         target: The member that was pinged.
         deadline_ns: When the probe times out, on this member's clock.
         requester: The member that requested the probe, and the sequence number of its request; None if no
-            member did.
+            member requested the probe.
         indirect: Whether other members were asked to ping the target as well.
     """
 
--- a/tests/fleet/test_recovery.py
+++ b/tests/fleet/test_recovery.py
@@ -70,7 +70,7 @@
 def test_a_new_fleet_votes_once_all_voters_are_started(voters: str) -> None:
     """Up to five voters of a new fleet start one after the other: none votes before the last one has started.
 
-    No voter has any state, so each one's former state may have been lost, and a majority may have given a
+    No voter has any state, so each voter's former state may have been lost, and a majority may have given a
     lease. Only all voters together know that there was no lease.
     """
     fleet = Fleet()
@@ -165,11 +165,11 @@
     new = configuration("abd")
     fleet.start(new, *"abd")
     fleet.exchange_statuses()
-    assert set(fleet.voting()) == set("abcd")  # c alone is no longer a majority
+    assert set(fleet.voting()) == set("abcd")  # voter c alone is no longer a majority
     fleet.start(configuration("abc"), "b")
     fleet.exchange_statuses()
     assert not fleet.recoveries["b"].may_vote
-    fleet.start(configuration("abc"), "a")  # now a majority of the new configuration has returned
+    fleet.start(configuration("abc"), "a")  # a majority of the new configuration has returned
     fleet.exchange_statuses()
     assert fleet.recoveries["a"].may_vote and fleet.recoveries["b"].may_vote
 
--- a/tests/leases/mistakes.py
+++ b/tests/leases/mistakes.py
@@ -43,7 +43,7 @@
 
 
 class CountsFromResponse(Proposer):
-    """The lease counts from when the response was received, and not from when the request was sent."""
+    """The lease runs from when the response was received, and not from when the request was sent."""
 
     def receive(self, response: Response, now: int) -> None:
         if response.request_id in self.sent_ns and response.verdict == Verdict.ACCEPTED:
--- a/tests/leases/test_proposer.py
+++ b/tests/leases/test_proposer.py
@@ -30,7 +30,7 @@
 
 
 def test_the_validity_counts_from_when_the_request_was_sent() -> None:
-    """The lease counts from when the accepted request was sent, not from when responses were received."""
+    """The lease runs from when the accepted request was sent, not from when responses were received."""
     driver = Driver()
     driver.holds_since(5)
     assert driver.proposer.until_ns == 5 + VALIDITY_NS
@@ -40,8 +40,8 @@
 def test_a_response_counts_for_its_own_request() -> None:
     """A majority accepts the first request, but only one voter accepts each of the later ones.
 
-    The lease counts from the latest request that a majority has accepted. A late response does not shorten
-    it.
+    The duration of the lease counts from the latest request that a majority has accepted. A late response
+    does not shorten it.
     """
     driver = Driver()
     driver.holds_since(0)
@@ -137,7 +137,7 @@
     )
     for voter in "bc":
         driver.receive(voter, Verdict.PROMISED, prepare.request_id, 330 * MS, ballot=65_537)
-    assert driver.proposer.until_ns == VALIDITY_NS  # a promise does not bind a voter
+    assert driver.proposer.until_ns == VALIDITY_NS  # a voter that only promised is not bound
     accept = driver.proposer.accept(340 * MS)
     assert accept.ballot == 65_537
     driver.receive("b", Verdict.ACCEPTED, accept.request_id, 350 * MS)
--- a/tests/leases/test_schedules.py
+++ b/tests/leases/test_schedules.py
@@ -206,13 +206,13 @@
 def test_a_voter_that_lost_its_state_votes_again_with_the_help_of_the_others() -> None:
     """A voter is killed and its disk is lost; later another voter dies for good.
 
-    The first voter votes again by then, since the others have sent it their ballots. The two voters that are
-    left are a majority.
+    The first voter votes again by then, since the other voters have sent their ballots to it. The two voters
+    that are left are a majority.
     """
     steps = [Step(4_000, "lose", "a"), Step(4_100, "start", "a"), Step(8_000, "kill", "b")]
     found = simulate(calm(*steps), TIMING)
     assert not found.breaches
-    assert [h for h in found.holdings if h[0] > 10_000 * MS]  # a and c are a majority again
+    assert [h for h in found.holdings if h[0] > 10_000 * MS]  # voters a and c are a majority again
 
 
 def test_without_a_majority_there_is_no_holder() -> None:
