--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -133,7 +133,7 @@
 
 
 def _described(pages: list[LeaseList] | None, name: str) -> str:
-    """Returns the state of a lease as text, from one voter's response (None if there was none)."""
+    """Returns the state of a lease as text, from one voter's response (None if the voter did not respond)."""
     if pages is None:
         return "no answer"
     if pages[0].quiet_ns:
--- a/lanelift/cli/tenants.py
+++ b/lanelift/cli/tenants.py
@@ -77,7 +77,8 @@
     click.echo(f"{config.directories[number]}: {len(found)} entries{incomplete}")
     if failure and not found:
         return False
-    # The store is seeded with the present tenants, so that it holds back mass removals as a balancer's does.
+    # The store is seeded with the present tenants, so that it holds back mass removals like a balancer's
+    # store.
     notices: list[str] = []
     store = TenantStore(config.removal_part, config.confirmed, lambda _, text: notices.append(text))
     store.seed((tenant.name, tenant.denial_reason == "suspended", tenant.share) for tenant in before.values())
@@ -115,7 +116,8 @@
 
 
 def _read(config: SyncConfig, number: int) -> ReadResult:
-    # Not imported at the top: if the LDAP client is not installed, `_source` has reported that before.
+    # Not imported at the top of the module, so that `_source` can first report an LDAP client that is
+    # missing.
     from lanelift.tenants.client import DirectoryError, Session
     from lanelift.tenants.replica_reader import ReadResult, read_all
 
@@ -130,7 +132,7 @@
 
 
 def _tenants_before(source: TenantSource, against: Path | None) -> dict[str, TenantState]:
-    """Return the tenants to compare with, by name, from a file or from the settings."""
+    """Return the tenants, by name, with which a directory is compared: from a file or from the settings."""
     if against is None:
         listed = source.configured_tenants.values()
         return {tenant.name: TenantState(tenant.name, "", tenant.share, None, (), ()) for tenant in listed}
--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -21,8 +21,9 @@
 
 from lanelift.errors import LaneliftError
 
-SHOWN_CHARACTERS = 60  # limits the length of a value in a message
-MIN_SIMILARITY = 0.6  # difflib's least ratio at which a known key is suggested for an unknown one
+SHOWN_CHARACTERS = 60  # limits the characters of a value that a message shows
+# Minimum similarity (difflib's ratio) at which a message suggests a known key for an unknown key.
+MIN_SIMILARITY = 0.6
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,8 +152,8 @@
 def number(row: dict[str, Any], key: str, default: float) -> float:
     """Return a number of raw input, or the default if it is missing.
 
-    For a value of another type, the function returns NaN. Comparisons with NaN are false, so such a value,
-    which its key's own check reports, causes no second problem.
+    For a value of another type, the function returns NaN. Comparisons with NaN are false, so such a value
+    causes no second problem; the check of its key reports the value.
     """
     value = row.get(key, default)
     fits = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
@@ -193,7 +194,7 @@
         return ValidationProblem(path, "", f"unknown key; {hint}")
     if kind == "missing":
         return ValidationProblem(path, "", "missing; it must be set")
-    if kind == "value_error":  # raised by a validator, whose message says what is allowed
+    if kind == "value_error":  # the message of the validator that raised the error says what is allowed
         message = str(context.get("error", error["msg"]))
         return ValidationProblem(path, _shown(error["input"]) if path else "", message)
     return ValidationProblem(
--- a/lanelift/config/fields.py
+++ b/lanelift/config/fields.py
@@ -10,7 +10,7 @@
 from lanelift.net.addresses import split_address
 from lanelift.settings import SettingsError
 
-MAX_MS = 3_600_000  # an hour; a longer time is probably given in the wrong unit
+MAX_MS = 3_600_000  # limits a time to an hour; a longer time is probably given in the wrong unit
 
 
 def _address(text: str) -> str:
--- a/lanelift/config/fleet.py
+++ b/lanelift/config/fleet.py
@@ -17,8 +17,8 @@
     from lanelift.leases.node import FleetSource
 
 MS = 1_000_000
-# Only this module checks the limit. As each request goes to all voters, more members would cost too
-# many messages.
+# Limits the members of a fleet; only this module checks the limit. As each request goes to all voters, more
+# members would cost too many messages.
 MAX_MEMBERS = 256
 
 
--- a/lanelift/config/operator.py
+++ b/lanelift/config/operator.py
@@ -38,7 +38,8 @@
 from lanelift.tenants.names import folded
 
 NS_PER_MS = 1_000_000
-MAX_UPSTREAMS = 10_000  # each upstream has its own idle connections in the connection pool
+# Limits the listed upstreams, as each upstream has its own idle connections in the connection pool.
+MAX_UPSTREAMS = 10_000
 
 
 def _hexadecimal(text: str) -> str:
@@ -50,7 +51,7 @@
 
 
 class Serve(Table):
-    """The balancer's addresses, its limit on open sockets, and its number among the balancers."""
+    """The balancer's addresses, its limit on open sockets, and its index among the balancers."""
 
     listen: Address
     sockets: Annotated[int, Field(ge=2 * RESERVED_SOCKETS, le=1_048_576)] = DEFAULT_SOCKETS
--- a/lanelift/routes/check.py
+++ b/lanelift/routes/check.py
@@ -102,7 +102,8 @@
         self.cold = cold
         self.entries = [(entry, MatchSet.from_entry(entry)) for entry in routing.table.entries]
         self.members = {name: routing.members(pool) for name, pool in routing.pools.items()}
-        self.flow_cache: dict[str, list[Flow]] = {}  # by subject; many statements have equal subjects
+        # Cached flows by subject, as many statements have equal subjects.
+        self.flow_cache: dict[str, list[Flow]] = {}
 
     # ---- requests ----------------------------------------------------------------------------------------
 
@@ -287,7 +288,7 @@
         satisfies: Callable[[int, int], bool],
         worst: Callable[[Iterable[tuple[int, tuple[str, ...]]]], tuple[int, tuple[str, ...]]],
     ) -> Finding | None:
-        """Check the number of boxes left in each scenario's worst case; None if all satisfy the claim."""
+        """Check the number of boxes left in each scenario's worst case; return None if the claim holds."""
         for scenario in self.scenarios(statement.when):
             for flow in self.flows(statement.subject):
                 states = self._box_counts(self.routing.chain(flow.pool), scenario)
@@ -333,7 +334,9 @@
         at: int,
         down_count: int,
     ) -> Iterator[tuple[int, tuple[str, ...]]]:
-        """Yield the pairs of `_box_counts` for disjoint pools. Only the number down in each pool matters."""
+        """Yield the pairs of `_box_counts` for disjoint pools. Only the number of down boxes per pool
+        matters.
+        """
         pool, boxes = chain[at], usable[at]
         for down in range(min(down_count, len(boxes)) + 1):
             names = tuple(box.name for box in boxes[:down])
--- a/lanelift/routes/expect.py
+++ b/lanelift/routes/expect.py
@@ -23,7 +23,7 @@
 
 MAX_STATEMENTS = 5_000
 MAX_CHARACTERS = 1_000_000
-# How messages name the grammar's terminals.
+# Names of the grammar's terminals in messages.
 TERMINAL_NAMES = {
     "NAME": "a name",
     "STRING": 'a name in "quotes"',
--- a/lanelift/routes/pools.py
+++ b/lanelift/routes/pools.py
@@ -13,9 +13,11 @@
 from collections.abc import Collection, Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-MAX_POOLS = 1_000  # each pool has its own order of upstreams and queue in the decision module
-MAX_SHARES = 16  # limits the shares of one split; with more, the purpose of a share is unclear
-SUM_TOLERANCE = 1e-6  # the sum of shares may differ so much from 1, as a third is written 0.333333
+# Limits the pools, as the decision module has an order of upstreams and a queue for each pool.
+MAX_POOLS = 1_000
+MAX_SHARES = 16  # limits the shares of one split; with more shares, the purpose of each is unclear
+# The sum of shares may differ from 1 by at most this number, as a third is written 0.333333.
+SUM_TOLERANCE = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +40,7 @@
     zones: frozenset[str] = frozenset()
     kinds: frozenset[str] = frozenset()
     cells: frozenset[int] = frozenset()
-    labels: frozenset[str] = frozenset()  # a box needs at least one of them
+    labels: frozenset[str] = frozenset()  # a box must have at least one of these labels
     boxes: frozenset[str] = frozenset()  # names of boxes
     spill: str = ""
     spill_below: float = 0.0
@@ -101,7 +103,7 @@
         if bool(pool.spill) != (pool.spill_below > 0):
             yield f"pool {pool.name!r}: spill and spill_below must be set together"
         cycle = _cycle(pool, names)
-        if cycle and pool.name == min(cycle):  # so that each cycle gives one problem
+        if cycle and pool.name == min(cycle):  # so that each cycle is reported only once
             yield f"pool {pool.name!r}: spills in a cycle, {' -> '.join((*cycle, cycle[0]))}"
     for split in splits:
         if not split.shares or len(split.shares) > MAX_SHARES:
@@ -121,7 +123,7 @@
 
 
 def chain(pool: Pool, pools: Mapping[str, Pool]) -> list[Pool]:
-    """Return a pool and the pools that it spills to, in order, which must not form a cycle."""
+    """Return a pool and the pools that it spills to, in order. These pools must not form a cycle."""
     found = [pool]
     while found[-1].spill:
         found.append(pools[found[-1].spill])
--- a/lanelift/routes/routing.py
+++ b/lanelift/routes/routing.py
@@ -19,8 +19,8 @@
     """The rule, class and pool of a request. Without a matching rule, the request is answered with 404."""
 
     rule: Rule | None
-    class_name: str = ""  # "": the class that the request names
-    pool: str = ""  # "": all boxes
+    class_name: str = ""  # empty: the request itself names its class
+    pool: str = ""  # empty: the request may go to all boxes
 
 
 class Routing:
--- a/lanelift/routes/table.py
+++ b/lanelift/routes/table.py
@@ -20,9 +20,10 @@
 
 from lanelift.routes.normalization import MAX_SEGMENTS, NormalizationError, host, path
 
-MAX_RULES = 20_000  # they take some tens of megabytes; far more rules than anybody maintains by hand
-# Most combinations of the other conditions (a method; two headers and a tenant; ...) for one host and path:
-# each combination costs a lookup of its own.
+# Limits the rules of a table: this many take some tens of megabytes, and nobody maintains so many by hand.
+MAX_RULES = 20_000
+# Limits the combinations of kinds of conditions (a method; two headers and a tenant; ...) that the rules for
+# one host and path have: each combination costs a lookup of its own.
 MAX_SHAPES = 16
 
 
@@ -129,7 +130,8 @@
         return all(request.headers.get(name) == value for name, value in self.rule.headers)
 
 
-Shape = tuple[bool, tuple[str, ...], bool]  # method is set, names of the headers, tenant is set
+# Whether a method is set, the headers' names, whether a tenant is set.
+Shape = tuple[bool, tuple[str, ...], bool]
 Values = tuple[str, tuple[str, ...], str]  # the method, the values of these headers, the tenant
 
 
--- a/lanelift/tenants/client.py
+++ b/lanelift/tenants/client.py
@@ -28,8 +28,8 @@
     ADMIN_LIMIT: "an administrative limit",
 }
 PAGED_RESULTS = "1.2.840.113556.1.4.319"  # OID of the paging control (RFC 2696)
-MAX_PASSWORD_BYTES = 4096  # a longer file is refused, as it can't be a password file
-MAX_MESSAGE_CHARACTERS = 200  # limits the server's diagnostic message in an error
+MAX_PASSWORD_BYTES = 4096  # limits a password file; a longer file is refused, as it can't be a password file
+MAX_MESSAGE_CHARACTERS = 200  # limits the part of the server's diagnostic message that an error quotes
 
 Row = tuple[str, dict[str, list[bytes]]]  # a distinguished name, and the values by lower-case attribute name
 
@@ -107,7 +107,7 @@
             use_ssl=directory.tls == "ldaps",
             tls=tls,
             get_info=ldap3.NONE,
-            # ldap3 leaves this timeout on the socket, so it limits each receive, too.
+            # ldap3 leaves this timeout on the socket, so the timeout limits each receive, too.
             connect_timeout=directory.timeout_s,
         )
         password = None
--- a/lanelift/tenants/entries.py
+++ b/lanelift/tenants/entries.py
@@ -14,10 +14,10 @@
 from lanelift.tenants.names import folded
 
 Attributes = Mapping[str, Sequence[bytes]]  # values by lower-case attribute name
-MAX_CLASSES = 64  # most classes, and most limits, of one tenant; more are considered a mistake
-MAX_SHARE, MAX_LIMIT_PER_S = 1e6, 1e9  # the same bounds as in the operator's file
-MAX_VALUE_CHARACTERS = 256  # each value is a name, a word, a number or a time
-SHOWN_CHARACTERS = 40  # limits the length of an invalid value in its problem
+MAX_CLASSES = 64  # limits the classes, and the limits, of one tenant; a larger number is considered a mistake
+MAX_SHARE, MAX_LIMIT_PER_S = 1e6, 1e9  # upper bounds of a share and of a rate, as in the operator's file
+MAX_VALUE_CHARACTERS = 256  # limits the length of a value, which is a name, a word, a number or a time
+SHOWN_CHARACTERS = 40  # limits the part of an invalid value that its problem quotes
 GENERALIZED_TIME = re.compile(
     r"(\d{8})(\d\d)(?:(\d\d)(\d\d)?)?(?:[.,](\d{1,9}))?(Z|[+-]\d\d(?:\d\d)?)", re.ASCII
 )
@@ -26,7 +26,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AttributeMap:
-    """Names of the LDAP attributes to read; empty: not read. The fields are keys of the operator's file.
+    """Names of the LDAP attributes to read; an attribute whose name is empty is not read. The fields are keys
+    of the operator's file.
 
     Attributes:
         name: The tenant's name.
--- a/lanelift/tenants/notices.py
+++ b/lanelift/tenants/notices.py
@@ -6,8 +6,9 @@
 from dataclasses import dataclass, field
 
 MAX_NAME_CHARACTERS = 200  # limits the length of a name in the log
-MAX_PROBLEMS_LOGGED = 20  # single entries' problems per reading; `lanelift tenants check` lists all
-NAMES_SHOWN = 3  # limits the names from one list in the log
+# Limits the logged problems of entries per reading; `lanelift tenants check` lists all.
+MAX_PROBLEMS_LOGGED = 20
+NAMES_SHOWN = 3  # limits the names that a log message shows of one list
 ENTRY, NAME = "entry ", "name "  # prefixes of subjects, before an entry's id and a tenant's name
 
 Notify = Callable[[str, str], None]
@@ -55,7 +56,7 @@
             self.notify(level, text)
 
     def forget(self, subject: str) -> None:
-        """Forget the last message on a subject, as it does not apply any more."""
+        """Forget the last message on a subject, as the message does not apply any more."""
         self.texts.pop(subject, None)
 
     def forget_others(self, prefix: str, kept: Set[str]) -> None:
--- a/lanelift/tenants/removals.py
+++ b/lanelift/tenants/removals.py
@@ -15,8 +15,11 @@
 from lanelift.tenants.entries import Record
 
 MAX_TOMBSTONES = 10_000
-FREE_REMOVALS = 3  # allowed in any window unless no entry is left: a small directory can lose a few tenants
-WINDOW_S = 3600.0  # removals within this time are added up, to detect a tree that shrinks in small steps
+# Number of removals always allowed within a window unless no entry is left: a small directory can lose a few
+# tenants.
+FREE_REMOVALS = 3
+# Removals within this time are counted together, to detect a tree that shrinks in small steps.
+WINDOW_S = 3600.0
 
 
 @dataclass(slots=True)
--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -11,13 +11,15 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-# Wait after a round in which all directories failed, by the number of such rounds directly before it.
+# Seconds to wait after a round in which all directories failed, by the number of such rounds directly before
+# that round.
 BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 10.0)
 # Longest wait for a page of changes. Without it, a server that sends single bytes could delay a page forever,
 # as no receive would exceed its timeout.
 PAGE_TIMEOUT_S = 10.0
 OVERLAP_S = 60.0  # a search for changes begins this long before the latest stamp: replication may be late
-LARGE_OVERLAP_ENTRIES = 2000  # a larger overlap is not read again if it has changed no tenant
+# An overlap with more entries is not read again if its last reading changed no tenant.
+LARGE_OVERLAP_ENTRIES = 2000
 NO_CLOCK_US = 1 << 62  # a time of day that is later than any stamp
 MAX_INVALID_READS = 2  # after so many consecutive invalid reads of changes, a directory is only read in full
 
@@ -152,7 +154,7 @@
             self.changes.order = replace(running, until_s=now_s + self._page_timeout_s())
 
     def next_s(self) -> float | None:
-        """Return when a reading is to begin or to be given up next; None: nothing is planned."""
+        """Return the next time at which a reading begins or is given up; None if nothing is planned."""
         states = (self.full, self.changes)
         times = [state.order.until_s if state.order else state.due_s for state in states]
         return min((time_s for time_s in times if time_s is not None), default=None)
--- a/lanelift/tenants/sync_process.py
+++ b/lanelift/tenants/sync_process.py
@@ -36,10 +36,11 @@
 
 log = logging.getLogger(__name__)
 
-# Wait before the process is restarted, by the number of consecutive times that it ended without an update.
-# Normally the process does not end.
+# Seconds to wait before the process is restarted, by the number of consecutive times that the process ended
+# without an update. Normally the process does not end.
 RESTART_BACKOFF_S = (0.2, 1.0, 5.0, 30.0)
-MAX_SHARED_SETS = 4096  # size of each cache of class sets and of limits, a few of which most tenants share
+# Limits the entries of the cache of class sets, and of the cache of limits; most tenants share a few of each.
+MAX_SHARED_SETS = 4096
 LOG_LEVELS = {"info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
@@ -148,7 +149,8 @@
         try:
             while line := await process.stdout.readline():
                 self._receive(decoded(line))
-                await asyncio.sleep(0)  # one line per iteration: requests must not wait for 50,000 tenants
+                # One line per iteration: requests must not wait for 50,000 tenants' lines.
+                await asyncio.sleep(0)
         except ValueError as error:
             log.error("the reader of directories sent an invalid line: %s", error)
         finally:
--- a/lanelift/tenants/sync_worker.py
+++ b/lanelift/tenants/sync_worker.py
@@ -35,8 +35,9 @@
 from lanelift.tenants.tenant_state import Changes
 
 MAX_LOG_CHARACTERS = 1000  # limits a log message, as texts from directories may have any length
-MAX_HUNG_THREADS = 4  # the process exits once so many threads hang (in a DNS lookup)
-INTERVAL_JITTER = 0.1  # random part of an interval, so that balancers do not all search at once
+MAX_HUNG_THREADS = 4  # the process exits once this many threads hang (in a DNS lookup)
+# An interval is shortened by up to this random fraction, so that balancers do not all search at once.
+INTERVAL_JITTER = 0.1
 JOIN_TIMEOUT_S = 0.2  # longest wait for a thread to end after its connection was closed
 
 
--- a/lanelift/tenants/tenant_state.py
+++ b/lanelift/tenants/tenant_state.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Changes:
-    """Changes to be sent: the new states of tenants, and the names of removed tenants."""
+    """Changes to send to the balancer: the new states of tenants, and the names of removed tenants."""
 
     tenants: list[TenantState] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)
--- a/lanelift/tenants/validity.py
+++ b/lanelift/tenants/validity.py
@@ -7,7 +7,8 @@
 
 from lanelift.tenants.entries import Record
 
-MIN_HEAP_SLACK = 3  # a heap with at most this many outdated boundaries is not rebuilt
+# The heap is rebuilt once its length exceeds twice the length of `due` by more than this number.
+MIN_HEAP_SLACK = 3
 
 
 @dataclass(slots=True)
@@ -16,8 +17,9 @@
 
     Attributes:
         due: By tenant: when the tenant's validity next begins or ends.
-        boundaries: The same times as a heap. Outdated ones stay in the heap until it is twice as long as
-            `due`; then it is rebuilt, so that validities that change often do not fill it.
+        boundaries: The same times as a heap. Outdated times stay in the heap until the heap is longer than
+            twice `due` plus `MIN_HEAP_SLACK`; then the heap is rebuilt, so that validities that change often
+            do not fill it.
     """
 
     due: dict[str, float] = field(default_factory=dict)
@@ -43,7 +45,7 @@
         self.due.pop(name, None)
 
     def pop_due(self, now_s: float) -> set[str]:
-        """Remove the boundaries that have passed, and return their tenants."""
+        """Remove the validity boundaries whose time has passed, and return their tenants."""
         passed = set()
         while self.boundaries and self.boundaries[0][0] <= now_s:
             due_s, name = heapq.heappop(self.boundaries)
