--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -45,7 +45,7 @@
     request_ = make_request("b.a.example", "/q/r", "ash", x="1", y="2")
     rules = [stronger, weaker]
     assert found(request_, *rules) == stronger.name
-    if stronger.name != "first":  # the order in the file is the last criterion
+    if stronger.name != "first":  # the order of rules in the file is the last criterion
         assert found(request_, *reversed(rules)) == stronger.name
 
 
@@ -131,7 +131,8 @@
 def test_the_index_agrees_with_the_definition(rule_list: list[Rule], seed: int) -> None:
     table = None
     kept: list[Rule] = []
-    for i, rule in enumerate(rule_list):  # leaves out rules with the conditions of another rule
+    # Leaves out each rule whose conditions equal those of an earlier rule.
+    for i, rule in enumerate(rule_list):
         try:
             table = Table([*kept, dataclasses.replace(rule, name=f"r{i}")])
         except RouteValidationError:
--- a/tests/tenants/test_client.py
+++ b/tests/tenants/test_client.py
@@ -35,7 +35,7 @@
 
 
 def test_a_directory_that_ignores_paging() -> None:
-    """A directory ignores the paging control. All its entries are read as one page."""
+    """A directory ignores the paging control. The client reads all entries as one page."""
 
     async def test() -> None:
         directory = Directory(town("ash", "elm"), server_faults=ServerFaults(pages=False))
@@ -64,8 +64,8 @@
 
 @pytest.mark.parametrize(("tls", "context"), [("ldaps", True), ("starttls", True), ("starttls", False)])
 def test_tls_is_verified(tls: str, context: bool, tmp_path: Path) -> None:
-    """A directory has a certificate for another host, no certificate, or one of an unknown CA. It is not
-    read.
+    """A directory has a certificate for another host, no certificate, or one of an unknown CA. The client
+    does not read the directory.
     """
 
     async def test() -> None:
@@ -168,7 +168,8 @@
     """The connection is cut after each byte of the answers of two pages. Entries of whole pages are returned,
     and the read is incomplete.
     """
-    # ldap3 counts the messages of all connections of a process. From 1000 on, each number has two bytes.
+    # ldap3 counts the messages of all connections of a process. From 1000 on, each message number has two
+    # bytes.
     monkeypatch.setattr(ldap3.Server, "_message_counter", 1000)
 
     async def test() -> None:
@@ -238,8 +239,8 @@
 
 @pytest.mark.parametrize("content", [b"", b"a\nb\n", b"\xff\xfe", b"x" * 5000, None])
 def test_password_files(content: bytes | None, tmp_path: Path) -> None:
-    """A password file is empty, has two lines, is not UTF-8, is too long or is missing. It is refused. A file
-    of one line is read.
+    """A password file is empty, has two lines, is not UTF-8, is too long or is missing. The client refuses
+    such a file, and reads a file of one line.
     """
     path = tmp_path / "secret"
     if content is not None:
--- a/tests/tenants/test_removals.py
+++ b/tests/tenants/test_removals.py
@@ -18,8 +18,8 @@
 
 @pytest.mark.parametrize("left", [0, 1, 44])
 def test_too_many_removals_wait_for_confirmation(left: int) -> None:
-    """Most tenants are missing from a full read, as with a wrong base. They stay, which is logged only once,
-    and they are removed when the operator confirms the removal.
+    """Most tenants are missing from a full read, as with a wrong base. The missing tenants stay, which is
+    logged only once, and they are removed when the operator confirms the removal.
     """
     scenario = Scenario()
     scenario.full(*numbered_entries(50))
@@ -33,8 +33,8 @@
 
 
 def test_a_confirmation_is_for_one_removal_only() -> None:
-    """The operator confirms a removal, and one more tenant is missing in the next reading. This is another
-    removal, which needs its own confirmation.
+    """The operator confirms a removal, and one more tenant is missing in the next reading. The second, larger
+    removal needs its own confirmation.
     """
     scenario = Scenario()
     scenario.full(*numbered_entries(50))
--- a/tests/tenants/test_schedule.py
+++ b/tests/tenants/test_schedule.py
@@ -63,7 +63,9 @@
 
 
 def test_changes_go_on_to_the_next_directory_immediately_and_stay_there() -> None:
-    """The preferred directory fails. Changes are read from the next one without a wait, and from then on."""
+    """The preferred directory fails. Changes are read from the next directory without a wait, and from that
+    directory from then on.
+    """
     schedule = after_first_full_read(new_schedule())
     first = only(schedule.start_due(1.0, 0))
     schedule.failed(first, 4.0)
@@ -104,7 +106,7 @@
 
 
 def test_a_reading_that_takes_too_long_is_given_up() -> None:
-    """A full read does not end in time. It is given up, and its late result is ignored."""
+    """A full read does not end in time. The schedule gives up the read, and ignores its late result."""
     schedule = new_schedule()
     order = only(schedule.start_due(0.0, 0))
     assert schedule.overdue(119.9) == [] and schedule.overdue(120.0) == [order]
@@ -121,13 +123,14 @@
 
 def test_a_directory_that_finds_no_changes_by_time_gets_full_reads() -> None:
     """A directory accepts the search for changes and returns none, though it has matching entries. After the
-    second such search it is always read in full.
+    second such search the directory is always read in full.
     """
     schedule = after_first_full_read(new_schedule())
     order = only(schedule.start_due(1.0, 0))
     schedule.done(order, 1.0)
     assert not schedule.validate_changes(order, 1.0, False)
-    full_read = only(schedule.start_due(1.0, 0))  # due now, as the last change may have been a removal
+    # The full read is due now, as the last change may have been a removal.
+    full_read = only(schedule.start_due(1.0, 0))
     assert full_read.kind == ReadKind.FULL
     schedule.done(full_read, 1.1)
     order = only(schedule.start_due(2.1, 0))
@@ -169,8 +172,8 @@
 
 
 def test_a_mass_of_changes_is_read_only_twice() -> None:
-    """Thousands of entries change in one second. They are read a second time because of late replication, and
-    not again if the second read finds nothing new.
+    """Thousands of entries change in one second. The entries are read a second time because of late
+    replication, and not again if the second read finds nothing new.
     """
     schedule = after_first_full_read(new_schedule())
     for now, any_new, since in ((1.0, True, 0), (2.0, False, 0), (3.0, False, MARK_US + 1_000_000)):
--- a/tests/tenants/test_store.py
+++ b/tests/tenants/test_store.py
@@ -23,7 +23,7 @@
 
 def test_a_suspension_takes_effect_immediately_in_any_reading() -> None:
     """A full or a partial reading shows that a tenant is suspended. The tenant is denied immediately, and no
-    other tenant is.
+    other tenant is denied.
     """
     for kind in ("full", "partial"):
         scenario = Scenario()
@@ -50,8 +50,9 @@
     scenario.full(*(entry(f"t{i:03}", share=2.0) for i in range(3)))
     assert len(scenario.tenants) == 50 and scenario["t001"].share == 2.0
     assert scenario.tenants["t010"] is None and scenario.store.guard.pending  # the tenant of the settings
-    assert len(scenario.full(*numbered_entries(50)).tenants) == 50  # returned, though the state is the same
-    assert len(scenario.store.entries) == 50  # each entry has replaced a seed
+    # All are returned, though their states are unchanged.
+    assert len(scenario.full(*numbered_entries(50)).tenants) == 50
+    assert len(scenario.store.entries) == 50  # each entry has replaced a seeded tenant
 
 
 def test_an_invalid_entry_leaves_its_tenant_in_the_last_valid_state() -> None:
@@ -96,7 +97,7 @@
     """
     scenario = Scenario()
     scenario.full(entry("ash", 1, share=2.0, id="b"), entry("ash", 2, share=9.0, id="a"))
-    assert scenario["ash"].share == 2.0  # from the entry that has been unchanged for longer
+    assert scenario["ash"].share == 2.0  # the share of the entry that has been unchanged for longer
     assert sum("2 entries" in message for message in scenario.messages) == 1
     scenario.partial(entry("ash", 3, True, id="a"))
     assert scenario.denial_reason("ash") == "suspended"  # either entry can suspend the tenant
@@ -125,8 +126,8 @@
 
 
 def test_an_entry_on_two_pages_counts_once() -> None:
-    """An entry changes while the pages are read, and is on two of them. It counts once, with the later
-    state.
+    """An entry changes while the pages are read, and is on two of the pages. The entry counts once, with the
+    later state.
     """
     scenario = Scenario()
     scenario.full(entry("ash"), entry("ash"))
--- a/tests/tenants/test_sync_worker.py
+++ b/tests/tenants/test_sync_worker.py
@@ -58,8 +58,8 @@
 
 
 def test_an_empty_tree_does_not_count_as_the_first_reading() -> None:
-    """The first full read finds no entry. It does not count as the first reading, which would make every
-    tenant unknown.
+    """The first full read finds no entry. The read does not count as the first reading: if it did, every
+    tenant would become unknown.
     """
 
     async def test() -> None:
@@ -75,8 +75,8 @@
 
 @pytest.mark.parametrize("failure", ["stop", "silent", "garbage", "cut", "busy"])
 def test_a_suspension_is_read_from_the_next_directory(failure: str) -> None:
-    """The preferred directory stops, is silent, sends invalid bytes, breaks off or is busy. A suspension in
-    its replica is sent.
+    """The preferred directory stops, is silent, sends invalid bytes, breaks off a response or is busy. A
+    suspension in its replica is sent to the balancer.
     """
 
     async def test() -> None:
