--- a/lanelift/config/directories.py
+++ b/lanelift/config/directories.py
@@ -20,7 +20,7 @@
 from lanelift.tenants.names import folded
 
 _ATTRIBUTE = re.compile(r"[A-Za-z][A-Za-z0-9-]*|[0-9]+(\.[0-9]+)*")  # name or OID (RFC 4512, 2.5)
-_REMOVAL_ID = re.compile("[0-9a-f]{8}")  # the id of a pending removal, as in the log
+_REMOVAL_ID = re.compile("[0-9a-f]{8}")  # the id of a pending removal, as the log shows it
 MAX_PORT = 65_535
 
 
--- a/lanelift/routes/check.py
+++ b/lanelift/routes/check.py
@@ -47,7 +47,7 @@
     request: Request
     pools: tuple[str, ...]
     box: str = ""
-    down: tuple[str, ...] = ()  # unusable boxes, other than those listed as draining
+    down: tuple[str, ...] = ()  # unusable boxes that the file does not list as draining
     short: tuple[str, ...] = ()  # names of the pools that spill
 
     def __str__(self) -> str:
@@ -65,7 +65,7 @@
     statement: Statement
     verdict: Verdict
     reason: str = ""
-    rule: str = ""  # name of the responsible rule
+    rule: str = ""  # name of the rule that decides the verdict
     example: Example | None = None
 
     def __str__(self) -> str:
@@ -95,7 +95,7 @@
 
 
 class Checker:
-    """Checks statements against one routing. `cold` says whether boxes are cold after their start."""
+    """Checks statements against one routing. `cold`: whether boxes that have just started are cold."""
 
     def __init__(self, routing: Routing, cold: bool = True) -> None:
         self.routing = routing
@@ -477,7 +477,7 @@
             and a.target.kind == b.target.kind
             and a.target != b.target
             and a.target.kind != "label"
-        )  # a box has one zone, kind and name, and a request has one pool; a box may have several labels
+        )  # a box has only one zone, kind and name, and a request one pool; a box may have several labels
     if a.kind == "at least" and b.kind == "at most":
         return a.percent == b.percent and a.amount > b.amount
     if a.kind == "no route":
@@ -486,5 +486,5 @@
 
 
 def check_all(checker: Checker, statements: Sequence[Statement]) -> list[Finding]:
-    """Check all statements; return the findings in their order."""
+    """Check all statements; return the findings in the order of the statements."""
     return [checker.check(statement) for statement in statements]
--- a/lanelift/routes/expect.py
+++ b/lanelift/routes/expect.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The claim of a statement. `kind` is its name in the grammar; the other fields depend on the kind."""
+    """The claim of a statement. `kind` is the claim's name in the grammar; other fields depend on `kind`."""
 
     kind: str
     target: Target | None = None
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One expectation, with its line number, its text and its label (empty if it has none)."""
+    """One expectation, with its line number, its text and its label (empty without a label)."""
 
     line: int
     text: str
--- a/lanelift/routes/match_sets.py
+++ b/lanelift/routes/match_sets.py
@@ -21,7 +21,8 @@
 
 from lanelift.routes.table import Entry, Request
 
-# Reserved names. `expect.py` refuses an expectation with UNUSED_NAME, and its grammar has no UNUSED_METHOD.
+# Reserved names. `expect.py` refuses an expectation with UNUSED_NAME, and the grammar of expectations has no
+# UNUSED_METHOD.
 UNUSED_NAME = "zz--any"
 UNUSED_METHOD = "ZZ-ANY"
 
--- a/lanelift/routes/normalization.py
+++ b/lanelift/routes/normalization.py
@@ -8,9 +8,9 @@
 
 import re
 
-MAX_HOST = 253  # most characters of a host name (RFC 1035, 2.3.4)
-# Most segments of a rule's path, to limit the cost of a lookup. A longer path of a request matches only rules
-# for a prefix of this path.
+MAX_HOST = 253  # limits the characters of a host name (RFC 1035, 2.3.4)
+# Limits the segments of a rule's path, and so the cost of a lookup. A longer path of a request matches only
+# rules for a prefix of this path.
 MAX_SEGMENTS = 32
 PORTS = range(65536)
 
--- a/lanelift/routes/pools.py
+++ b/lanelift/routes/pools.py
@@ -66,11 +66,11 @@
     """A division of requests among pools. A key stays in its pool while the shares do not change."""
 
     name: str
-    shares: tuple[tuple[str, float], ...]  # pairs of a pool's name and its part of the keys
+    shares: tuple[tuple[str, float], ...]  # pairs of a pool's name and the pool's fraction of the keys
     by: str = "tenant"  # the source of the key: "tenant", "request" or "header:NAME"
 
     def pool(self, key: str) -> str:
-        """Return the pool of a key. If shares change, only keys between the old and the new bounds move."""
+        """Return the pool of a key. If shares change, only keys between old and new bounds change pools."""
         # This hash is the same in all processes, while Python's built-in hash differs between processes.
         digest = hashlib.blake2b(f"{self.name}\0{key}".encode(), digest_size=8).digest()
         point = int.from_bytes(digest, "big") / 2**64
--- a/lanelift/routes/table.py
+++ b/lanelift/routes/table.py
@@ -57,7 +57,7 @@
     host: str
     segments: tuple[str, ...]
     method: str = "GET"
-    headers: Mapping[str, str] = field(default_factory=dict)  # names in lower case
+    headers: Mapping[str, str] = field(default_factory=dict)  # values by header name in lower case
     tenant: str = ""
 
 
@@ -84,10 +84,10 @@
     """A rule with normalized patterns."""
 
     rule: Rule
-    position: int  # index in the file, from 0
-    host: str  # without `*.`
+    position: int  # index of the rule in the file, from 0
+    host: str  # the host pattern without `*.`
     wildcard: bool
-    segments: tuple[str, ...]  # a prefix has no empty last segment
+    segments: tuple[str, ...]  # a path prefix has no empty last segment
 
     @property
     def precedence(self) -> Key:
@@ -246,7 +246,7 @@
         return found.rule if found is not None else None
 
     def first_match(self, request: Request) -> Rule | None:
-        """Return the same rule by testing all rules in order. Used by tests and benchmarks."""
+        """Return the same rule as `find`, by testing all rules in order. Used by tests and benchmarks."""
         return next((entry.rule for entry in self.entries if entry.matches(request)), None)
 
 
--- a/lanelift/tenants/removals.py
+++ b/lanelift/tenants/removals.py
@@ -30,7 +30,7 @@
         removal_part: Part of all tenants, 0 to 1, that may be removed within the window without confirmation.
         confirmed: Ids of the removals that the operator has confirmed.
         recent: Time in seconds and number of tenants of each removal within the window.
-        pending: Id of the removal that waits for confirmation; empty if no removal waits.
+        pending: Id of the removal that waits for the operator's confirmation; empty if no removal waits.
     """
 
     removal_part: float = 0.1
--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -77,7 +77,7 @@
         directories: Number of directories.
         change_interval_s: Interval between two reads of changes.
         full_interval_s: Interval between two full reads.
-        full_timeout_s: A full read that takes longer is given up.
+        full_timeout_s: Longest duration of a full read; a longer one is given up.
         has_stamps: Whether the map names the attribute for the time of the last change, which a search for
             changes needs.
         now_s: When the schedule begins.
@@ -187,7 +187,7 @@
     def _full_read_done(self, order: ReadOrder, now_s: float) -> None:
         self.full.source, self.full.due_s = 0, now_s + self.full_interval_s
         if not self.has_stamps or self.invalid_reads.get(order.source, 0) >= MAX_INVALID_READS:
-            # The directory can't be searched for changes: it is read in full, at the interval of changes.
+            # The directory can't be searched for changes, so it is read in full at the interval of changes.
             self.full.due_s = now_s + self.change_interval_s
             self.changes.due_s = None
             return
@@ -196,7 +196,7 @@
             self.changes.due_s = now_s + self.change_interval_s
 
     def failed(self, order: ReadOrder, now_s: float) -> None:
-        """Record the failure of a reading: the next directory is due now; if all failed, after a backoff."""
+        """Record a reading's failure. The next directory is due now, or after a backoff if all failed."""
         state = self._end(order)
         if state is None:
             return
@@ -216,7 +216,7 @@
         Args:
             order: The reading.
             now_s: The time.
-            any_found: Whether the reading returned an entry; otherwise it is invalid.
+            any_found: Whether the reading returned an entry; otherwise the reading is invalid.
 
         Returns:
             Whether this reading was invalid, and from now on the directory is only read in full.
@@ -235,7 +235,7 @@
         """Mark a reading as ended, and return the state of its kind.
 
         Returns None for a reading that belongs to an earlier configuration, or that was given up and has
-        ended late. Its result must not end the reading that is running now.
+        ended late. The result of such a reading must not end the reading that is running now.
         """
         state = self.full if order.kind is ReadKind.FULL else self.changes
         if state.order is None or replace(state.order, until_s=order.until_s) != order:
--- a/lanelift/tenants/store.py
+++ b/lanelift/tenants/store.py
@@ -16,7 +16,7 @@
 from lanelift.tenants.tenant_state import Changes, TenantState, denial_reason
 from lanelift.tenants.validity import ValidityTimer
 
-MAX_TENANTS = 200_000  # most entries in the store; each takes about 600 bytes
+MAX_TENANTS = 200_000  # limits the entries in the store; each entry takes about 600 bytes
 SEED_SOURCE = -1  # the source of tenants that no directory has shown
 FORMER_SOURCE = -2  # the source of entries from directories of an earlier configuration
 
@@ -199,13 +199,13 @@
             return parsed.record
         accepted = self._reconciled(stored, parsed.record, source, parsed.dn)
         if accepted == stored.record:
-            # An entry of a former configuration belongs to this directory from now on.
+            # An entry whose source is not a present directory belongs to this directory from now on.
             stored.source = source if stored.source < 0 else stored.source
             return None
         return accepted
 
     def _reconciled(self, stored: StoredEntry, new: Record, source: int, dn: str) -> Record | None:
-        """Return the new record of a known entry that a directory shows; None if it does not change."""
+        """Return the new record of a known entry that a directory shows; None to keep the old record."""
         old = stored.record
         newly_suspended = new.suspended and not old.suspended
         if new.stamp_us < old.stamp_us:
@@ -219,7 +219,7 @@
             self._report_lost_attributes(old, lost, dn)
             return replace(old, suspended=True) if newly_suspended else None
         if old.suspended and not new.suspended and source != stored.source:
-            return None  # two directories differ: only the one that showed the suspension can lift it
+            return None  # two directories differ: only the directory that showed the suspension can lift it
         return new
 
     def _report_lost_attributes(self, old: Record, lost: frozenset[str], dn: str) -> None:
--- a/lanelift/tenants/sync_messages.py
+++ b/lanelift/tenants/sync_messages.py
@@ -20,7 +20,8 @@
 # limits as one more. The balancer handles one line in each iteration of its event loop. A line's last tenant
 # may exceed this number, so a line has at most 229 values of 256 characters (`entries.py`).
 MAX_BATCH_VALUES = 100
-MAX_LINE_BYTES = 2**20  # holds 229 values of 256 characters, each with up to 12 bytes in JSON
+# Limits a line; 229 values of 256 characters fit, with up to 12 bytes per character in JSON.
+MAX_LINE_BYTES = 2**20
 
 
 @dataclass(frozen=True, slots=True)
