--- a/lanelift/tenants/entries.py
+++ b/lanelift/tenants/entries.py
@@ -78,7 +78,8 @@
         limits: Requests per second by class, in the order of the classes' names.
         valid_from_s: When the tenant's validity begins; None: valid at any time before `valid_until_s`.
         valid_until_s: When the tenant's validity ends; None: never.
-        stamp_us: When the entry was last changed, in microseconds since 1970; 0: the directory does not say.
+        stamp_us: When the entry was last changed, in microseconds since 1970; 0: the directory does not give
+            this time.
         present: Mapped attributes that had a value, in lower case.
     """
 
--- a/lanelift/tenants/notices.py
+++ b/lanelift/tenants/notices.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Notices:
-    """Remembers the last message on each subject, so that the next reading does not repeat it.
+    """Remembers the last message on each subject, so that the next reading does not repeat the message.
 
     At most one subject exists for each entry read and for each tenant. The other subjects are "bound",
     "behind" and "removals".
--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -86,7 +86,7 @@
         invalid_reads: By directory: number of consecutive reads of changes that lacked an expected entry.
         mark_us: The latest stamp seen.
         marked_s: When `mark_us` was first seen.
-        reread_mark_us: The mark of a large overlap that changed no tenant when it was read again.
+        reread_mark_us: The mark of a large overlap that changed no tenant when the overlap was read again.
     """
 
     directories: int
--- a/lanelift/tenants/sync_config.py
+++ b/lanelift/tenants/sync_config.py
@@ -120,12 +120,13 @@
 
 
 def changed_since(search: Search, attribute_map: AttributeMap, since_us: int) -> Search:
-    """Return the same search, restricted to entries that changed at a given time or later.
+    """Return this search, restricted to entries that changed at a given time or later.
 
     Args:
         search: The search for all entries.
         attribute_map: Names the attribute that holds the time of an entry's last change.
-        since_us: Microseconds since 1970; the filter has them rounded down to whole seconds.
+        since_us: The time in microseconds since 1970; the filter contains the time rounded down to whole
+            seconds.
     """
     stamp = time.strftime("%Y%m%d%H%M%SZ", time.gmtime(since_us // 1_000_000))
     filter_since = f"(&{search.filter}({attribute_map.stamp}>={stamp}))"
--- a/lanelift/tenants/sync_process.py
+++ b/lanelift/tenants/sync_process.py
@@ -190,7 +190,7 @@
 
 
 def policy_tenant(state: TenantState) -> Tenant:
-    """Return a tenant's state as a tenant of the policy; equal sets of classes or limits are one object."""
+    """Return a tenant's state as a tenant of the policy; equal sets of classes or limits share an object."""
     limits = _limits(state.quota_per_s, state.limits)
     return Tenant(state.name, state.share, 0.0, state.denial_reason, _classes(state.classes), limits)
 
--- a/tests/tenants/test_removals.py
+++ b/tests/tenants/test_removals.py
@@ -139,8 +139,8 @@
 
 
 def test_tables_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A directory has more entries than can be stored, and then lacks more than there can be tombstones. Both
-    tables keep their bounds, and the first excess is logged.
+    """A directory has more entries than can be stored, and then lacks more than there can be tombstones.
+    Neither table exceeds its bound, and the first excess of entries is logged.
     """
     monkeypatch.setattr("lanelift.tenants.store.MAX_TENANTS", 5)
     monkeypatch.setattr("lanelift.tenants.removals.MAX_TOMBSTONES", 2)
--- a/tests/tenants/test_sync_worker.py
+++ b/tests/tenants/test_sync_worker.py
@@ -280,8 +280,9 @@
 
 
 def test_an_oversized_entry_affects_no_other_tenant() -> None:
-    """One entry has a class of 5 MB, one a very long name, and one 20,000 invalid limits. Each could exceed
-    the limit of a line to the balancer or of a log message. The other tenants are read, and lines stay short.
+    """One entry has a class name of 5 MB, one a very long name, and one has 20,000 invalid limits. Each could
+    exceed the limit of a line to the balancer or of a log message. The other tenants are read, and lines stay
+    short.
     """
 
     async def test() -> None:
