--- a/lanelift/routes/check.py
+++ b/lanelift/routes/check.py
@@ -47,7 +47,7 @@
     request: Request
     pools: tuple[str, ...]
     box: str = ""
-    down: tuple[str, ...] = ()  # unusable boxes, other than those listed as draining
+    down: tuple[str, ...] = ()  # unusable boxes that the file does not list as draining
     short: tuple[str, ...] = ()  # names of the pools that spill
 
     def __str__(self) -> str:
@@ -65,7 +65,7 @@
     statement: Statement
     verdict: Verdict
     reason: str = ""
-    rule: str = ""  # name of the responsible rule
+    rule: str = ""  # name of the rule that decides the verdict
     example: Example | None = None
 
     def __str__(self) -> str:
@@ -95,14 +95,15 @@
 
 
 class Checker:
-    """Checks statements against one routing. `cold` says whether boxes are cold after their start."""
+    """Checks statements against one routing. `cold`: whether boxes that have just started are cold."""
 
     def __init__(self, routing: Routing, cold: bool = True) -> None:
         self.routing = routing
         self.cold = cold
         self.entries = [(entry, MatchSet.from_entry(entry)) for entry in routing.table.entries]
         self.members = {name: routing.members(pool) for name, pool in routing.pools.items()}
-        self.flow_cache: dict[str, list[Flow]] = {}  # by subject; many statements have equal subjects
+        # Cached flows by subject, as many statements have equal subjects.
+        self.flow_cache: dict[str, list[Flow]] = {}
 
     # ---- requests ----------------------------------------------------------------------------------------
 
@@ -287,7 +288,7 @@
         satisfies: Callable[[int, int], bool],
         worst: Callable[[Iterable[tuple[int, tuple[str, ...]]]], tuple[int, tuple[str, ...]]],
     ) -> Finding | None:
-        """Check the number of boxes left in each scenario's worst case; None if all satisfy the claim."""
+        """Check the number of boxes left in each scenario's worst case; return None if the claim holds."""
         for scenario in self.scenarios(statement.when):
             for flow in self.flows(statement.subject):
                 states = self._box_counts(self.routing.chain(flow.pool), scenario)
@@ -333,7 +334,9 @@
         at: int,
         down_count: int,
     ) -> Iterator[tuple[int, tuple[str, ...]]]:
-        """Yield the pairs of `_box_counts` for disjoint pools. Only the number down in each pool matters."""
+        """Yield the pairs of `_box_counts` for disjoint pools. Only the number of down boxes per pool
+        matters.
+        """
         pool, boxes = chain[at], usable[at]
         for down in range(min(down_count, len(boxes)) + 1):
             names = tuple(box.name for box in boxes[:down])
@@ -474,7 +477,7 @@
             and a.target.kind == b.target.kind
             and a.target != b.target
             and a.target.kind != "label"
-        )  # a box has one zone, kind and name, and a request has one pool; a box may have several labels
+        )  # a box has only one zone, kind and name, and a request one pool; a box may have several labels
     if a.kind == "at least" and b.kind == "at most":
         return a.percent == b.percent and a.amount > b.amount
     if a.kind == "no route":
@@ -483,5 +486,5 @@
 
 
 def check_all(checker: Checker, statements: Sequence[Statement]) -> list[Finding]:
-    """Check all statements; return the findings in their order."""
+    """Check all statements; return the findings in the order of the statements."""
     return [checker.check(statement) for statement in statements]
--- a/lanelift/routes/table.py
+++ b/lanelift/routes/table.py
@@ -20,9 +20,10 @@
 
 from lanelift.routes.normalization import MAX_SEGMENTS, NormalizationError, host, path
 
-MAX_RULES = 20_000  # they take some tens of megabytes; far more rules than anybody maintains by hand
-# Most combinations of the other conditions (a method; two headers and a tenant; ...) for one host and path:
-# each combination costs a lookup of its own.
+# Limits the rules of a table: this many take some tens of megabytes, and nobody maintains so many by hand.
+MAX_RULES = 20_000
+# Limits the combinations of kinds of conditions (a method; two headers and a tenant; ...) that the rules for
+# one host and path have: each combination costs a lookup of its own.
 MAX_SHAPES = 16
 
 
@@ -56,7 +57,7 @@
     host: str
     segments: tuple[str, ...]
     method: str = "GET"
-    headers: Mapping[str, str] = field(default_factory=dict)  # names in lower case
+    headers: Mapping[str, str] = field(default_factory=dict)  # values by header name in lower case
     tenant: str = ""
 
 
@@ -83,10 +84,10 @@
     """A rule with normalized patterns."""
 
     rule: Rule
-    position: int  # index in the file, from 0
-    host: str  # without `*.`
+    position: int  # index of the rule in the file, from 0
+    host: str  # the host pattern without `*.`
     wildcard: bool
-    segments: tuple[str, ...]  # a prefix has no empty last segment
+    segments: tuple[str, ...]  # a path prefix has no empty last segment
 
     @property
     def precedence(self) -> Key:
@@ -129,7 +130,8 @@
         return all(request.headers.get(name) == value for name, value in self.rule.headers)
 
 
-Shape = tuple[bool, tuple[str, ...], bool]  # method is set, names of the headers, tenant is set
+# Whether a method is set, the headers' names, whether a tenant is set.
+Shape = tuple[bool, tuple[str, ...], bool]
 Values = tuple[str, tuple[str, ...], str]  # the method, the values of these headers, the tenant
 
 
@@ -244,7 +246,7 @@
         return found.rule if found is not None else None
 
     def first_match(self, request: Request) -> Rule | None:
-        """Return the same rule by testing all rules in order. Used by tests and benchmarks."""
+        """Return the same rule as `find`, by testing all rules in order. Used by tests and benchmarks."""
         return next((entry.rule for entry in self.entries if entry.matches(request)), None)
 
 
--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -11,13 +11,15 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-# Wait after a round in which all directories failed, by the number of such rounds directly before it.
+# Seconds to wait after a round in which all directories failed, by the number of such rounds directly before
+# that round.
 BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 10.0)
 # Longest wait for a page of changes. Without it, a server that sends single bytes could delay a page forever,
 # as no receive would exceed its timeout.
 PAGE_TIMEOUT_S = 10.0
 OVERLAP_S = 60.0  # a search for changes begins this long before the latest stamp: replication may be late
-LARGE_OVERLAP_ENTRIES = 2000  # a larger overlap is not read again if it has changed no tenant
+# An overlap with more entries is not read again if its last reading changed no tenant.
+LARGE_OVERLAP_ENTRIES = 2000
 NO_CLOCK_US = 1 << 62  # a time of day that is later than any stamp
 MAX_INVALID_READS = 2  # after so many consecutive invalid reads of changes, a directory is only read in full
 
@@ -75,7 +77,7 @@
         directories: Number of directories.
         change_interval_s: Interval between two reads of changes.
         full_interval_s: Interval between two full reads.
-        full_timeout_s: A full read that takes longer is given up.
+        full_timeout_s: Longest duration of a full read; a longer one is given up.
         has_stamps: Whether the map names the attribute for the time of the last change, which a search for
             changes needs.
         now_s: When the schedule begins.
@@ -84,7 +86,7 @@
         invalid_reads: By directory: number of consecutive reads of changes that lacked an expected entry.
         mark_us: The latest stamp seen.
         marked_s: When `mark_us` was first seen.
-        reread_mark_us: The mark of a large overlap that changed no tenant when it was read again.
+        reread_mark_us: The mark of a large overlap that changed no tenant when the overlap was read again.
     """
 
     directories: int
@@ -152,7 +154,7 @@
             self.changes.order = replace(running, until_s=now_s + self._page_timeout_s())
 
     def next_s(self) -> float | None:
-        """Return when a reading is to begin or to be given up next; None: nothing is planned."""
+        """Return the next time at which a reading begins or is given up; None if nothing is planned."""
         states = (self.full, self.changes)
         times = [state.order.until_s if state.order else state.due_s for state in states]
         return min((time_s for time_s in times if time_s is not None), default=None)
@@ -185,7 +187,7 @@
     def _full_read_done(self, order: ReadOrder, now_s: float) -> None:
         self.full.source, self.full.due_s = 0, now_s + self.full_interval_s
         if not self.has_stamps or self.invalid_reads.get(order.source, 0) >= MAX_INVALID_READS:
-            # The directory can't be searched for changes: it is read in full, at the interval of changes.
+            # The directory can't be searched for changes, so it is read in full at the interval of changes.
             self.full.due_s = now_s + self.change_interval_s
             self.changes.due_s = None
             return
@@ -194,7 +196,7 @@
             self.changes.due_s = now_s + self.change_interval_s
 
     def failed(self, order: ReadOrder, now_s: float) -> None:
-        """Record the failure of a reading: the next directory is due now; if all failed, after a backoff."""
+        """Record a reading's failure. The next directory is due now, or after a backoff if all failed."""
         state = self._end(order)
         if state is None:
             return
@@ -214,7 +216,7 @@
         Args:
             order: The reading.
             now_s: The time.
-            any_found: Whether the reading returned an entry; otherwise it is invalid.
+            any_found: Whether the reading returned an entry; otherwise the reading is invalid.
 
         Returns:
             Whether this reading was invalid, and from now on the directory is only read in full.
@@ -233,7 +235,7 @@
         """Mark a reading as ended, and return the state of its kind.
 
         Returns None for a reading that belongs to an earlier configuration, or that was given up and has
-        ended late. Its result must not end the reading that is running now.
+        ended late. The result of such a reading must not end the reading that is running now.
         """
         state = self.full if order.kind is ReadKind.FULL else self.changes
         if state.order is None or replace(state.order, until_s=order.until_s) != order:
