--- a/lanelift/rehearsal/balancer_supervisor.py
+++ b/lanelift/rehearsal/balancer_supervisor.py
@@ -27,13 +27,14 @@
 from lanelift.standins.seeded_random import keyed_digest
 
 READY_TIMEOUT_S = 30.0  # a balancer has failed if it takes longer to become ready (DEPLOY, 'Limits')
-READY_POLL_S = 0.02  # between two polls of /ready, since a balancer does not announce its readiness
-SAMPLE_INTERVAL_S = 0.5  # between two samples of the resource usage
-# SIGKILL follows SIGTERM after the longest deadline of a class plus this time (PROTOCOL, 'Figures').
+READY_POLL_S = 0.02  # time between two polls of /ready, since a balancer does not announce its readiness
+SAMPLE_INTERVAL_S = 0.5  # time between two samples of the resource usage
+# SIGKILL follows SIGTERM after this time plus the longest of the classes' deadlines (PROTOCOL, 'Figures').
 TERMINATION_GRACE_S = 0.7
 SERVE_CODE = "from lanelift.cli.main import main; main()"  # runs `lanelift` with the interpreter of the kit
 PR_SET_PDEATHSIG = 1
-LIBC = ctypes.CDLL(None)  # loaded before any fork, since nothing may be loaded between fork and exec
+# The C library is loaded before any fork, since nothing may be loaded between fork and exec.
+LIBC = ctypes.CDLL(None)
 
 
 def _kill_with_parent() -> None:
@@ -47,7 +48,7 @@
 
     process: asyncio.subprocess.Process
     started_ns: int
-    expected_end: str = ""  # how the kit ends the process: kill, term or finish; "" until then
+    expected_end: str = ""  # how the kit ends the process: kill, term or finish; "" until the kit ends it
     psutil_process: psutil.Process | None = None
 
 
--- a/lanelift/rehearsal/client.py
+++ b/lanelift/rehearsal/client.py
@@ -49,7 +49,7 @@
         self.body = bytearray()
         self.retry_after_s = 0.0
         self.started = self.complete = self.closed = False
-        self.unexpected_data = False  # whether bytes arrived that belong to no expected answer
+        self.unexpected_data = False  # whether bytes have arrived that are not part of an expected answer
         self.keep_alive = True
         self.last_try_id = ""  # the id of the most recent try
         self.idle_since = 0.0
@@ -165,7 +165,7 @@
         self.idle: list[list[Connection]] = [[] for _ in front.addresses]
         self.tries: list[Try] = []
         self.start_delays_ns: list[int] = []  # for each first try, how long after its due time it was started
-        self.counts: Counter[str] = Counter()  # for the progress line
+        self.counts: Counter[str] = Counter()  # counts for the progress line
         self.offered = 0  # the combined digests of all first tries and their due times
         # Counts the connections that could not be opened because the kit had no descriptor or port left.
         self.connect_shortages = 0
@@ -341,7 +341,7 @@
     def _release(self, balancer: int, connection: Connection) -> None:
         if connection.unexpected_data:
             self._record_unexpected_data(balancer, connection)
-            connection.unexpected_data = False  # so that the data is not recorded again
+            connection.unexpected_data = False  # cleared, so that the unexpected data is not recorded again
         if connection.keep_alive and not connection.closed:
             connection.idle_since = asyncio.get_running_loop().time()
             self.idle[balancer].append(connection)
@@ -360,7 +360,7 @@
                 )
         except (TimeoutError, ConnectionError):
             return None
-        except OSError:  # no descriptor or port left: a shortage of the kit, not a fault of the balancer
+        except OSError:  # the kit has no descriptor or port left, which is not a fault of the balancer
             self.connect_shortages += 1
             return None
         return connection
--- a/lanelift/rehearsal/directory_worker.py
+++ b/lanelift/rehearsal/directory_worker.py
@@ -14,8 +14,9 @@
 from lanelift.standins.ldap import Code, ServerFaults, Tree
 
 GARBAGE = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n"
-TRICKLE_S = 1.0  # between two bytes of an answer
-CUT_AFTER = 200  # bytes of search answers before a cut, which falls within the first or second entry
+TRICKLE_S = 1.0  # time between two bytes of an answer
+# The connection is cut after this many bytes of search answers, within the first or second entry.
+CUT_AFTER = 200
 
 
 def tenant_dn(name: str) -> str:
--- a/lanelift/rehearsal/generator.py
+++ b/lanelift/rehearsal/generator.py
@@ -27,7 +27,7 @@
         await self.clients.run(start_ns)
 
     async def command(self, message: Json) -> None:
-        """Tells the front, after a delay, that a balancer is alive or that it is not."""
+        """Tells the front, after a delay, whether a balancer is alive."""
         if message["do"] == "front":
             loop = asyncio.get_running_loop()
             loop.call_later(message["in_s"], self._set_alive, message["balancer"], message["alive"])
--- a/lanelift/rehearsal/html_report.py
+++ b/lanelift/rehearsal/html_report.py
@@ -39,7 +39,7 @@
     "left": ("client left", "#BBBBBB"),
 }
 FAULT_COLOUR = "#CC79A7"
-WIDTH = 10.5  # of each chart, in inches
+WIDTH = 10.5  # size of each chart, in inches
 STYLE = """
 body { font: 15px/1.45 system-ui, sans-serif; margin: 2rem auto; max-width: 66rem; padding: 0 1rem; color:
 #222 } h1 { font-size: 1.5rem; margin-bottom: 0 } h2 { font-size: 1.05rem; margin: 2rem 0 .3rem } p {
--- a/lanelift/rehearsal/orchestrator.py
+++ b/lanelift/rehearsal/orchestrator.py
@@ -31,16 +31,18 @@
 from lanelift.standins.seeded_random import uniform
 
 Json = dict[str, Any]
-START_DELAY_S = 0.5  # from the start command, which all processes have to receive, to the start of the day
-SETTLE_S = 0.3  # wait after the load processes are done, so that attempts in flight reach their boxes
+# The day starts this long after the start command is sent, so that all processes have received it.
+START_DELAY_S = 0.5
+SETTLE_S = 0.3  # time to wait after the load processes are done, so that attempts in flight reach their boxes
 FRONT_LEAVE_S = 0.3  # how long the front still uses a balancer that is leaving (PROTOCOL: 0.2 to 0.4 s)
 # Limits the preparation of a process. The balancers may take 30 s to start, and a large plan takes time to
 # generate.
 READY_TIMEOUT_S = 60.0
-FINISH_TIMEOUT_S = 30.0  # for writing the records; a process that takes longer is killed
-# Limits of one process: boxes, or requests per second. At either limit the process uses well under one core.
+FINISH_TIMEOUT_S = 30.0  # a process that takes longer than this to write its records is killed
+# Limits the boxes of a box process and the requests per second of a load process. At its limit, each uses
+# well under one core.
 BOXES_PER_WORKER, RATE_PER_WORKER = 22, 400
-PORT_RANGE = (20_000, 32_000)  # ports for balancers, below the ephemeral ports of the kernel
+PORT_RANGE = (20_000, 32_000)  # range of the balancers' ports, below the ephemeral ports of the kernel
 
 
 class RehearsalError(Exception):
@@ -53,9 +55,10 @@
 
     folder: Path
     command: str = ""  # the command that starts a balancer; "" for the one used in production
-    target: tuple[str, int] | None = None  # of an external balancer; if given, the kit starts no balancer
+    # Address of an external balancer; if given, the kit starts no balancer.
+    target: tuple[str, int] | None = None
     base_port: int | None = None  # the first port of boxes and discovery; None for any free ports
-    box_workers: int = 0  # 0 for as many as needed
+    box_workers: int = 0  # number of processes for boxes; 0 for as many as needed
     load_workers: int = 0
 
 
@@ -67,8 +70,10 @@
     process: asyncio.subprocess.Process
     on_message: Callable[[Json], None]
     ready: asyncio.Future[Json]
-    day_over: asyncio.Event = field(default_factory=asyncio.Event)  # also set if the process exits
-    finished: asyncio.Future[Json] | None = None  # gets the summary once the records are written
+    # Set when the process's part of the day is over, or the process exits.
+    day_over: asyncio.Event = field(default_factory=asyncio.Event)
+    # Its result is the summary, set once the records are written.
+    finished: asyncio.Future[Json] | None = None
     progress: Json = field(default_factory=dict)
     reader: asyncio.Task[None] | None = None
     failure: str = ""  # why the process could not start
@@ -110,7 +115,8 @@
         for future in (self.ready, self.finished):
             if not future.done():
                 future.set_exception(error)
-                future.exception()  # marks it as retrieved, since the future may no longer have a waiter
+                # Marks the exception as retrieved, since no task may be waiting for the future.
+                future.exception()
         self.day_over.set()
 
 
@@ -249,7 +255,7 @@
             self.progress((time.monotonic_ns() - start_ns) / 1e9, counts)
         for worker in self.load:
             if worker.finished is not None and worker.finished.done():
-                await worker.finished  # raises RehearsalError: the process exited early
+                await worker.finished  # raises RehearsalError, as the process exited early
 
     async def _finish(self, worker: WorkerProcess) -> Json:
         """Makes a process end what it runs, such as balancers, and write its records. Returns its summary."""
@@ -259,7 +265,7 @@
             return await worker.finished
 
     async def _stop_workers(self) -> None:
-        """Ends all processes: closes their standard input, and kills those that then do not exit in 5 s."""
+        """Ends all processes: closes their standard input, and kills each that has not exited after 5 s."""
         for worker in self.workers:
             if worker.process.stdin is not None:
                 worker.process.stdin.close()
@@ -280,7 +286,7 @@
         boxes = [row for name, row in finished.items() if name.startswith("boxes")]
         load = [row for name, row in finished.items() if name.startswith("load")]
         late = [row["due_late_ms"] for row in load]
-        # The kit does not know which drains an external balancer was told of.
+        # The kit does not know which drain notices an external balancer has received.
         own_balancers = self.options.target is None
         return Day(
             self.plan,
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -19,10 +19,10 @@
 
 MS = 1_000_000
 NEVER = 1 << 62
-SHARE_BURST_S = 1.0  # a tenant may use the quota of this many seconds in a burst without exceeding its share
-REPLACEMENT_DELAY_S = 0.5  # from the end of a box in a deploy to the start of its replacement
+SHARE_BURST_S = 1.0  # in a burst, a tenant's share allows the quota of this many seconds
+REPLACEMENT_DELAY_S = 0.5  # in a deploy, time from the end of a box to the start of its replacement
 BURST_INTERVAL_S = 2.0  # a bursty load changes its rate at this interval
-# How widely the cost hints of each kind vary around the true work: standard deviation divided by mean.
+# How widely the cost hints of each kind vary around the true work (standard deviation divided by mean).
 HINT_CV = {"none": 0.0, "good": 0.15, "rough": 0.6}
 
 
@@ -36,12 +36,12 @@
     tenant: str
     room: int
     work_ns: int
-    hint_us: int  # cost hint; 0 for none
+    hint_us: int  # the cost hint sent with the request, in us; 0 for no hint
     over_share: bool  # whether the request exceeds its tenant's share
     object_key: str
     try_timeout_ns: int  # the client abandons a try after this time
     max_tries: int
-    backoff_ns: int  # from the end of a try to the next try
+    backoff_ns: int  # time from the end of a try to the start of the next try
     honours_retry_after: bool  # whether the client waits for a Retry-After that is longer than the backoff
     abandon_after_ns: int  # the client abandons the request this long after the due time; 0: never
 
@@ -74,7 +74,8 @@
     at_ns: int
     action: str
     place: int
-    value: float = 0.0  # freeze: its length in ns; share: the part of the machine used by another program
+    # For freeze, its length in ns; for share, the part of the machine that another program uses.
+    value: float = 0.0
 
 
 class Notification(NamedTuple):
@@ -88,13 +89,13 @@
 
 
 class Command(NamedTuple):
-    """A command to a balancer (kill, restart or hup), or to start or end an outage of discovery (silent or
-    heard)."""
+    """A command: a signal to a balancer (kill, restart or hup), or the start (silent) or end (heard) of an
+    outage of discovery."""
 
     at_ns: int
     action: str
-    balancer: int = -1  # -1: the command is for discovery
-    back_ns: int = 0  # from the end of the balancer's process to its restart
+    balancer: int = -1  # the balancer's number; -1 if the command is for discovery
+    back_ns: int = 0  # time from the end of the balancer's process to its restart
 
 
 class SuspensionPeriod(NamedTuple):
@@ -134,7 +135,7 @@
     notifications: Sequence[Notification]
     commands: Sequence[Command]
     marks: Sequence[FaultMark]
-    capacity: float  # of the whole fleet when warm, in seconds of work per second
+    capacity: float  # capacity of the whole fleet when warm, in seconds of work per second
     suspension_periods: Sequence[SuspensionPeriod] = ()
     outages: Sequence[Outage] = ()
 
@@ -399,7 +400,7 @@
     def _choose_places(
         self, part: float, at: int, name: tuple[object, ...], include_unavailable: bool = False
     ) -> list[int]:
-        """Chooses places at random: the share `part` of all places, or fewer if too few are available. With
+        """Chooses the share `part` of all places at random, or fewer places if too few are available. With
         `include_unavailable`, places that have no box, or whose box another fault ends, are eligible too."""
         free = [p.number for p in self.places if include_unavailable or self.available_ns[p.number] <= at]
         return sorted(self._rng(name).sample(free, min(len(free), round(part * len(self.places)))))
@@ -416,7 +417,7 @@
             at += max(MS, self._duration_ns(every_s, *name, "turn", turn))
 
     def _notify(self, at: int, place: int, state: str, delay_s: tuple[float, float] | None = None) -> None:
-        """Adds a notification to each balancer, with a delay from `delay_s` or else from `notice_s`."""
+        """Adds a notification to each balancer, with a delay from `delay_s`, by default from `notice_s`."""
         instance = self.instances[place]
         delay_s = delay_s or self.scenario.discovery.notice_s
         # Half of the delay is discovery's own; the delivery to each balancer adds the other half.
--- a/lanelift/rehearsal/records.py
+++ b/lanelift/rehearsal/records.py
@@ -35,7 +35,7 @@
     id: str
     balancer: int
     began_ns: int
-    sent_ns: int  # when the last byte of the request was written; 0 if it was not
+    sent_ns: int  # when the last byte of the request was written; 0 if that byte was not written
     ended_ns: int
     deadline_ns: int  # when the client abandons the try
     result: str
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -144,7 +144,7 @@
 
 # ---- comparison ------------------------------------------------------------------------------------------
 
-# For each figure in a comparison, by name: its section and its key in the verdict.
+# The figures that `compare` uses, by name, each with its section and its key in the verdict.
 COMPARED = {
     "figure": ("worth", "figure"),
     "whole": ("worth", "whole"),
--- a/lanelift/rehearsal/scenario.py
+++ b/lanelift/rehearsal/scenario.py
@@ -28,7 +28,7 @@
 # A rehearsal runs on one machine, where each box is a listener and each balancer a process.
 MAX_BOXES, MAX_BALANCERS = 500, 64
 MAX_LENGTH_S, MAX_RATE = 3600.0, 20_000.0
-# Requests are generated in advance and kept until the verdict; each takes some hundred bytes.
+# Requests are generated in advance and kept until the verdict; each takes a few hundred bytes of memory.
 MAX_REQUESTS = 1_000_000
 
 
@@ -38,7 +38,7 @@
     return values
 
 
-# A range, which a file gives as a list of two. Strict validation would require a tuple, which TOML lacks.
+# A range, given as a list of two numbers. Strict validation would require a tuple, which TOML lacks.
 Pair = Annotated[
     tuple[Annotated[float, Field(ge=0, le=1e6)], Annotated[float, Field(ge=0, le=1e6)]],
     Field(strict=False),
@@ -181,7 +181,7 @@
 
 
 class DirectoryTable(Table):
-    """The LDAP directories that list the tenants. `more` is a number of tenants that send no requests."""
+    """The LDAP directories that list the tenants. `more` counts further tenants, without requests."""
 
     servers: Annotated[int, Field(ge=1, le=4)] = 2
     unknown: Literal["share", "deny"] = "deny"
--- a/lanelift/rehearsal/upstream_workers.py
+++ b/lanelift/rehearsal/upstream_workers.py
@@ -13,7 +13,7 @@
 from lanelift.standins.discovery import Agent, DrainNotice, Entry, start_agents
 from lanelift.standins.upstream_emulator import SocketOptions, UpstreamEmulator
 
-SAMPLE_INTERVAL_S = 0.25  # between two samples of the load of each box
+SAMPLE_INTERVAL_S = 0.25  # time between two samples of the load of each box
 
 
 def call_at(when_ns: int, call: Callable[..., object], *args: Any) -> None:
--- a/lanelift/rehearsal/verdict.py
+++ b/lanelift/rehearsal/verdict.py
@@ -18,20 +18,21 @@
 from lanelift.rehearsal.records import GRACE_NS, BoxSample, ProcessRun, ResourceSample, StandingChange, Try
 
 SECOND, MS = 1_000_000_000, 1_000_000
-WINDOW_S = 10  # length of a window; the window with the lowest share of worth is reported
+# A window of this length starts at each second; the window with the lowest share of worth is reported.
+WINDOW_S = 10
 WEIGHTS = {"whole": 0.6, "worst_window": 0.1, "worst_class": 0.2, "worst_tenant": 0.1}  # the brief, 'Score'
 # A balancer counts as notified this long after a notification was due, even if the notification never came.
 NOTIFICATION_LIMIT_NS = 6 * SECOND
-MAX_BREACHES_SHOWN = 20  # per rule; the counts include all breaches
-# The run is void if the event loops of the kit ran, or requests were started, later than this. The limits are
-# for the 99th percentile and the maximum. The aim is 264 ms: a delay of a hundredth of the aim does not show
-# in a figure that itself varies by a hundredth, but a stall of a quarter of it can make answers late.
+MAX_BREACHES_SHOWN = 20  # the report lists at most this many breaches of a rule, but counts all
+# The run is void if an event loop of the kit, or the start of requests, was later than these limits for the
+# 99th percentile and the maximum. The latency aim is 264 ms: a delay of a hundredth of the aim does not show
+# in a figure that itself varies by a hundredth, but a stall of a quarter of the aim can make answers late.
 LATE_P99_MS, STALL_MS = 5.0, 66.0
-# No request of a suspended tenant may be sent to a box later than this after the suspension began. When the
-# suspension ends, requests of the tenant must resume within this time, and they have no worth until then.
+# No request of a suspended tenant may be sent to a box later than this after the start of the suspension. The
+# tenant's requests must be served again this long after its end; until then they have no worth.
 SUSPENSION_LIMIT_S = 5.0
 
-# The kinds of outcomes mean, in this order: a 200 within the aim; a 200 after the aim; a 429 or 503; a
+# Meanings of the kinds of outcomes, in order: a 200 within the aim; a 200 after the aim; a 429 or 503; a
 # 403; any other answer; no answer; a request that the client abandoned.
 OUTCOME_KINDS = ("served", "late", "refused", "denied", "failed", "lost", "left")
 RULES = {
@@ -68,7 +69,7 @@
 
 
 class DrainNotice(NamedTuple):
-    """Records that a balancer was told that a box drains or is gone. Has the same fields as
+    """Records that a balancer was notified that a box is draining or gone. Has the same fields as
     `standins.discovery.DrainNotice`, which is not imported here because that module uses sockets and this
     module must not."""
 
@@ -90,9 +91,11 @@
     process_runs: Sequence[ProcessRun] = ()
     resource_samples: Sequence[ResourceSample] = ()
     box_samples: Sequence[BoxSample] = ()
-    cold_overloads: Sequence[tuple[int, str, str]] = ()  # time, instance id, request that caused it
+    # Time, instance id, and the request that caused the overload.
+    cold_overloads: Sequence[tuple[int, str, str]] = ()
     complaints: Sequence[str] = ()
-    lateness: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # of each process of the kit
+    # Lateness of the event loop of each process of the kit.
+    lateness: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
     due_late_ms: Mapping[str, float] = field(default_factory=dict)
     offered: str = ""  # a digest of the first tries and their due times
     connect_shortages: int = 0
@@ -106,9 +109,10 @@
 
     request: ScheduledRequest
     kind: str
-    latency_ms: float  # from the due time to the end of the try that decided the kind; 0 without a try
+    # Time from the due time to the end of the try that decided the kind; 0 if there was no try.
+    latency_ms: float
     tries: int
-    box: str  # the id of the instance that served it, or ""
+    box: str  # the id of the instance that served the request, or ""
 
 
 def outcomes(day: Day) -> list[Outcome]:
@@ -150,11 +154,11 @@
     tenant: str
     at_ns: int
     until_ns: int  # when the suspension or the day ended
-    last_sent_ns: int  # 0 if no request was sent
+    last_sent_ns: int  # time of the last request to a box during the suspension; 0 if no request was sent
 
     @property
     def took_s(self) -> float:
-        """Seconds from the suspension to the tenant's last request during it; 0 if none was sent."""
+        """Seconds from the start of the suspension to the last request during it; 0 without a request."""
         return max(0, self.last_sent_ns - self.at_ns) / SECOND
 
 
@@ -165,7 +169,7 @@
     for attempt in day.attempts:
         sent[tenants.get(request_id_of(attempt.id), "")].append(attempt.first_ns)
     found = []
-    ends: dict[str, int] = {}  # for each tenant, the time of the change that follows in the day
+    ends: dict[str, int] = {}  # for each tenant, the time of its next change
     for change in reversed(day.standing_changes):
         if change.standing == "suspended":
             until = ends.get(change.tenant, day.start_ns + day.plan.length_ns)
@@ -321,8 +325,8 @@
                     )
 
     def _check_attempts(self) -> None:
-        """Rule 2: a try has one attempt at a time, at most `max_attempts`, and none after its final answer;
-        the request of a try whose class is unsafe runs at most once."""
+        """Rule 2: a try has one attempt at a time, at most `max_attempts` each time its client sends it, and
+        none after its final answer; a try of a request of an unsafe class runs at most once."""
         attempts_by_try: dict[str, list[Attempt]] = defaultdict(list)
         for attempt in self.day.attempts:
             attempts_by_try[attempt.id].append(attempt)
@@ -393,7 +397,7 @@
                 self._breach(5, "", -1, s.last_sent_ns, what)
 
     def _check_crashes(self) -> None:
-        """Reports each balancer that ended without the kit having ended it, as a breach with rule 0."""
+        """Reports each balancer that ended although the kit did not end it, as a breach with rule 0."""
         for run in self.day.process_runs:
             if run.end_reason == "crash":
                 self._breach(
--- a/lanelift/rehearsal/worker.py
+++ b/lanelift/rehearsal/worker.py
@@ -23,8 +23,8 @@
 from lanelift.rehearsal.scenario import Scenario
 
 Json = dict[str, Any]
-CHECK_INTERVAL_S = 0.02  # between two checks of how late the process's event loop is
-PROGRESS_INTERVAL_S = 0.5  # between two progress reports of a process
+CHECK_INTERVAL_S = 0.02  # time between two checks of how late the process's event loop is
+PROGRESS_INTERVAL_S = 0.5  # time between two progress reports of a process
 
 
 class Role(Protocol):
@@ -157,7 +157,7 @@
     try:
         try:
             send_message({"ready": await role.prepare()})
-        except OSError as error:  # for example a port is in use, or a command does not exist
+        except OSError as error:  # raised, for example, if a port is in use or a command does not exist
             send_message({"failed": str(error)})
             return
         gc.collect()
@@ -165,7 +165,7 @@
         # An error in any task ends this process and is written to its log; the orchestrator notices the exit.
         async with asyncio.TaskGroup() as group:
             await receive_commands(group)
-            for task in running:  # if the orchestrator has exited during the day, the tasks still run
+            for task in running:  # the tasks still run if the orchestrator has exited during the day
                 task.cancel()
     finally:
         await role.close()
--- a/lanelift/standins/box.py
+++ b/lanelift/standins/box.py
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
-# A cold box warms up in this many equal steps, so its warmth is within 1/128 of the range of a linear ramp.
+# A cold box warms up in this many equal steps: its warmth is within 1/128 of the range of a linear ramp.
 WARM_STEPS = 64
 # A box with `warm_by_work` is warm, at the latest, once it has done this share of the work that a box at full
 # capacity does during the ramp. Under low load, the ramp ends first; under full load, the work warms the box
@@ -79,16 +79,17 @@
         self.spec = spec
         self.started_ns = self.at_ns = now
         self.warm_level = 0 if cold and spec.cold_ns > 0 else WARM_STEPS
-        self.attained = 0.0  # ns of work that a job running since the start would have received
+        # The service, in ns, that a job would have received if it had run since the start of the box.
+        self.attained = 0.0
         self.done_ns = 0.0  # total work done by all jobs
         # A heap of rows: the value of `attained` at which the job ends, the order of arrival, the job.
         self.running: list[tuple[float, int, str]] = []
         self.waiting: deque[tuple[int, str, int]] = deque()  # arrival order, job, work
-        self.completed: list[Completion] = []  # jobs that `advance` has not yet returned
+        self.completed: list[Completion] = []  # ended jobs that `advance` has not yet returned
         self.arrival_count = 0
         self.stolen_share = 0.0  # share of the machine that another program uses
         self.frozen_until_ns = 0
-        self.overloaded_ns = 0  # when the box failed from overload while cold; 0 if it has not
+        self.overloaded_ns = 0  # when the box failed from overload while cold; 0 if no such failure occurred
         self.recent_work = _RecentWork(spec.overload_window_ns)
 
     # ---- state ------------------------------------------------------------------------------------------
@@ -128,7 +129,7 @@
         return spec.cores * spec.speed * self.warmth * (1 - self.stolen_share) / (1 + spec.thrash * excess)
 
     def next_ns(self) -> int | None:
-        """Returns the time at which `advance` has to be called if no other event occurs, or None if never."""
+        """Returns when `advance` must be called if no other event occurs; None if no call is needed."""
         if self.completed:
             return self.at_ns
         if not self.running or self.overloaded_ns:
@@ -148,7 +149,7 @@
         if self.overloaded_ns:
             return False
         if self.warm_level < WARM_STEPS:
-            # Rejected work counts as well, since a cold box is overloaded by the load that is offered to it.
+            # Rejected work counts as well, since a cold box is overloaded by all the load offered to it.
             window_capacity = self.spec.cores * self.spec.speed * self.warmth * self.spec.overload_window_ns
             if self.recent_work.add(work_ns, now) > self.spec.overload_multiple * window_capacity:
                 self.overloaded_ns = now
--- a/lanelift/standins/directory.py
+++ b/lanelift/standins/directory.py
@@ -12,7 +12,7 @@
 
 from lanelift.standins.ldap import ServerFaults, Session, Tree
 
-MAX_CLIENTS = 256  # concurrent connections; further ones are closed, as a busy server does
+MAX_CLIENTS = 256  # limits the concurrent connections; further connections are closed, as a busy server does
 
 
 @dataclass(slots=True)
@@ -21,7 +21,7 @@
 
     delay_s: float = 0.0  # wait before each answer
     silent: bool = False  # whether connections are accepted but no request is answered
-    cut_after: int = -1  # bytes of search answers after which a connection is closed; -1: never
+    cut_after: int = -1  # a connection is closed after this many bytes of search answers; -1: never
     garbage: bytes = b""  # bytes that are sent instead of each answer
     trickle_s: float = 0.0  # wait between any two bytes of an answer
 
@@ -41,7 +41,7 @@
     port: int = 0
     accepted: int = 0
     searches: int = 0
-    entries: int = 0  # sent in answers
+    entries: int = 0  # number of entries sent in answers
 
     async def start(self, port: int = 0) -> int:
         """Starts to listen. Returns the port."""
@@ -76,7 +76,7 @@
             directory.tls is not None and not directory.ldaps,
         )
         self.transport: asyncio.Transport | None = None
-        self.answered = 0  # bytes of search answers that were sent
+        self.answered = 0  # number of bytes of search answers that were sent
         self.task: asyncio.Task[None] | None = None  # performs the TLS handshake, or sends a slow answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/lanelift/standins/discovery.py
+++ b/lanelift/standins/discovery.py
@@ -17,8 +17,9 @@
 from lanelift.standins.http import Connection, Request, Server, Timer
 
 MAX_HOLD_MS = 60_000  # longest hold time of a watch
-CHANGE_HISTORY = 1000  # limits the changes kept; a watch from a version before them gets the full list
-MAX_QUEUE_NS = 2_000_000_000  # in ask mode, a call that would wait longer than this is rejected
+# Limits the changes kept; a watch that needs an older change gets the full list.
+CHANGE_HISTORY = 1000
+MAX_QUEUE_NS = 2_000_000_000  # in ask mode, a call that would have to wait longer than this is rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +37,7 @@
 
 
 class DrainNotice(NamedTuple):
-    """Records that a balancer was told that a box drains or is gone, at `at_ns` of the monotonic clock."""
+    """Records that a balancer was told that a box is draining or gone, at `at_ns` of the monotonic clock."""
 
     at_ns: int
     balancer: int
@@ -75,7 +76,8 @@
         self.silent = False
         # For each connection: the request, the version from which it watches, and the timer of the hold time.
         self.watches: dict[Connection, tuple[Request, int, Timer]] = {}
-        self.held_requests: list[Request] = []  # received during an outage, and answered after it
+        # Requests received during an outage, which are answered at its end.
+        self.held_requests: list[Request] = []
 
     # ---- updates ----------------------------------------------------------------------------------------
 
@@ -169,7 +171,7 @@
                 self._send_list(request, since)
 
     def _send_list(self, request: Request, since: int | None) -> None:
-        """Sends the changes after version `since`, or for None the full list. Records drain notices."""
+        """Sends the changes after version `since`, or the full list if it is None. Records drain notices."""
         if since is None:
             body = self.snapshot()
             # A full list also tells the balancer which boxes are gone, since they are not in it.
--- a/lanelift/standins/fencing_token_store.py
+++ b/lanelift/standins/fencing_token_store.py
@@ -1,5 +1,5 @@
-"""Emulates a store that checks fencing tokens: it rejects a write whose token is smaller than one it has
-seen. Performs no I/O."""
+"""Emulates a store that checks fencing tokens: it rejects a write whose token is smaller than a token that
+it has seen. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class StaleTokenError(Exception):
-    """The token is smaller than one already seen: its holder has lost the lease and may not know it."""
+    """The token is smaller than one already seen: the writer has lost the lease, perhaps unknowingly."""
 
 
 @dataclass
 class FencingTokenStore:
     """A store that accepts writes with non-decreasing tokens.
 
-    `writes` holds each accepted value with its token. The largest token must be as durable as the writes."""
+    `writes` holds each accepted value with its token. The largest token must be kept as durably as writes."""
 
     highest_token: int = 0
     writes: list[tuple[int, object]] = field(default_factory=list)
--- a/lanelift/standins/http.py
+++ b/lanelift/standins/http.py
@@ -15,8 +15,9 @@
 
 import httptools
 
-MAX_BODY = 16 * 1024 * 1024  # per message, so that a faulty peer cannot exhaust the memory
-BACKLOG = 1024  # connections not yet accepted: enough for a burst from all balancers
+# Limits the bytes of one message's body, so that a faulty peer cannot exhaust the memory.
+MAX_BODY = 16 * 1024 * 1024
+BACKLOG = 1024  # limits the connections not yet accepted; enough for a burst from all balancers
 
 
 @dataclass(slots=True, eq=False)
@@ -67,7 +68,7 @@
         self.transport: asyncio.Transport | None = None
         self.partial_request: _PartialRequest | None = None
         self.open: list[Request] = []  # unanswered requests
-        self.count = 0  # complete requests received
+        self.count = 0  # number of complete requests received
         self.last_used_ns = time.monotonic_ns()
         self.closed = False
 
@@ -165,7 +166,7 @@
         return f"{self.host}:{self.port}"
 
     async def listen(self, port: int = 0) -> None:
-        """Listens on `port`, or for 0 on the previous port or else a free one. May raise OSError."""
+        """Listens on `port`; for 0, on the previous port or, at first, any free port. May raise OSError."""
         self.listener = await asyncio.get_running_loop().create_server(
             lambda: Connection(self), self.host, port or self.port, backlog=BACKLOG
         )
--- a/lanelift/standins/ldap.py
+++ b/lanelift/standins/ldap.py
@@ -21,11 +21,11 @@
 # The tags of write requests, which a read-only directory refuses, and of the response to each.
 WRITE_RESPONSES = {0x66: 0x67, 0x68: 0x69, 0x4A: 0x6B, 0x6C: 0x6D, 0x6E: 0x6F}
 CONTROLS = 0xA0
-PAGED = b"1.2.840.113556.1.4.319"  # RFC 2696
+PAGED = b"1.2.840.113556.1.4.319"  # control for paged results (RFC 2696)
 START_TLS = b"1.3.6.1.4.1.1466.20037"  # RFC 4511, 4.14
 DISCONNECTION_NOTICE = b"1.3.6.1.4.1.1466.20036"  # RFC 4511, 4.4.1
-MAX_DEPTH = 50  # depth of nested filters; a filter that is nested deeper is refused
-MAX_PAGED = 16  # open paged searches per session; one more discards the oldest
+MAX_DEPTH = 50  # limits the nesting depth of filters; a filter that is nested deeper is refused
+MAX_PAGED = 16  # limits the open paged searches of a session; a further search discards the oldest
 MODIFY_TIMESTAMP, ENTRY_UUID = "modifytimestamp", "entryuuid"
 # Attributes that are returned only if requested by name.
 OPERATIONAL = frozenset({MODIFY_TIMESTAMP, ENTRY_UUID, "createtimestamp", "entrydn"})
@@ -58,7 +58,7 @@
 
 
 def parse_dn(dn: str) -> tuple[str, ...]:
-    """Returns the RDNs of a distinguished name, the entry's own first. Commas in values are written `\\,`."""
+    """Returns the RDNs of a distinguished name, first the entry's own. Commas in values are written `\\,`."""
     parts, part, escaped = [], "", False
     for char in dn:
         if char == "," and not escaped:
@@ -160,7 +160,8 @@
         )
 
 
-FilterTest = Callable[[Entry], bool | None]  # None is undefined: neither such a test nor its negation matches
+# A test of an entry; the result None means undefined: neither the test nor its negation matches.
+FilterTest = Callable[[Entry], bool | None]
 
 
 def read_filter(tag: int, content: bytes, ordering: bool = True, depth: int = 0) -> FilterTest:
@@ -182,7 +183,7 @@
     if tag == 0xA4:
         return _substrings(_decode(fields.expect(ber.OCTETS)), fields.expect(ber.SEQUENCE))
     if tag not in (0xA3, 0xA5, 0xA6, 0xA8) or (tag in (0xA5, 0xA6) and not ordering):
-        return lambda e: None  # extensible matching, or an unknown choice
+        return lambda e: None  # undefined, as for extensible matching and unknown kinds of filters
     name, value = _decode(fields.expect(ber.OCTETS)), normalized(_decode(fields.expect(ber.OCTETS)))
     if tag in (0xA3, 0xA8):
         return lambda e: any(normalized(v) == value for v in e.values(name)) if e.values(name) else None
@@ -248,10 +249,10 @@
 
     code: Code = Code.SUCCESS
     after: int = 0
-    referral: str = ""  # URL to which searches are referred or, with `references`, parts of the results
+    referral: str = ""  # URL sent with the code REFERRAL or, with `references`, as a search result reference
     references: bool = False
     empty: bool = False  # whether searches succeed but return no entries
-    # Attributes (lower case) that are withheld, as after a lost permission.
+    # Attributes (lower case) that are withheld, as when the client's permission was revoked.
     hidden: frozenset[str] = frozenset()
     most: int = 0  # the administrator's limit of entries in one answer; 0: no limit
     pages: bool = True  # whether paged results are supported
@@ -266,7 +267,7 @@
     `closing` is set when the connection has to be closed after the answers are sent."""
 
     tree: Tree
-    users: Mapping[str, str]  # passwords by name; if empty, anonymous clients may read
+    users: Mapping[str, str]  # passwords by distinguished name; if there are none, anonymous clients may read
     server_faults: ServerFaults = field(default_factory=ServerFaults)
     offers_tls: bool = False
     wants_tls: bool = False
@@ -307,7 +308,7 @@
             self.closing = True
             return []
         if tag == ABANDON:
-            return []  # nothing is left to abandon: each search is answered before the next message is read
+            return []  # no search is left to abandon, as each is answered before the next message is read
         if tag == BIND:
             return [_encode_message(message_id, ber.element(BIND_DONE, self._bind(FieldReader(content))))]
         if tag == SEARCH:
@@ -355,7 +356,7 @@
         """Returns the answers to a search: its entries, one page of them, or an error."""
         self.searches += 1
         base, scope = _decode(fields.expect(ber.OCTETS)), fields.integer(ber.ENUMERATED)
-        fields.integer(ber.ENUMERATED)  # how to dereference aliases, which this tree does not have
+        fields.integer(ber.ENUMERATED)  # derefAliases is ignored, as this tree has no aliases
         size_limit, _, types_only = fields.integer(), fields.integer(), fields.boolean()
         test = read_filter(*fields.next_field(), self.server_faults.ordering)
         wanted = [_decode(content) for _, content in ber.elements(fields.expect(ber.SEQUENCE))]
--- a/lanelift/standins/seeded_random.py
+++ b/lanelift/standins/seeded_random.py
@@ -12,7 +12,7 @@
 from statistics import NormalDist
 
 STANDARD = NormalDist()
-STEPS = 1 << 53  # count of evenly spaced values in (0, 1); a double represents all whole numbers up to it
+STEPS = 1 << 53  # number of evenly spaced values in (0, 1); a double represents all whole numbers up to 2**53
 
 
 def unit(seed: int, *name: object) -> float:
--- a/lanelift/standins/upstream_emulator.py
+++ b/lanelift/standins/upstream_emulator.py
@@ -19,7 +19,7 @@
 
 NOT_RUN = (("X-Not-Run", "1"),)
 SWEEP_NS = 100_000_000  # an idle connection is closed at most this long after its timeout
-MAX_COMPLAINTS = 100  # complaints kept per box, so that a faulty caller cannot exhaust the memory
+MAX_COMPLAINTS = 100  # limits the complaints kept per box, so that a faulty caller cannot exhaust the memory
 
 
 class Attempt(NamedTuple):
@@ -43,7 +43,7 @@
     idle_ns: int = 15_000_000_000
     handshake_ns: int = 100_000  # extra work of the first request on a connection
     probe_ns: int = 40_000  # work that answering a probe takes
-    report_ns: int = 2_000_000  # the age at which a load report is made anew
+    report_ns: int = 2_000_000  # a load report of this age is replaced by a new one
     error_part: float = 0.0
 
 
@@ -77,15 +77,15 @@
         self.instance_id, self.work_of = instance_id, work_of
         self.instance_number = -1
         self.box = Box(spec, 0)
-        # By "id/count", since an id may be sent again: the request, the instance that received it, the work.
+        # Keys: "id/count", as an id may arrive again. Values: request, instance that received it, work.
         self.open_attempts: dict[str, tuple[Request, str, int]] = {}
         self.attempt_count = 0
-        self.withheld: list[Request] = []  # requests received while the box is frozen or vanished
+        self.withheld: list[Request] = []  # requests received while the box was frozen or vanished
         self.attempts: list[Attempt] = []
         self.cold_overloads: list[tuple[int, str, str]] = []  # time, instance id, request that caused it
         self.complaints: list[str] = []  # requests that no client sent, and bytes that are not HTTP
         self.draining = self.vanished = False
-        self.load_report = (0, 0, 0)  # time at which the report was made, inflight, queue
+        self.load_report = (0, 0, 0)  # time at which the report was made, requests in flight, queue length
         self.timer = Timer(self._tick)
         self.sweeper = Timer(self._sweep)
 
