--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -40,7 +40,7 @@
 
 
 async def measure(tree: Path, folder: Path, requests: int, fleet: bool) -> tuple[float, float]:
-    """Return the processor time of a start until ready, in ms, and of a request, in us."""
+    """Return the processor time from a start until readiness, in ms, and that of one request, in us."""
     boxes = [FakeUpstream(f"s-{i}") for i in range(UPSTREAMS)]
     for box in boxes:
         await box.start()
@@ -71,7 +71,7 @@
     )
     try:
         until = time.monotonic() + 10
-        while True:  # polling is acceptable here, as it adds few requests
+        while True:  # polling for readiness is acceptable here, as it adds few requests
             try:
                 client = await Client.to(("127.0.0.1", port))
                 if (await client.raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200:
@@ -123,7 +123,7 @@
                 for i in range(args.rounds + 1):
                     for tree_name, tree in [("before", old), ("after", ROOT)][:: 1 if i % 2 else -1]:
                         row = asyncio.run(measure(tree, folder, args.requests, fleet))
-                        if i:  # the first round is not counted, as it compiles the bytecode
+                        if i:  # the first round is not counted, as it also compiles the bytecode
                             rows[tree_name].append(row)
                 for tree_name, measured in rows.items():
                     for what, column in (("start, ms", 0), ("request, us", 1)):
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -39,10 +39,10 @@
 }
 CHEAP_PROBES = {"limits": Limits(3, False, True, True, retry_after=True), "load_report_fields": ("inflight",)}
 PEERS = {"limits": Limits(3, False, True, peer_messages=True, retry_after=True)}
-# The names of the days must not change, as the output is compared line by line with that of older revisions.
-# Balancers know the load of upstreams from messages of their peers ("told"), from load probes ("asked"), or
-# from their own counts alone; on the last of these days a request has one attempt. The load is a share of the
-# upstreams' capacity.
+# The names of the days must not change, as the output is compared line by line with the output of older
+# revisions. Balancers know the load of upstreams from messages of their peers ("told"), from load probes
+# ("asked"), or from their own counts alone; on the last day listed here, a request has one attempt. The load
+# is a share of the upstreams' capacity.
 DAYS: dict[str, tuple[dict[str, Any], int, int, float]] = {  # settings, replicas, upstreams, load
     "told": (PEERS, 12, 18, 0.6),
     "told, crowded": (PEERS, 12, 12, 1.1),
@@ -54,7 +54,7 @@
 
 
 # The names of actions and their fields in revisions up to e44f7ed. Digests are made with these names, so that
-# they can be compared with those of any revision.
+# they can be compared with the digests of any revision.
 FORMER_NAMES: dict[type, tuple[str, tuple[str, ...]]] = {
     actions.StartAttempt: ("Send", ("request", "upstream", "timeout_ns")),
     actions.Reject: ("Refuse", ("request", "retry_after_ns", "limited")),
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -143,7 +143,7 @@
 
 
 def failover_ns(seed: int) -> int | None:
-    """Returns the time in ns from the kill of a holder to the next holding; None without one of the two."""
+    """Returns the time in ns from a holder's kill to the next holding; None if either did not occur."""
     world = HolderKillSimulation(Schedule(seed, tuple("abcde"), ("p1", "p2", "p3"), UNTIL_MS), TIMING)
     world.play()
     after = [at for at, *_ in world.findings.holdings if at > world.killed_ns]
@@ -214,7 +214,7 @@
 
 
 def process_faults(rng: random.Random, voters: str, contenders: list[str], until_ms: int) -> Iterator[Step]:
-    """Yields faults of processes, about two per length of a lease; each is undone within three lengths."""
+    """Yields faults of processes, about two per lease duration; each is undone within three durations."""
     at = 2500
     while (at := at + int(rng.expovariate(1 / 500))) < until_ms:
         who, other = rng.choice([*voters, *contenders]), rng.choice(voters)
@@ -238,7 +238,7 @@
 
 
 def run_processes(seed: int, until_ms: int) -> dict[str, object]:
-    """Runs processes once under random faults; returns the counts."""
+    """Runs a cluster of processes once under random faults; returns the counts of what happened."""
     rng = random.Random(seed)
     voters, contenders = "abcde", [f"p{i}" for i in range(1, rng.randint(3, 8) + 1)]
     plan = tuple(sorted(process_faults(rng, voters, contenders, until_ms), key=lambda s: s.at_ms))
@@ -288,7 +288,7 @@
 
 
 def idle(seconds: float) -> int:
-    """Prints the CPU time and the messages of three idle members."""
+    """Prints the CPU time of three idle members and the number of their messages."""
 
     async def whole(folder: Path) -> None:
         async with ProcessCluster(folder, "abc", ()) as fleet:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -61,7 +61,7 @@
 
 
 class Row(NamedTuple):
-    """The result of one run; messages and bytes are per second and member."""
+    """The result of one run; `messages` and `bytes` are rates per second and member."""
 
     detector: str
     count: int
--- a/benchmarks/queue_on_sockets.py
+++ b/benchmarks/queue_on_sockets.py
@@ -26,7 +26,7 @@
 
 
 def jobs(box: int, count: int, load: float, cv: float) -> list[tuple[int, int]]:
-    """Return the arrival time and the work of each job of one box, in ns."""
+    """Return the arrival time and the work, both in ns, of each job of one box."""
     found, now = [], 0.0
     for i in range(count):
         now += exponential(MEAN_MS * MS / load, 1, box, i, "gap")
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -23,7 +23,7 @@
 
 
 def run_rehearsal(scenario: str | Path, *words: str, cores: str | None = None) -> dict[str, Any]:
-    """Run one rehearsal, only on `cores` if they are given (as taskset names them). Returns its report."""
+    """Run one rehearsal, restricted to `cores` (in the form of taskset) if given. Returns its report."""
     with tempfile.TemporaryDirectory() as folder:
         pinned = ["taskset", "-c", cores] if cores else []
         done = subprocess.run(
@@ -79,7 +79,7 @@
     with ThreadPoolExecutor(at_once) as pool:
         rows = list(zip(jobs, pool.map(play_and_summarize, jobs), strict=True))
     found = {name: [run for job, run in rows if job == name] for name in ("month-end", "quarter-dies")}
-    write_json(out, found)  # saved before the evaluation, since the runs took minutes
+    write_json(out, found)  # the results are saved before the evaluation, since the runs took minutes
     for name, runs in found.items():
         for part in PARTS if any(not run["void"] for run in runs) else ():
             shares = [run["worth"][part] for run in runs if not run["void"]]
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -41,8 +41,9 @@
 MAP = AttributeMap(standing="agentStanding", share="agentShare", quota="agentQuota", classes="agentClass")
 TICK_S = 0.001  # time between two measurements of the event loop's lateness
 STEADY_S = 10.0
-IDLE_S = 20.0  # an idle time as long as a first reading: shows the lateness that the machine alone causes
-SETTLE_S = 45.0  # wait after the first reading, in which entries loaded in one second are read again
+IDLE_S = 20.0  # idle time, as long as a first reading, which shows the lateness that the machine alone causes
+# Wait after the first reading, during which entries that were loaded within one second are read again.
+SETTLE_S = 45.0
 
 
 @click.group()
@@ -156,7 +157,7 @@
     def __init__(self) -> None:
         self.late_ms: list[float] = []
         self.work_ms: list[float] = []
-        self.skip = False  # whether to leave out the current tick, which the evaluation itself has delayed
+        self.skip = False  # whether to leave out the current tick, because `summary` has delayed it
 
     async def measure_ticks(self) -> None:
         loop = asyncio.get_running_loop()
@@ -172,7 +173,7 @@
     def summary(self) -> dict[str, float]:
         late, self.late_ms = sorted(self.late_ms), []
         work, self.work_ms = sorted(self.work_ms), []
-        self.skip = True  # sorting this many values takes ten milliseconds
+        self.skip = True  # the sorting above takes ten milliseconds, which delays the current tick
         return {
             "late_max_ms": round(late[-1], 2),
             "late_p99_ms": round(late[int(0.99 * len(late))], 2),
@@ -187,7 +188,7 @@
 
 
 class InThreadSync(SyncProcess):
-    """The alternative that was considered: the sync worker runs as a thread of the balancer's process."""
+    """The alternative design, for comparison: the sync worker runs as a thread of the balancer's process."""
 
     def start(self) -> None:
         from lanelift.tenants.sync_worker import SyncWorker
@@ -224,7 +225,7 @@
     settings = Settings(classes={"fee-quote": RequestClass("fee-quote")})
     dispatcher = Dispatcher(settings, 1, Upstreams(settings.limits, 100, ()))
     gc.collect()
-    gc.freeze()  # the balancer does the same at its start
+    gc.freeze()  # the balancer also freezes its objects at its start
     before = me.memory_info().rss
     sync = kind(dispatcher, TenantSource(sync_config(port), UnknownTenants.DENY, 0.0))
     probe = EventLoopProbe()
@@ -244,7 +245,7 @@
     found["after"] = probe.summary()
     if reader:
         found["reader_mb"] = round(reader.memory_info().rss / 2**20, 1)
-    task.cancel()  # the ticks of the probe would be counted as work of the balancer
+    task.cancel()  # stopped, as the probe's ticks would be counted as work of the balancer
     used = (me.cpu_times(), reader.cpu_times() if reader else None)
     await asyncio.sleep(STEADY_S)
     later = (me.cpu_times(), reader.cpu_times() if reader else None)
@@ -280,13 +281,13 @@
     logging.disable(logging.WARNING)
     found = []
     for _ in range(times):
-        if thread:  # use `--times 1`, a new process for each run, as memory is measured
+        if thread:  # use `--times 1` and a new process for each run, as memory is measured
             found.append(asyncio.run(measure_large(count, changed, InThreadSync, settle_s)))
         else:
             found.append(asyncio.run(measure_large(count, changed, SyncProcess, settle_s)))
         click.echo(json.dumps(found[-1]))
     write_json(out, found)
-    os._exit(0)  # the threads of the alternative still run
+    os._exit(0)  # the threads of the alternative design still run
 
 
 # ---- effect of changes on other tenants ------------------------------------------------------------------
--- a/lanelift/standins/ldap.py
+++ b/lanelift/standins/ldap.py
@@ -58,7 +58,8 @@
 
 
 def parse_dn(dn: str) -> tuple[str, ...]:
-    """Returns the RDNs of a distinguished name, first the entry's own. Commas in values are written `\\,`."""
+    """Returns the RDNs of a distinguished name, beginning with the entry's own. Commas in values are written
+    `\\,`."""
     parts, part, escaped = [], "", False
     for char in dn:
         if char == "," and not escaped:
--- a/tests/rehearsal/relay.py
+++ b/tests/rehearsal/relay.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 VIOLATE_EVERY = 10  # the violations silent, garbage, forge, extra and twice affect every tenth request
-OVERLOAD_NEWEST = "push"  # a violation: all requests go to the box that started last
+OVERLOAD_NEWEST = "push"  # the violation in which all requests go to the box that started last
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, dict[bytes, bytes], bytes]:
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -23,7 +23,7 @@
 
 LANELIFT = Path(sys.executable).with_name("lanelift")
 RELAY = f"{sys.executable} -m tests.rehearsal.relay"
-CONCURRENT_RUNS = 3  # rehearsals that run at the same time; each keeps a part of a core busy
+CONCURRENT_RUNS = 3  # number of rehearsals that run at the same time; each keeps a part of a core busy
 TIMEOUT_S = 120
 
 SMALL = """
@@ -194,19 +194,19 @@
     run = runs["calm"]
     verdict = run.report["verdict"]
     assert run.breaches() == {}, run.output
-    # On a busy machine the run may be void, which the exit code has to show.
+    # On a busy machine the run may be void; the exit code must then be 1.
     assert run.code == (1 if verdict["void"] else 0)
     assert verdict["requests"]["asked"] > 100 and verdict["complaints"] == []
     assert verdict["requests"]["served"] > 0.8 * verdict["requests"]["asked"]
     assert verdict["balancers"]["memory_mb_max"] > 10 and verdict["kit"]["cpu_s"] > 0
     page = render_html(run.report)
     assert page.count("<svg") == 3
-    # The page is self-contained.
+    # The page is self-contained: it loads nothing from elsewhere.
     assert not re.search(r'<script|<link|src=|href="(?!#|data:)|url\((?!#)', page)
 
 
 def test_a_day_with_all_kinds_of_faults_breaks_no_rule(runs: dict[str, Run]) -> None:
-    """The kit itself kills the balancer and the boxes, so that requests lost with them are not breaches."""
+    """The kit itself kills balancers and boxes, so that the requests lost by these kills are not breaches."""
     run = runs["faults"]
     assert run.breaches() == {}, run.output
     requests = run.report["verdict"]["requests"]
@@ -273,10 +273,10 @@
     kit = start(tmp_path)
     assert kit.stderr is not None
     for line in kit.stderr:
-        if " of 30 s" in line:  # the day has started: all processes run
+        if " of 30 s" in line:  # the day has started, so that all processes run
             break
     children = child_processes(kit.pid)
-    assert len(children) == 5  # boxes, discovery, the supervisor and its balancer, load
+    assert len(children) == 5  # the processes for boxes, discovery and load, the supervisor, and its balancer
     kit.send_signal(how)
     output = kit.communicate(timeout=TIMEOUT_S)[1]
     assert kit.returncode == (1 if how is signal.SIGINT else -how)
@@ -298,7 +298,7 @@
 def test_a_rehearsal_against_an_external_balancer(tmp_path: Path) -> None:
     """The daemon runs with its own file and a static list of upstreams, without discovery."""
     base = consecutive_ports(8)
-    listen = base + 7  # the port after those of six boxes and discovery
+    listen = base + 7  # the port after the seven ports of six boxes and discovery
     boxes = "".join(f'[[upstream]]\nname = "b{i}"\naddress = "127.0.0.1:{base + i}"\n' for i in range(6))
     classes = "".join(
         f'[[class]]\nname = "{name}"\neffect = "safe"\naim_ms = 264\ndeadline_ms = 661\n'
--- a/tests/standins/test_box.py
+++ b/tests/standins/test_box.py
@@ -61,7 +61,8 @@
     spec = BoxSpec(cores=2, slots=4, queue=0)
     assert play(Box(spec, 0), [(0, 10 * MS)]) == {"0": 10 * MS}
     assert play(Box(spec, 0), [(0, 10 * MS)] * 4) == {str(i): 20 * MS for i in range(4)}
-    assert set(play(Box(spec, 0), [(0, 10 * MS)] * 5)) == set("0123")  # no slot, no queue: rejected
+    # The fifth job is rejected, as all slots are taken and the queue has no places.
+    assert set(play(Box(spec, 0), [(0, 10 * MS)] * 5)) == set("0123")
 
 
 def test_holding_many_jobs_lowers_the_capacity() -> None:
@@ -81,7 +82,7 @@
     if held_when == "before":
         assert box.offer("a", 10 * MS, 0)
         box.freeze(104 * MS, 4 * MS)
-        box.freeze(50 * MS, 8 * MS)  # lies within the first freeze and adds no delay
+        box.freeze(50 * MS, 8 * MS)  # this freeze lies within the first one and adds no delay
         assert box.advance(50 * MS) == [] and box.frozen
     else:
         box.freeze(104 * MS, 0)
@@ -100,7 +101,7 @@
 
 def test_probes_delay_the_running_jobs() -> None:
     box = Box(BoxSpec(cores=2, slots=2), 0)
-    box.charge(5 * MS, 0)  # the box is idle, so that no job is delayed
+    box.charge(5 * MS, 0)  # the box is idle, so that the charged work delays no job
     box.offer("a", 10 * MS, 0)
     box.offer("b", 20 * MS, 0)
     box.charge(4 * MS, MS)
--- a/tests/standins/test_ldap.py
+++ b/tests/standins/test_ldap.py
@@ -173,7 +173,7 @@
     "(&(cn=a*)(agentStanding=active))": {"ash"},
     "(|(cn=ash)(cn=birch))": {"ash", "birch"},
     "(agentShare=*)": {"birch"},
-    "(!(agentShare=2))": set(),  # without the attribute, the test and its negation are undefined
+    "(!(agentShare=2))": set(),  # for an entry without the attribute, the test and its negation are undefined
     f"(modifyTimestamp>={at(5)})": {"alder"},
     f"(modifyTimestamp<={at(4)})": {"ash", "birch", "cedar"},
     "(cn~=Ash)": {"ash"},
--- a/tests/standins/test_upstream_emulator.py
+++ b/tests/standins/test_upstream_emulator.py
@@ -52,7 +52,7 @@
 
 
 async def closes(link: Client) -> bool:
-    """Returns whether the connection ends, with a reset or without one."""
+    """Returns whether the connection ends, with or without a reset."""
     try:
         return await link.reader.read() == b""
     except ConnectionError:
@@ -109,7 +109,7 @@
                 assert (await (await client(emulator)).request(f"p{i}", path="/health")).status == 200
             late = await (await client(emulator)).request("r9")
             assert (late.status, late.headers["x-not-run"]) == (503, "1")
-            await asyncio.sleep(SocketOptions().report_ns / 1e9)  # the greatest age of a load report
+            await asyncio.sleep(SocketOptions().report_ns / 1e9)  # a load report is replaced after this time
             load = await (await client(emulator)).request("", path="/status/load", X_Request_Id=None)
             assert (load.status, load.body) == (200, b"inflight=2,queue=1")
 
@@ -228,7 +228,7 @@
             emulator.die()
             await emulator.start(cold=True)
             links = [await client(emulator) for _ in range(2)]
-            # The capacity is 0.3 s per second, so 2.5 times the capacity is 1.1 s in the window of 1.5 s.
+            # The capacity is 0.3 s of work per second; 2.5 times that is 1.1 s of work in a 1.5 s window.
             links[0].send("r0")
             await until(lambda: emulator.box.held)
             links[1].send("r1")
@@ -277,11 +277,14 @@
             )
             assert [(t.balancer, t.box, t.state) for t in one.drain_notices] == [(0, "b", "Terminating")]
             one.update(Entry("b", "127.0.0.1:2", state="Gone"))
-            one.update(Entry("never", "127.0.0.1:2", state="Gone"))  # the list has no such box: no change
+            # The list does not have this box, so that nothing changes.
+            one.update(Entry("never", "127.0.0.1:2", state="Gone"))
             assert [r["id"] for r in (await ask(link, "?from=2&hold_ms=5"))["servers"]] == ["b"]
             assert [r["id"] for r in (await ask(link))["servers"]] == ["a"]
-            assert (await ask(link, "?from=3&hold_ms=5"))["servers"] == []  # no change within the hold time
-            assert (await ask(link, "?from=99&hold_ms=5"))["full"]  # version of another agent: full list
+            # Nothing changes within the hold time.
+            assert (await ask(link, "?from=3&hold_ms=5"))["servers"] == []
+            # A watch from a version that this agent never had gets the full list.
+            assert (await ask(link, "?from=99&hold_ms=5"))["full"]
             assert (await ask(link, "?from=x"))["status"] == 400
             assert (await ask(link, path="/v2"))["status"] == 404
 
@@ -309,7 +312,8 @@
             one.set_silent(True)
             link.send("", path="/v1/endpoints", X_Request_Id=None)
             one.update(Entry("c", "127.0.0.1:3"))
-            await until(lambda: len(one.held_requests) == 2)  # the call, and the watch that has expired
+            # The requests of the call and of the watch that has expired.
+            await until(lambda: len(one.held_requests) == 2)
             assert not one.drain_notices
             one.set_silent(False)
             assert json.loads((await link.answer()).body)["version"] == 2
