--- a/tests/pinned/ends.py
+++ b/tests/pinned/ends.py
@@ -16,10 +16,10 @@
 from tests.pinned.processes import clean_environ
 
 WAIT_S = 30
-MOST = 1 << 20  # largest size of a message in bytes
-SILENT = b""  # used in place of an answer: the upstream never answers
+MOST = 1 << 20  # limits the size of a message, in bytes
+SILENT = b""  # in place of a prepared answer, this value makes the upstream never answer
 READY = b"GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n"
-RESET = b"reset"  # used in place of an answer: the upstream closes the connection
+RESET = b"reset"  # in place of a prepared answer, this value makes the upstream close the connection
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
--- a/tests/pinned/forking.py
+++ b/tests/pinned/forking.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-RUN_S = 30  # a run that lasts longer is ended, and has the exit code of SIGALRM
+RUN_S = 30  # seconds; a run that lasts longer than this is ended, and has the exit code of SIGALRM
 
 
 def main() -> None:
--- a/tests/pinned/names.py
+++ b/tests/pinned/names.py
@@ -37,7 +37,7 @@
     "release": messages.Release,
     "answer": messages.Response,
     "look": messages.ListLeases,
-    "seen": messages.LeaseStatus,  # a row of a view, not a message
+    "seen": messages.LeaseStatus,  # an entry in a view message, not a message itself
     "view": messages.LeaseList,
     "hello": messages.VoterStatus,
 }
@@ -83,7 +83,7 @@
 
 
 def verdict_words() -> tuple[str, ...]:
-    """Returns every verdict that this release sends, as its word on the wire."""
+    """Returns the words for all verdicts that this release sends."""
     return tuple(plain(verdict) for verdict in VERDICTS)
 
 
@@ -107,7 +107,7 @@
 
 
 def fleet_refusal(data: bytes) -> tuple[str, str]:
-    """Returns why a datagram is dropped: "garbage" or "unknown" (of a later release), and the error text."""
+    """Returns why a datagram is dropped, "garbage" or "unknown" (of a later release), and the error text."""
     try:
         codec.decode(data)
     except codec.MessageDecodeError as error:
@@ -177,7 +177,7 @@
 
 
 def gossip_words() -> tuple[set[int], set[int]]:
-    """Returns the numbers of all kinds and of all states."""
+    """Returns the numbers of all kinds of messages and of all states of members."""
     return {kind.value for kind in gossip.MessageKind}, {state.value for state in gossip.MemberState}
 
 
@@ -246,7 +246,7 @@
 
 
 def locked_state(folder: Path, member: str) -> str:
-    """Returns the error text for a second process that uses a voter's id."""
+    """Returns the error text that a second process gets if it uses the id of a running voter."""
     state_file = StateFile(folder, member)
     try:
         return state_refusal(folder, member)
@@ -289,7 +289,7 @@
     return recovery.may_vote, recovery.ready_ns, recovery.ballot_floor
 
 
-MAX_WRITES = 8  # limits the writes of a voter's state after one message
+MAX_WRITES = 8  # limits how often a voter's state is written after one message
 
 
 def _written(recovery: VoterRecovery, state_file: StateFile) -> None:
@@ -368,7 +368,7 @@
 
 
 class TracedMembers(MembershipSimulation):
-    """Simulates membership and records messages, starts, deaths and each change of a view."""
+    """Simulates membership and records messages, starts, deaths and each change of a member's view."""
 
     def __init__(self, schedule: Schedule, zones: Sequence[str], timing: ProbeTiming) -> None:
         self.lines: list[str] = []
--- a/tests/pinned/processes.py
+++ b/tests/pinned/processes.py
@@ -64,7 +64,7 @@
 def run_many(
     runs: Iterable[Run], cwd: Path, *, module: str = "", script: str = "", warm: Iterable[str] = ()
 ) -> list[Done]:
-    """Returns for each run what `run` returns, in much less time (see `forking.py`)."""
+    """Returns the same as `run` for each run, but takes much less time (see `forking.py`)."""
     told: dict[str, Any] = {
         **({"module": module} if module else {"script": script}),
         "warm": [words.split() for words in warm],
@@ -85,7 +85,7 @@
 
 
 def as_lines(rows: object) -> str:
-    """Returns a value as JSON, in lines whose differences are easy to read."""
+    """Returns a value as JSON on many lines, so that a diff is easy to read."""
     return json.dumps(rows, indent=1, ensure_ascii=False) + "\n"
 
 
@@ -103,7 +103,7 @@
 
 
 def changed(value: Any, leaf: Any) -> Any:
-    """Returns a copy of the tables in which each key has the value `leaf`."""
+    """Returns a copy of the tables in which each key that holds no table has the value `leaf`."""
     if isinstance(value, dict):
         return {key: changed(each, leaf) for key, each in value.items()}
     if isinstance(value, list) and value and isinstance(value[0], dict):
@@ -112,7 +112,7 @@
 
 
 def with_keys(value: Any, more: dict[str, Any] | None) -> Any:
-    """Returns a copy with the keys `more` added to each table, or, for None, a misspelt copy of each key."""
+    """Returns a copy that adds the keys `more` to each table; if `more` is None, it adds misspelt keys."""
     if isinstance(value, list):
         return [with_keys(each, more) for each in value]
     if not isinstance(value, dict):
--- a/tests/pinned/releases.py
+++ b/tests/pinned/releases.py
@@ -28,9 +28,9 @@
 
 ROOT = Path(__file__).parents[2]
 BEAT = Path(__file__).with_name("beat.py")
-BEFORE = "e44f7ed"  # the commit of the previous release, whose behaviour is pinned
+BEFORE = "e44f7ed"  # the commit of the previous release, whose behaviour the tests pin
 LOOPBACK = "127.0.0.1"
-WITHIN_S = 20.0  # the longest wait for an event
+WITHIN_S = 20.0  # a test waits at most this long for an event
 LOOK_S = 0.01
 
 
@@ -88,7 +88,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.releases: dict[str, Path] = {}  # the release that was started last under each name
+        self.releases: dict[str, Path] = {}  # for each name, the release of the process that was started last
         self.starts: dict[str, int] = {}
         self.ports = dict(zip(self.VOTERS, free_ports(socket.SOCK_DGRAM, 3), strict=True))
         listens = free_ports(socket.SOCK_STREAM, 6)
@@ -113,7 +113,7 @@
             if process.poll() is None:
                 process.kill()
             process.wait()
-        for stay in self.stays():  # a task whose watchdog failed still runs, and must not outlive the test
+        for stay in self.stays():  # if its watchdog failed, a task still runs, and must not outlive the test
             if alive(stay):
                 os.kill(stay.pid, signal.SIGKILL)
 
@@ -123,7 +123,7 @@
         command = [sys.executable, "-c", "from lanelift.cli.main import main; main()", *words]
         environment = {**os.environ, "PYTHONPATH": str(release)}
         with (self.folder / f"{name}-{number}.log").open("wb") as log:
-            # The working folder is that of the fleet, which has no other package `lanelift` to be imported.
+            # The working folder is the fleet's, as it has no other package `lanelift` to be imported.
             self.processes[name] = subprocess.Popen(
                 command,
                 cwd=self.folder,
@@ -148,7 +148,7 @@
         )
 
     def signal(self, name: str, number: int) -> None:
-        """Sends a signal to a single process, not to its children."""
+        """Sends a signal to the process alone, not to its children."""
         self.processes[name].send_signal(number)
 
     def ended(self, name: str) -> int:
@@ -159,7 +159,7 @@
             raise TimeoutError(f"{name} has not ended\n{self.logs()}") from None
 
     def until(self, what: str, done: Callable[[], bool]) -> None:
-        """Waits for an event; TimeoutError names it and shows all logs."""
+        """Waits for an event. Raises TimeoutError, which names the event and shows all logs."""
         end = time.monotonic() + WITHIN_S
         while not done():
             if time.monotonic() > end:
@@ -172,7 +172,7 @@
             self.until(f"{voter} votes", lambda voter=voter: self.votes(voter))  # type: ignore[misc]
 
     def until_acts(self, *names: str) -> str:
-        """Waits until the last started task of one of these holders has acted, and returns the holder."""
+        """Waits until the most recent task of one of these holders has acted, and returns that holder."""
         self.until(f"one of {names} acts", lambda: any(map(self.acts, names)))
         return next(filter(self.acts, names))
 
@@ -209,7 +209,7 @@
         return "\n".join(f"--- {path.name}\n{path.read_text()}" for path in sorted(self.folder.glob("*.log")))
 
     def stays(self) -> list[Stay]:
-        """Returns all stays in the order of their first acts. Ignores a last line that a kill cut off."""
+        """Returns all stays in the order of their first acts. Ignores lines that a kill left incomplete."""
         found = []
         for path in sorted(self.folder.glob("*.beats")):
             lines = [line for line in path.read_text().splitlines(keepends=True) if line.endswith("\n")]
@@ -229,7 +229,7 @@
 
 
 def alive(stay: Stay) -> bool:
-    """Returns whether a task still runs. An ended task that was not waited for has no command line."""
+    """Returns whether a task still runs. The command line of a task that is a zombie is empty."""
     try:
         words = Path(f"/proc/{stay.pid}/cmdline").read_bytes().split(b"\0")
     except FileNotFoundError:
--- a/tests/pinned/state_files.py
+++ b/tests/pinned/state_files.py
@@ -20,7 +20,7 @@
 
 FOLDER = Path(__file__).with_name("state")
 MEMBER = "a"
-BLOCK = 65_536  # number of ballots that one write reserves
+BLOCK = 65_536  # one write of the state file reserves this many ballots
 
 
 def heard(
@@ -46,14 +46,14 @@
     votes: bool
     silent_ns: int | None
     base: int
-    wanted: int = 0  # the ballot for which the voter reserves a block at the end
+    wanted: int = 0  # a ballot for which the voter finally reserves a block; 0 for none
 
 
 S = 1_000_000_000
 STARTS = [
     # The disk is empty and no voter answers: the voter has its plan, and knows no ballot.
     Start("", "blank", "abc", 1000, (), False, None, 0),
-    # All voters answer, and all are new as well.
+    # All other voters answer, and they are new as well.
     Start("", "fresh", "abc", 1000, (heard("b", False, True), heard("c", False, True)), True, S, 0),
     Start("blank", "fresh", "abc", 1000, (heard("b", False, True), heard("c", False, True)), True, S, 0),
     # The disk was lost, and two voters know the highest ballot.
@@ -73,7 +73,7 @@
     Start("fresh", "moved", "abcde", 1000, (), False, None, 0),
     Start("moved", "moved", "abcde", 1000, (heard("d", False, True),), False, None, 0),
     Start("moved", "arrived", "abcde", 1000, (heard("b", True, False, 3 * BLOCK),), True, S, 3 * BLOCK),
-    # One of the counted voters came from a list of b and f; a majority of that list may still exist.
+    # The answering voter b has a former list of b and f; a majority of that list may still exist.
     Start(
         "moved",
         "moved",
@@ -84,12 +84,12 @@
         None,
         0,
     ),
-    # While the voter still waits, the list changes to a third one, and back to the first.
+    # While the voter still waits, the list of voters changes to a third list, and then back to the first.
     Start("moved", "moved-twice", "abd", 1000, (), False, None, 0),
     Start("moved-twice", "moved-back", "abc", 1000, (), False, None, 0),
     # A blank voter changes its list: it knows no ballot under either list.
     Start("blank", "blank-moved", "abd", 1000, (), False, None, 0),
-    # Leases were 5 s long before: the voter is still silent for 5 s, even if it restarts in between.
+    # Leases last 5 s at first, then 1 s: the voter is still silent for 5 s, even if it restarts in between.
     Start("", "long", "abc", 5000, (heard("b", False, True), heard("c", False, True)), True, 5 * S, 0),
     Start(
         "long",
@@ -102,13 +102,13 @@
         BLOCK,
     ),
     Start("shortened", "shortened-restarted", "abc", 1000, (), True, 5 * S, 2 * BLOCK),
-    # When the ballots of a block are used up, another block is reserved. A longer silence that the voter has
-    # kept is then dropped from the file.
+    # When the ballots of a block are used up, the voter reserves another block. It then drops from the file
+    # a longer silence that it has kept.
     Start("fresh", "next-block", "abc", 1000, (), True, S, BLOCK, wanted=200_000),
     Start("shortened", "shortened-next-block", "abc", 1000, (), True, 5 * S, 2 * BLOCK, wanted=200_000),
 ]
 
-# Files that no short run writes: the largest values, and names that JSON must escape.
+# Contents that no short run writes to a file: the largest values, and names that JSON must escape.
 LONGEST = "x" * 64
 VALUES: dict[str, dict[str, Any]] = {
     "largest": {
--- a/tests/pinned/test_answers_to_clients.py
+++ b/tests/pinned/test_answers_to_clients.py
@@ -137,7 +137,7 @@
 
 
 def steady(text: str) -> str:
-    """Returns an answer without the parts that time or chance change, and long bodies as their lengths."""
+    """Returns an answer without the parts that time or chance change, and with lengths for long bodies."""
     text = re.sub(r"Retry-After: \d+\.\d{3}\r\n", "Retry-After: S.MMM\r\n", text)
     text = re.sub(r"X-Deadline-Ms: \d+\r\n", "X-Deadline-Ms: MS\r\n", text)
     text = re.sub(r"(?:\r\n[0-9a-f]+\r\n[xy]+)+\r\n0\r\n", "\r\nCHUNKS\r\n0\r\n", text)
@@ -182,7 +182,7 @@
 
 
 def test_refused_with_and_without_retry_after_and_a_second_of_one_id(tmp_path: Path) -> None:
-    """Two requests are open, and the limit is two."""
+    """Two requests are open, and the limit is two open requests."""
 
     async def test() -> None:
         found = {}
--- a/tests/pinned/test_balancer_config.py
+++ b/tests/pinned/test_balancer_config.py
@@ -97,7 +97,8 @@
     "limits": {"sockets": 512},
     "settings": SETTINGS,
 }
-WRONG: list[Any] = ["?", True, {}]  # for each type of value, at least one of these is wrong
+# Whatever the type of a key's value, at least one of these is wrong for it.
+WRONG: list[Any] = ["?", True, {}]
 
 
 def leaves(value: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
@@ -118,7 +119,7 @@
 
 
 def test_what_is_said_of_each_key_with_a_wrong_value(tmp_path: Path) -> None:
-    """With a valid value the daemon fails only at its address, which is in use."""
+    """If a value is allowed, the daemon fails only because its address is in use."""
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -154,9 +155,9 @@
 
 @pytest.mark.parametrize("path", list(leaves(SETTINGS)), ids=lambda path: ".".join(map(str, path)))
 def test_a_key_under_another_name_is_skipped(path: tuple[str | int, ...]) -> None:
-    """Unknown keys are ignored: the renamed key has its default, and all others keep their values."""
+    """Unknown keys are ignored: the key that is renamed has its default, and all others keep their values."""
     if isinstance(path[-1], int) or path[-1] == "name":
-        return  # an index is not a key, and `name` is required
+        return  # an index of a list can't be misspelt, and `name` is required
     misspelt = copy.deepcopy(SETTINGS)
     at: Any = misspelt
     for key in path[:-1]:
@@ -214,7 +215,7 @@
     if by == "variables":
         config = {key: value for key, value in CONFIG.items() if key not in addresses}
         variables = {f"BALANCER_{key.upper()}": value for key, value in addresses.items()}
-    else:  # keys of the file take precedence over these variables
+    else:  # these variables have no effect, as the keys of the file take precedence
         variables = {f"BALANCER_{key.upper()}": "nowhere" for key in addresses}
     path = tmp_path / "c.json"
     path.write_text(json.dumps(config))
--- a/tests/pinned/test_command_line.py
+++ b/tests/pinned/test_command_line.py
@@ -139,7 +139,7 @@
 
 
 def test_a_command_under_a_lease_has_its_variables_and_exit_code(tmp_path: Path) -> None:
-    """The fleet has one voter: the balancer, which is started with the same file as the command."""
+    """The fleet has one voter, the balancer. Balancer and command are started with the same file."""
     path = tmp_path / "f.toml"
     serving = GOOD.replace("8000", str(free_port())) + LISTED + FLEET
     path.write_text(serving + MEMBER.format("a", free_port(socket.SOCK_DGRAM)))
@@ -185,7 +185,7 @@
             {"BALANCER_CONFIG": "none.json"},
             {"BALANCER_CONFIG": str(path)},
             {"BALANCER_CONFIG": str(path), "BALANCER_LISTEN": used},
-            good,  # fails only because the address is in use
+            good,  # the daemon fails only because the address is in use
             *({**good, f"BALANCER_{name}": "nowhere"} for name in addresses),
             {**good, "BALANCER_FD": "seven"},
             {**good, "BALANCER_FD": "99"},
@@ -205,7 +205,7 @@
 
 
 def test_the_programs_by_their_module_names() -> None:
-    """The platform starts the first two (deploy/balancer.toml); a holder starts its watchdog."""
+    """The platform starts two modules (deploy/balancer.toml), and a holder starts its watchdog's module."""
     told = (ROOT / "deploy" / "balancer.toml").read_text()
     assert 'run = "exec .venv/bin/python -m lanelift"\n' in told
     assert 'sim = "exec .venv/bin/python -m lanelift.wirehost"\n' in told
@@ -220,4 +220,4 @@
     assert run(sys.executable, "-m", "lanelift").err == "lanelift: BALANCER_CONFIG is not set\n"
     assert run(sys.executable, "-m", "lanelift.wirehost").code == 0
     watched = run(sys.executable, "-m", "lanelift.leases.warden", "0", "0", "true")
-    assert watched.code == 75  # the command's deadlines had passed long ago
+    assert watched.code == 75  # the deadlines in the arguments, both 0, had passed long ago
--- a/tests/pinned/test_fleet_bytes.py
+++ b/tests/pinned/test_fleet_bytes.py
@@ -18,8 +18,8 @@
 HEAD = "4c46" + "01" + "3132333435363738"  # magic, version, digest
 LONGEST, MOST = "x" * 64, 2**62 - 1  # the longest name, the largest count
 N, C = "d940" + "78" * 64, "cf3fffffffffffffff"  # LONGEST and MOST as MessagePack
-SEEN = f"96a47365656e{N}{N}{C}{C}{C}"  # one lease of the largest view
-LEFT = f"92{N}a161"  # one former list of voters of the largest hello
+SEEN = f"96a47365656e{N}{N}{C}{C}{C}"  # one lease in the largest view message
+LEFT = f"92{N}a161"  # one former list of voters in the largest hello message
 
 # kind, values in the order of fields, CRC-32, MessagePack
 MESSAGES: list[tuple[str, tuple[Any, ...], str, str]] = [
@@ -133,7 +133,7 @@
     ),
 ]
 
-# The fields that an earlier release may omit at the end, and their defaults.
+# Messages whose last fields are omitted, as an earlier release may do, and all values with the defaults.
 DEFAULTS: list[tuple[list[Any], tuple[Any, ...]]] = [
     (["ask", "n", 1, 2, "p", 3], ("n", 1, 2, "p", 3, 0, False)),
     (["ask", "n", 1, 2, "p", 3, 4], ("n", 1, 2, "p", 3, 4, False)),
@@ -196,7 +196,7 @@
 
 
 def test_a_verdict_of_a_later_release_is_read_as_its_word() -> None:
-    """The answer is still decoded; its receiver finds that it does not know the verdict."""
+    """An answer with an unknown verdict is still decoded; its receiver finds that the verdict is unknown."""
     row = ["answer", "nightly", 8, 9, "a", "postponed", 1, "p", 2, 3, 4]
     assert names.decode_fleet(framed(row)) == (DIGEST, "answer", tuple(row[1:]))
 
@@ -206,7 +206,7 @@
 
 
 def unchecked(body: bytes) -> bytes:
-    """Returns a frame around any bytes, with the right checksum."""
+    """Returns a frame with the right checksum around a body of any bytes."""
     return b"LF\x01" + DIGEST + zlib.crc32(body).to_bytes(4, "big") + body
 
 
@@ -266,8 +266,8 @@
     ("voters", "about", "digest"),
     [
         ("abc", {}, "70ad1fe084793671"),
-        ("cab", {}, "70ad1fe084793671"),  # the order of the voters does not count
-        ("abc", {"others": "de"}, "70ad1fe084793671"),  # members that do not vote do not count
+        ("cab", {}, "70ad1fe084793671"),  # the order of the voters does not change the digest
+        ("abc", {"others": "de"}, "70ad1fe084793671"),  # members that do not vote do not change the digest
         ("abcd", {}, "3b21d47eb677e5f6"),
         (["ab", "c"], {}, "596747c0d435dabf"),
         ("abc", {"name": "trusu"}, "63afa4762cf3fadf"),
@@ -280,7 +280,7 @@
     ],
 )
 def test_the_digest_of_a_plan(voters: Any, about: dict[str, Any], digest: str) -> None:
-    """Members ignore messages with another digest: a change of the digest would split a mixed fleet."""
+    """Members ignore messages with another digest, so that a changed digest would split a mixed fleet."""
     assert names.plan_digest(voters, **about).hex() == digest
 
 
--- a/tests/pinned/test_gossip_bytes.py
+++ b/tests/pinned/test_gossip_bytes.py
@@ -72,7 +72,7 @@
     "data",
     [
         "",
-        "010100030004000500",  # a byte short of a head
+        "010100030004000500",  # one byte shorter than a message without updates
         "00010003000400050006",  # version 0
         "02010003000400050006",  # version 2
         "01000003000400050006",  # kind 0
@@ -90,7 +90,7 @@
     head, known = "01040003000400050006", "00010100020003"
     read = (TELL, 3, 4, 5, 6, ((1, SUSPECT, 2, 3),))
     assert names.decode_gossip(bytes.fromhex(head + known + tail)) == read
-    if len(tail) == 14:  # a complete update that is invalid does not affect the next one
+    if len(tail) == 14:  # an update that is complete but invalid does not affect the next update
         assert names.decode_gossip(bytes.fromhex(head + tail + known)) == read
 
 
--- a/tests/pinned/test_mixed_versions.py
+++ b/tests/pinned/test_mixed_versions.py
@@ -31,7 +31,7 @@
 def test_the_two_releases_are_what_their_processes_import(
     before: Path, present: Path, tmp_path: Path
 ) -> None:
-    """If the processes imported the same code, the tests below would not test two releases."""
+    """If all processes imported the same code, the tests below would test only one release."""
     for release in (before, present):
         done = subprocess.run(
             [sys.executable, "-c", "import lanelift; print(lanelift.__file__)"],
@@ -65,7 +65,7 @@
             fleet.member(voter, release)
         fleet.until_voting(*"abc")
 
-        # A holder of the previous release is killed: one of the present code holds next, and vice versa.
+        # After the kill of a holder of the previous release, one of the present code holds, and vice versa.
         fleet.holder("p1", before, "stubborn")
         fleet.until_acts("p1")
         fleet.until_bound("p1")
@@ -112,7 +112,7 @@
         for voter in "bc":
             fleet.ended(voter)
             fleet.member(voter, present)
-        fleet.until_voting(*"bc")  # a is still down: b and c have to know the highest ballot
+        fleet.until_voting(*"bc")  # as a is still down, b and c have to know the highest ballot
         fleet.holder("p7", before)
         fleet.until_acts("p7")
         fleet.member("a", before)
@@ -141,7 +141,8 @@
             first_member.bind((LOOPBACK, fleet.ports["a"]))
             first_member.settimeout(releases.WITHIN_S)
             fleet.holder("p1", installed, "stubborn")
-            first_member.recv(2048)  # a request shows that the modules that wait for the lease are loaded
+            # The request of p1 shows that p1 has loaded the modules that wait for the lease.
+            first_member.recv(2048)
         shutil.rmtree(installed / "lanelift")
         copy_present(installed)
         for voter in "abc":
@@ -160,6 +161,6 @@
 
 
 def lasted_ns(fleet: Fleet) -> int:
-    """Returns the time from the first to the last act of the last stay."""
+    """Returns the time from the first act to the last act of the latest task."""
     last = fleet.stays()[-1]
     return last.last_ns - last.first_ns
--- a/tests/pinned/test_outside_names.py
+++ b/tests/pinned/test_outside_names.py
@@ -40,7 +40,7 @@
 
 
 def runs_of_words(text: str) -> Iterator[str]:
-    """Yields a text, its words, and its flags, paths and compound words."""
+    """Yields a text itself, and the words, flags, paths and compound words in it."""
     yield text
     yield from WORD.findall(text)
     yield from re.findall(r"(?:--|/)?[A-Za-z0-9_]+(?:[-/.][A-Za-z0-9_]+)*", text)
--- a/tests/pinned/test_simulator_wire.py
+++ b/tests/pinned/test_simulator_wire.py
@@ -114,7 +114,7 @@
 
 
 class Conversation:
-    """The lines that a simulator sends: one batch of events after another, the same in each run."""
+    """The lines that a simulator sends, one batch of events each; they are the same in each run."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -231,7 +231,7 @@
 
 
 def test_the_conversation_has_every_kind() -> None:
-    """The kinds `fetch`, `write_log` and `fault` are excepted, as the balancers do not cause them here."""
+    """The kinds `fetch`, `write_log` and `fault` are missing, as the balancers do not cause them here."""
     folder = Path(__file__).parent / "golden"
     said = [json.loads(line) for line in (folder / "wire-said.jsonl").read_text().splitlines()]
     heard = [json.loads(line) for line in (folder / "wire-heard.jsonl").read_text().splitlines()]
@@ -264,7 +264,7 @@
 
 
 def test_a_fault_is_told_as_an_action() -> None:
-    """The fault is the end of an attempt that was never made. All but the exception's place is pinned."""
+    """The test reports the end of an attempt that was never made; only the exception's place isn't pinned."""
     talk = Conversation()
     talk.say({"t": "directory", "buffer": 0, "rows_in": [row(11)]}, *begin(1))
     talk.say(submit("a", talk.now, balancer=1))
@@ -277,7 +277,8 @@
     )
 
 
-WRONG: tuple[Any, ...] = ("?", True, {})  # at least one of these is wrong for each type of value
+# Whatever the type of a value, at least one of these is wrong for it.
+WRONG: tuple[Any, ...] = ("?", True, {})
 WHOLE: dict[str, Json] = {
     "submit": {**submit("x", BEGIN), "balancer": 1},
     "returned": {**returned("x", 11, "delivered", complete=True, metrics={"inflight": 1}), "balancer": 1},
@@ -301,7 +302,7 @@
 
 
 def test_what_is_said_of_each_key_that_is_wrong_or_missing(tmp_path: Path) -> None:
-    """A refused value gives exit code 2 and one line of output; an allowed one gives 0 and no output."""
+    """A refused value causes exit code 2 and one line of output; an allowed value causes 0 and no output."""
     start: list[Json] = [{"t": "directory", "buffer": 0, "rows_in": [row(11)]}, *begin(1)]
     cases: dict[str, Any] = {}
     for kind, event in WHOLE.items():
--- a/tests/pinned/test_traces.py
+++ b/tests/pinned/test_traces.py
@@ -6,7 +6,7 @@
 
 from tests.pinned import traces
 
-IN_SHORT = {"leases": 40, "membership": 15}  # number of seeds in the default run; --long uses all
+IN_SHORT = {"leases": 40, "membership": 15}  # number of seeds checked in the default run; --long checks all
 
 
 @pytest.mark.parametrize("world", ["leases", "membership"])
@@ -19,7 +19,7 @@
 
 
 def test_a_trace_has_what_an_observer_sees() -> None:
-    """Fails if a rename has disconnected a hook; the digest of an empty trace would never change again."""
+    """Fails if a rename has disconnected a hook, as the digests of empty traces would never change again."""
     leases, membership = traces.PLAYS["leases"](0), traces.PLAYS["membership"](1)
     for lines, whats in (
         (leases, {"send", "come", "start", "step", "write", "written", "act", "token"}),
--- a/tests/pinned/test_warden_contract.py
+++ b/tests/pinned/test_warden_contract.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).parents[2]
 NOT_HELD = 75
 NEVER_S = 600.0
-# From the start to a deadline in the arguments, within which a process has to start even on a busy machine.
+# Seconds until a deadline in the arguments; a process starts within this time even on a busy machine.
 SOON_S = 2.0
 STUBBORN = "trap '' TERM; "
 
@@ -33,7 +33,7 @@
 
 
 class Warden:
-    """A watchdog and its command, a shell script that writes a file when it is ready."""
+    """A watchdog and its command, a shell script. The script writes a file when it is ready."""
 
     def __init__(self, folder: Path) -> None:
         self.ready = folder / "ready"
@@ -61,7 +61,7 @@
         return process
 
     def pid(self) -> int:
-        """Returns the process id of the command, which the command has written."""
+        """Returns the process id that the command has written to its file."""
         return int(self.ready.read_text())
 
     def tell(self, term_s: float, kill_s: float, end: str = "\n") -> None:
@@ -75,7 +75,7 @@
         return (boottime_ns() - self.began_ns) / 1e9
 
 
-MOVE = 'mv "$READY.new" "$READY"'  # atomic, so that the file is never read half written
+MOVE = 'mv "$READY.new" "$READY"'  # the rename is atomic, so that a test never reads an incomplete file
 
 
 def until(done: Callable[[], bool]) -> None:
@@ -86,7 +86,7 @@
 
 
 def state(pid: int) -> str:
-    """Returns the state as in /proc: T stopped, Z ended; X if there is no process."""
+    """Returns a process's state as in /proc: T for stopped, Z for ended; X if there is no process."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
     except FileNotFoundError:
@@ -94,7 +94,7 @@
 
 
 def gone(pid: int) -> bool:
-    """Returns whether a process has ended: it does not exist, or no process has waited for it yet."""
+    """Returns whether a process has ended: it no longer exists, or it is a zombie."""
     return state(pid) in "XZ"
 
 
@@ -104,7 +104,7 @@
     yield made
     if made.process is not None:
         if made.process.poll() is None:
-            made.process.kill()  # its command ends with it
+            made.process.kill()  # the kernel then kills the command as well
         made.process.wait(20)
         for pipe in (made.process.stdin, made.process.stdout, made.process.stderr):
             assert pipe is not None
@@ -182,7 +182,7 @@
 
 
 def test_the_end_of_its_input_ends_the_command_at_once(warden: Warden) -> None:
-    """The end of its input shows that the holder has ended, so the lease can't be renewed any more."""
+    """The end of the watchdog's input shows that the holder has ended and can no longer renew the lease."""
     process = warden.script(NEVER_S, NEVER_S, "trap 'exit 0' TERM; ")
     assert process.stdin is not None
     process.stdin.close()
@@ -197,7 +197,7 @@
 
 
 def test_later_times_are_told_on_its_input(warden: Warden) -> None:
-    """A line that arrives in two parts is read when it is complete; of two lines the last one applies."""
+    """A line that arrives in two parts is read when it is complete. Of two lines, the later line applies."""
     process = warden.script(SOON_S, SOON_S, "trap 'exit 0' TERM; ")
     warden.tell(NEVER_S, NEVER_S)
     warden.tell(2 * SOON_S, NEVER_S, end="")
