--- a/lanelift/rehearsal/balancer_supervisor.py
+++ b/lanelift/rehearsal/balancer_supervisor.py
@@ -184,7 +184,7 @@
         balancer.watcher = asyncio.create_task(self._watch(balancer, run))
 
     async def _watch(self, balancer: Balancer, run: RunningProcess) -> None:
-        """Records the end of a process, and reports it unless the day is over."""
+        """Records the end of a process, and reports this event unless the day is over."""
         exit_code = await run.process.wait()
         self.process_runs.append(
             ProcessRun(
--- a/lanelift/rehearsal/client.py
+++ b/lanelift/rehearsal/client.py
@@ -134,7 +134,7 @@
     """Emulates the front, the tier that clients connect through, which chooses a balancer for each try.
 
     The front chooses among the balancers of the client's room that it believes to be alive, or among those of
-    all rooms if the client's room has none. The front learns only after a delay that a balancer has died."""
+    all rooms if the client's room has none. The front learns of a balancer's death only after a delay."""
 
     def __init__(self, plan: Plan, addresses: Sequence[tuple[str, int]]) -> None:
         self.seed = plan.scenario.seed
--- a/lanelift/rehearsal/orchestrator.py
+++ b/lanelift/rehearsal/orchestrator.py
@@ -233,8 +233,8 @@
     def _on_balancer_event(self, message: Json) -> None:
         """Forwards the up, leaving or down event of a balancer to the load processes.
 
-        `in_s` is the delay after which their front acts on the event; a down event has a random delay from
-        the range `front_notice_s`."""
+        `in_s` is the delay after which the front in these processes acts on the event. The delay of a down
+        event is random, from the range `front_notice_s`."""
         number = message["balancer"]
         in_s = {
             "down": uniform(*self.scenario.discovery.front_notice_s, self.scenario.seed, "front", number),
--- a/lanelift/rehearsal/plan.py
+++ b/lanelift/rehearsal/plan.py
@@ -117,7 +117,7 @@
 
 
 class FaultMark(NamedTuple):
-    """A fault as charts show it: its period and its label."""
+    """The period and the label that charts show for a fault."""
 
     at_ns: int
     until_ns: int
@@ -317,7 +317,7 @@
         self.outages: list[Outage] = []
 
     def add(self, index: int, fault: s.Fault) -> None:
-        """Adds the events of a fault. Its random values are named after its index in the scenario."""
+        """Adds the events of a fault. The names of its random values contain its index in the scenario."""
         at = _ns(fault.at_s)
         name = ("fault", index)
         text, until = str(fault.kind), at + _ns(getattr(fault, "len_s", 0.0))
@@ -408,7 +408,7 @@
     def _repeat(
         self, at: int, until: int, every_s: tuple[float, float], name: tuple[object, ...], action_at: Any
     ) -> None:
-        """Calls `action_at(time, turn)` for turns 0, 1, ..., with random intervals, until `until`."""
+        """Calls `action_at(time, turn)` for turns 0, 1, ... at random intervals, for times before `until`."""
         turn = 0
         at += self._duration_ns((0.0, every_s[1]), *name, "first")
         while at < until:
--- a/lanelift/rehearsal/records.py
+++ b/lanelift/rehearsal/records.py
@@ -27,7 +27,7 @@
     extra        unexpected bytes followed a complete answer
     crossed      a reused connection was closed while the request was sent, which was then sent again on a new
                  connection
-    unconnected  no connection could be established
+    unconnected  no connection to the balancer could be established
     """
 
     request_number: int
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -162,7 +162,7 @@
 
 
 def compared_figures(report: Json) -> dict[str, float]:
-    """Returns, by name, the figures of one report that `compare` uses."""
+    """Returns those figures of one report that `compare` uses, by name."""
     return {name: report["verdict"][part][key] for name, (part, key) in COMPARED.items()}
 
 
--- a/lanelift/rehearsal/verdict.py
+++ b/lanelift/rehearsal/verdict.py
@@ -97,7 +97,7 @@
     # Lateness of the event loop of each process of the kit.
     lateness: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
     due_late_ms: Mapping[str, float] = field(default_factory=dict)
-    offered: str = ""  # a digest of the first tries and their due times
+    offered: str = ""  # a digest of the first tries of all requests and their due times
     connect_shortages: int = 0
     kit_cpu_s: float = 0.0
     lost_workers: Sequence[str] = ()
@@ -182,8 +182,8 @@
 def without_suspended_tenants(
     day: Day, found: Iterable[Outcome], suspended: Iterable[Suspension]
 ) -> list[Outcome]:
-    """Returns the outcomes that count for the worth. Requests that were due between 1 s before a suspension
-    of their tenant and `SUSPENSION_LIMIT_S` after its end are left out."""
+    """Returns the outcomes that count for the worth, without those of requests that were due between 1 s
+    before a suspension of their tenant and `SUSPENSION_LIMIT_S` after the end of the suspension."""
     by_tenant: dict[str, list[tuple[int, int]]] = defaultdict(list)
     resume_ns = round(SUSPENSION_LIMIT_S * SECOND)
     for s in suspended:
--- a/lanelift/rehearsal/worker.py
+++ b/lanelift/rehearsal/worker.py
@@ -41,7 +41,7 @@
         ...
 
     def progress(self) -> Json:
-        """Returns counts for the progress line; none if the role has nothing to report."""
+        """Returns counts for the progress line; the result is empty if the role has nothing to report."""
         ...
 
     async def finish(self) -> Json:
--- a/lanelift/standins/discovery.py
+++ b/lanelift/standins/discovery.py
@@ -53,7 +53,7 @@
         self.busy_until_ns = 0
 
     def reserve(self, now: int) -> int | None:
-        """Returns when a call that arrives now will be done, or None if its wait would be too long."""
+        """Returns when a call that arrives now will end, or None if the call would wait too long."""
         start = max(now, self.busy_until_ns)
         if start - now > MAX_QUEUE_NS:
             return None
--- a/lanelift/standins/http.py
+++ b/lanelift/standins/http.py
@@ -32,7 +32,7 @@
     first_ns: int
     last_ns: int
     number: int  # position among the requests on its connection, from 0
-    disconnected_ns: int = 0  # when the caller closed the connection; 0 while it is open
+    disconnected_ns: int = 0  # when the caller closed the connection; 0 while the connection is open
 
     @property
     def path(self) -> str:
--- a/lanelift/standins/ldap.py
+++ b/lanelift/standins/ldap.py
@@ -132,7 +132,7 @@
         self.put(dn, kept, stamp)
 
     def rename(self, dn: str, new: str, stamp: str) -> None:
-        """Renames an entry (ModifyDN). It keeps its content and its UUID."""
+        """Renames an entry (ModifyDN). The entry keeps its content and its UUID."""
         entry = self.entries.pop(parse_dn(dn))
         self.put(new, {name: values for name, values in entry.attributes.values()}, stamp)
 
@@ -141,7 +141,7 @@
         del self.entries[parse_dn(dn)]
 
     def copy(self) -> Tree:
-        """Returns a copy of the present state, which later changes of this tree do not affect."""
+        """Returns a copy of the present tree; later changes of this tree do not affect the copy."""
         other = Tree(self.base)
         other.entries = dict(self.entries)
         return other
--- a/tests/pinned/releases.py
+++ b/tests/pinned/releases.py
@@ -77,7 +77,7 @@
 
 
 class Fleet:
-    """Members a, b and c, and any number of holders of one lease. A context manager: its exit ends them all.
+    """Members a, b and c, and any number of holders of one lease. The exit of this context manager ends all.
 
     The operator's file has the timings of `TIMES`. After its start, a voter is silent for `lease_ms`.
     """
--- a/tests/pinned/test_gossip_bytes.py
+++ b/tests/pinned/test_gossip_bytes.py
@@ -72,7 +72,7 @@
     "data",
     [
         "",
-        "010100030004000500",  # one byte shorter than a message without updates
+        "010100030004000500",  # one byte shorter than the head of a message
         "00010003000400050006",  # version 0
         "02010003000400050006",  # version 2
         "01000003000400050006",  # kind 0
@@ -95,7 +95,7 @@
 
 
 def test_a_message_of_the_largest_size_is_read() -> None:
-    """The message has 256 bytes: 35 updates, and one byte that belongs to no update."""
+    """The message has 256 bytes: the head, 35 updates, and one byte that belongs to no update."""
     data = bytes.fromhex(FULL_HEAD + FULL_UPDATES + "00")
     assert len(data) == 256
     assert names.decode_gossip(data) == (PING, 1, 2, 3, 4, FULL)
--- a/tests/pinned/test_simulator_wire.py
+++ b/tests/pinned/test_simulator_wire.py
@@ -264,7 +264,7 @@
 
 
 def test_a_fault_is_told_as_an_action() -> None:
-    """The test reports the end of an attempt that was never made; only the exception's place isn't pinned."""
+    """A simulator reports the end of an attempt that was never made. The exception's place isn't pinned."""
     talk = Conversation()
     talk.say({"t": "directory", "buffer": 0, "rows_in": [row(11)]}, *begin(1))
     talk.say(submit("a", talk.now, balancer=1))
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -296,7 +296,7 @@
 
 
 def test_a_rehearsal_against_an_external_balancer(tmp_path: Path) -> None:
-    """The daemon runs with its own file and a static list of upstreams, without discovery."""
+    """The daemon runs with an operator's file that lists the upstreams, without discovery."""
     base = consecutive_ports(8)
     listen = base + 7  # the port after the seven ports of six boxes and discovery
     boxes = "".join(f'[[upstream]]\nname = "b{i}"\naddress = "127.0.0.1:{base + i}"\n' for i in range(6))
