--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -144,7 +144,7 @@
 
 # ---- comparison ------------------------------------------------------------------------------------------
 
-# For each figure in a comparison, by name: its section and its key in the verdict.
+# The figures that `compare` uses, by name, each with its section and its key in the verdict.
 COMPARED = {
     "figure": ("worth", "figure"),
     "whole": ("worth", "whole"),
@@ -162,7 +162,7 @@
 
 
 def compared_figures(report: Json) -> dict[str, float]:
-    """Returns, by name, the figures of one report that `compare` uses."""
+    """Returns those figures of one report that `compare` uses, by name."""
     return {name: report["verdict"][part][key] for name, (part, key) in COMPARED.items()}
 
 
