--- a/lanelift/cli/lease.py
+++ b/lanelift/cli/lease.py
@@ -119,7 +119,7 @@
 
 
 def _summary(name: str, statuses: list[LeaseStatus], voters: int) -> str:
-    """Returns one line on a lease, from the responses of the voters that know the lease."""
+    """Returns a line of text that describes a lease, from the responses of the voters that know the lease."""
     held = [status for status in statuses if status.holder]
     waiters = max(status.waiters for status in statuses)
     latest = max(held, key=lambda status: status.token, default=None)
@@ -127,13 +127,13 @@
     state = (
         f"held by {latest.holder} under token {latest.token}, {votes} of {voters} votes"
         if latest and votes >= majority(voters)
-        else "free, or nobody has a majority"
+        else "free, or no holder has a majority"
     )
     return f"{name}: {state}; {waiters} waiting"
 
 
 def _described(pages: list[LeaseList] | None, name: str) -> str:
-    """Returns the state of a lease in the response of one voter, as text."""
+    """Returns the state of a lease as text, from one voter's response (None if the voter did not respond)."""
     if pages is None:
         return "no answer"
     if pages[0].quiet_ns:
--- a/lanelift/config/checked.py
+++ b/lanelift/config/checked.py
@@ -21,8 +21,9 @@
 
 from lanelift.errors import LaneliftError
 
-SHOWN_CHARACTERS = 60  # of a value in a message
-MIN_SIMILARITY = 0.6  # of a known key that is suggested in place of an unknown one (difflib's ratio)
+SHOWN_CHARACTERS = 60  # limits the characters of a value that a message shows
+# Minimum similarity (difflib's ratio) at which a message suggests a known key for an unknown key.
+MIN_SIMILARITY = 0.6
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,8 +31,8 @@
     """One problem of a file.
 
     Attributes:
-        place: The path of the key (`upstream[2].address`); empty: the file as a whole.
-        found: The value found, as text; empty: there is no value to show.
+        place: The path of the key (`upstream[2].address`); empty if the problem concerns the whole file.
+        found: The value found, as text; empty if there is no value to show.
         allowed: The values that are allowed, in words.
     """
 
@@ -46,7 +47,7 @@
 
 
 class Table(BaseModel):
-    """A table of a file: immutable, without unknown keys, and with values that are not converted."""
+    """A table of a file. It is immutable, refuses unknown keys and does not convert values."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
@@ -54,8 +55,8 @@
     def cross_field_problems(cls, raw: dict[str, Any]) -> Iterable[ValidationProblem]:
         """Return the problems that concern several keys of the file.
 
-        The argument is raw input, as this is called even if single keys are invalid. Values of the wrong type
-        are ignored here; the checks of single keys report them.
+        The argument is raw input, as this method is called even if single keys are invalid. Values of the
+        wrong type are ignored here; the checks of single keys report them.
         """
         return ()
 
@@ -81,7 +82,12 @@
 
 
 def read_file(path: Path, model: type[T], changes: Mapping[str, Any] | None = None) -> T:
-    """Return the content of a file as an instance of `model`.
+    """Parse a TOML file, and return its content as an instance of `model`.
+
+    Args:
+        path: The file.
+        model: The model that validates the file.
+        changes: Values that replace those of the file, by the path of their key.
 
     Raises:
         FileValidationError: The file has problems, can't be read or is not TOML.
@@ -101,7 +107,7 @@
 
 
 def read_text(text: str, model: type[T], file: str, changes: Mapping[str, Any] | None = None) -> T:
-    """Return the content of a text as an instance of `model`.
+    """Parse a TOML text, and return its content as an instance of `model`.
 
     Args:
         text: The TOML.
@@ -134,7 +140,7 @@
 
 
 def tables(raw: dict[str, Any], key: str) -> list[tuple[str, dict[str, Any]]]:
-    """Return the tables of an array in raw input, each with its path; none if the value is not an array."""
+    """Return an array's tables in raw input, each with its path; no tables if the value is not an array."""
     rows = raw.get(key, [])
     return (
         [(f"{key}[{i}]", row) for i, row in enumerate(rows) if isinstance(row, dict)]
@@ -146,7 +152,8 @@
 def number(row: dict[str, Any], key: str, default: float) -> float:
     """Return a number of raw input, or the default if it is missing.
 
-    The result for a value of another type is NaN, for which every comparison is false.
+    For a value of another type, the function returns NaN. Comparisons with NaN are false, so such a value
+    causes no second problem; the check of its key reports the value.
     """
     value = row.get(key, default)
     fits = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
@@ -187,7 +194,7 @@
         return ValidationProblem(path, "", f"unknown key; {hint}")
     if kind == "missing":
         return ValidationProblem(path, "", "missing; it must be set")
-    if kind == "value_error":  # the message of a validator, which says what is allowed
+    if kind == "value_error":  # the message of the validator that raised the error says what is allowed
         message = str(context.get("error", error["msg"]))
         return ValidationProblem(path, _shown(error["input"]) if path else "", message)
     return ValidationProblem(
@@ -207,7 +214,7 @@
     """Return a value as text for a message."""
     try:
         text = json.dumps(value, ensure_ascii=False)
-    except (TypeError, ValueError):  # dates and times, which TOML has and JSON has not
+    except (TypeError, ValueError):  # TOML has dates and times, which JSON can't express
         text = str(value)
     return text if len(text) <= SHOWN_CHARACTERS else text[:SHOWN_CHARACTERS] + "…"
 
@@ -222,7 +229,7 @@
 def _is_tag(part: int | str, loc: Sequence[int | str], model: type[BaseModel]) -> bool:
     """Return whether a part of a path is the tag of a union's member.
 
-    A tag follows the index of a list, where the file has a table, and is not a key of that table.
+    A tag follows the list index of a table, and is not a key of that table.
     """
     at = list(loc).index(part)
     return (
@@ -234,6 +241,7 @@
 
 
 def _tags(annotation: Any) -> list[str]:
+    """Return the tags of a tagged union of tables, which are the allowed values of the key `kind`."""
     tags = []
     for member in _members(annotation):
         kind = member.model_fields.get("kind")
@@ -249,6 +257,7 @@
 
 
 def _annotation(model: type[BaseModel], loc: Sequence[int | str]) -> Any:
+    """Return the annotation of the value at one of pydantic's paths, or None if there is no such field."""
     annotation: Any = model
     for part in loc:
         if isinstance(part, int):
@@ -269,5 +278,6 @@
 
 
 def _keys_at(model: type[BaseModel], loc: Sequence[int | str]) -> list[str]:
+    """Return the known keys of the table at one of pydantic's paths."""
     members = _members(_annotation(model, loc))
     return sorted({field.alias or name for m in members for name, field in m.model_fields.items()})
--- a/lanelift/config/operator.py
+++ b/lanelift/config/operator.py
@@ -38,7 +38,8 @@
 from lanelift.tenants.names import folded
 
 NS_PER_MS = 1_000_000
-MAX_UPSTREAMS = 10_000  # each has a target in the connection pool, with its idle connections
+# Limits the listed upstreams, as each upstream has its own idle connections in the connection pool.
+MAX_UPSTREAMS = 10_000
 
 
 def _hexadecimal(text: str) -> str:
@@ -50,7 +51,7 @@
 
 
 class Serve(Table):
-    """The balancer's addresses, its limit of sockets, and its number among the balancers."""
+    """The balancer's addresses, its limit on open sockets, and its index among the balancers."""
 
     listen: Address
     sockets: Annotated[int, Field(ge=2 * RESERVED_SOCKETS, le=1_048_576)] = DEFAULT_SOCKETS
@@ -79,7 +80,7 @@
 
 
 class Tenant(Table):
-    """A listed tenant: its weight among tenants, and its quota in requests per second (0: not stated)."""
+    """A listed tenant: its weight among tenants, and its quota in requests per second (0: none is set)."""
 
     name: Name
     share: Annotated[float, Field(gt=0, le=1e6)] = 1.0
@@ -138,7 +139,7 @@
     rules: Rules = Rules()
     upstreams: Annotated[list[UpstreamServer], Field(alias="upstream", max_length=MAX_UPSTREAMS)] = []  # noqa: RUF012  pydantic copies defaults
     discovery: Discovery | None = None
-    directory: Annotated[Tenants | None, Field(alias="tenants")] = None
+    tenant_directories: Annotated[Tenants | None, Field(alias="tenants")] = None
     fleet: Fleet | None = None
 
     @classmethod
@@ -204,7 +205,7 @@
     def _tenants(self) -> Iterable[policy.Tenant]:
         for row in self.tenants:
             # If directories list tenants, names are compared as directories compare them.
-            name = row.name if self.directory is None else folded(row.name)
+            name = row.name if self.tenant_directories is None else folded(row.name)
             yield policy.Tenant(name, row.share, row.quota_per_s)
 
     def endpoints(self) -> list[ResolvedEndpoint]:
@@ -246,13 +247,15 @@
             None,
             [],
             None,
-            None if self.directory is None else self.directory.source(dict(settings.tenants)),
+            None
+            if self.tenant_directories is None
+            else self.tenant_directories.source(dict(settings.tenants)),
             None if self.serve.operator is None else split_address(self.serve.operator),
             fleet=self.fleet_source(),
         )
 
     def fleet_source(self) -> Any:
-        """Return the fleet's configuration for the daemon and `lanelift lease`; None: there is no fleet.
+        """Return the fleet's configuration for the daemon and `lanelift lease`, or None without a fleet.
 
         Raises:
             SettingsError: A package that the fleet needs is not installed.
--- a/lanelift/daemon_config.py
+++ b/lanelift/daemon_config.py
@@ -15,21 +15,24 @@
 
 DEFAULT_SOCKETS = 1024
 # Descriptors reserved for the listener, discovery (an old and a new connection), peers, the configuration and
-# the interpreter, and for sockets that were closed in this loop iteration and still count.
+# the interpreter, and for sockets that were closed in this loop iteration and still count as open.
 RESERVED_SOCKETS = 32
-CLIENT_FRACTION = 0.55  # of the remaining descriptors, for clients; the rest is for upstreams
+CLIENT_FRACTION = 0.55  # clients' share of the descriptors that are not reserved; upstreams get the rest
 
 
 class Source(Protocol):
-    """A configured source of upstreams, tenants or leases other than the address of a discovery server."""
+    """The configuration of a source of upstreams, tenants or leases.
+
+    A discovery server is configured by its address alone, and needs no `Source`.
+    """
 
     def attach(self, dispatcher: Dispatcher) -> Any:
-        """Returns the part of the daemon that follows this source."""
+        """Returns the part of the daemon that serves this source, connected to the dispatcher."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """The configuration of one process. The log line of a reload names these fields.
+    """The configuration of one process. The names of these fields appear in the log line of a reload.
 
     Attributes:
         listen: Where clients connect.
@@ -43,7 +46,7 @@
         peers_all: The destination of a message to all replicas.
         tenants: The directories that list tenants.
         operator: The address for operators' calls.
-        inherited: The descriptor of the clients' socket, if that was bound before this process started.
+        inherited: The descriptor of the clients' socket, if the socket was bound before this process started.
         fleet: The fleet that this process is a member of; never set on the platform.
     """
 
@@ -120,7 +123,8 @@
 
 
 def connection_caps(sockets: int, processes: int) -> tuple[int, int]:
-    """Returns how many connections to clients, and to upstreams, each of `processes` processes may have."""
+    """Returns how many connections to clients and how many to upstreams each of `processes` processes may
+    have."""
     available = max(2, sockets // processes - RESERVED_SOCKETS)
     clients = max(1, int(available * CLIENT_FRACTION))
     return clients, available - clients
--- a/lanelift/faults/activity_log.py
+++ b/lanelift/faults/activity_log.py
@@ -1,8 +1,8 @@
 """A task that logs when it acts, and the checks of such logs: `python -m lanelift.faults.activity_log FILE`.
 
-Each action is logged as one line, in a single write, to a file of the task's own: `WHAT TOKEN TIME PID`, with
+Each action is logged as one line, in a single write, to the task's own file: `WHAT TOKEN TIME PID`, with
 the time in nanoseconds of the machine's CLOCK_BOOTTIME. The checks read from these files alone which task
-acted when. They do not rely on the lease code, neither for the holder nor for rising tokens.
+acted when, and whether tokens rise. They do not rely on the lease code.
 """
 
 from __future__ import annotations
@@ -80,8 +80,8 @@
 
     Args:
         path: The file to log to; lines are appended.
-        duration_s: How long to act.
-        ignores_sigterm: Whether to continue after SIGTERM.
+        duration_s: How long the task acts.
+        ignores_sigterm: Whether the task continues to act after SIGTERM.
 
     Returns:
         The exit code, 0.
@@ -109,7 +109,7 @@
 
 
 def _intervals_of(path: Path) -> list[HoldInterval]:
-    """Returns one file's intervals, one for each token in it."""
+    """Returns the intervals of one file, one interval for each token."""
     actions: dict[int, list[tuple[str, int, int]]] = {}
     for line in path.read_text().splitlines(keepends=True):
         parts = line.split()
--- a/lanelift/faults/random_schedule.py
+++ b/lanelift/faults/random_schedule.py
@@ -1,7 +1,7 @@
 """Generates a schedule of faults from a seed. Pure.
 
-The order of the random draws is part of the result: the tests contain digests of the traces of many seeds,
-which have to be recorded again if a draw is added, removed or moved.
+The schedule of a seed depends on the order of the random draws. The tests contain digests of the traces of
+many seeds; these digests have to be recorded again if a draw is added, removed or moved.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from lanelift.faults.schedule import Schedule, Step, StepKind
 
-RESTART_MS = 40  # from a kill to the start with another list of voters
+RESTART_MS = 40  # time from a kill to the restart with another list of voters
 
 
 class RandomFault(StrEnum):
-    """A kind of random fault, which results in one or more steps, including the steps that undo it."""
+    """A kind of random fault, which results in one or more steps, including the steps that undo the fault."""
 
     KILL = "kill"
     STOP = "stop"
@@ -46,10 +46,12 @@
     RandomFault.RELEASE,
     RandomFault.ASK,
 )
-GAP_LEASES = (0.2, 1.0, 3.0)  # the mean time between two faults
-# Short and long durations, and some close to the length of a lease: errors show at its edges.
+GAP_LEASES = (0.2, 1.0, 3.0)  # mean times between two faults, in lengths of a lease
+# Durations of faults, in lengths of a lease; some are close to 1, since errors appear near the end of a
+# lease.
 DURATION_LEASES = (0.05, 0.2, 0.5, 0.95, 1.0, 1.05, 1.5, 3.0)
-MOVE_GAP_LEASES = (0.1, 0.5, 1.5)  # between two restarts with another list of voters
+# Maximum times between two restarts with another list of voters, in lengths of a lease.
+RESTART_GAP_LEASES = (0.1, 0.5, 1.5)
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +80,7 @@
 def random_schedule(
     seed: int, voters: int, contenders: int, until_ms: int, lease_ms: int, drift: float, plans: bool = False
 ) -> Schedule:
-    """Returns a random schedule with faults of every kind, at intervals of about the length of a lease.
+    """Returns a schedule of randomly drawn faults, at intervals of about the length of a lease.
 
     Args:
         seed: Determines the schedule; the same arguments give the same schedule.
@@ -86,7 +88,7 @@
         contenders: How many processes compete for the lease.
         until_ms: The length of the schedule.
         lease_ms: The length of a lease.
-        drift: The maximum drift of clocks: each clock is right, or slower or faster by this fraction.
+        drift: The fraction by which each inexact clock runs slow or fast.
         plans: Whether the list of voters changes during the schedule.
     """
     rng = random.Random(seed)
@@ -110,15 +112,15 @@
 def _with_voter_changes(rng: random.Random, schedule: Schedule, lease_ms: int) -> Schedule:
     """Returns the same schedule with changes of the list of voters.
 
-    Each change adds or removes one voter or more. The nodes are restarted in any order; some may keep the
-    former list, and a later change may return to it.
+    Each change adds or removes one or more voters. The nodes are restarted in any order; some may keep the
+    former list, and a later change may return to the former list.
     """
     members = schedule.voters
     new = f"{chr(ord(members[-1]) + 1)}"
     later = [(*members, new), members[1:], (*members[1:], new), (*members[2:], new, f"{new}{new}")]
     plans = tuple(rng.sample(later, 2))
     steps = list(schedule.steps)
-    rest_moves = False
+    restarts_rest = False
     for number in rng.choice(([1], [1, 2], [1, 0], [1, 2, 0])):
         voters = (members, *plans)[number]
         half = rng.sample(schedule.contenders, (len(schedule.contenders) + 1) // 2)
@@ -127,16 +129,16 @@
         for node in (*rng.sample([*voters, *half], len(voters) + len(half)), None, *rest):
             if node is None:  # the remaining nodes are restarted later, or not at all
                 at_ms += rng.randrange(4 * lease_ms)
-                rest_moves = rng.random() < 0.5
-            elif node not in rest or rest_moves:
-                at_ms += rng.randrange(max(1, int(lease_ms * rng.choice(MOVE_GAP_LEASES))))
+                restarts_rest = rng.random() < 0.5
+            elif node not in rest or restarts_rest:
+                at_ms += rng.randrange(max(1, int(lease_ms * rng.choice(RESTART_GAP_LEASES))))
                 steps += _restart_under(number, node, at_ms)
     steps.sort(key=lambda step: step.at_ms)
     return replace(schedule, steps=tuple(steps), plans=plans)
 
 
 def _restart_under(number: int, node: str, at_ms: int) -> list[Step]:
-    """Returns the steps that restart a node with the list of voters of this number."""
+    """Returns the steps that restart a node with the list of voters that has this number."""
     return [
         Step(at_ms, StepKind.PLAN, node, ms=number),
         Step(at_ms, StepKind.KILL, node),
@@ -153,9 +155,9 @@
     kind = rng.choice(FAULT_WEIGHTS)
     draw = _Draw(at_ms, duration_ms, node, recipient, members, contenders, lease_ms)
     if kind is RandomFault.KILL:
-        return _until_undone(draw, StepKind.KILL, StepKind.START)
+        return _fault_and_end(draw, StepKind.KILL, StepKind.START)
     if kind is RandomFault.STOP:
-        return _until_undone(draw, StepKind.STOP, StepKind.GO)
+        return _fault_and_end(draw, StepKind.STOP, StepKind.GO)
     if kind is RandomFault.ALL:
         return _all_killed(draw)
     if kind is RandomFault.ROLL:
@@ -184,13 +186,13 @@
     ]
 
 
-def _until_undone(draw: _Draw, fault: StepKind, end: StepKind) -> list[Step]:
-    """Returns the steps of a node's fault and its end."""
+def _fault_and_end(draw: _Draw, fault: StepKind, end: StepKind) -> list[Step]:
+    """Returns the step that begins a node's fault and the step that ends it."""
     return [Step(draw.at_ms, fault, draw.node), Step(draw.at_ms + draw.duration_ms, end, draw.node)]
 
 
 def _isolation(rng: random.Random, draw: _Draw) -> list[Step]:
-    """Returns the steps of a one-way isolation: only the node's outgoing or incoming messages pass."""
+    """Returns the steps that cut off either all outgoing or all incoming messages of a node."""
     if rng.random() < 0.5:
         ends = [(draw.node, "")]
     else:
--- a/lanelift/leases/acceptor.py
+++ b/lanelift/leases/acceptor.py
@@ -3,11 +3,13 @@
 Times are nanoseconds of the voter's own clock. The proof in docs/design/leases.md depends on these rules; the
 comments in the code name the rule that each check enforces:
 
-1. The acceptor promises a ballot to one proposer only, and only if the ballot is above all that it promised
-   before, including those before a restart.
+1. The acceptor promises a ballot to one proposer only, and only if the ballot is above every ballot that it
+   promised before, including those before a restart.
 2. The acceptor promises nothing while it is bound to another proposer.
-3. The acceptor accepts only the ballot that it promised last, and only from the proposer that it promised.
-4. The acceptor is bound for `lease_ns` from when it accepted; a release of another ballot does not end that.
+3. The acceptor accepts only the ballot that it promised last, and only from the proposer to which this ballot
+   was promised.
+4. The acceptor is bound for `lease_ns` from when it accepted. A release under another ballot does not unbind
+the acceptor.
 
 The queue, the reservations and the expiry of a promise only decide the order of the proposers. They serve
 fairness; safety does not depend on them.
@@ -30,9 +32,10 @@
     Verdict,
 )
 
-MAX_LEASES = 1024  # leases that a voter records at a time; each record takes about a kilobyte
-MAX_WAITERS = 64  # in the queue of one lease
-Source = Hashable  # the address for responses to a proposer, in the caller's own form
+# Maximum number of leases that a voter records at a time; each record takes about a kilobyte.
+MAX_LEASES = 1024
+MAX_WAITERS = 64  # maximum number of proposers in the queue of one lease
+Source = Hashable  # the address of a proposer, of a type that the caller chooses
 
 
 @dataclass(slots=True)
@@ -78,13 +81,13 @@
     Attributes:
         free_since_ns: When the lease became free; for a new record, when the acceptor was created.
         promised_ballot: The last ballot that was promised.
-        promised_nonce: Nonce of the proposer that holds the promise; 0 if the promise was ended.
-        promise_until_ns: Until when no other proposer is promised a ballot.
+        promised_nonce: Nonce of the proposer that holds the promise; 0 if there is no promise.
+        promise_until_ns: The time until which no other proposer is promised a ballot.
         vote: The vote that binds the acceptor; None if it is not bound.
         queue: The waiting proposers, the longest waiting first.
         reserved_for: Name of the only proposer that may get the lease; empty for any proposer.
         reserved_until_ns: When the reservation ends.
-        counted_nonce: Nonce of the holder that the metrics counted last.
+        counted_nonce: Nonce of the last holder that the metrics counted; only `FleetNode` uses this field.
     """
 
     free_since_ns: int
@@ -102,11 +105,12 @@
     """One voter's votes on all leases.
 
     Attributes:
-        ballot_floor: No ballot up to this is promised.
-        ballot_ceiling: No ballot above this is promised, until `raise_ceiling` raises it.
-        highest_promised: The highest ballot promised for any lease, which a proposer must pass after a
-            restart.
-        requested_ballot: The highest requested ballot above the ceiling; 0 for none.
+        ballot_floor: The highest ballot that is never promised; only higher ballots are promised.
+        ballot_ceiling: The highest ballot that may be promised, until `raise_ceiling` raises the ceiling.
+        highest_promised: The highest ballot promised for any lease, or the first floor. The rejection of a
+            stale ballot names this ballot, since the proposer's next ballot must exceed it after a restart
+            of the voter.
+        requested_ballot: The highest ballot above the ceiling that was requested; 0 if there is none.
         leases: The state of each known lease, by name.
     """
 
@@ -151,9 +155,9 @@
         wait_ns = self._wait_for_others_ns(record, message, position, now)
         if wait_ns is not None:
             return self._reject(message, Verdict.QUEUED, remaining_ns=wait_ns, queue_position=position)
-        to_pass = max(record.promised_ballot, self.ballot_floor)
-        if message.ballot <= to_pass:  # rule 1
-            ballot = max(to_pass, self.highest_promised)
+        must_exceed = max(record.promised_ballot, self.ballot_floor)
+        if message.ballot <= must_exceed:  # rule 1
+            ballot = max(must_exceed, self.highest_promised)
             return self._reject(message, Verdict.STALE_BALLOT, ballot, queue_position=position)
         if message.ballot > self.ballot_ceiling:  # rule 1: a restart would forget a promise above the ceiling
             self.requested_ballot = max(self.requested_ballot, message.ballot)
@@ -172,7 +176,7 @@
         )
 
     def accept(self, message: Accept, now: int) -> Response:
-        """Accepts a proposer that was promised this ballot: creates or renews its vote."""
+        """Accepts a proposer that was promised this ballot: creates or renews the vote."""
         record = self._current_record(message.lease, now)
         if record is None:
             return self._reject(message, Verdict.AT_CAPACITY)
@@ -192,7 +196,7 @@
         """Ends the vote for a holder that has stopped.
 
         Returns:
-            The responses, each with its destination; None for the sender of the release.
+            The responses, each with its destination, which is None for the sender of the release.
         """
         record = self._current_record(message.lease, now)
         if record is not None:
@@ -244,7 +248,7 @@
     def _current_record(self, name: str, now: int) -> LeaseRecord | None:
         """Returns the record of a lease without expired votes, reservations and queue positions.
 
-        The record is created if there is none. Returns None if there is no capacity for another record.
+        A missing record is created; returns None if there is no capacity for another record.
         """
         record = self.leases.get(name)
         if record is None:
@@ -261,7 +265,7 @@
         return record
 
     def _forget_idle(self, now: int) -> bool:
-        """Drops the records of idle leases; no ballot up to theirs is promised again (rule 1).
+        """Drops the records of idle leases; no ballot up to their promised ones is promised again (rule 1).
 
         A reservation (`Release.successor`) is dropped with its record: another proposer may then be first.
 
@@ -295,7 +299,7 @@
     def _wait_for_others_ns(
         self, record: LeaseRecord, message: Prepare, position: int, now: int
     ) -> int | None:
-        """Returns how long other proposers have priority; None if it is this proposer's turn."""
+        """Returns how long other proposers have priority; None if no other proposer has priority."""
         if record.reserved_for and record.reserved_for != message.proposer:
             return record.reserved_until_ns - now
         if record.promised_nonce not in (0, message.nonce) and now < record.promise_until_ns:
--- a/lanelift/leases/client.py
+++ b/lanelift/leases/client.py
@@ -13,20 +13,23 @@
 from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
 from lanelift.leases.proposer import Phase, Proposer
 
-JITTER = (0.5, 1.5)  # factor of a pause, so that two proposers that collided do not collide again
-# The number of attempts that a client with a wait timeout of 0 makes before it is rejected. If so many voters
-# are bound to another holder that no majority is left, it is rejected immediately.
+# Pauses are multiplied by a random factor in this range, so that two proposers whose ballots collided do not
+# collide again.
+JITTER = (0.5, 1.5)
+# The number of attempts that a client with a wait timeout of 0 makes before it gives up. If so many voters
+# are bound to another holder that no majority is left, the client gives up immediately.
 MIN_ATTEMPTS_WITHOUT_WAIT = 8
-Outgoing = tuple[str | None, Prepare | Accept]  # the recipient, None for all voters, and the message
+Outgoing = tuple[str | None, Prepare | Accept]  # the recipient (None means all voters) and the message
 REJECTIONS = (Verdict.HELD, Verdict.QUEUED, Verdict.STALE_BALLOT, Verdict.AT_CAPACITY)
 
 
 class ClientState(Enum):
-    """The state of a client: acquiring the lease, holding it, or one of three ways to have ended."""
+    """The state of a client, which acquires the lease, holds it, or has ended in one of three ways."""
 
     ACQUIRING = "seeking"
     HOLDING = "holds"
-    REJECTED = "refused"  # the wait ended while another held the lease, or no majority had accepted
+    # the client gave up: other proposers held the lease or came first, or too few voters answered
+    REJECTED = "refused"
     LOST = "lost"  # the client held the lease and could not renew it in time
     RELEASED = "released"
 
@@ -34,7 +37,8 @@
 class LeaseClient:
     """Acquires one lease, and renews it.
 
-    The caller calls `tick` at `due_ns` and `receive` for each response, and sends what they return.
+    The caller calls `tick` at `due_ns` and `receive` for each response, and sends the messages that these
+    methods return.
 
     Attributes:
         proposer: The client's proposer.
@@ -43,8 +47,8 @@
         started_ns: When the client was created and began to wait for the lease.
         attempts: Number of ballots tried so far.
         rejections: The rejections of the present attempt, by voter.
-        reason: Why the client does not hold the lease, in words for the log. While it holds, the reason of
-            the last failed attempt.
+        reason: A text for the log that says why the client does not hold the lease. While the client holds
+            the lease, the text gives the cause of the last failed attempt.
         next_ballot_after_ns: While the client holds the lease, no higher ballot is prepared before this time.
     """
 
@@ -64,7 +68,7 @@
         Args:
             lease: Name of the lease.
             name: The holder's name.
-            nonce: New for each client; above 0.
+            nonce: A number above 0, new for each client.
             timing: The cluster's timings.
             voters: How many voters there are.
             rng: Source of the jitter.
@@ -88,8 +92,8 @@
     def tick(self, now: int) -> list[Outgoing]:
         """Returns the messages to send now: a renewal, a new attempt, or none."""
         active = self.state in (ClientState.ACQUIRING, ClientState.HOLDING)
-        if active and self.proposer.has_expired(now):
-            self._end(ClientState.LOST, "it could not be renewed in time")
+        if active and self.proposer.is_over(now):
+            self._end(ClientState.LOST, "the lease could not be renewed in time")
         if self.state is ClientState.HOLDING:
             self._schedule_renewal(now)
             return [(None, self.proposer.accept(now))]
@@ -122,7 +126,8 @@
             self.state = ClientState.HOLDING
             self._schedule_renewal(now)
             return []
-        # Every voter notifies the first waiter; one attempt for all notifications is enough.
+        # Every voter notifies the first waiter. The first notification starts an attempt, which clears
+        # `rejections`, so the other voters' notifications start no further attempt.
         if response.verdict == Verdict.FREE and self._attempt_has_failed:
             self.due_ns = now
             return self.tick(now)
@@ -143,10 +148,11 @@
 
     @property
     def _attempt_has_failed(self) -> bool:
-        """Whether too many voters have rejected this attempt for a majority to be left."""
+        """Whether the voters that have not rejected this attempt are fewer than a majority."""
         return len(self.rejections) > self.voters - majority(self.voters)
 
     def _has_waited_enough(self, waited_ns: int) -> bool:
+        """Returns whether to give up, after the wait timeout and at least the minimum number of attempts."""
         min_attempts = 1 if self.wait_timeout_ns else MIN_ATTEMPTS_WITHOUT_WAIT
         return (
             self.wait_timeout_ns is not None
@@ -159,12 +165,12 @@
 
         All voters should accept the holder, so that any majority of them suffices for a renewal. A voter that
         has not promised this ballot is sent a prepare. If a voter has promised a higher ballot, or was
-        restarted with a floor above this one, the client prepares a higher ballot.
+        restarted with a floor above this ballot, the client prepares a higher ballot.
         """
         proposer = self.proposer
         if proposer.phase is not Phase.HOLDING:
             return []
-        if proposer.ballot != former_ballot:  # a majority has promised the higher one
+        if proposer.ballot != former_ballot:  # a majority has promised the higher ballot
             return [(None, proposer.accept(now))]
         promised = response.verdict == Verdict.PROMISED and response.ballot == proposer.ballot
         if promised and response.voter not in proposer.accepted_ns:
@@ -191,12 +197,13 @@
         if held:
             self.reason = f"held by {held[0].holder} under token {held[0].token}"
         elif queued:
-            self.reason = "others come first"
+            self.reason = "other proposers come first"
         jitter_range_ns = max(1, self.timing.response_timeout_ns // 4)
         if self.wait_timeout_ns == 0 and len(held) > self.voters - majority(self.voters):
             self._end(ClientState.REJECTED, self.reason)
         elif held or queued:
-            # The holder may renew, so a waiter retries at each poll interval and when the votes would end.
+            # The holder may renew, so a waiter retries at each poll interval and when the votes end if there
+            # is no renewal.
             remaining_ns = (response.remaining_ns for response in held + queued if response.remaining_ns)
             soon_ns = min(remaining_ns, default=self.timing.poll_interval_ns)
             pause_ns = min(soon_ns, self.timing.poll_interval_ns) + self.rng.randrange(jitter_range_ns)
--- a/lanelift/leases/metrics.py
+++ b/lanelift/leases/metrics.py
@@ -10,7 +10,7 @@
 from lanelift.leases.acceptor import LeaseRecord
 from lanelift.leases.member import VotingMember
 
-MAX_LEASES_IN_METRICS = 64  # keeps a scrape small; `lease list` shows all leases
+MAX_LEASES_IN_METRICS = 64  # limits the leases in a scrape to keep it small; `lease list` shows all leases
 
 
 def render(
@@ -23,7 +23,7 @@
     """Returns the text of the metrics.
 
     Args:
-        member: The voting member; None for a member that does not vote.
+        member: The voting member; None if this member does not vote.
         changes: Number of changes of a lease's holder that this voter saw.
         rejections: Number of requests that this voter rejected.
         datagrams: `DatagramTransport.counts`.
--- a/lanelift/leases/model.py
+++ b/lanelift/leases/model.py
@@ -3,17 +3,18 @@
 The model has three voters and two proposers. In each state, each voter may receive any message that was ever
 sent to it, independently of the others, once, repeatedly or never. A proposer may prepare, accept, renew and
 release whenever its phase allows it. A voter may be restarted, and keeps its state file. Time advances in
-ticks; each clock advances by 4, 5 or 6 per tick, the extremes of a drift of a fifth, so a lease of 12 is held
-for 8.
+ticks; an exact clock advances by 5 per tick, and clocks at the limits of a drift of a fifth by 4 or 6, so a
+lease of 12 is held for 8.
 
-Some events are left out because they can't cause a violation that the others don't:
+Some events are left out, since any violation that they cause also occurs without them:
 
 - responses that a proposer ignores;
-- late promises: a proposer that has received a promise early may still delay the step that it allows;
+- late promises: a proposer that received a promise early may still delay the step that the promise allows;
 - if `Bounds.reached` says so, messages from the first proposer to the third voter and from the second
   proposer to the first voter. Two majorities share at least one voter, and the other voters promise more
-  readily if they never received a message of the other proposer: if two proposers can hold the lease with any
-  voters, they can with a and b, and with b and c.
+  readily if they never received a message of the other proposer. So if two proposers can hold the lease at
+  the same time, they can also do so with only the votes of a and b for the first, and of b and c for the
+  second proposer.
 
 A state is a tuple of small numbers: each node and message is stored once, and the result of each event at a
 node is computed once.
@@ -32,7 +33,7 @@
 
 PROPOSERS = range(2)
 NO_HOLDER = -1
-TOKEN_FELL = -2  # in place of a holder whose token is not above the highest one
+TOKEN_FELL = -2  # replaces the holder's number if the holder's token is not above the highest token so far
 
 
 class State(NamedTuple):
@@ -71,8 +72,8 @@
 
     def initial_states(self) -> list[State]:
         """Returns the only initial state: three voters that may vote, and two idle proposers."""
-        voters = tuple(self.nodes.first_voter(i) for i in range(len(VOTERS)))
-        proposers = tuple(self.nodes.first_proposer(i) for i in PROPOSERS)
+        voters = tuple(self.nodes.initial_voter(i) for i in range(len(VOTERS)))
+        proposers = tuple(self.nodes.initial_proposer(i) for i in PROPOSERS)
         return [State(0, voters, proposers, 0, self.bounds.restarts, 0, NO_HOLDER)]
 
     def successors(self, state: State) -> Iterator[tuple[str, State]]:
@@ -93,9 +94,9 @@
         """Returns the rule that a state violates; empty for none."""
         holding = [i for i in PROPOSERS if self.nodes.holds(i, state.proposers[i], state.tick)]
         if len(holding) > 1:
-            return "two hold at once"
+            return "two proposers hold the lease"
         if state.holder == TOKEN_FELL:
-            return f"a token that is not above {state.highest_token}"
+            return f"a new token is not above {state.highest_token}"
         return ""
 
     # Steps by kind.
@@ -104,14 +105,14 @@
         """Yields the steps in which a proposer sends a message that its phase allows."""
         for i in PROPOSERS:
             number = state.proposers[i]
-            for act in ("prepare", "accept", "release", "next ballot"):
-                result = self.nodes.send(i, number, act, state.tick)
+            for action in ("prepare", "accept", "release", "next ballot"):
+                result = self.nodes.send(i, number, action, state.tick)
                 if result is None or (result[0] == number and not result[1] & ~state.sent):
                     continue
                 after = state._replace(
                     proposers=_replaced(state.proposers, i, result[0]), sent=state.sent | result[1]
                 )
-                what = "renews" if act == "accept" and self.nodes.is_holding(number) else f"sends {act}"
+                what = "renews" if action == "accept" and self.nodes.is_holding(number) else f"sends {action}"
                 yield f"p{i} {what}", self._checked(after)
 
     def _receiving_steps(self, state: State) -> Iterator[tuple[str, State]]:
@@ -138,10 +139,11 @@
         sender, voter, message = self.nodes.message(bit)
         proposers = state.proposers
         promise = self.nodes.promise(responses)
-        if promise:
+        if promise:  # received immediately: late promises are left out
             answered = self.nodes.proposer_receives(sender, proposers[sender], promise, state.tick)
             proposers = _replaced(proposers, sender, answered)
             responses &= ~promise
+        # A proposer that may not start phase 1 again is not sent rejections of stale ballots.
         if self.nodes.prepares_left(sender, state.proposers[sender]) <= 0:
             responses &= ~self.nodes.stale_ballot(responses)
         voters = _replaced(state.voters, voter, number)
--- a/lanelift/leases/model_nodes.py
+++ b/lanelift/leases/model_nodes.py
@@ -15,10 +15,10 @@
 LEASE_NS, DRIFT = 12, 0.2
 # The response timeout is 0, so that a promise to one proposer never delays the other.
 TIMING = LeaseTiming(lease_ns=LEASE_NS, response_timeout_ns=0, stop_margin_ns=1, drift=DRIFT)
-SLOW, EVEN, FAST = 4, 5, 6  # how far a clock advances per tick
+SLOW, EVEN, FAST = 4, 5, 6  # how far a slow, an exact and a fast clock advance per tick
 LEASE = "x"
 VOTERS = ("a", "b", "c")
-EFFECTIVE = (Verdict.PROMISED, Verdict.ACCEPTED, Verdict.STALE_BALLOT)  # responses that a proposer acts on
+EFFECTIVE = (Verdict.PROMISED, Verdict.ACCEPTED, Verdict.STALE_BALLOT)  # verdicts that a proposer acts on
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,12 +26,12 @@
     """The bounds of the exploration.
 
     Attributes:
-        ticks: The last tick.
+        ticks: The number of the last tick.
         prepares: How often each proposer may start phase 1.
         accepts: How often each proposer may start phase 2 or renew.
         releases: How often each proposer may release the lease.
         next_ballots: How often the first proposer may prepare a higher ballot while it holds the lease.
-        restarts: How many times voters may be restarted, all voters together.
+        restarts: The maximum number of restarts, of all voters together.
         voter_rates: How far each voter's clock advances per tick.
         proposer_rates: How far each proposer's clock advances per tick.
         reached: The voters that each proposer's messages reach.
@@ -60,7 +60,7 @@
 
 
 class NodeTable:
-    """A table of nodes and messages by number, and of the results of events by their input.
+    """The numbered nodes and messages of the model, and the results of events by their inputs.
 
     A node's number identifies one state of the node; a bit identifies a message. Entries are never removed:
     the bounds of the exploration limit the table.
@@ -81,19 +81,19 @@
         self.cluster = ClusterConfiguration("small", members, TIMING)
         self.nodes: list[bytes] = []
         self.node_numbers: dict[bytes, int] = {}
-        # Sender, recipient and message: from proposer 0 or 1 to voter 0, 1 or 2, or from a voter to
-        # recipient -1 or -2, which is proposer 0 or 1.
+        # Sender, recipient and message. Proposers are 0 and 1 as senders, but -1 and -2 as recipients; voters
+        # are 0, 1 and 2.
         self.messages: list[tuple[int, int, Message]] = []
         self.message_bits: dict[tuple[int, int, Message], int] = {}
         self.results: dict[tuple[Any, ...], tuple[int, int]] = {}
 
-    def first_voter(self, i: int) -> int:
-        """Returns the number of voter `i`, which may vote from the beginning."""
+    def initial_voter(self, i: int) -> int:
+        """Returns the number of voter `i` in its initial state, in which it may vote."""
         persisted = PersistentState(self.cluster.digest.hex(), self.cluster.voters, LEASE_NS, 0)
         return self._node(self._started_member(i, persisted, 0, quiet=False))
 
-    def first_proposer(self, i: int) -> int:
-        """Returns the number of proposer `i`, idle."""
+    def initial_proposer(self, i: int) -> int:
+        """Returns the number of proposer `i` in its initial state, idle."""
         return self._node(ProposerNode(self.proposer_class(LEASE, f"p{i}", i + 1, TIMING, len(VOTERS))))
 
     def _node(self, node: Any) -> int:
@@ -155,17 +155,17 @@
             self.results[key] = (self.bounds.prepares[i] - self._load(number).prepares, 0)
         return self.results[key][0]
 
-    def send(self, i: int, number: int, act: str, tick: int) -> tuple[int, int] | None:
-        """Returns the proposer after an act and the bits of the messages sent; None if it may not act."""
-        key = ("act", i, number, act, tick)
+    def send(self, i: int, number: int, action: str, tick: int) -> tuple[int, int] | None:
+        """Returns the proposer after an action, and the bits of the messages sent; None if it may not act."""
+        key = ("act", i, number, action, tick)
         if key not in self.results:
-            self.results[key] = self._sent(i, number, act, tick * self.bounds.proposer_rates[i])
+            self.results[key] = self._sent(i, number, action, tick * self.bounds.proposer_rates[i])
         result = self.results[key]
         return None if result[0] < 0 else result
 
-    def _sent(self, i: int, number: int, act: str, now: int) -> tuple[int, int]:
+    def _sent(self, i: int, number: int, action: str, now: int) -> tuple[int, int]:
         node: ProposerNode = self._load(number)
-        message = self._outgoing(node, i, act, now)
+        message = self._outgoing(node, i, action, now)
         if message is None:
             return -1, 0
         bits = 0
@@ -173,21 +173,21 @@
             bits |= self._message_bit(i, voter, message)
         return self._node(node), bits
 
-    def _outgoing(self, node: ProposerNode, i: int, act: str, now: int) -> Message | None:
-        """Performs an act; returns its message, or None if the proposer may not act."""
+    def _outgoing(self, node: ProposerNode, i: int, action: str, now: int) -> Message | None:
+        """Performs an action; returns its message, or None if the proposer may not act."""
         proposer, phase, bounds = node.proposer, node.proposer.phase, self.bounds
-        if act == "prepare":
+        if action == "prepare":
             if phase in (Phase.OVER, Phase.HOLDING) or node.prepares >= bounds.prepares[i]:
                 return None
             node.prepares += 1
             return proposer.prepare(now)
-        if act == "accept":
+        if action == "accept":
             may_accept = phase in (Phase.ACCEPTING, Phase.HOLDING) and node.accepts < bounds.accepts[i]
-            if not may_accept or proposer.has_expired(now):
+            if not may_accept or proposer.is_over(now):
                 return None
             node.accepts += 1
             return proposer.accept(now)
-        if act == "release":
+        if action == "release":
             if phase is not Phase.HOLDING or node.releases >= bounds.releases[i]:
                 return None
             node.releases += 1
@@ -210,7 +210,7 @@
                     bits |= self._message_bit(i, -to - 1, response)
             if member.pending_state is not None:
                 member.state_written(member.pending_state, now)
-            self.results[key] = self._node(_without_order(member)), bits
+            self.results[key] = self._node(_without_ordering_times(member)), bits
         return self.results[key]
 
     def proposer_receives(self, i: int, number: int, bit: int, tick: int) -> int:
@@ -231,7 +231,7 @@
             member: VotingMember = self._load(number)
             now = tick * self.bounds.voter_rates[i]
             started = self._started_member(i, member.recovery.persisted, now, quiet=True)
-            self.results[key] = self._node(_without_order(started)), 0
+            self.results[key] = self._node(_without_ordering_times(started)), 0
         return self.results[key][0]
 
     def promise(self, bit: int) -> int:
@@ -247,8 +247,8 @@
         return isinstance(message, Response) and message.verdict == verdict
 
 
-def _without_order(member: VotingMember) -> VotingMember:
-    """Clears the times that only decide the order of proposers."""
+def _without_ordering_times(member: VotingMember) -> VotingMember:
+    """Clears the times that affect only the order of proposers."""
     member.due_ns = None
     if member.acceptor is not None:
         for record in member.acceptor.leases.values():
--- a/lanelift/leases/node.py
+++ b/lanelift/leases/node.py
@@ -21,9 +21,10 @@
 from lanelift.leases.metrics import render
 from lanelift.leases.supervisor import FleetTask, TaskSupervisor
 
-WRITE_RETRY_S = 1.0  # until a failed write is retried: a full disk has to be cleared by an operator
+# Pause before a failed write is retried; if the disk is full, an operator has to free space first.
+WRITE_RETRY_S = 1.0
 MIN_TIMER_S = 0.001
-# Verdicts that do not reject a request.
+# The verdicts that do not count as rejections.
 NOT_REJECTED = (Verdict.ACCEPTED, Verdict.PROMISED, Verdict.RELEASED, Verdict.FREE)
 
 
@@ -50,6 +51,9 @@
     def attach(self, driver: Any) -> FleetNode:
         """Returns the member, which is not started yet.
 
+        Args:
+            driver: The daemon's dispatcher, with which every source is attached; not used here.
+
         Raises:
             VoterStateError: The member's state can't be used, or another process runs as this member.
         """
@@ -59,7 +63,7 @@
 class FleetNode:
     """One member of the fleet: votes, if it is a voter, and runs the fleet's tasks.
 
-    A failure here costs the fleet this member's vote, and does not affect the requests of the balancer.
+    A failure here deprives the fleet of this member's vote, but does not affect the balancer's requests.
 
     Attributes:
         transport: The member's socket.
@@ -86,7 +90,7 @@
         )
         self.holder_changes = 0
         self.rejections = 0
-        self._timer: asyncio.TimerHandle | None = None  # of `member.due_ns`
+        self._timer: asyncio.TimerHandle | None = None  # calls `_tick` at `member.due_ns`
         self._writing = False
         self._writer: asyncio.Task[None] | None = None
         configured = self.cluster.member(self.member_id)
@@ -173,7 +177,7 @@
     def _is_from_its_voter(self, status: VoterStatus, source: Address) -> bool:
         """Returns whether a status came from its voter's configured address.
 
-        A second process with the voter's id, or a wrong address in a configuration, is detected this way.
+        The check detects a second process with the voter's id, or a wrong address in a configuration.
         """
         voter = self.cluster.member(status.voter)
         return voter is not None and voter.address == source
@@ -216,7 +220,8 @@
     async def _write_pending(self) -> None:
         """Writes the pending state until none is left.
 
-        Each write runs in a thread: a disk may be slow, and the balancer's requests must not wait for it.
+        Each write runs in a thread: a disk may be slow, and the balancer's requests must not wait for the
+        disk.
         """
         assert self.member is not None and self.state_file is not None
         while (state := self.member.pending_state) is not None:
--- a/lanelift/leases/proposer.py
+++ b/lanelift/leases/proposer.py
@@ -1,7 +1,7 @@
 """The proposer of Paxos, for one lease: its promises, its acceptances, and the end of its lease. Pure.
 
-Times are nanoseconds of the proposer's own clock. `client.py` decides when to send; no two proposers hold the
-lease at the same time, whichever messages are sent, and whenever.
+Times are nanoseconds of the proposer's own clock. `client.py` decides when to send. Whatever that module
+sends, and whenever, no two proposers hold the lease at the same time.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from lanelift.fleet.cluster import LeaseTiming, majority
 from lanelift.fleet.messages import Accept, Prepare, Release, Response, Verdict
 
-MAX_OPEN_REQUESTS = 16  # requests whose responses still count; older ones are forgotten
+MAX_OPEN_REQUESTS = 16  # number of latest requests whose responses count; older requests are forgotten
 
 
 class Phase(Enum):
@@ -21,7 +21,7 @@
     PREPARING = "asking"  # phase 1: waits for promises
     ACCEPTING = "taking"  # phase 2: a majority has promised; waits to be accepted
     HOLDING = "held"
-    OVER = "over"  # released or expired, for good: only a new proposer can acquire the lease again
+    OVER = "over"  # final, after a release or expiry: only a new proposer can acquire the lease again
 
 
 class Proposer:
@@ -29,16 +29,16 @@
 
     Attributes:
         nonce: Identifies this run in all its messages.
-        majority: How many voters must promise, and accept.
+        majority: How many voters must promise a ballot, and then accept it.
         phase: The phase of this run.
         token: The ballot under which this proposer became the holder. Tokens rise from holder to holder; a
             holder keeps its token.
         ballot: The ballot of the proposer's requests.
-        highest_ballot_seen: The proposer only proposes ballots above this.
+        highest_ballot_seen: The highest ballot seen so far; the proposer only proposes higher ballots.
         request_id: The id of the last request.
         sent_ns: When each of the last requests was sent, by its id; at most `MAX_OPEN_REQUESTS`.
         promised_by: The voters that promised `ballot`.
-        accepted_ns: By voter, when the latest request that the voter accepted was *sent*.
+        accepted_ns: When the latest request that each voter accepted was *sent*, by voter.
         next_ballot: A higher ballot that the proposer prepares while it holds the lease under `ballot`.
         next_promised_by: The voters that promised `next_ballot`.
     """
@@ -49,7 +49,7 @@
         Args:
             lease: Name of the lease.
             name: The proposer's name, under which the lease is held.
-            nonce: New for each run; above 0.
+            nonce: A number above 0, new for each run.
             timing: The cluster's timings.
             voters: How many voters there are.
         """
@@ -68,9 +68,9 @@
 
     @property
     def until_ns(self) -> int:
-        """When the lease ends, by the latest request that a majority has accepted; 0 if there is none.
+        """When the lease ends, computed from the latest request that a majority accepted; 0 if there is none.
 
-        The lease counts from when that request was sent: see `LeaseTiming.validity_ns`.
+        The duration of the lease counts from when that request was sent: see `LeaseTiming.validity_ns`.
         """
         if len(self.accepted_ns) < self.majority:
             return 0
@@ -116,8 +116,8 @@
 
     def receive(self, response: Response, now: int) -> None:
         """Handles a voter's response, which may be received late or repeatedly."""
-        if response.nonce != self.nonce or response.lease != self.lease or self.has_expired(now):
-            return  # a late response does not renew an expired lease, as its task has been ended
+        if response.nonce != self.nonce or response.lease != self.lease or self.is_over(now):
+            return  # a late response does not renew an expired lease, whose task has already been ended
         if response.verdict == Verdict.STALE_BALLOT:
             self.highest_ballot_seen = max(self.highest_ballot_seen, response.ballot)
         if response.request_id not in self.sent_ns:
@@ -130,8 +130,8 @@
             if self.phase is Phase.ACCEPTING and now < self.until_ns:
                 self.phase, self.token = Phase.HOLDING, self.ballot
 
-    def has_expired(self, now: int) -> bool:
-        """Returns whether this run is over; it ends for good when a held lease expires.
+    def is_over(self, now: int) -> bool:
+        """Returns whether this run is over, and ends it for good if the held lease has expired by `now`.
 
         The task that ran under the run's token must not continue.
         """
--- a/lanelift/leases/simulation.py
+++ b/lanelift/leases/simulation.py
@@ -6,8 +6,8 @@
 - two proposers never hold the same lease at the same time;
 - each new holder has a token above all earlier ones.
 
-A holder that is stopped between checking its lease and acting acts late, and only the token shows that. Late
-acts are counted separately and are not breaches.
+A holder that is stopped after it has checked its lease may act after the lease has ended; only the token
+shows that the act is late. Late acts are counted separately and are not breaches.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 from lanelift.leases.member import VotingMember
 from lanelift.standins.fencing_token_store import FencingTokenStore, StaleTokenError
 
-WRITE_NS = (200_000, 8 * MS)  # the duration of a write of a voter's state
-TASK_LEASES = (0.3, 4.0)  # the duration of a task, in leases
-MAX_REST_LEASES = 0.3  # until a proposer acquires the lease again, in leases
-MAX_LATENCY_LEASES = 0.02  # between a check of the lease and the act, in leases
+WRITE_NS = (200_000, 8 * MS)  # range of the time that a write of a voter's state takes
+TASK_LEASES = (0.3, 4.0)  # range of a task's duration, in lengths of a lease
+MAX_REST_LEASES = 0.3  # longest pause before a proposer acquires the lease again, in lengths of a lease
+MAX_LATENCY_LEASES = 0.02  # longest time from a check of the lease to the act, in lengths of a lease
 
 
 @dataclass
@@ -37,7 +37,7 @@
     """The results of one run.
 
     Attributes:
-        breaches: Descriptions of the broken rules, with their true time.
+        breaches: A description of each breach of a rule, with its true time.
         holdings: Each new holding: its start (ns of true time), lease, holder and token.
         acts: Number of acts of holders.
         late_acts: Number of acts after the lease had ended or passed to another holder.
@@ -72,7 +72,7 @@
 
     @property
     def due_ns(self) -> int | None:
-        """When `tick` is due on its clock."""
+        """When `tick` is due on the node's clock."""
         return self.member.due_ns
 
     def receive(self, message: Any, source: str, now: int) -> Outgoing:
@@ -114,9 +114,9 @@
 
     Attributes:
         client: The present client.
-        ends_ns: When the task or the rest ends; None for neither.
-        seen_token: The token under which the last check found the lease held, until the process acts; None if
-            no act is pending.
+        ends_ns: When the present task or rest ends; None if there is neither.
+        seen_token: The token that the process has checked and is about to act under; None if no act is
+            pending.
         act_ns: When the process next checks the lease or acts.
     """
 
@@ -132,7 +132,7 @@
 
     @property
     def due_ns(self) -> int | None:
-        """When `tick` is due on its clock."""
+        """When `tick` is due on the node's clock."""
         due = [at for at in (self.client.due_ns, self.ends_ns) if at is not None]
         if self.seen_token is not None or self.client.state is ClientState.HOLDING:
             due.append(self.act_ns)
@@ -218,7 +218,7 @@
     Attributes:
         clusters: The configurations of the schedule.
         state_files: The state that each voter has on disk.
-        found: What was found so far.
+        findings: The results so far.
         held_tokens: The tokens of the present holders, by name.
         highest_token: The highest token of any holder so far.
         store: The resource that tasks act on; it rejects tokens below the highest that it has seen.
@@ -228,7 +228,7 @@
     member_class: type[VotingMember] = VotingMember
     client_class: type[LeaseClient] = LeaseClient
     task: tuple[float, float] = TASK_LEASES
-    wait_timeouts: tuple[float | None, ...] = (None, None, 0, 1)  # in leases; None for no limit
+    wait_timeouts: tuple[float | None, ...] = (None, None, 0, 1)  # in lengths of a lease; None for no limit
 
     def __init__(self, schedule: Schedule, timing: LeaseTiming, keep_trace: bool = False) -> None:
         """Prepares a run; `play` runs it.
@@ -271,7 +271,7 @@
             self.state_files.pop(name, None)
 
     def node_step(self, step: Step) -> None:
-        """Applies a step to a holder, which releases the lease or starts to acquire it immediately."""
+        """Makes a holder release its lease, or start to acquire the lease before its rest has ended."""
         slot = self.slots[step.who]
         if isinstance(slot.node, HolderNode) and not slot.stopped:
             if step.what == StepKind.RELEASE:
@@ -304,11 +304,11 @@
                 self._check_new_holding(name, token)
         if len(held) > 1:
             named = " and ".join(f"{name} (token {token})" for name, token in held.items())
-            self._breach(f"{named} hold at once")
+            self._breach(f"{named} hold the lease at the same time")
         self.held_tokens = held
 
     def _written(self, node: VoterNode, state: PersistentState, incarnation: int) -> None:
-        """Ends a write. If its voter was killed during the write, the new state is kept at random."""
+        """Ends a write. If its voter was killed during the write, the new state is kept or lost at random."""
         slot = self.slots[node.name]
         alive = slot.incarnation == incarnation and slot.node is node
         if alive or (slot.node is None and slot.incarnation == incarnation and self.rng.random() < 0.5):
--- a/lanelift/leases/supervisor.py
+++ b/lanelift/leases/supervisor.py
@@ -1,8 +1,8 @@
-"""The fleet's tasks in `lanelift serve`: each is run by one member at a time, the holder of its lease.
+"""Runs the fleet's tasks in `lanelift serve`, each on one member at a time: the holder of its lease.
 
 The holder keeps the lease from run to run, so that the pause between two runs applies to the whole fleet.
 When the holder dies or is cut off, the next waiter gets the lease and runs the task immediately, since no
-member knows whether the last run was completed. A task must tolerate that.
+member knows whether the last run was completed. A task must tolerate such an early run.
 """
 
 from __future__ import annotations
@@ -19,8 +19,9 @@
 from lanelift.leases.client import ClientState
 from lanelift.leases.holder import LeaseHolder
 
-MIN_BACKOFF_S = 1.0  # before a task that failed, or did not get or keep its lease, is tried again
-MAX_BACKOFF_S = 60.0  # limit of the doubling: without a majority, all tasks keep sending requests
+MIN_BACKOFF_S = 1.0  # first pause after a task failed, or did not get or keep its lease
+# Upper limit of the pause, which doubles each time: without a majority, all tasks keep sending requests.
+MAX_BACKOFF_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +78,7 @@
         await asyncio.gather(*self._running, return_exceptions=True)
 
     def receive(self, message: Response, source: Address) -> None:
-        """Passes a voter's response to the holder with its nonce."""
+        """Passes a voter's response to the holder that has the response's nonce."""
         holder = self._holder_by_nonce.get(message.nonce)
         if holder is not None:
             holder.receive(message, source)
--- a/lanelift/membership/detector.py
+++ b/lanelift/membership/detector.py
@@ -44,11 +44,15 @@
 from lanelift.membership.suspicion import CONFIRMATIONS_NEEDED, suspicion_timeout_ns, zone_is_partitioned
 from lanelift.membership.timing import ProbeTiming
 
-MAX_MEMBERS = 4096  # bounds the tables of one member; numbers on the wire could be 16 times as high
-INDIRECT_PROBES = 3  # members that ping the target as well, so that one lossy path causes no suspicion
-MAX_HEALTH_PENALTY = 4  # an unhealthy member waits up to five times as long before it accuses (Lifeguard)
-MAX_PROBES_FOR_OTHERS = 64  # pending probes above which requests to ping are ignored
-ISOLATION_PERIODS = 3  # a member that has received no message for this many periods is itself cut off
+# Limits the entries of one member's tables; the encoding has room for 16 times this number.
+MAX_MEMBERS = 4096
+# Number of other members that are asked to ping a target, so that one lossy path causes no suspicion.
+INDIRECT_PROBES = 3
+# Limit of the health penalty: an unhealthy member waits up to five times as long before it accuses another
+# member (Lifeguard).
+MAX_HEALTH_PENALTY = 4
+MAX_PROBES_FOR_OTHERS = 64  # while this many probes are pending, requests to ping for others are ignored
+ISOLATION_PERIODS = 3  # a member that received no message for this many periods counts itself as cut off
 ABSENT_STATES = (MemberState.SUSPECT, MemberState.UNREACHABLE)
 SEQUENCE_COUNT = 1 << 16  # sequence numbers wrap around at this number
 
@@ -73,8 +77,8 @@
         if not 0 <= me < len(zones) <= MAX_MEMBERS:
             raise ValueError(f"member {me} of {len(zones)}; allowed: up to {MAX_MEMBERS} members")
         self.me, self.timing, self.rng = me, timing, random.Random(seed)
-        # Drawn at each start. If it is behind the incarnation of the last start, the older updates that the
-        # others hold take precedence; this member refutes them like a suspicion.
+        # Drawn at each start. If the new incarnation is behind that of the last start, the older updates that
+        # the others hold take precedence; this member refutes them like a suspicion.
         self.incarnation = self.rng.randrange(INCARNATION_COUNT)
         self.members = {
             number: MemberRecord(number, zone, MemberUpdate(number, MemberState.ALIVE, 0), now)
@@ -82,11 +86,11 @@
             if number != me
         }
         self.zone_sizes = Counter(record.zone for record in self.members.values())
-        self.zone_absent: Counter[str] = Counter()  # suspected or unreachable members of each zone
+        self.zone_absent: Counter[str] = Counter()  # number of suspected or unreachable members of each zone
         self.suspects: dict[int, MemberRecord] = {}
-        self.unknown_incarnations = set(self.members)  # members without any received update
-        self.probe_order: list[int] = []  # the rest of this round
-        self.probes: dict[int, PendingProbe] = {}  # by sequence number
+        self.unknown_incarnations = set(self.members)  # members about which no update was received
+        self.probe_order: list[int] = []  # members still to be probed in this round
+        self.probes: dict[int, PendingProbe] = {}  # pending probes by sequence number
         self.sequence = 0
         self.health_penalty = 0
         self.last_received_ns = now
@@ -108,9 +112,9 @@
     def count_alive(self, now: int) -> int:
         """Returns how many members may be alive, including this one.
 
-        The count is never below the number that are alive, under two assumptions: no partition lasts longer
-        than `ProbeTiming.dead_after_ns` less one round of probes, and no member returns after it was counted
-        as dead. In service members do return, so the second assumption does not hold there yet
+        The count is never below the number of living members, under two assumptions: no partition lasts
+        longer than `ProbeTiming.dead_after_ns` less one round of probes, and no member returns after it was
+        counted as dead. In service members do return, so the second assumption does not hold there yet
         (docs/design/membership.md).
         """
         return 1 + sum(not self._is_dead(record, now) for record in self.members.values())
@@ -133,7 +137,7 @@
         return min([self.next_probe_ns, *suspicions, *deadlines])
 
     def tick(self, now: int) -> Outgoing:
-        """Ends suspicions that are due; returns ping requests for unanswered probes, and the next probe."""
+        """Ends suspicions that timed out; returns ping requests for unanswered probes, and the next probe."""
         if self.left:
             return []
         outgoing: Outgoing = []
@@ -176,7 +180,7 @@
         return encode(self._compose(MessageKind.UPDATES, 0, self.me, room_bytes))
 
     def leave(self) -> Outgoing:
-        """Returns messages that tell a few members that this one leaves; they pass it on to the others."""
+        """Returns messages that tell a few members of this member's leaving; those members tell others."""
         self.left = True
         updates = (MemberUpdate(self.me, MemberState.LEFT, self.incarnation, self.me),)
         reachable = [r.number for r in self.members.values() if self.is_reachable(r.number)]
@@ -223,7 +227,7 @@
             chosen = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
             return [self._message(n, MessageKind.PING_REQUEST, sequence, probe.target) for n in chosen]
         del self.probes[sequence]
-        if record.update.state is MemberState.ALIVE:  # a suspect's acknowledgement was not expected
+        if record.update.state is MemberState.ALIVE:  # no acknowledgement is expected of a suspect
             self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
         if not self._is_isolated(now) and record.update.state in (MemberState.ALIVE, MemberState.SUSPECT):
             incarnation = record.update.incarnation
@@ -241,14 +245,14 @@
         return []
 
     def _stretched(self, duration_ns: int) -> int:
-        """Returns the duration, lengthened while acknowledgements are missed (Lifeguard).
+        """Returns the duration, lengthened after missed acknowledgements (Lifeguard).
 
         This member itself may be the cause of the missed acknowledgements.
         """
         return duration_ns * (1 + self.health_penalty)
 
     def _is_isolated(self, now: int) -> bool:
-        """Returns whether this member is cut off; it then accuses none, as all others would seem dead."""
+        """Returns whether this member is cut off; it then accuses no other member, as all would seem dead."""
         return now - self.last_received_ns > ISOLATION_PERIODS * self.timing.period_ns
 
     # Updates.
@@ -283,10 +287,11 @@
         self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
 
     def _first_contact(self, record: MemberRecord, update: MemberUpdate) -> bool:
-        """Returns whether an update is the first about its member and only confirms that it is alive.
+        """Records the incarnation if an update is the first about its member.
 
-        Every member is assumed to be alive at first. Such an update is not passed on, since each start of a
-        fleet would otherwise cause a storm of updates.
+        Returns whether the update needs no further handling, as it only confirms that its member is alive,
+        which is assumed at first. Such an update is not passed on, since each start of a fleet would
+        otherwise cause a storm of updates.
         """
         if record.number not in self.unknown_incarnations:
             return False
@@ -320,7 +325,7 @@
 
     def _suspicion_ended(self, record: MemberRecord, now: int) -> None:
         if self._is_isolated(now):
-            record.since_ns = now  # restarts: what this member saw while cut off says nothing about others
+            record.since_ns = now  # restarts the suspicion, which may only be due to this member's isolation
             return
         incarnation = record.update.incarnation
         update = MemberUpdate(record.number, MemberState.UNREACHABLE, incarnation, self.me)
@@ -340,7 +345,7 @@
         message = self._compose(kind, sequence, subject, MAX_MESSAGE_BYTES)
         about_receiver = self.members[to].update
         if about_receiver.state is not MemberState.ALIVE and about_receiver not in message.updates:
-            # A member that is suspected, or has returned, must learn of its state to refute it.
+            # A member that is suspected, or has returned, must learn of the recorded state to refute it.
             message = message._replace(updates=(about_receiver, *message.updates[: MAX_UPDATES - 1]))
         return to, encode(message)
 
--- a/lanelift/net/attempts.py
+++ b/lanelift/net/attempts.py
@@ -33,14 +33,15 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt in progress; it receives its exchange's streamed response and outcome.
+    """An attempt in progress, which receives the streamed response and the outcome of its exchange.
 
     Attributes:
-        runner: The runner that started it.
-        request: The request that it tries to serve.
+        runner: The runner that started the attempt.
+        request: The request that is being attempted.
         number: Its index among the request's attempts, from 0.
         upstream: The upstream's number.
-        started_ns: When it was sent (monotonic clock); with a streamed body, when the body's last byte came.
+        started_ns: When the attempt was started (monotonic clock); with a streamed body, when the client sent
+            the body's last byte.
     """
 
     runner: AttemptRunner
@@ -50,7 +51,8 @@
     started_ns: int
 
     def duration_ns(self) -> int:
-        """Returns how long it took, without the time that the response waited unread in this process."""
+        """Returns the attempt's duration, without the time that its response waited unread in this
+        process."""
         exchange = self.request.attempts[self.number]
         unread_ns = exchange.unread_ns if exchange is not None else 0
         return max(0, time.monotonic_ns() - self.started_ns - unread_ns)
@@ -69,7 +71,8 @@
         if request.overdue_timer is not None:
             request.overdue_timer.cancel()
         if self.runner.settings.classes[request.arrival.class_name].streaming:
-            exchange.progress_due_s = math.inf  # a stream is not expected to end
+            # streamed responses of this class may never end, so their progress is not checked
+            exchange.progress_due_s = math.inf
         request_id = request.arrival.request
         self.runner.post(ResponseStarted(request_id, self.number, self.upstream, self.duration_ns()))
         try:
@@ -85,7 +88,11 @@
     def finish(
         self, result: AttemptResult, response: Response | None = None, report: LoadReport = None
     ) -> None:
-        """Ends the attempt: answers the request if the outcome allows it, and notifies the balancer."""
+        """Ends the attempt, and notifies the balancer.
+
+        The request is answered here if the attempt succeeded or its response was being streamed; otherwise
+        the balancer decides what happens to it.
+        """
         request, number, duration_ns = self.request, self.number, self.duration_ns()
         requests = self.runner.requests
         request.attempts[number] = None
@@ -154,7 +161,7 @@
         if is_allowed:
             try:
                 self._send(attempt, min(action.timeout_ns or left_ns, left_ns))
-            except Exception:  # the attempt still gets its one outcome, below
+            except Exception:  # the attempt's only outcome is reported after this block
                 self.requests.fail_after_exception("an attempt could not start", [action])
         if request.attempts[number] is None:
             attempt.finish(AttemptResult.NOT_SENT)
--- a/lanelift/net/connection_pool.py
+++ b/lanelift/net/connection_pool.py
@@ -19,13 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-# Idle connections are closed after this fraction of the time after which upstreams would close them.
+# Idle connections are closed after this fraction of the upstreams' own idle time-out.
 IDLE_TIMEOUT_FRACTION = 0.6
 SETTLE_S = 0.01  # a connection counts as settled this long after its last response
-# An unsettled connection may serve idempotent requests if responses take this many times SETTLE_S on average.
+# An unsettled connection may serve GET requests if the mean response time is at least this many times
+# SETTLE_S.
 MIN_RESPONSE_TO_SETTLE_RATIO = 4
-# A handshake's time-out that fires this late shows that this process is short of CPU time, and says nothing
-# about the upstream.
+# If a handshake's timer fires at least this long after it was due, this process is short of CPU time, and the
+# time-out says nothing about the upstream.
 LATE_TIMER_S = 0.01
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
 SHORTAGE_LOG_INTERVAL_S = 5.0
@@ -39,7 +40,7 @@
         endpoint: The upstream's entry in the endpoint list.
         idle: Its idle connections in the order in which they were released, the newest last.
         connecting: Exchanges that wait for a new connection.
-        idle_timer: The timer that closes the oldest idle connection.
+        idle_timer: The timer that closes the connection that has been idle for longest.
         keeps_idle: Whether released connections are kept.
     """
 
@@ -81,8 +82,8 @@
         """Applies an update of the endpoint list.
 
         Idle connections to an upstream that drains, restarted, moved or was removed are closed immediately.
-        Exchanges that wait for a new connection to it are given up, so that their requests go elsewhere: the
-        handshake could outlast the drain's grace period.
+        Exchanges that wait for a new connection to such an upstream are given up, so that their requests go
+        to other upstreams: the handshake could outlast the drain's grace period.
         """
         listed = set()
         for new in endpoints:
@@ -92,7 +93,8 @@
                 self._remove(new.entry.id)
                 continue
             if target is None or target.endpoint.process != new.process:
-                # A new process: connections to the old one that are in use now are not kept later.
+                # The upstream's process was replaced: connections to the old process that are in use now are
+                # not kept after their exchange.
                 self._remove(new.entry.id)
                 target = self.targets[new.entry.id] = UpstreamTarget(new)
             target.endpoint = new
@@ -121,7 +123,11 @@
     # ---- a connection for an exchange --------------------------------------------------------------------
 
     def start(self, target: UpstreamTarget, exchange: Exchange, is_probe: bool = False) -> None:
-        """Starts an exchange on an idle or a new connection; never reports the outcome within this call."""
+        """Starts an exchange on an idle or a new connection. Its outcome is never reported within this call.
+
+        If its client has disconnected, or the cap is reached and no connection to any upstream is idle, the
+        exchange ends with NOT_SENT.
+        """
         loop = asyncio.get_running_loop()
         if _client_left(exchange):
             loop.call_soon(exchange.give_up, AttemptResult.NOT_SENT)
@@ -142,13 +148,13 @@
     def _take_idle(
         self, target: UpstreamTarget, exchange: Exchange, is_probe: bool
     ) -> UpstreamConnection | None:
-        """Takes the newest idle connection that has settled, so that the older ones can time out.
+        """Takes the newest settled idle connection, if there is one, so that older connections can time out.
 
         Failure guarded against: bytes that a server sends after a response, such as a second copy or noise,
         would be read as the answer to the next request. They arrive within milliseconds, so a connection is
-        used only after `SETTLE_S`. If none has settled, the oldest may serve an idempotent request or a load
-        probe, as a wrong result of a probe reaches no client; for an idempotent request `distrust_until_s`
-        marks the bytes that came too early to be its response.
+        used only after `SETTLE_S`. If no connection has settled, the oldest may serve a load probe, whose
+        wrong result would reach no client. The oldest may also serve a GET request if responses take long on
+        average; bytes that arrive before the exchange's `distrust_until_s` are not accepted as its response.
         """
         idle = target.idle
         settled_s = asyncio.get_running_loop().time() - SETTLE_S
@@ -167,7 +173,8 @@
         return None
 
     def _log_shortage(self) -> None:
-        """Logs that the cap is reached, at intervals: during a shortage each request would log it."""
+        """Logs that the cap is reached, but only at intervals: during a shortage each request would cause a
+        line."""
         now = asyncio.get_running_loop().time()
         if now >= self._shortage_logged_until:
             self._shortage_logged_until = now + SHORTAGE_LOG_INTERVAL_S
@@ -186,7 +193,7 @@
             async with asyncio.timeout(self.connect_timeout_s):
                 await loop.create_connection(lambda: connection, target.endpoint.host, target.endpoint.port)
         except Exception as error:  # an OSError, or any error that an invalid address raises
-            if connection.transport is None:
+            if connection.transport is None:  # in the other case `abort` calls `_forget`, which does the same
                 self.open_connections -= 1
             connection.abort()
             # A shortage of descriptors in this process is no fault of the upstream.
@@ -200,17 +207,18 @@
         self._connected(target, connection, exchange)
 
     def _connected(self, target: UpstreamTarget, connection: UpstreamConnection, exchange: Exchange) -> None:
-        """Starts the exchange after its handshake, unless it was given up meanwhile."""
+        """Starts an exchange on its new connection, unless the exchange was given up during the handshake."""
         if connection.closed:
             exchange.give_up(AttemptResult.CONNECT_FAILED)
         elif exchange.on_finished is None or _client_left(exchange):
             exchange.give_up(AttemptResult.NOT_SENT)
-            self._release(target, connection)  # another exchange can use it
+            self._release(target, connection)  # another exchange can use the new connection
         else:
             connection.start(exchange)
 
     def _handshake_overdue(self, exchange: Exchange, due_s: float) -> None:
-        """Gives up an exchange whose handshake takes too long. A late timer is no fault of the upstream."""
+        """Gives up an exchange whose handshake takes too long. If the timer fired late, the upstream is not
+        blamed."""
         is_late = asyncio.get_running_loop().time() > due_s + LATE_TIMER_S
         exchange.give_up(AttemptResult.NOT_SENT if is_late else AttemptResult.CONNECT_FAILED)
 
@@ -226,7 +234,7 @@
             self._watch_idle(target)
 
     def _watch_idle(self, target: UpstreamTarget) -> None:
-        """Sets the upstream's one idle timer for its oldest idle connection."""
+        """Sets the upstream's idle timer to when its oldest idle connection expires."""
         target.idle_timer = asyncio.get_running_loop().call_at(
             target.idle[0].idle_since + self.idle_timeout_s, self._close_expired, target
         )
@@ -263,7 +271,7 @@
         return True
 
     def set_max_connections(self, connections: int) -> None:
-        """Changes the cap. Above it, idle connections are closed now, and others when they are released."""
+        """Changes the cap. Excess connections are closed: idle connections now, others on their release."""
         self.max_connections = connections
         while self.open_connections > connections and self._close_longest_idle():
             pass
--- a/lanelift/net/endpoint_list.py
+++ b/lanelift/net/endpoint_list.py
@@ -24,7 +24,8 @@
 }
 NS_PER_MS = 1_000_000
 MAX_STARTED_MS = 1 << 53
-# Determined once, so that an upstream's start time does not change between two lists.
+# Difference of the monotonic clock and Unix time, in ns; computed once so that an upstream's start time does
+# not change between lists.
 UNIX_TO_MONOTONIC_NS = time.monotonic_ns() - time.time_ns()
 
 
@@ -34,8 +35,8 @@
 
     Attributes:
         version: The list's version; versions increase.
-        is_snapshot: Whether it lists all upstreams; otherwise it lists only those that changed.
-        endpoints: Its entries, without the invalid ones.
+        is_snapshot: Whether the list has all upstreams; otherwise it has only upstreams that changed.
+        endpoints: The list's valid entries.
     """
 
     version: int
@@ -44,7 +45,8 @@
 
 
 def upstream_number(name: str) -> int:
-    """Returns the number that the balancer uses for an upstream's id; it is the same on every replica."""
+    """Returns the number that the balancer uses for an upstream's id; the number is the same on every
+    replica."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
--- a/lanelift/net/exchange.py
+++ b/lanelift/net/exchange.py
@@ -1,7 +1,7 @@
 """An HTTP/1.1 request to a server and its one outcome.
 
-An exchange is sent only once; this module never repeats a request. It records when the last byte was written:
-a connection that breaks before that proves that the request never ran.
+An exchange is sent only once; this module never repeats a request. An exchange records whether its last byte
+was written: if the connection breaks before that, the request certainly never ran.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 UPSTREAM_SILENCE_TIMEOUT_S = 10.0
 # A client that reads nothing of its response for this long is given up.
 CLIENT_STALL_TIMEOUT_S = 30.0
-# After its time-out, a streamed response without a stated length must bring this many bytes in each such
-# interval, until it is longer than `MAX_BUFFERED_BODY_BYTES`.
+# After the attempt's time-out, a streamed response without a stated length must deliver `MIN_PROGRESS_BYTES`
+# in each `MIN_PROGRESS_INTERVAL_S`, until the response is longer than `MAX_BUFFERED_BODY_BYTES`.
 MIN_PROGRESS_BYTES = 1600
 MIN_PROGRESS_INTERVAL_S = 0.2
 
 
 class ResponseSink(Protocol):
-    """The receiver of a streamed response, whose end is reported as the exchange's outcome."""
+    """The receiver of a streamed response; the response's end is reported as the exchange's outcome."""
 
     def start_response(self, head: Response) -> None:
         """Receives the response's head; the body follows in pieces."""
@@ -53,7 +53,7 @@
     and is given up only if it makes no progress at all.
 
     Attributes:
-        request: The bytes to write: the head, and the body unless that is an `upload`.
+        request: The bytes to write: the head, and the body unless the body is an `upload`.
         on_finished: Called once with the outcome; None afterwards.
         max_body_bytes: The longest response body that is buffered.
         on_written: Called once when the request's last byte was written.
@@ -62,15 +62,16 @@
         written: Whether the request's last byte was written.
         connection: The connection that carries the exchange.
         timer: The timer of the current time-out.
-        unread_ns: How long the response's end, or its start if it is streamed, waited unread in this process.
+        unread_ns: How long the end of the response (of a streamed response: the start) waited unread in this
+            process.
         streaming: Whether the response is being streamed.
         paused: Whether the sink accepts no more of the streamed response for now.
-        last_progress_s: When part of the response was last forwarded, on the loop's clock.
-        progress_due_s: When the response has to be complete or have made progress, on the loop's clock.
-        distrust_until_s: Bytes that came before this time (loop's clock) are not accepted as the response:
+        last_progress_s: The time at which part of the response was last forwarded, on the loop's clock.
+        progress_due_s: When the response must be complete or must have made progress, on the loop's clock.
+        distrust_until_s: Bytes received before this time (loop's clock) are not accepted as the response:
             they may belong to the previous response on the connection.
         streamed_bytes: The number of bytes forwarded so far.
-        streamed_bytes_at_check: That number at the last check of progress.
+        streamed_bytes_at_check: The value of `streamed_bytes` at the last check of progress.
     """
 
     __slots__ = (
@@ -137,7 +138,10 @@
             self.timer = None
 
     def expire(self) -> None:
-        """Times out. A request not fully written has not run, and closing its connection ensures that."""
+        """Ends the exchange at its time-out.
+
+        A request whose last byte was not written has not run, and never will, as its connection is closed.
+        """
         self.give_up(AttemptResult.TIMEOUT if self.written else AttemptResult.CONNECT_FAILED)
 
     def give_up(self, result: AttemptResult) -> None:
@@ -193,17 +197,17 @@
         self.sink.forward(data)
 
     def pause(self) -> None:
-        """Pauses reading the response, as the sink accepts no more."""
+        """Pauses reading the response, as the sink accepts no further pieces for now."""
         self.paused = True
         if self.connection is not None and self.connection.transport is not None:
             self.connection.transport.pause_reading()
 
     def resume(self) -> None:
-        """Resumes reading the response, as the sink accepts more again."""
+        """Resumes reading the response, as the sink accepts pieces again."""
         self.paused = False
         self.last_progress_s = asyncio.get_running_loop().time()
         if self.progress_due_s < math.inf and self.on_finished is not None:
-            # No progress was possible while it was paused, so the interval starts again.
+            # No progress was possible while the response was paused, so the interval starts again.
             self.streamed_bytes_at_check = self.streamed_bytes
             self.progress_due_s = max(self.progress_due_s, self.last_progress_s + MIN_PROGRESS_INTERVAL_S)
             self.cancel_timeout()
--- a/lanelift/net/message_parser.py
+++ b/lanelift/net/message_parser.py
@@ -1,8 +1,8 @@
 """The common base of the HTTP/1.1 request and response parsers, which do no I/O.
 
 `httptools` (llhttp) does the parsing, and is strict: bare line feeds, folded headers, two lengths, a length
-together with a coding, and bad chunks are errors. Ambiguous or unbounded input that it accepts is checked
-here.
+together with a coding, and bad chunks are errors. Ambiguous or unbounded input that `httptools` accepts is
+checked here.
 """
 
 from __future__ import annotations
@@ -15,10 +15,11 @@
 
 from lanelift.net.http_messages import MessageError, Request, Response
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed, or rejected
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # longest body that is buffered; a longer body is streamed or rejected
 MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024
-MAX_HEAD_BYTES = 16 * 1024  # httptools has no limit of its own
-# A whole message may be this many times as long as the longest body, as small chunks are mostly framing.
+MAX_HEAD_BYTES = 16 * 1024  # longest head that is accepted; httptools has no limit of its own
+# A message, including the framing of its chunks, may be this many times as long as the longest body: small
+# chunks consist mostly of framing.
 MAX_FRAMING_FACTOR = 8
 MAX_NUMBER_DIGITS = 15
 
@@ -30,11 +31,12 @@
     """A message of which part has been parsed.
 
     Attributes:
-        target: The request target so far.
-        headers: The headers so far.
-        body: The body so far, if it is buffered.
-        size_bytes: The number of bytes read for it, without a read that also held the previous message's end.
-        head_complete: Whether all headers have come; a later header is a trailer.
+        target: The part of the request target that was received so far.
+        headers: The headers that were received so far.
+        body: The part of the body that was received so far, if the body is buffered.
+        size_bytes: The number of bytes read for the message, not counting a read that also held the end of
+            the previous message.
+        head_complete: Whether all headers were received; a later header is a trailer.
     """
 
     target: bytearray = field(default_factory=bytearray)
@@ -50,8 +52,8 @@
     An invalid message is the last one: it sets `error`, and no further input is parsed.
 
     A body that is too long to be buffered can be streamed. `streamed_head` is then the message without its
-    body, `take_body` returns the body as it comes in, and the complete message in `messages` has no body. No
-    other message is streamed until `finish_streamed` is called.
+    body, `take_body` returns the body as it is received, and the complete message in `messages` has no body.
+    No other message is streamed until `finish_streamed` is called.
 
     Attributes:
         messages: Complete messages, the oldest first.
@@ -70,7 +72,8 @@
         self.partial: PartialMessage | None = None
         self.may_stream = False
         self.streamed_head: Message | None = None
-        self._streamed_partial: PartialMessage | None = None  # the streamed message until it is complete
+        # the message whose body is being streamed, until the message is complete
+        self._streamed_partial: PartialMessage | None = None
         self._body_parts: list[bytes] = []
         self._streamed_bytes = 0
 
@@ -124,12 +127,12 @@
                 self._fail(413, "the body is too large")
 
     def take_body(self) -> bytes:
-        """Returns the part of the streamed body that has come since the last call."""
+        """Returns the part of the streamed body that was received since the last call."""
         parts, self._body_parts = self._body_parts, []
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def finish_streamed(self) -> None:
-        """Ends the streaming of a message, and may start that of the next one."""
+        """Ends the streaming of a message, and starts to stream the next one if its body is too long."""
         self.streamed_head, self._streamed_bytes = None, 0
         if self.partial is not None and self.partial.head_complete and self._needs_streaming():
             self.start_streaming()
@@ -192,7 +195,7 @@
                 self._fail(413, "the body is too large")
 
     def _needs_streaming(self) -> bool:
-        """Returns whether the body must be streamed, by its stated length or by the part that has come."""
+        """Returns whether the body must be streamed, by its stated length or by the part received."""
         assert self.partial is not None
         if self.error is not None or not self.may_stream:
             return False
--- a/lanelift/net/peers.py
+++ b/lanelift/net/peers.py
@@ -19,12 +19,12 @@
 class Peers:
     """The socket for messages between replicas.
 
-    It is used without a transport, as asyncio's datagram transport allocates 256 KiB for each message that it
+    The socket is read directly, as asyncio's datagram transport allocates 256 KiB for each message that it
     reads, and there are many messages.
 
     Attributes:
         peers: The replicas' addresses, in the order of their numbers.
-        broadcast: The address for a message to all replicas; None if there is none.
+        broadcast: The address for a message to all replicas; None if no such address is configured.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
     def _read(self) -> None:
         try:
             data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
-        except OSError:  # a peer that is down refused the last message sent, or no message is there
+        except OSError:  # no message is waiting, or the peer to which the last message was sent is down
             return
         sender = self._numbers.get(address)
         if sender is not None and len(data) <= MAX_DATAGRAM_BYTES:
--- a/lanelift/net/request_head.py
+++ b/lanelift/net/request_head.py
@@ -10,7 +10,7 @@
 from lanelift.policy.settings import Idempotency, RequestClass
 
 NS_PER_MS, NS_PER_US = 1_000_000, 1_000
-MAX_REQUEST_ID_BYTES = 128  # limits the size of table keys and log lines
+MAX_REQUEST_ID_BYTES = 128  # longest request identifier; the limit bounds table keys and log lines
 # Headers that this balancer sets itself on forwarded requests.
 REPLACED_HEADERS = frozenset({b"x-deadline-ms"})
 
@@ -56,7 +56,7 @@
 def read_wait_ns(headers: Mapping[bytes, bytes], request_class: RequestClass) -> int:
     """Returns how long the client waits, in ns: `X-Deadline-Ms`, limited to the deadline of the class.
 
-    The shutdown relies on that limit.
+    The shutdown relies on this limit when it sets the end of the process.
     """
     longest_ns = request_class.deadline_ns
     default_ms = longest_ns // NS_PER_MS
--- a/lanelift/net/static_endpoints.py
+++ b/lanelift/net/static_endpoints.py
@@ -1,4 +1,4 @@
-"""A static endpoint list from the operator's own file, which changes only on a reload."""
+"""A static endpoint list, which the operator's own file contains and which changes only on a reload."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 class StaticDiscovery:
     """Sends the list as a snapshot on each fetch.
 
-    An upstream that is missing from a new list is removed: it gets no new attempts, and those in progress
+    An upstream that is missing from a new list is removed: it gets no new attempts, and attempts in progress
     run to their end.
     """
 
--- a/lanelift/policy/admission.py
+++ b/lanelift/policy/admission.py
@@ -1,17 +1,18 @@
 """Admission: how a new request is handled, in this order.
 
 1. If its tenant is denied or over a rate limit, it is answered immediately, without a token (`tenants.py`).
-2. If it is hopeless, as it takes more than `HOPELESS_FACTOR` times as long as its client waits, it is shed.
-   This applies only if attempts are announced between replicas (`peer_load.py`) and `MIN_HINT_SAMPLES`
-   responses were seen, as estimates are too rough before; it does not apply to streaming classes, or while
-   the body is being received.
+2. If it is hopeless, it is shed: it is expected to take more than `HOPELESS_FACTOR` times as long as its
+   client waits. This step applies only if replicas announce attempts to one another (`peer_load.py`) and the
+   estimate by cost hint has at least `MIN_HINT_SAMPLES` samples; with fewer, the estimate is too rough. The
+   step does not apply to streaming classes, or while the body is being received.
 3. If it was received so long ago that its answer would miss the latency objective, it is shed, unless a late
    answer earns something or the class streams.
-4. If it is not the first of its ordering key, it waits until it is (`ordering.py`).
+4. If it is not the first request of its ordering key, it waits until it is the first (`ordering.py`).
 5. If no upstream that it may use is listed, or its tenant's token bank and buffer are exhausted, it is shed.
    A client's retry takes only spare tokens, so that retries do not starve fresh requests (`token_bank.py`).
-6. If its pool is saturated and the queue takes more than `QUEUE_TIME_SHARE` of its spare time
-   (`OVER_SHARE_QUEUE_TIME_SHARE` if its tenant is over its share), it is shed.
+6. If its pool is saturated, and serving the requests that are queued there would take more than
+   `QUEUE_TIME_SHARE` of the request's spare time (`OVER_SHARE_QUEUE_TIME_SHARE` if its tenant is over its
+   share), it is shed.
 7. Otherwise it joins the queue of its pool (`placement.py`).
 
 Inputs: the event, service time estimates, and the state of its tenant's bank and its pool. Reason: a request
@@ -33,11 +34,11 @@
 from lanelift.policy.token_bank import TokenBank, TokenResult
 from lanelift.policy.units import SECOND_NS
 
-# A request that takes longer than this multiple of the time that its client waits is shed immediately.
+# A request is shed immediately if it is expected to take more than this multiple of its remaining time.
 HOPELESS_FACTOR = 1.3
-MIN_HINT_SAMPLES = 8  # samples needed before requests are shed by their estimates
-QUEUE_TIME_SHARE = 0.5  # share of a request's spare time that it may spend in the queue
-OVER_SHARE_QUEUE_TIME_SHARE = 0.1  # the same, for a tenant that is over its share
+MIN_HINT_SAMPLES = 8  # fewest samples of the estimate by cost hint before hopeless requests are shed
+QUEUE_TIME_SHARE = 0.5  # largest share of a request's spare time that serving the queue may take
+OVER_SHARE_QUEUE_TIME_SHARE = 0.1  # used instead of QUEUE_TIME_SHARE if the tenant is over its share
 
 
 class Admission:
@@ -60,7 +61,7 @@
         self.probing = probing
 
     def request_arrived(self, event: RequestArrived, now: int) -> None:
-        """Admit or shed a new request, or answer it because of its tenant."""
+        """Admit or shed a new request, or answer it immediately if its tenant is denied or over a limit."""
         state = self.state
         answer = state.tenants.immediate_answer(event, now)
         if answer is not None:
@@ -111,7 +112,7 @@
     def _is_hopeless(self, request: PendingRequest, expected_ns: float, now: int) -> bool:
         """Return whether a request is expected to take longer than its client waits.
 
-        Its upstream would work on it in vain, and other requests would be delayed.
+        An upstream would work on such a request in vain, and delay other requests.
         """
         state = self.state
         return (
@@ -125,9 +126,9 @@
     def _is_too_old(request: PendingRequest, expected_ns: float, age_ns: int) -> bool:
         """Return whether a request was received so long ago that its answer would come too late.
 
-        It has waited unseen, because this replica itself is late. If all such requests were served in order,
-        the work on them would make the ones behind them late as well. Too many requests are shed if
-        `expected_ns` is far too high.
+        Such a request has waited unread, because this replica itself is late. If all such requests were
+        served in order, serving them would make later requests late as well. If `expected_ns` is far too
+        high, too many requests are shed.
         """
         request_class = request.request_class
         return expected_ns < request_class.latency_objective_ns < age_ns + expected_ns and not (
@@ -135,7 +136,7 @@
         )
 
     def take_token(self, request: PendingRequest, now: int) -> None:
-        """Take a token for a request from its tenant's bank; without one, buffer or shed the request."""
+        """Take a token for a request from its tenant's bank; without a token, buffer or shed the request."""
         request.place = WaitingPlace.NOWHERE
         result = self._request_token(request, now)
         if result is TokenResult.OVERFLOW:
@@ -181,10 +182,10 @@
         self.probing.begin(request, now)
 
     def _queue_is_too_long(self, request: PendingRequest, now: int) -> bool:
-        """Return whether the queue takes more of a request's spare time than it may.
+        """Return whether serving the queue would take more than the allowed share of a request's spare time.
 
-        Spare time counts up to the shortest objective, so that a class with much time does not make the queue
-        too long for those with little.
+        Spare time beyond the shortest objective is not counted, so that requests with much spare time do not
+        make the queue too long for requests with little spare time.
         """
         state = self.state
         share = OVER_SHARE_QUEUE_TIME_SHARE if request.token_bank.over_share else QUEUE_TIME_SHARE
@@ -194,7 +195,7 @@
     def tenants_changed(self, event: TenantUpdate, now: int) -> None:
         """Apply an update from a directory.
 
-        Requests that it denies fail immediately if they have no attempt in flight.
+        Requests that the update denies fail immediately if they have no attempt in flight.
         """
         state = self.state
         names = state.tenants.update(event, now)
--- a/lanelift/policy/balancer.py
+++ b/lanelift/policy/balancer.py
@@ -44,14 +44,14 @@
 
     Attributes:
         settings: The settings of the balancer.
-        state: The state that its rules share.
+        state: The state that the rules share.
     """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.settings = settings
         self.state = state = PolicyState(settings, seed, now)
         self.timers = state.timers
-        self.ordering = KeyOrdering(state, self._first_of_its_key)
+        self.ordering = KeyOrdering(state, self._admit_first_of_key)
         self.answers = FinalAnswers(state, self.ordering)
         self.probing = LoadProbing(state)
         self.ejection = OutlierEjection(state.rng, state.timers, state.registry.unrestricted_pool)
@@ -80,7 +80,7 @@
         }
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-        """Handle events in order, make the calls that are due and serve the queues; return the actions.
+        """Handle events in order, make the scheduled calls that are due and serve the queues.
 
         Args:
             now: The clock time in nanoseconds; it never goes back.
@@ -101,7 +101,7 @@
             actions.append(timer)
         return actions
 
-    def _first_of_its_key(self, request: PendingRequest, now: int) -> None:
+    def _admit_first_of_key(self, request: PendingRequest, now: int) -> None:
         """Admit a request that is now the first of its ordering key."""
         self.admission.take_token(request, now)
 
@@ -122,9 +122,9 @@
 
     @property
     def known_tenants(self) -> Mapping[str, Tenant] | None:
-        """All tenants by name, once a directory has named some; None before that."""
+        """All tenants by name; None until a directory has named some tenants."""
         return self.state.tenants.known_tenants
 
     def endpoints_out_of_rotation(self, now: int) -> int:
-        """Return how many listed upstreams get no requests now, as they drain or are ejected."""
+        """Return the number of listed upstreams that get no requests now, as they drain or are ejected."""
         return self.state.registry.out_of_rotation(now)
--- a/lanelift/policy/deadlines.py
+++ b/lanelift/policy/deadlines.py
@@ -1,9 +1,9 @@
 """Deadlines: how long a request may wait before it is given up.
 
-Inputs: the request's objective and deadline, its expected time, and the deviation of such estimates. A
-waiting request is given up when less time is left until its objective than it needs, but not before a quarter
-of the time until its deadline has passed. Reason: an answer after the objective earns little or nothing, and
-the upstream's time for it would make other answers late.
+Inputs: the request's objective and deadline, its expected time, and the mean deviation of durations from
+expected times. A waiting request is given up when it needs more time than is left until its objective, but
+not before it has waited a quarter of the time until its deadline. Reason: an answer after the objective earns
+little or nothing, and an upstream that works on such a request makes other answers late.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from lanelift.policy.service_time import DURATION_MARGIN
 from lanelift.policy.state import PolicyState
 
-MIN_WAIT_DIVISOR = 4  # a request may wait for this part (1/4) of the time until its deadline
+MIN_WAIT_DIVISOR = 4  # a request may always wait a quarter (1 / this number) of the time until its deadline
 
 
 class Deadlines:
@@ -29,7 +29,7 @@
         self.hedging = hedging
 
     def set_wait_timeout(self, request: PendingRequest, now: int) -> None:
-        """Set when a request is given up, and schedule a check for that time."""
+        """Set the time at which a request is given up, and schedule a check for it."""
         service_times = self.state.service_times
         estimate_ns = service_times.estimate_ns(request.request_class, request.cost_hint_ns)
         need_ns = estimate_ns * (DURATION_MARGIN + service_times.relative_deviation)
@@ -39,7 +39,7 @@
         self.state.timers.call_at(request.give_up_at_ns, self._give_up, request)
 
     def _give_up(self, request: PendingRequest, now: int) -> None:
-        """Give a request that still waits its final answer, if its wait timeout is over."""
+        """Reject or fail a request that still waits when its wait timeout is over."""
         if request.place is not WaitingPlace.NOWHERE and now >= request.give_up_at_ns:
             self.state.rate.unplaceable += request.place is WaitingPlace.POOL_QUEUE
             self.answers.reject_or_fail(request, now)
--- a/lanelift/policy/feedback.py
+++ b/lanelift/policy/feedback.py
@@ -1,6 +1,6 @@
 """Feedback loops that adjust the subsets, the rate R and the slow start in each interval.
 
-Inputs: the counts since the previous interval. `FEEDBACK_INTERVAL_NS` is the length of an interval.
+Inputs: the counts since the end of the previous interval. An interval lasts `FEEDBACK_INTERVAL_NS`.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 class Feedback:
-    """Runs the slow control loops.
+    """Runs the feedback loops.
 
     Attributes:
-        ran_at_ns: When the loops ran last.
+        ran_at_ns: The time at which the loops last ran.
     """
 
     __slots__ = ("admission", "ran_at_ns", "state")
@@ -25,7 +25,7 @@
         self.ran_at_ns = now
 
     def run_if_due(self, now: int) -> None:
-        """Run the loops if the interval is over."""
+        """Run the feedback loops if the current interval is over."""
         if now - self.ran_at_ns < FEEDBACK_INTERVAL_NS:
             return
         self.ran_at_ns = now
--- a/lanelift/policy/ordering.py
+++ b/lanelift/policy/ordering.py
@@ -1,9 +1,9 @@
 """Ordering by key, rule 5 of the protocol: the requests of one key run one at a time, in order of arrival.
 
 Inputs: the key of each request whose class is ordered by key, the ends of attempts, and the cooldown of a key
-(`Rules.key_cooldown_ns`). A request waits until all earlier ones of its key have finished with no attempt in
-flight, and until the cooldown after an attempt that may still be running has passed. While it waits, it holds
-no token and delays only requests of the same key.
+(`Rules.key_cooldown_ns`). A request waits until all earlier requests of its key have finished with no attempt
+in flight, and until the cooldown after an attempt that may still be running has passed. A waiting request
+holds no token, and delays only requests of the same key.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
     def __init__(self, state: PolicyState, admit: Callable[[PendingRequest, int], None]) -> None:
         self.state = state
-        self.admit = admit  # called with each request that becomes the first of its key
+        self.admit = admit  # function that is called with each request that becomes the first of its key
         self.queues: dict[str, KeyQueue] = {}
 
     def join(self, request: PendingRequest, key: str) -> None:
@@ -40,7 +40,7 @@
         request.cooldown_until_ns = queue.cooldown_until_ns
 
     def wait(self, request: PendingRequest) -> None:
-        """Make a request wait that is not the first of its key, or arrives in the cooldown of its key."""
+        """Make a request wait, as it is not the first of its key or arrived in a cooldown of its key."""
         request.place = WaitingPlace.KEY_QUEUE
         self.state.timers.call_at(request.cooldown_until_ns, self._check, request.key_queue)
 
@@ -50,7 +50,10 @@
             request.key_queue.cooldown_until_ns = now + self.state.settings.rules.key_cooldown_ns
 
     def advance(self, queue: KeyQueue, now: int) -> None:
-        """Remove finished requests with no attempt in flight, and schedule a check of the next one."""
+        """Remove finished requests with no attempt in flight from the head of a queue.
+
+        The request that becomes the first is scheduled for a check.
+        """
         waiting = queue.waiting
         while waiting and waiting[0].finished and not waiting[0].attempts_in_flight:
             waiting.popleft()
@@ -62,7 +65,7 @@
             self.state.timers.call_at(queue.cooldown_until_ns, self._check, queue)
 
     def _check(self, queue: KeyQueue, now: int) -> None:
-        """Admit a queue's first request if it may go on, or forget an unused key."""
+        """Admit a queue's first request if it may be forwarded now, or forget an unused key."""
         waiting = queue.waiting
         if not waiting:
             if now >= queue.cooldown_until_ns:
--- a/lanelift/policy/outcomes.py
+++ b/lanelift/policy/outcomes.py
@@ -18,8 +18,9 @@
 from lanelift.policy.state import PolicyState
 from lanelift.policy.units import SECOND_NS
 
-FAILURE_EJECTION_NS = SECOND_NS / 4  # first ejection for a failure that does not indicate load
-# An upstream's rejection counts as a response that took all of its latency objective.
+# Length of an upstream's first ejection if the failure does not indicate load.
+FAILURE_EJECTION_NS = SECOND_NS / 4
+# A rejection by an upstream counts as a response that took exactly its latency objective.
 REJECTION_LATENCY_RATIO = 1.0
 FAILURES = frozenset(
     {
@@ -32,7 +33,7 @@
 LOAD_FAILURES = frozenset({AttemptResult.REJECTED, AttemptResult.TIMEOUT})  # failures that indicate load
 NORMAL_STREAM_ENDS = frozenset(
     {AttemptResult.OK, AttemptResult.CANCELLED}
-)  # results of a started response that are no failure
+)  # results after the start of a response that are not failures
 
 
 class Outcomes:
@@ -62,7 +63,8 @@
         if request is None or request.attempts[event.attempt].result is not None:
             return
         attempt = request.attempts[event.attempt]
-        upstream = attempt.upstream  # counted even if it is no longer listed, as counts must balance
+        # A removed upstream is updated too, as each attempt counted there must also be released.
+        upstream = attempt.upstream
         attempt.result = event.result
         upstream.unreachable = event.result is AttemptResult.CONNECT_FAILED
         request.body_consumed = request.body_consumed or event.body_consumed
@@ -83,7 +85,7 @@
     def _response_ended(self, request: PendingRequest, event: AttemptFinished, now: int) -> None:
         """End an attempt whose response was passed on.
 
-        What was counted for it was released when the response started.
+        The attempt has not been counted since its response started.
         """
         self.state.rate.late_or_failed += event.result not in NORMAL_STREAM_ENDS
         if event.request_complete:
@@ -106,7 +108,7 @@
     def _learn_from_failure(
         self, request: PendingRequest, attempt: Attempt, event: AttemptFinished, now: int
     ) -> None:
-        """Count a failure, and eject the upstream if the failure is its own."""
+        """Count a failure, and eject the upstream if it is at fault."""
         state, result = self.state, event.result
         if result is AttemptResult.REJECTED or state.concurrency.is_congested():
             state.concurrency.observe(REJECTION_LATENCY_RATIO, False, request.pool.subset.width, now)
@@ -132,7 +134,7 @@
         )
         late = attempt.sent_ns + duration_ns > request.objective_at_ns
         state.rate.on_time += not late
-        state.rate.late_or_failed += late  # the first sign of congestion
+        state.rate.late_or_failed += late  # late responses are the first sign of congestion
         self.ejection.record_success(attempt.upstream)
 
     def response_started(self, event: ResponseStarted, now: int) -> None:
--- a/lanelift/policy/peer_load.py
+++ b/lanelift/policy/peer_load.py
@@ -2,9 +2,9 @@
 
 Inputs: how many replicas share an upstream, the price of a message, the attempt's upstream and work, and
 messages from other replicas. Attempts are announced if peer messages are allowed, load probes are not used,
-an upstream is shared by at most `MAX_RECIPIENTS` other replicas, and one announcement costs at most
-`MAX_ANNOUNCEMENT_PRICE` of a request's value. Reason: a replica's own attempts show little of an upstream's
-queued work, but each message costs CPU time on both sides.
+an upstream is shared by at most `MAX_RECIPIENTS` other replicas, and the messages for one attempt cost at
+most `MAX_ANNOUNCEMENT_PRICE` of a request's value. Reason: a replica's own attempts show little of an
+upstream's queued work, but each message costs CPU time on both sides.
 """
 
 from __future__ import annotations
@@ -22,8 +22,9 @@
 WORK_UNIT_NS = 100_000
 MAX_WORK_UNITS = 0xFFFF
 MAX_RECIPIENTS = 12
-MAX_ANNOUNCEMENT_PRICE = 0.005  # share of the value of one request
-PRICED_MESSAGE_BYTES = 256  # the price of a peer message is for this size
+# Largest price of the messages for one attempt, as a share of a request's value.
+MAX_ANNOUNCEMENT_PRICE = 0.005
+PRICED_MESSAGE_BYTES = 256  # message size, in bytes, that the price of a peer message is stated for
 
 
 class PeerLoad:
@@ -60,7 +61,7 @@
         return [SendPeerMessage(data, replica) for replica in members if replica != self.settings.replica]
 
     def receive(self, event: PeerMessageReceived, now: int) -> None:
-        """Add the work of an attempt that another replica announced; ignore any other message."""
+        """Add the work of an attempt that another replica announced; ignore messages of other kinds."""
         if len(event.data) != ATTEMPT_STARTED.size:
             return
         kind, number, units = ATTEMPT_STARTED.unpack(event.data)
--- a/lanelift/policy/pool.py
+++ b/lanelift/policy/pool.py
@@ -1,9 +1,9 @@
 """Choice of an upstream: among a few random draws and the previous choice, the one that becomes free first.
 
 Inputs: the eligible upstreams of the subset, and the work that each has queued (nanoseconds). There are
-`DRAWS` draws if a replica knows only its own attempts, and `DRAWS_WITH_PEER_LOAD` if replicas announce
-theirs. Reason: random draws keep replicas from all choosing the same upstream; the previous choice adds
-memory to them at no cost.
+`DRAWS` draws if a replica knows only its own attempts, and `DRAWS_WITH_PEER_LOAD` if replicas announce their
+attempts. Reason: random draws keep replicas from all choosing the same upstream. The previous choice adds
+memory to the random draws at no cost.
 
 Source: the power of two choices (Mitzenmacher 2001), with memory (Mitzenmacher, Prabhakar, Shah 2002).
 """
@@ -23,9 +23,9 @@
 from lanelift.policy.subsets import Subset
 from lanelift.policy.upstreams import Upstream
 
-DRAWS = 2  # in addition to the previous choice
-DRAWS_WITH_PEER_LOAD = 8  # in addition to the previous choice; most of a subset
-TRIES_PER_DRAW = 4  # random tries for each draw before the eligible upstreams are listed
+DRAWS = 2  # random draws in addition to the previous choice
+DRAWS_WITH_PEER_LOAD = 8  # random draws in addition to the previous choice; they cover most of a subset
+TRIES_PER_DRAW = 4  # random tries for each draw; if no try succeeds, all eligible upstreams are listed
 
 
 class UpstreamPool:
@@ -36,8 +36,8 @@
         subset: The upstreams that this replica draws from.
         previous: The upstream that was chosen last.
         queue: Requests that wait for an upstream, in order.
-        blocked_since_ns: Since when the head of the queue has found no upstream; 0 if it is not blocked, or
-            the queue is empty.
+        blocked_since_ns: When the head of the queue first found no upstream; 0 if it is not blocked, or the
+            queue is empty.
         saturated: Whether the head of the queue waits for capacity, and not for a load report.
     """
 
@@ -77,7 +77,8 @@
     def draw(self, count: int, now: int) -> list[Upstream]:
         """Return up to `count` random draws from the eligible upstreams, and the previous choice.
 
-        The cost depends on the `width` upstreams of the subset, and not on the number of listed ones.
+        The previous choice is left out if it is not eligible. The cost depends on the `width` upstreams of
+        the subset, and not on the number of listed ones.
         """
         order, width = self.subset.order, self.subset.width
         is_eligible, random_number = self.eligibility.is_eligible, self.rng.random
@@ -102,11 +103,13 @@
         return candidates
 
     def pick(self, now: int, allowed: Iterable[Upstream] | None = None) -> Upstream | None:
-        """Return the upstream that becomes free first, of a few draws or of those allowed, or None.
+        """Return the upstream that becomes free first, among a few draws or the allowed upstreams.
+
+        Return None if no upstream is eligible.
 
         Args:
             now: The time.
-            allowed: The only upstreams to choose from; None means any that this replica draws from.
+            allowed: The only upstreams to choose from; None means any upstream that this replica draws from.
         """
         if allowed is None:
             candidates = self.draw(DRAWS_WITH_PEER_LOAD if self.peer_load.enabled else DRAWS, now)
--- a/lanelift/policy/probing.py
+++ b/lanelift/policy/probing.py
@@ -2,12 +2,12 @@
 
 Inputs: the upstreams of the pool and load reports. A request waits for the reports for at most
 `PROBE_TIMEOUT_SHARE` of the shortest latency objective. If all upstreams that reported have work queued and
-little time has passed, a few others are probed, once. Reason: with many replicas, a replica's own counts say
-little about an upstream.
+little time has passed, a few other upstreams are probed, but only once. Reason: with many replicas, a
+replica's own counts say little about an upstream.
 
-Each upstream has at most one probe in flight, and its report serves all requests that wait for it. Otherwise
-each request would need a connection where requests arrive faster than reports. An upstream that has not
-reported within the timeout is skipped.
+Each upstream has at most one probe in flight, and its report serves all requests that wait for it. Otherwise,
+if requests arrive faster than reports, the probes of each request would need further connections. An upstream
+that has not reported within the timeout is skipped.
 """
 
 from __future__ import annotations
@@ -24,8 +24,9 @@
 
 MIN_PROBE_TIMEOUT_NS = SECOND_NS // 333
 MAX_PROBE_TIMEOUT_NS = SECOND_NS // 100
-PROBE_TIMEOUT_SHARE = 0.04  # of the shortest latency objective
-QUICK_REPORT_DIVISOR = 4  # reports within this part (1/4) of the timeout leave time for a second round
+PROBE_TIMEOUT_SHARE = 0.04  # probe timeout as a share of the shortest latency objective
+# Reports that arrive within a quarter (1 / this number) of the timeout leave time for a second round.
+QUICK_REPORT_DIVISOR = 4
 
 
 class LoadProbing:
@@ -72,14 +73,14 @@
         )
 
     def candidates(self, request: PendingRequest, now: int) -> list[Upstream] | None:
-        """Return the upstreams that reported, perhaps none; None if other upstreams were probed instead."""
+        """Return the upstreams that reported (possibly an empty list), or None if a second round began."""
         is_eligible = self.state.registry.eligibility.is_eligible
         reported = [
             upstream
             for upstream in request.probed_upstreams
             if upstream.reported_at_ns >= request.probed_at_ns and is_eligible(upstream, now)
         ]
-        # If reports took longer, a second round would take too much of the time that is left.
+        # If the reports were not quick, a second round would take too much of the time that is left.
         quick = QUICK_REPORT_DIVISOR * (now - request.probed_at_ns) < self.timeout_ns
         if (
             quick
@@ -94,7 +95,7 @@
         return reported
 
     def _probe_others(self, request: PendingRequest, busy: Sequence[Upstream], now: int) -> bool:
-        """Probe a few others, as all that reported have work queued; return whether there are any."""
+        """Probe a few upstreams other than the busy upstreams; return whether there are others."""
         subset, is_eligible = request.pool.subset, self.state.registry.eligibility.is_eligible
         others = [
             upstream
@@ -109,7 +110,7 @@
         return True
 
     def probe_finished(self, event: LoadProbeFinished, now: int) -> None:
-        """Record the load report of a probe, or that there is none."""
+        """Record the load report of a probe, or the fact that the probe ended without one."""
         upstream = self.state.registry.upstreams.get(event.upstream)
         if upstream is None:
             return
--- a/lanelift/policy/queued_work.py
+++ b/lanelift/policy/queued_work.py
@@ -12,8 +12,9 @@
 
 from lanelift.policy.units import SECOND_NS
 
-MAX_RESERVATIONS = 64  # attempts remembered for each upstream; more than its queue holds
-# Upper bound of the estimate, so that a wrong announcement does not leave an upstream idle for long.
+MAX_RESERVATIONS = 64  # largest number of reservations at one upstream; its queue holds fewer attempts
+# Upper bound of the queued work of one upstream, so that a wrong announcement does not leave an upstream idle
+# for long.
 MAX_QUEUED_WORK_NS = SECOND_NS
 
 
@@ -24,9 +25,10 @@
     Attributes:
         in_flight: The number of this replica's attempts in flight at the upstream.
         probe_sent_ns: When the unanswered load probe was sent; 0 if there is none.
-        reported_at_ns: When its last load report was received.
-        reservations: The attempts that it has not completed: when each was sent, and its work in nanoseconds.
-        free_at_ns: When it is expected to have completed all of them.
+        reported_at_ns: When the upstream's last load report was received.
+        reservations: The attempts that the upstream has not completed: when each attempt was sent, and its
+            work in nanoseconds.
+        free_at_ns: When the upstream is expected to have completed all reservations.
     """
 
     in_flight: int = 0
@@ -36,7 +38,7 @@
     free_at_ns: float = 0
 
     def reserve(self, now: int, work_ns: float) -> None:
-        """Add the work of an attempt, made by this or by another replica."""
+        """Add the work of an attempt that this replica or another replica made."""
         if self.free_at_ns <= now:
             self.reservations.clear()
         elif len(self.reservations) >= MAX_RESERVATIONS:
@@ -76,8 +78,8 @@
     def queued_work_ns(self, now: int, mean_service_time_ns: float) -> float:
         """Return the estimated queued work in nanoseconds.
 
-        An attempt that takes longer than expected may need as long again: if the estimate has run out and
-        attempts are still in flight, the work counts as one mean service time.
+        If attempts are still in flight when the estimated work should be completed, the queued work counts
+        as one mean service time, as an attempt that takes longer than expected may need as long again.
         """
         left_ns = self.free_at_ns - now
         return left_ns if left_ns > 0 else mean_service_time_ns * min(1, self.in_flight)
--- a/lanelift/policy/settings.py
+++ b/lanelift/policy/settings.py
@@ -15,9 +15,10 @@
 class Idempotency(Enum):
     """Whether a request of a class may be executed more than once."""
 
-    IDEMPOTENT = "safe"  # may be retried and rejected freely
-    IDEMPOTENCY_KEY = "keyed"  # carries a key, by which one group of upstreams drops repeats for a while
-    NON_IDEMPOTENT = "unsafe"  # must never be executed twice
+    IDEMPOTENT = "safe"  # the request may be retried, or rejected, even if it has run
+    # The request carries a key by which one group of upstreams drops repeats for a while.
+    IDEMPOTENCY_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"  # the request must never be executed twice
 
 
 class DeduplicationScope(Enum):
@@ -31,7 +32,7 @@
 class UnknownTenants(Enum):
     """How requests of tenants that the directory does not name are handled."""
 
-    SHARE = "share"  # all of them share one small token bank
+    SHARE = "share"  # all unknown tenants share one small token bank
     DENY = "deny"
 
 
@@ -46,15 +47,16 @@
         deduplication_window_ns: How long upstreams drop repeats, counted from the first attempt that may have
             run.
         latency_objective_ns: An answer within this time earns the full priority weight.
-        deadline_ns: The longest time that a client of this class waits, over all its attempts.
+        deadline_ns: The longest time that a client of this class waits, over all attempts of its request.
         priority_weight: The value of an answer within the objective, relative to other classes. Not used by
             any decision.
         late_weight: The share of the priority weight that an answer after the objective still earns.
         streaming: Whether responses are long, so that their latency is measured when they start.
         ordered_by_key: Whether requests with the same key run one at a time, in the order in which they
             arrived.
-        zones: The only zones that its requests may be forwarded to; empty means any.
-        machine_kinds: The only kinds of machine that its requests may be forwarded to; empty means any.
+        zones: The only zones that requests of the class may be forwarded to; empty means any zone.
+        machine_kinds: The only kinds of machine that requests of the class may be forwarded to; empty means
+            any kind.
     """
 
     name: str
@@ -77,11 +79,11 @@
 
     Attributes:
         name: The name that requests carry.
-        share: Its weight relative to other tenants when capacity is short.
+        share: The tenant's weight relative to other tenants when capacity is short.
         quota_per_s: The contracted requests per second over all replicas; 0 means not stated. Not used by any
             decision.
-        denial_reason: Why all its requests are denied; empty if they are served.
-        classes: The only request classes that it may use; empty means any.
+        denial_reason: Why all requests of the tenant are denied; empty if the tenant's requests are served.
+        classes: The only request classes that the tenant may use; empty means any class.
         rate_limits: Pairs of a class name ("" for all classes) and a limit in requests per second over all
             replicas.
     """
@@ -100,7 +102,7 @@
 
     Attributes:
         max_attempts: The most attempts for one request, including the first.
-        hedging: Whether a second attempt may run beside an overdue first one.
+        hedging: Whether a second attempt may run beside an overdue first attempt.
         may_cancel: Whether attempts may be cancelled.
         load_probes: Whether upstreams may be probed for their load.
         peer_messages: Whether replicas may send messages to one another.
@@ -129,7 +131,7 @@
 
     Attributes:
         drain_grace_ns: New attempts at a draining upstream must stop within this time. Not used by any
-            decision, as they stop immediately.
+            decision, as new attempts stop immediately.
         notification_deadline_ns: A balancer counts as notified of a change after this time even if no update
             reached it.
         slow_start_initial_share: The share of its capacity that an upstream has when it starts.
@@ -153,8 +155,8 @@
 class Prices:
     """What the platform charges, as shares of the value of one request.
 
-    There is a price for each attempt that crosses zones, wasted attempt, load probe, peer message, open
-    connection and handshake. Decisions use only the prices of load probes and peer messages.
+    Prices are charged for attempts that cross zones, wasted attempts, load probes, peer messages, open
+    connections and handshakes. Decisions use only the prices of load probes and peer messages.
     """
 
     cross_zone: float = 0.0
@@ -172,13 +174,13 @@
     Attributes:
         replica: This balancer's number among its replicas, from 0.
         replica_count: How many replicas there are.
-        zone: The zone in which it runs; empty if unknown. Not used by any decision.
+        zone: The zone in which the balancer runs; empty if unknown. Not used by any decision.
         discovery_push: Whether discovery pushes changes of the endpoint list.
         classes: Request classes by name.
         tenants: Listed tenants by name.
-        limits: The limits on what it may do.
-        rules: The rules that it follows.
-        prices: The prices that it is charged.
+        limits: The limits on what the balancer may do.
+        rules: The rules that the balancer follows.
+        prices: The prices that the balancer is charged.
         load_report_fields: The names of the values in a load report.
         load_reports_in_responses: Whether upstreams attach load reports to their responses. Not used by any
             decision.
--- a/lanelift/policy/slow_start.py
+++ b/lanelift/policy/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start, rule 4 of the protocol: attempts at a newly started upstream are paced until it has warmed up.
 
 Inputs: when the upstream started, its initial share of capacity and its warm-up time (`Rules`), how many
-replicas share it, and the rate of attempts that a warm upstream sustains. No attempt is sent to it before its
-pacing interval has passed since the last attempt. Reason: an upstream fails if all replicas together send it
-more than it can handle while it warms up.
+replicas share it, and the rate of attempts that a warm upstream sustains. An upstream that is warming up gets
+no attempt before its pacing interval has passed since the last one. Reason: an upstream fails if all replicas
+together send it more than it can handle while it warms up.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from lanelift.policy.units import SECOND_NS
 from lanelift.policy.upstreams import Upstream
 
-BUDGET_SHARE = 0.7  # share of the rate that a warming upstream can handle that is used
+BUDGET_SHARE = 0.7  # attempts use this share of the rate that a warming upstream can handle
 SUSTAINED_RATE_SMOOTHING = 0.2
 
 
@@ -22,7 +22,8 @@
 
     Attributes:
         sharing_replicas: How many replicas send to one upstream.
-        sustained_rate_per_s: This replica's observed attempts per second that a warm upstream sustains.
+        sustained_rate_per_s: This replica's attempts per second at one upstream, smoothed; a warm upstream
+            sustains this rate.
     """
 
     __slots__ = ("concurrency", "duration_ns", "rules", "sharing_replicas", "sustained_rate_per_s")
@@ -40,10 +41,10 @@
         return started_ns != 0 and now - started_ns < self.duration_ns
 
     def pacing_interval_ns(self, upstream: Upstream, now: int) -> int:
-        """Return the least time between attempts at an upstream that is warming up.
+        """Return the shortest time between attempts at an upstream that is warming up.
 
         A warm upstream is assumed to handle the higher of two rates: the sustained rate that was observed, or
-        one request per mean service time, divided among all replicas that share it.
+        one request per mean service time, divided among the replicas that share the upstream.
         """
         rules = self.rules
         age_ns = max(
--- a/lanelift/policy/tenants.py
+++ b/lanelift/policy/tenants.py
@@ -2,7 +2,8 @@
 
 Inputs: the names of the tenant and the class, updates of a directory, and the time. A request is denied
 (`Fail`) if its tenant is unknown, suspended, may not use the class or has a limit of 0, and rejected if a
-token bucket of its tenant is empty. Reason: neither kind of request may take a token from another tenant.
+token bucket of its tenant is empty. Reason: neither denied nor rejected requests may take a token from
+another tenant.
 """
 
 from __future__ import annotations
@@ -17,13 +18,15 @@
 from lanelift.policy.token_bucket import TokenBucket
 
 MIN_WEIGHT = 1e-6  # minimum weight of a token bank, as R is divided by the sum of weights
-UNKNOWN_TENANTS_WEIGHT = 0.05  # weight of all unknown tenants together, as a share of that of known ones
+# Weight of all unknown tenants together, relative to the weight of all known tenants.
+UNKNOWN_TENANTS_WEIGHT = 0.05
 # A directory may name any number of tenants; only those that sent requests recently have banks. Dividing R
-# among this many takes a few milliseconds. All tenants beyond this number share one bank.
+# among this many banks takes a few milliseconds. All tenants beyond this number share one bank.
 MAX_TOKEN_BANKS = 1024
-OVERFLOW_TENANTS_WEIGHT = 0.5  # weight of that shared bank, as a share of that of the others
-MAX_TOKEN_BUCKETS = 8192  # rate limits in use; further ones are not enforced until some are full again
-MAX_RETRY_AFTER_JITTER = 1.5  # times the wait until the next token, so that clients do not return in step
+OVERFLOW_TENANTS_WEIGHT = 0.5  # weight of the bank that those tenants share, relative to the other banks
+# Largest number of buckets in use; further limits are not enforced until full buckets are removed.
+MAX_TOKEN_BUCKETS = 8192
+MAX_RETRY_AFTER_JITTER = 1.5  # highest jitter factor of Retry-After; keeps clients from returning together
 
 
 class TenantRegistry:
@@ -31,9 +34,9 @@
 
     Attributes:
         banks: Token banks by tenant name; "" is the bank of all requests while no tenant is listed.
-        known_tenants: All tenants by name, once a directory has named some; None before that.
-        unknown_tenants: How all other tenants are handled, once a directory has named all; None before that.
-        shared_banks: The banks of tenants that have none of their own, by their share of the weight.
+        known_tenants: All tenants by name; None until a directory has named some tenants.
+        unknown_tenants: How all other tenants are handled; None until a directory has named all tenants.
+        shared_banks: The banks shared by tenants without a bank of their own, by the bank's relative weight.
         removed_banks: The banks of tenants that were removed, until they are full.
         buckets: The token buckets of rate limits in use, by tenant and class.
         rate: The controller of R.
@@ -82,9 +85,9 @@
         return self.shared_banks[share]
 
     def denial_reason(self, name: str, class_name: str) -> str:
-        """Return why a tenant may not use this class; empty if it may.
+        """Return why a tenant may not use this class; the reason is empty if the tenant may use it.
 
-        May be called only once a directory has named some tenants.
+        Must not be called before a directory has named some tenants.
         """
         assert self.known_tenants is not None
         tenant = self.known_tenants.get(name)
@@ -98,7 +101,7 @@
         return "limit of 0" if zero_limit else ""
 
     def immediate_answer(self, event: RequestArrived, now: int) -> Action | None:
-        """Return the final answer that a request gets because of its tenant, or None if it is allowed."""
+        """Return the final answer that a request gets because of its tenant, or None if it may proceed."""
         if self.known_tenants is None:
             return None
         reason = self.denial_reason(event.tenant, event.class_name)
@@ -118,8 +121,8 @@
     def _buckets_of(self, event: RequestArrived, now: int) -> list[tuple[TokenBucket, float]]:
         """Return the buckets that limit a request, each with its rate on this replica.
 
-        A limit is for all replicas together, and each enforces an equal part, as clients are spread evenly
-        over them.
+        A limit applies to all replicas together. Each replica enforces an equal part of it, as clients are
+        spread evenly over the replicas.
         """
         assert self.known_tenants is not None
         tenant = self.known_tenants.get(event.tenant)
@@ -161,7 +164,7 @@
         about_all = event.unknown_tenants not in (None, self.unknown_tenants)
         if about_all:
             self.unknown_tenants = event.unknown_tenants
-            removed.append("")  # the bank of all, while no tenant was listed
+            removed.append("")  # the bank that all requests used while no tenant was listed
         for name in removed:
             self.known_tenants.pop(name, None)
             if name in self.banks:
@@ -179,9 +182,9 @@
         return own + list(self.shared_banks.values())
 
     def forget_idle(self, now: int) -> None:
-        """Forget the idle banks and buckets that are full: a new one would be the same."""
+        """Forget banks and buckets that are idle and full, since new ones would be in the same state."""
         for table in (self.banks, self.removed_banks):
-            # If no tenant is listed, the one bank that all use remains.
+            # The bank "", which all requests use while no tenant is listed, is kept.
             idle = [
                 name
                 for name, bank in table.items()
--- a/lanelift/policy/timers.py
+++ b/lanelift/policy/timers.py
@@ -19,9 +19,9 @@
     Attributes:
         calls: The due time, sequence number, function (None if the queues only have to be run) and arguments
             of each call.
-        added: The number of calls that were ever added.
-        timer_due_ns: When the current timer is due; 0 if none is set.
-        timer_number: The number of the current timer, which is also its name.
+        added: The total number of calls added so far.
+        timer_due_ns: When the current timer is due; 0 if no timer is set.
+        timer_number: The number of the current timer; the timer's name is this number.
     """
 
     __slots__ = ("added", "calls", "timer_due_ns", "timer_number")
@@ -33,12 +33,12 @@
         self.timer_number = 0
 
     def call_at(self, at_ns: int, function: Callable[..., None], *arguments: Any) -> None:
-        """Schedule a call of a function with these arguments and the time of the call."""
+        """Schedule a call of a function; the call passes these arguments and its own time."""
         self.added += 1
         heapq.heappush(self.calls, (at_ns, self.added, function, arguments))
 
     def wake_at(self, at_ns: int, *about: Any) -> None:
-        """Schedule a run of the queues; `about` is the request that needs it, if it is only one."""
+        """Schedule a run of the queues; `about` is the request that needs the run, if only one does."""
         self.added += 1
         heapq.heappush(self.calls, (at_ns, self.added, None, about))
 
@@ -53,17 +53,17 @@
     def timer_fired(self, event: TimerFired, now: int) -> None:
         """Record that the current timer has fired.
 
-        The timer is recognised by its name and not by the clock: one that fires a little early would
-        otherwise be taken for an old one, and no timer would ever be set again.
+        The timer is recognised by its name and not by the clock: otherwise a timer that fires a little early
+        would be taken for an old timer, and no timer would ever be set again.
         """
         if event.name == str(self.timer_number):
             self.timer_due_ns = 0
 
     def next_timer(self, now: int) -> SetTimer | None:
-        """Return the timer to set, if a call is due before the current timer."""
+        """Return the timer to set if a call is due before the current timer, and None otherwise."""
         calls = self.calls
         while calls and self._is_settled(*calls[0][3]):
-            heapq.heappop(calls)  # its request or attempt has ended
+            heapq.heappop(calls)  # the request or attempt that the call is about has ended
         if not calls or (self.timer_due_ns and calls[0][0] >= self.timer_due_ns):
             return None
         self.timer_due_ns = calls[0][0]
--- a/lanelift/policy/token_bank.py
+++ b/lanelift/policy/token_bank.py
@@ -18,20 +18,20 @@
 
 from lanelift.policy.units import SECOND_NS
 
-INITIAL_RATE_PER_S = 10_000.0  # initial R, above the capacity of any one replica
-BANK_CAPACITY_S = 0.5  # C_T, as seconds of the bank's rate
-BUFFER_SHARE = 0.2  # C_J as a share of C_T
-MIN_BANK_CAPACITY = 4  # tokens
-MIN_BUFFER_CAPACITY = 1  # requests
-SPARE_DIVISOR = 4  # tokens above this part (1/4) of C_T are spare
+INITIAL_RATE_PER_S = 10_000.0  # initial and highest R, above the capacity of any one replica
+BANK_CAPACITY_S = 0.5  # the bank capacity C_T is the number of tokens that accrue in this many seconds
+BUFFER_SHARE = 0.2  # buffer capacity C_J as a share of the bank capacity C_T
+MIN_BANK_CAPACITY = 4  # lower bound of the bank capacity C_T, in tokens
+MIN_BUFFER_CAPACITY = 1  # lower bound of the buffer capacity C_J, in requests
+SPARE_DIVISOR = 4  # tokens above a quarter (1 / this number) of the bank capacity C_T are spare
 
 
 class TokenResult(Enum):
     """The result of offering a request to a token bank."""
 
-    ADMITTED = "admitted"  # it took a token
-    BUFFERED = "buffered"  # it waits for a token
-    OVERFLOW = "overflow"  # there is no token, and the buffer is full
+    ADMITTED = "admitted"  # the request took a token
+    BUFFERED = "buffered"  # the request waits in the buffer for a token
+    OVERFLOW = "overflow"  # the bank has no token, and the buffer is full
 
 
 class TokenBank:
@@ -47,12 +47,12 @@
         balance: The paper's U. A new bank is full.
         rate_per_s: Tokens per second.
         partial_token: The part of the next token that has accrued. It starts at a random value, so that
-            replicas do not release buffered requests in step.
+            replicas do not release buffered requests together.
         updated_at_ns: When `balance` was last brought up to date.
         buffered: Requests that wait for tokens, in order. The bank does not depend on their type.
         offered: Requests offered since R was last divided.
         demand_per_s: The tenant's demand in requests per second, smoothed.
-        wake_at_ns: When the buffer is checked next, as the next token becomes available.
+        wake_at_ns: When the next token becomes available, and the buffer is checked next.
         over_share: Whether the tenant's demand is above its share of the goodput.
         was_exhausted: Whether a request found no token since R was last divided.
     """
@@ -91,7 +91,7 @@
         self.was_exhausted = False
 
     def set_rate(self, rate_per_s: float, now: int) -> None:
-        """Set the rate and the capacities that follow from it, and keep tokens and buffered requests."""
+        """Set the rate and the capacities that follow from it. Tokens and buffered requests are kept."""
         self.accrue(now)
         tokens_less_buffered = self.balance - self.buffer_capacity  # T - J
         self.rate_per_s = rate_per_s
@@ -125,7 +125,7 @@
         return TokenResult.BUFFERED
 
     def take_spare_token(self, now: int) -> bool:
-        """Take a token for a hedge or a client's retry if the bank has spare ones; return whether it did."""
+        """Take a token for a hedge or a client's retry if there are spare ones; return whether there are."""
         self.accrue(now)
         if self.balance - self.buffer_capacity <= self.bank_capacity // SPARE_DIVISOR:
             return False
--- a/lanelift/rehearsal/generator.py
+++ b/lanelift/rehearsal/generator.py
@@ -11,7 +11,7 @@
 
 
 class LoadGenerator:
-    """The role of a load process: sends every n-th request of the plan."""
+    """The role that sends every n-th request of the plan, where n is the number of load processes."""
 
     def __init__(self, job: Json) -> None:
         self.job = job
@@ -27,7 +27,7 @@
         await self.clients.run(start_ns)
 
     async def command(self, message: Json) -> None:
-        """Updates, after a delay, whether the front believes that a balancer is alive."""
+        """Tells the front, after a delay, whether a balancer is alive."""
         if message["do"] == "front":
             loop = asyncio.get_running_loop()
             loop.call_later(message["in_s"], self._set_alive, message["balancer"], message["alive"])
--- a/lanelift/rehearsal/report.py
+++ b/lanelift/rehearsal/report.py
@@ -15,7 +15,7 @@
 from lanelift.rehearsal.verdict import SECOND, Day, outcomes, verdict, windows
 
 SCHEMA = 1  # version of the JSON, incremented when a key changes its meaning or is removed
-CHART_WINDOW_S = 0.5  # of the windows in charts
+CHART_WINDOW_S = 0.5  # length of the time windows in charts
 OUTCOME_LETTERS = {
     "served": "s",
     "late": "a",
@@ -33,10 +33,19 @@
 
 
 def make_report(day: Day) -> Json:
-    """Returns the report. Its keys are schema, program, at (when the run ended, UTC), machine, scenario (as
-    checked, with its defaults), verdict, marks (faults: from_s, until_s, text), windows (outcomes and latency
-    of each half second), boxes (requests held and capacity in seconds of work per second, by place and
-    second), and outcomes (a letter for each request in the order of the plan; see OUTCOME_LETTERS)."""
+    """Returns the report, which has these keys:
+
+    schema      the version of this format
+    program     the version of lanelift
+    machine     the system, the processor and the version of Python
+    at          when the run ended, in UTC
+    scenario    as validated, with its defaults filled in
+    verdict     as `verdict.verdict` returns it
+    marks       the faults, each with from_s, until_s and text
+    windows     the outcomes and the latency of each half second
+    boxes       requests held, and capacity in seconds of work per second, by place and second
+    outcomes    a letter for each request in the order of the plan (`OUTCOME_LETTERS`)
+    """
     return {
         "schema": SCHEMA,
         "program": f"lanelift {version('lanelift')}",
@@ -59,6 +68,7 @@
 
 
 def _boxes(day: Day) -> Json:
+    """Returns the mean load and capacity of each place in each second; None for a second without samples."""
     seconds = int(day.plan.scenario.length_s) + 1
     held: dict[int, list[list[int]]] = defaultdict(lambda: [[] for _ in range(seconds)])
     capacity: dict[int, list[list[float]]] = defaultdict(lambda: [[] for _ in range(seconds)])
@@ -134,6 +144,7 @@
 
 # ---- comparison ------------------------------------------------------------------------------------------
 
+# The figures that `compare` uses, by name, each with its section and its key in the verdict.
 COMPARED = {
     "figure": ("worth", "figure"),
     "whole": ("worth", "whole"),
@@ -151,15 +162,15 @@
 
 
 def compared_figures(report: Json) -> dict[str, float]:
-    """Returns the values of a report that are compared."""
+    """Returns those figures of one report that `compare` uses, by name."""
     return {name: report["verdict"][part][key] for name, (part, key) in COMPARED.items()}
 
 
 def compare(a: list[Json], b: list[Json]) -> list[Json]:
     """Compares two sets of reports. Each returned row has the keys name, a, b, change and noise.
 
-    `noise` is the change that chance alone explains: two standard errors of the difference, from the spread
-    of the runs on each side. It is None if a side has only one run."""
+    `noise` is the change that chance alone explains: two standard errors of the difference, estimated from
+    the spread of the runs on each side. `noise` is None if a side has only one run."""
     rows = []
     for name in COMPARED:
         left, right = ([compared_figures(report)[name] for report in side] for side in (a, b))
@@ -179,7 +190,7 @@
 
 
 def differences(a: Mapping[str, Any], b: Mapping[str, Any], path: str = "") -> Iterable[str]:
-    """Yields the differences of two scenarios, as a warning when their runs are compared."""
+    """Yields the differences between two scenarios, to warn that their runs are not directly comparable."""
     for key in sorted({*a, *b}):
         left, right, key_path = a.get(key), b.get(key), f"{path}{key}"
         if isinstance(left, dict) and isinstance(right, dict):
--- a/lanelift/rehearsal/scenario.py
+++ b/lanelift/rehearsal/scenario.py
@@ -1,4 +1,4 @@
-"""The schema of scenario files. The suffix of a name says whether a time is in seconds or milliseconds.
+"""The schema of scenario files. The suffix of a key says whether a time is in seconds or milliseconds.
 
 A value that a file gives as a range `[low, high]` is drawn separately for each box, request or fault, from
 the seed.
@@ -25,9 +25,11 @@
     tables,
 )
 
-MAX_BOXES, MAX_BALANCERS = 500, 64  # on one machine, each box is a listener and each balancer a process
+# A rehearsal runs on one machine, where each box is a listener and each balancer a process.
+MAX_BOXES, MAX_BALANCERS = 500, 64
 MAX_LENGTH_S, MAX_RATE = 3600.0, 20_000.0
-MAX_REQUESTS = 1_000_000  # generated in advance and kept until the verdict, some hundred bytes each
+# Requests are generated in advance and kept until the verdict; each takes a few hundred bytes of memory.
+MAX_REQUESTS = 1_000_000
 
 
 def _check_range(values: tuple[float, float]) -> tuple[float, float]:
@@ -36,7 +38,7 @@
     return values
 
 
-# A list of two in the file. Strict checking would require a tuple, which TOML does not have.
+# A range, given as a list of two numbers. Strict validation would require a tuple, which TOML lacks.
 Pair = Annotated[
     tuple[Annotated[float, Field(ge=0, le=1e6)], Annotated[float, Field(ge=0, le=1e6)]],
     Field(strict=False),
@@ -79,7 +81,7 @@
 
 
 class Load(Table):
-    """The request rate over the day, open loop."""
+    """The load: the request rate over the day (open loop), the cost hints, and the quotas of tenants."""
 
     rate: Annotated[float, Field(gt=0, le=MAX_RATE)]
     shape: Literal["steady", "ramp", "wave", "bursty"] = "steady"
@@ -113,7 +115,7 @@
     usage: Annotated[float, Field(ge=0, le=1000)] = 1.0
 
 
-# The defaults: classes and tenants of rate-quotes-pos (the brief, 'Work' and 'Who shares it').
+# The default classes and tenants are those of rate-quotes-pos (the brief, 'Work' and 'Who shares it').
 CLASSES = [
     ClassTable(name="rate-lookup", share=36, work_ms=75, cv=0.62, worth=3),
     ClassTable(name="fee-quote", share=27, work_ms=78, cv=0.68, worth=5),
@@ -137,7 +139,10 @@
 
 
 class Clients(Table):
-    """The behaviour of clients: they abandon a try after a part of the class's deadline and then retry."""
+    """The behaviour of clients: they abandon a try after a part of the class's deadline and then retry.
+
+    `honour` is the share of requests whose client waits for a Retry-After, and `walk_off` is the share of
+    requests that the client abandons early."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 3
     try_part: PartPair = (0.33, 0.55)
@@ -158,7 +163,7 @@
 
 
 class Limits(Table):
-    """The limits that are given to the balancers."""
+    """The limits in the configuration of the balancers."""
 
     max_attempts: Annotated[int, Field(ge=1, le=100)] = 5
     retry_after: bool = True
@@ -168,7 +173,7 @@
 
 
 class Rules(Table):
-    """The parameters of the rules."""
+    """The parameters of the rules that the verdict checks."""
 
     drain_grace_ms: Annotated[float, Field(ge=0, le=60_000)] = 500.0
     fall_multiple: Annotated[float, Field(gt=0, le=1000)] = 2.5
@@ -176,7 +181,7 @@
 
 
 class DirectoryTable(Table):
-    """The LDAP directories that list the tenants, and `more` tenants that send no requests."""
+    """The LDAP directories that list the tenants. `more` counts further tenants, without requests."""
 
     servers: Annotated[int, Field(ge=1, le=4)] = 2
     unknown: Literal["share", "deny"] = "deny"
@@ -269,8 +274,8 @@
 
 
 class Suspend(_Fault):
-    """`count` random tenants, or the named one, are suspended at random times within `len_s`. After `for_s`
-    each is in good standing again."""
+    """`count` random tenants, or the named one, are suspended at random times within `len_s`. Each suspension
+    lasts for a time from the range `for_s` or, without `for_s`, until the end of the day."""
 
     kind: Literal["suspend"]
     len_s: Seconds = 0.0
@@ -319,14 +324,18 @@
         for key in ("class", "tenant"):
             yield from duplicate_name_problems(raw, key)
         length_s = number(raw, "length_s", cls.model_fields["length_s"].default)
-        names = [row.get("name") for _, row in tables(raw, "class")] or [c.name for c in CLASSES]
+        class_names = [row.get("name") for _, row in tables(raw, "class")] or [c.name for c in CLASSES]
         yield from order_problems(raw, "class", "aim_ms", "deadline_ms", ClassTable)
         for path, row in tables(raw, "fault"):
             if number(row, "at_s", 0) >= length_s:
                 yield ValidationProblem(
                     f"{path}.at_s", f"{row['at_s']:g}", f"allowed: under length_s ({length_s:g})"
                 )
-            if row.get("kind") == "heavy" and isinstance(row.get("name"), str) and row["name"] not in names:
+            if (
+                row.get("kind") == "heavy"
+                and isinstance(row.get("name"), str)
+                and row["name"] not in class_names
+            ):
                 yield ValidationProblem(
                     f"{path}.name", repr(row["name"]), "allowed: the name of one of the classes"
                 )
@@ -334,8 +343,8 @@
                 yield ValidationProblem(
                     f"{path}.kind", repr(row["kind"]), "allowed: where the file has [directory]"
                 )
-            agents = [t.get("name") for _, t in tables(raw, "tenant")] or [t.name for t in TENANTS]
-            if row.get("kind") == "suspend" and row.get("tenant", agents[0]) not in agents:
+            tenant_names = [t.get("name") for _, t in tables(raw, "tenant")] or [t.name for t in TENANTS]
+            if row.get("kind") == "suspend" and row.get("tenant", tenant_names[0]) not in tenant_names:
                 yield ValidationProblem(
                     f"{path}.tenant", repr(row["tenant"]), "allowed: the name of one of the tenants"
                 )
--- a/lanelift/routes/match_sets.py
+++ b/lanelift/routes/match_sets.py
@@ -2,15 +2,15 @@
 
 A match set is described like the conditions of a rule: by a host pattern, a path pattern, and at most one
 value for the method, each header and the tenant. The *representative* request of a set matches these
-conditions, and has a value that no rule names wherever the set leaves the value open: below a wildcard, under
-a prefix, and where there is no condition.
+conditions. Wherever the set leaves a value open (below a wildcard, under a prefix, or without a condition),
+the request has a value that no rule names.
 
     A rule that matches the representative request of a set matches the whole set.
 
 Wherever the set leaves a value open, each condition of such a rule matches a value that the rule cannot name,
 so it matches every value; the values that the set fixes are the same for all of its requests. So a whole set
-belongs to one rule if and only if a single rule matches it. Several rules that only together would cover the
-set do not match its representative request, since there are always more names, paths and methods than rules.
+belongs to one rule if and only if a single rule matches it. Several rules can't cover a set together unless
+one of them covers it alone, since there are always more names, paths and methods than rules.
 `docs/design/routes.md` has the full argument; `tests/routes/test_match_sets.py` checks it with random tables.
 """
 
@@ -21,7 +21,8 @@
 
 from lanelift.routes.table import Entry, Request
 
-# Reserved names: an expectation or a rule that contains one is refused when it is read.
+# Reserved names. `expect.py` refuses an expectation with UNUSED_NAME, and the grammar of expectations has no
+# UNUSED_METHOD.
 UNUSED_NAME = "zz--any"
 UNUSED_METHOD = "ZZ-ANY"
 
@@ -31,9 +32,9 @@
     """The requests that match all of these conditions; an empty condition matches all requests."""
 
     host: str = ""
-    wildcard: bool = False  # any subdomain of `host`
+    wildcard: bool = False  # whether `host` stands for all of its subdomains, without `host` itself
     segments: tuple[str, ...] = ()
-    exact: bool = False  # whether `segments` is the whole path, not a prefix
+    exact: bool = False  # whether `segments` is the whole path and not only a prefix
     method: str = ""
     headers: Mapping[str, str] = field(default_factory=dict)
     tenant: str = ""
@@ -53,7 +54,7 @@
         )
 
     def intersection(self, other: MatchSet) -> MatchSet | None:
-        """Return the set of requests that are in both sets; None: there are none."""
+        """Return the set of requests that are in both sets, or None if no request is in both."""
         host = _intersect_hosts(self, other)
         path = _intersect_paths(self, other)
         method = _intersect_values(self.method, other.method)
--- a/lanelift/routes/normalization.py
+++ b/lanelift/routes/normalization.py
@@ -8,8 +8,10 @@
 
 import re
 
-MAX_HOST = 253  # characters of a host name (RFC 1035, 2.3.4)
-MAX_SEGMENTS = 32  # of a rule's path, to limit the cost of a lookup; longer paths match only by their prefix
+MAX_HOST = 253  # limits the characters of a host name (RFC 1035, 2.3.4)
+# Limits the segments of a rule's path, and so the cost of a lookup. A longer path of a request matches only
+# rules for a prefix of this path.
+MAX_SEGMENTS = 32
 PORTS = range(65536)
 
 _LABEL = re.compile(r"[a-z0-9_]([a-z0-9_-]{0,61}[a-z0-9_])?\Z")
--- a/lanelift/routes/pools.py
+++ b/lanelift/routes/pools.py
@@ -1,8 +1,8 @@
 """Pools of upstreams for routes, spilling from one pool to another, and splits of requests among pools. Pure.
 
 A pool contains the boxes that match all of its conditions; a condition that is not set matches all boxes.
-While less than the part `spill_below` of its listed boxes is available, the requests of a pool go to the pool
-that it spills to, which may spill in turn; the last pool of the chain serves as many requests as it can. The
+While the available part of a pool's listed boxes is less than `spill_below`, its requests go to the pool that
+it spills to, which may spill in turn; the last pool of the chain serves as many requests as it can. The
 decision module selects the box of a pool, and decides whether a box is available.
 """
 
@@ -13,9 +13,11 @@
 from collections.abc import Collection, Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-MAX_POOLS = 1_000  # each has its own order of upstreams and its own queue in the decision module
-MAX_SHARES = 16  # of one split; with more, the purpose of a share is no longer clear
-SUM_TOLERANCE = 1e-6  # allowed difference of the sum of shares from 1, as a third is written as 0.333333
+# Limits the pools, as the decision module has an order of upstreams and a queue for each pool.
+MAX_POOLS = 1_000
+MAX_SHARES = 16  # limits the shares of one split; with more shares, the purpose of each is unclear
+# The sum of shares may differ from 1 by at most this number, as a third is written 0.333333.
+SUM_TOLERANCE = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,8 +40,8 @@
     zones: frozenset[str] = frozenset()
     kinds: frozenset[str] = frozenset()
     cells: frozenset[int] = frozenset()
-    labels: frozenset[str] = frozenset()  # a box needs at least one of them
-    boxes: frozenset[str] = frozenset()  # by name
+    labels: frozenset[str] = frozenset()  # a box must have at least one of these labels
+    boxes: frozenset[str] = frozenset()  # names of boxes
     spill: str = ""
     spill_below: float = 0.0
 
@@ -54,21 +56,22 @@
         )
 
     def required_boxes(self, listed: int) -> int:
-        """Return the number of available boxes, of those listed, below which the pool spills."""
+        """Return how many of the `listed` boxes must be available for the pool not to spill."""
+        # 1e-9 exceeds the product's rounding error, so that this error does not require one more box.
         return math.ceil(self.spill_below * listed - 1e-9) if self.spill else 0
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """A division of requests among pools; while the shares are the same, a key is always in the same pool."""
+    """A division of requests among pools. A key stays in its pool while the shares do not change."""
 
     name: str
-    shares: tuple[tuple[str, float], ...]  # pool, part of the keys
+    shares: tuple[tuple[str, float], ...]  # pairs of a pool's name and the pool's fraction of the keys
     by: str = "tenant"  # the source of the key: "tenant", "request" or "header:NAME"
 
     def pool(self, key: str) -> str:
-        """Return the pool of a key. If shares change, keys move only as far as the bounds between them do."""
-        # This hash is the same in all processes, while Python's own differs by process.
+        """Return the pool of a key. If shares change, only keys between old and new bounds change pools."""
+        # This hash is the same in all processes, while Python's built-in hash differs between processes.
         digest = hashlib.blake2b(f"{self.name}\0{key}".encode(), digest_size=8).digest()
         point = int.from_bytes(digest, "big") / 2**64
         for name, part in self.shares:
@@ -100,7 +103,7 @@
         if bool(pool.spill) != (pool.spill_below > 0):
             yield f"pool {pool.name!r}: spill and spill_below must be set together"
         cycle = _cycle(pool, names)
-        if cycle and pool.name == min(cycle):  # one problem for each cycle
+        if cycle and pool.name == min(cycle):  # so that each cycle is reported only once
             yield f"pool {pool.name!r}: spills in a cycle, {' -> '.join((*cycle, cycle[0]))}"
     for split in splits:
         if not split.shares or len(split.shares) > MAX_SHARES:
@@ -112,7 +115,7 @@
             if name not in names:
                 yield f"split {split.name!r}: {name!r} is not a pool"
             if not part >= 0:
-                yield f"split {split.name!r}: a share of {part:g}"
+                yield f"split {split.name!r}: a share must be 0 or more, found {part:g}"
         if len({name for name, _ in split.shares}) < len(split.shares):
             yield f"split {split.name!r}: a pool is listed twice"
         if split.by not in ("tenant", "request") and not split.by.startswith("header:"):
@@ -120,7 +123,7 @@
 
 
 def chain(pool: Pool, pools: Mapping[str, Pool]) -> list[Pool]:
-    """Return a pool and the pools that it spills to, in order, which must not form a cycle."""
+    """Return a pool and the pools that it spills to, in order. These pools must not form a cycle."""
     found = [pool]
     while found[-1].spill:
         found.append(pools[found[-1].spill])
@@ -133,7 +136,7 @@
 
 
 def _cycle(pool: Pool, pools: Mapping[str, Pool]) -> list[str]:
-    """Return the cycle that a pool is part of, beginning with the pool; empty: there is none."""
+    """Return the cycle that a pool is part of, beginning with the pool; empty if there is no cycle."""
     path = [pool.name]
     at = pools.get(pool.spill)
     while at is not None and at.name not in path:
--- a/lanelift/routes/table.py
+++ b/lanelift/routes/table.py
@@ -20,9 +20,10 @@
 
 from lanelift.routes.normalization import MAX_SEGMENTS, NormalizationError, host, path
 
-MAX_RULES = 20_000  # some tens of megabytes; far more than can be maintained by hand
-# Different sets of other conditions for one host and path (a method; two headers and a tenant; ...): each set
-# costs a lookup of its own.
+# Limits the rules of a table: this many take some tens of megabytes, and nobody maintains so many by hand.
+MAX_RULES = 20_000
+# Limits the combinations of kinds of conditions (a method; two headers and a tenant; ...) that the rules for
+# one host and path have: each combination costs a lookup of its own.
 MAX_SHAPES = 16
 
 
@@ -36,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Conditions that must all match, and the class and pool of the requests; an empty one matches all."""
+    """Conditions that must all match (an empty one matches all), and the class and pool of the requests."""
 
     name: str
     host: str = ""  # an exact name, or `*.` and a name for all of its subdomains
     path: str = "/"  # this path and all paths below it
     exact: bool = False  # only the path itself
     method: str = ""
-    headers: tuple[tuple[str, str], ...] = ()  # name in lower case, exact value
+    headers: tuple[tuple[str, str], ...] = ()  # pairs of a name in lower case and the exact value
     tenant: str = ""
     class_name: str = ""
     pool: str = ""
@@ -56,7 +57,7 @@
     host: str
     segments: tuple[str, ...]
     method: str = "GET"
-    headers: Mapping[str, str] = field(default_factory=dict)  # names in lower case
+    headers: Mapping[str, str] = field(default_factory=dict)  # values by header name in lower case
     tenant: str = ""
 
 
@@ -74,8 +75,8 @@
     return Request(host(host_header), path(target), method, joined, tenant)
 
 
-Specificity = tuple[int, int]  # of a host or path pattern: its kind, its length
-Key = tuple[Specificity, Specificity, bool, int, bool, int]
+Specificity = tuple[int, int]  # the kind and the length of a host or path pattern
+Key = tuple[Specificity, Specificity, bool, int, bool, int]  # host, path, method, headers, tenant, position
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,10 +84,10 @@
     """A rule with normalized patterns."""
 
     rule: Rule
-    position: int  # in the file, from 0
-    host: str  # without `*.`
+    position: int  # index of the rule in the file, from 0
+    host: str  # the host pattern without `*.`
     wildcard: bool
-    segments: tuple[str, ...]  # without a last empty segment, if the path is a prefix
+    segments: tuple[str, ...]  # a path prefix has no empty last segment
 
     @property
     def precedence(self) -> Key:
@@ -129,8 +130,9 @@
         return all(request.headers.get(name) == value for name, value in self.rule.headers)
 
 
-Shape = tuple[bool, tuple[str, ...], bool]  # whether there is a method, which headers, whether a tenant
-Values = tuple[str, tuple[str, ...], str]
+# Whether a method is set, the headers' names, whether a tenant is set.
+Shape = tuple[bool, tuple[str, ...], bool]
+Values = tuple[str, tuple[str, ...], str]  # the method, the values of these headers, the tenant
 
 
 class ShapeIndex:
@@ -244,7 +246,7 @@
         return found.rule if found is not None else None
 
     def first_match(self, request: Request) -> Rule | None:
-        """Return the same rule by testing all rules in order. Used by tests and explanations."""
+        """Return the same rule as `find`, by testing all rules in order. Used by tests and benchmarks."""
         return next((entry.rule for entry in self.entries if entry.matches(request)), None)
 
 
--- a/lanelift/standins/box.py
+++ b/lanelift/standins/box.py
@@ -1,4 +1,5 @@
-"""The queueing model of one box: its capacity, its jobs, and when each ends. Callers pass the time; no I/O.
+"""The queueing model of one box: its capacity, its jobs, and when each job ends. Performs no I/O: callers
+pass the time.
 
 The work of a job is the time that the job takes alone on one core of speed 1. A box has `cores` and runs up
 to `slots` jobs concurrently. Each running job gets an equal share of the cores and at most one core; further
@@ -8,7 +9,7 @@
 The state changes only at events (a job arrives, ends or is dropped; a freeze begins or ends; the box warms up
 by a step). Between two events all running jobs progress at the same rate, so that one number, `attained`,
 holds the service that each of them has received (processor sharing in virtual time). A job ends when
-`attained` has grown by the job's work since the job was started.
+`attained` has grown by the work of the job since the job started to run.
 """
 
 from __future__ import annotations
@@ -20,16 +21,18 @@
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
-WARM_STEPS = 64  # equal steps in which a cold box warms up: at most 1/128 of the range off a linear ramp
-# A box that warms up by work is warm after doing this share of the work that it could do during the ramp.
-# Under low load the clock warms it; under full load the work does, in about half the time.
+# A cold box warms up in this many equal steps: its warmth is within 1/128 of the range of a linear ramp.
+WARM_STEPS = 64
+# A box with `warm_by_work` is warm, at the latest, once it has done this share of the work that a box at full
+# capacity does during the ramp. Under low load, the ramp ends first; under full load, the work warms the box
+# in about half the time of the ramp.
 WARM_WORK = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class BoxSpec:
-    """The parameters of a box. Times are in ns. Each request held beyond `thrash_at` per core lowers the
-    capacity, which is multiplied by 1 / (1 + thrash x excess)."""
+    """The parameters of a box. Times are in ns. If a box holds more than `thrash_at` requests per core, its
+    capacity is multiplied by 1 / (1 + thrash x excess per core)."""
 
     cores: int = 1
     slots: int = 1
@@ -57,33 +60,36 @@
     """The work offered within the last `span_ns`."""
 
     span_ns: int
-    sent: deque[tuple[int, int]] = field(default_factory=deque)
+    offers: deque[tuple[int, int]] = field(default_factory=deque)  # the time and the work of each offer
     work_ns: int = 0
 
     def add(self, work_ns: int, now: int) -> int:
-        self.sent.append((now, work_ns))
+        """Adds offered work. Returns the work offered within the last `span_ns`."""
+        self.offers.append((now, work_ns))
         self.work_ns += work_ns
-        while self.sent[0][0] <= now - self.span_ns:
-            self.work_ns -= self.sent.popleft()[1]
+        while self.offers[0][0] <= now - self.span_ns:
+            self.work_ns -= self.offers.popleft()[1]
         return self.work_ns
 
 
 class Box:
-    """One run of a box, from its start. A box that is started again is a new `Box` with a new id."""
+    """One instance of a box. When a box is started again, the next instance is a new `Box`."""
 
     def __init__(self, spec: BoxSpec, now: int, cold: bool = False) -> None:
         self.spec = spec
         self.started_ns = self.at_ns = now
         self.warm_level = 0 if cold and spec.cold_ns > 0 else WARM_STEPS
-        self.attained = 0.0  # ns of work that each running job has received since the start
+        # The service, in ns, that a job would have received if it had run since the start of the box.
+        self.attained = 0.0
         self.done_ns = 0.0  # total work done by all jobs
-        self.running: list[tuple[float, int, str]] = []  # heap: `attained` at its end, arrival order, job
+        # A heap of rows: the value of `attained` at which the job ends, the order of arrival, the job.
+        self.running: list[tuple[float, int, str]] = []
         self.waiting: deque[tuple[int, str, int]] = deque()  # arrival order, job, work
-        self.completed: list[Completion] = []  # not yet returned by `advance`
+        self.completed: list[Completion] = []  # ended jobs that `advance` has not yet returned
         self.arrival_count = 0
         self.stolen_share = 0.0  # share of the machine that another program uses
         self.frozen_until_ns = 0
-        self.overloaded_ns = 0  # when it failed from overload while cold; 0: it has not
+        self.overloaded_ns = 0  # when the box failed from overload while cold; 0 if no such failure occurred
         self.recent_work = _RecentWork(spec.overload_window_ns)
 
     # ---- state ------------------------------------------------------------------------------------------
@@ -123,7 +129,7 @@
         return spec.cores * spec.speed * self.warmth * (1 - self.stolen_share) / (1 + spec.thrash * excess)
 
     def next_ns(self) -> int | None:
-        """Returns when `advance` has to be called if no other event occurs, or None if never."""
+        """Returns when `advance` must be called if no other event occurs; None if no call is needed."""
         if self.completed:
             return self.at_ns
         if not self.running or self.overloaded_ns:
@@ -143,7 +149,7 @@
         if self.overloaded_ns:
             return False
         if self.warm_level < WARM_STEPS:
-            # Counts work offered, whether accepted or not: the offered load is what overloads a cold box.
+            # Rejected work counts as well, since a cold box is overloaded by all the load offered to it.
             window_capacity = self.spec.cores * self.spec.speed * self.warmth * self.spec.overload_window_ns
             if self.recent_work.add(work_ns, now) > self.spec.overload_multiple * window_capacity:
                 self.overloaded_ns = now
@@ -158,8 +164,8 @@
         return True
 
     def drop(self, job: str, now: int) -> bool:
-        """Removes a waiting job whose caller has disconnected. Returns whether it was removed; a running job
-        goes on."""
+        """Removes a job whose caller has disconnected, if the job is waiting. A running job continues.
+        Returns whether the job was removed."""
         self._advance_to(now)
         if not self.spec.drops_queued:
             return False
@@ -180,7 +186,7 @@
         self.stolen_share = stolen_share
 
     def charge(self, work_ns: int, now: int) -> None:
-        """Does work outside the queue, such as answering a probe: delays the running jobs by it in total."""
+        """Does work outside the queue, such as answering a probe. This delays the running jobs."""
         self._advance_to(now)
         if self.running:
             self.attained -= work_ns / max(self.spec.cores, len(self.running))
@@ -194,6 +200,7 @@
     # ---- advancing the clock ----------------------------------------------------------------------------
 
     def _advance_to(self, now: int) -> None:
+        """Advances the state to `now`, event by event: jobs end, the box warms up, a freeze ends."""
         while True:
             rate_change = self._next_rate_change()
             until = now if rate_change is None else min(now, rate_change)
@@ -214,6 +221,7 @@
                 return
 
     def _accrue(self, to_ns: int, rate: float) -> None:
+        """Adds the progress of the running jobs until `to_ns`, during which the rate is constant."""
         elapsed = max(0, to_ns - self.at_ns)
         if self.running:
             self.attained += rate * elapsed
@@ -230,7 +238,7 @@
         return self.at_ns + max(0, math.ceil((self.running[0][0] - self.attained) / rate))
 
     def _next_rate_change(self) -> int | None:
-        """Returns when the rate changes next without an arrival or a departure."""
+        """Returns the time of the next change of the rate, if no job arrives or departs before."""
         if self.frozen:
             return self.frozen_until_ns
         if self.warm_level >= WARM_STEPS:
@@ -253,6 +261,7 @@
             self.warm_level += 1
 
     def _warm_work(self, level: int) -> float:
+        """Returns the total work after which a box that warms up by work has reached this level."""
         spec = self.spec
         return WARM_WORK * spec.cold_ns * spec.cores * spec.speed * level / WARM_STEPS
 
--- a/lanelift/standins/directory.py
+++ b/lanelift/standins/directory.py
@@ -12,23 +12,23 @@
 
 from lanelift.standins.ldap import ServerFaults, Session, Tree
 
-MAX_CLIENTS = 256  # concurrent connections; further ones are closed, as a busy server does
+MAX_CLIENTS = 256  # limits the concurrent connections; further connections are closed, as a busy server does
 
 
 @dataclass(slots=True)
 class NetworkFaults:
     """Faults of the network and transport. The defaults inject none."""
 
-    delay_s: float = 0.0  # before each answer
-    silent: bool = False  # connections are accepted, and no request is answered
-    cut_after: int = -1  # bytes of search answers after which a connection is closed; -1: never
-    garbage: bytes = b""  # sent instead of each answer
-    trickle_s: float = 0.0  # between any two bytes
+    delay_s: float = 0.0  # wait before each answer
+    silent: bool = False  # whether connections are accepted but no request is answered
+    cut_after: int = -1  # a connection is closed after this many bytes of search answers; -1: never
+    garbage: bytes = b""  # bytes that are sent instead of each answer
+    trickle_s: float = 0.0  # wait between any two bytes of an answer
 
 
 @dataclass(slots=True, eq=False)
 class Directory:
-    """The server. With `tls` it offers StartTLS or, if `ldaps` is set, expects TLS from the first byte."""
+    """A server. With `tls` it offers StartTLS or, if `ldaps` is set, expects TLS from the first byte."""
 
     tree: Tree
     users: Mapping[str, str] = field(default_factory=dict)
@@ -41,7 +41,7 @@
     port: int = 0
     accepted: int = 0
     searches: int = 0
-    entries: int = 0  # sent in answers
+    entries: int = 0  # number of entries sent in answers
 
     async def start(self, port: int = 0) -> int:
         """Starts to listen. Returns the port."""
@@ -76,8 +76,8 @@
             directory.tls is not None and not directory.ldaps,
         )
         self.transport: asyncio.Transport | None = None
-        self.answered = 0  # bytes of answers to searches
-        self.task: asyncio.Task[None] | None = None  # the TLS handshake, or a slow answer
+        self.answered = 0  # number of bytes of search answers that were sent
+        self.task: asyncio.Task[None] | None = None  # performs the TLS handshake, or sends a slow answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -117,6 +117,7 @@
             self._send(answers, session.searches > searches)
 
     def _send(self, answers: list[bytes], is_search: bool) -> None:
+        """Sends answers, as far as the network faults let it, and closes the connection if it has to end."""
         transport, network_faults = self.transport, self.directory.network_faults
         if transport is None or transport.is_closing():
             return
--- a/lanelift/standins/discovery.py
+++ b/lanelift/standins/discovery.py
@@ -1,8 +1,8 @@
 """An emulated discovery service (PROTOCOL, 'Discovery'): the list of boxes, watches, and outages.
 
-In push mode each balancer has its own agent, a listener that serves the updates it has received. In ask mode
-the agents share one service that processes calls one after the other. The agents record when each balancer
-was told that a box drains or is gone, because the time limit of the drain rule counts from then.
+Each balancer has its own agent, a listener that serves the updates that the agent has received. In ask mode
+all agents also share one service, which processes their calls one after the other. The agents record when
+each balancer was told that a box drains or is gone, because the time limit of the drain rule starts then.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 from lanelift.standins.http import Connection, Request, Server, Timer
 
 MAX_HOLD_MS = 60_000  # longest hold time of a watch
-CHANGE_HISTORY = 1000  # changes that are kept; a watch from an older version gets the full list
-MAX_QUEUE_NS = 2_000_000_000  # in ask mode, a call that would wait longer is rejected
+# Limits the changes kept; a watch that needs an older change gets the full list.
+CHANGE_HISTORY = 1000
+MAX_QUEUE_NS = 2_000_000_000  # in ask mode, a call that would have to wait longer than this is rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +37,7 @@
 
 
 class DrainNotice(NamedTuple):
-    """A balancer was told that a box drains or is gone, at that time of the monotonic clock."""
+    """Records that a balancer was told that a box is draining or gone, at `at_ns` of the monotonic clock."""
 
     at_ns: int
     balancer: int
@@ -52,7 +53,7 @@
         self.busy_until_ns = 0
 
     def reserve(self, now: int) -> int | None:
-        """Returns when a call that arrives now will be done, or None if its wait would be too long."""
+        """Returns when a call that arrives now will end, or None if the call would wait too long."""
         start = max(now, self.busy_until_ns)
         if start - now > MAX_QUEUE_NS:
             return None
@@ -61,7 +62,7 @@
 
 
 class Agent(Server):
-    """Discovery as seen by one balancer."""
+    """The agent of one balancer: discovery as this balancer sees it."""
 
     def __init__(
         self, balancer: int, drain_notices: list[DrainNotice], service: SerialService | None = None
@@ -70,11 +71,13 @@
         self.balancer, self.drain_notices, self.service = balancer, drain_notices, service
         self.version = 1
         self.entries: dict[str, Entry] = {}
-        self.changed: dict[str, tuple[int, Entry]] = {}  # the version of the latest change of each box
+        self.changed: dict[str, tuple[int, Entry]] = {}  # by box id: version and entry of the last change
         self.oldest_version = 1  # a watch from an earlier version gets the full list
         self.silent = False
+        # For each connection: the request, the version from which it watches, and the timer of the hold time.
         self.watches: dict[Connection, tuple[Request, int, Timer]] = {}
-        self.held_requests: list[Request] = []  # received while silent
+        # Requests received during an outage, which are answered at its end.
+        self.held_requests: list[Request] = []
 
     # ---- updates ----------------------------------------------------------------------------------------
 
@@ -93,13 +96,13 @@
         else:
             self.entries[entry.id] = entry
         if len(self.changed) > CHANGE_HISTORY:
-            gone, (version, _) = min(self.changed.items(), key=lambda item: item[1][0])
-            del self.changed[gone]
+            oldest_id, (version, _) = min(self.changed.items(), key=lambda item: item[1][0])
+            del self.changed[oldest_id]
             self.oldest_version = version
         self._answer_watches()
 
     def set_silent(self, silent: bool) -> None:
-        """Starts or ends an outage during which calls and watches hang. At its end they are answered."""
+        """Starts or ends an outage. Calls and watches hang during an outage, and are answered at its end."""
         self.silent = silent
         if not silent:
             held_requests, self.held_requests = self.held_requests, []
@@ -139,6 +142,7 @@
             Timer(lambda: self._handle(request, since, hold_ms)).at(due)
 
     def _handle(self, request: Request, since: int | None, hold_ms: int) -> None:
+        """Answers a request, or holds it as a watch until there is a change after the version `since`."""
         if request.disconnected_ns:
             return
         if since is None or not self.oldest_version <= since <= self.version:
@@ -167,9 +171,10 @@
                 self._send_list(request, since)
 
     def _send_list(self, request: Request, since: int | None) -> None:
+        """Sends the changes after version `since`, or the full list if it is None. Records drain notices."""
         if since is None:
             body = self.snapshot()
-            # A full list also tells the balancer which boxes are gone, since it lacks them.
+            # A full list also tells the balancer which boxes are gone, since they are not in it.
             drained = [entry for _, entry in self.changed.values() if entry.state != "Ready"]
         else:
             rows = [entry for version, entry in self.changed.values() if version > since]
@@ -189,7 +194,8 @@
 async def start_agents(
     count: int, call_ns: int | None, port: Callable[[int], int] = lambda number: 0
 ) -> tuple[list[Agent], list[DrainNotice]]:
-    """Starts an agent for each balancer. With `call_ns` they share a service whose calls take that long."""
+    """Starts an agent for each balancer. If `call_ns` is given, the agents share a service whose calls take
+    that long. Returns the agents and the list to which they add their drain notices."""
     drain_notices: list[DrainNotice] = []
     service = SerialService(call_ns) if call_ns is not None else None
     agents = [Agent(number, drain_notices, service) for number in range(count)]
--- a/lanelift/standins/http.py
+++ b/lanelift/standins/http.py
@@ -15,8 +15,9 @@
 
 import httptools
 
-MAX_BODY = 16 * 1024 * 1024  # per message, so that a faulty peer cannot exhaust the memory
-BACKLOG = 1024  # connections not yet accepted: enough for a burst from all balancers
+# Limits the bytes of one message's body, so that a faulty peer cannot exhaust the memory.
+MAX_BODY = 16 * 1024 * 1024
+BACKLOG = 1024  # limits the connections not yet accepted; enough for a burst from all balancers
 
 
 @dataclass(slots=True, eq=False)
@@ -30,8 +31,8 @@
     body: bytes
     first_ns: int
     last_ns: int
-    number: int  # position on its connection, from 0
-    disconnected_ns: int = 0  # when the caller closed the connection; 0: it is open
+    number: int  # position among the requests on its connection, from 0
+    disconnected_ns: int = 0  # when the caller closed the connection; 0 while the connection is open
 
     @property
     def path(self) -> str:
@@ -59,7 +60,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """A connection of a caller. Notifies its server of complete requests and of its end."""
+    """A connection from a caller. Notifies its server of each complete request and of the disconnection."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -67,7 +68,7 @@
         self.transport: asyncio.Transport | None = None
         self.partial_request: _PartialRequest | None = None
         self.open: list[Request] = []  # unanswered requests
-        self.count = 0
+        self.count = 0  # number of complete requests received
         self.last_used_ns = time.monotonic_ns()
         self.closed = False
 
@@ -105,7 +106,7 @@
         self.connection_lost(None)
 
     def write(self, data: bytes) -> None:
-        """Sends the answer to the oldest open request."""
+        """Sends `data` as the answer to the oldest open request."""
         if self.open:
             self.open.pop(0)
         self.last_used_ns = time.monotonic_ns()
@@ -165,7 +166,7 @@
         return f"{self.host}:{self.port}"
 
     async def listen(self, port: int = 0) -> None:
-        """Listens on `port`; 0: the previous port or else a free one. Raises OSError if that fails."""
+        """Listens on `port`; for 0, on the previous port or, at first, any free port. May raise OSError."""
         self.listener = await asyncio.get_running_loop().create_server(
             lambda: Connection(self), self.host, port or self.port, backlog=BACKLOG
         )
@@ -196,7 +197,7 @@
 
 
 class Timer:
-    """A single pending call, which can be rescheduled."""
+    """A timer with at most one pending call, which can be rescheduled."""
 
     def __init__(self, call: Callable[[], None]) -> None:
         self.call = call
--- a/lanelift/tenants/__init__.py
+++ b/lanelift/tenants/__init__.py
@@ -10,7 +10,7 @@
 | `store` | merges readings of directories into the state of each tenant |
 | `tenant_state` | the state of one tenant, and changes of states |
 | `removals` | guard against too many removals; tombstones |
-| `validity` | timer for the begin and end of tenants' validity |
+| `validity` | timer for the beginning and end of tenants' validity |
 | `notices` | log messages of the store, without repetitions |
 | `schedule` | schedule of the full reads and the reads of changes |
 | `client` | one connection to a directory, by `ldap3` |
@@ -20,5 +20,6 @@
 | `sync_messages` | messages between the balancer and the sync process, and their JSON |
 | `sync_process` | the balancer's side: keeps the sync process running and posts updates to the dispatcher |
 
-All modules but the last six are pure: they use no socket, clock, file or process.
+`client`, `replica_reader`, `sync_worker` and `sync_process` use sockets, clocks, files, threads or processes.
+All other modules are pure.
 """
--- a/lanelift/tenants/client.py
+++ b/lanelift/tenants/client.py
@@ -1,7 +1,7 @@
 """One connection to an LDAP directory, by `ldap3`.
 
-It blocks, so it runs in threads of the sync process. Referrals are reported and never followed; nothing is
-retried here.
+The calls of this module block, so threads of the sync process make them. A referral to another server is an
+error and is never followed. Nothing is retried here.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
     SIZE_LIMIT: "its size limit",
     ADMIN_LIMIT: "an administrative limit",
 }
-PAGED_RESULTS = "1.2.840.113556.1.4.319"  # the control of RFC 2696
-MAX_PASSWORD_BYTES = 4096  # a longer file is not a password file
-MAX_MESSAGE_CHARACTERS = 200  # of the server's diagnostic message, in an error
+PAGED_RESULTS = "1.2.840.113556.1.4.319"  # OID of the paging control (RFC 2696)
+MAX_PASSWORD_BYTES = 4096  # limits a password file; a longer file is refused, as it can't be a password file
+MAX_MESSAGE_CHARACTERS = 200  # limits the part of the server's diagnostic message that an error quotes
 
-Row = tuple[str, dict[str, list[bytes]]]  # distinguished name, values by lower-case attribute name
+Row = tuple[str, dict[str, list[bytes]]]  # a distinguished name, and the values by lower-case attribute name
 
 
 class DirectoryError(LaneliftError):
@@ -107,7 +107,7 @@
             use_ssl=directory.tls == "ldaps",
             tls=tls,
             get_info=ldap3.NONE,
-            # ldap3 leaves this timeout on the socket, so it limits each receive, too.
+            # ldap3 leaves this timeout on the socket, so the timeout limits each receive, too.
             connect_timeout=directory.timeout_s,
         )
         password = None
@@ -152,20 +152,20 @@
                 return
 
     def _require_complete(self, result: dict[str, Any], response: Sequence[dict[str, Any]]) -> None:
-        """Raise DirectoryError if the server did not send the whole page, or refers to other servers."""
+        """Raise DirectoryError if the page is incomplete, or if the server refers to other servers."""
         if any(row["type"] == "searchResRef" for row in response):
-            raise self._error("it refers to other directories for a part, which is not followed")
+            raise self._error("a referral to other directories for a part, which is not followed")
         code = result["result"]
         if code == REFERRAL:
             servers = ", ".join(result["referrals"] or ["?"])
-            raise self._error(f"it refers to {servers}, which is not followed")
+            raise self._error(f"a referral to {servers}, which is not followed")
         if code in INCOMPLETE:
             raise self._error(f"search: {INCOMPLETE[code]} was reached")
         if code != SUCCESS:
             raise self._error(f"search: {_description(result)}")
 
     def close(self) -> None:
-        """Close the connection. Any thread may call this; a thread that waits on it fails immediately."""
+        """Close the connection. Any thread may call this; a thread that waits for data fails immediately."""
         self.closed = True
         sock: socket.socket | None = getattr(self.connection, "socket", None)
         if sock is not None:
--- a/lanelift/tenants/entries.py
+++ b/lanelift/tenants/entries.py
@@ -14,10 +14,10 @@
 from lanelift.tenants.names import folded
 
 Attributes = Mapping[str, Sequence[bytes]]  # values by lower-case attribute name
-MAX_CLASSES = 64  # classes or limits of one tenant; more are taken for a mistake
-MAX_SHARE, MAX_LIMIT_PER_S = 1e6, 1e9  # the same bounds as in the operator's file
-MAX_VALUE_CHARACTERS = 256  # each value is a name, a word, a number or a time
-SHOWN_CHARACTERS = 40  # of an invalid value, in its problem
+MAX_CLASSES = 64  # limits the classes, and the limits, of one tenant; a larger number is considered a mistake
+MAX_SHARE, MAX_LIMIT_PER_S = 1e6, 1e9  # upper bounds of a share and of a rate, as in the operator's file
+MAX_VALUE_CHARACTERS = 256  # limits the length of a value, which is a name, a word, a number or a time
+SHOWN_CHARACTERS = 40  # limits the part of an invalid value that its problem quotes
 GENERALIZED_TIME = re.compile(
     r"(\d{8})(\d\d)(?:(\d\d)(\d\d)?)?(?:[.,](\d{1,9}))?(Z|[+-]\d\d(?:\d\d)?)", re.ASCII
 )
@@ -26,7 +26,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AttributeMap:
-    """Names of the LDAP attributes to read; empty: not read. The fields are keys of the operator's file.
+    """Names of the LDAP attributes to read; an attribute whose name is empty is not read. The fields are keys
+    of the operator's file.
 
     Attributes:
         name: The tenant's name.
@@ -77,7 +78,8 @@
         limits: Requests per second by class, in the order of the classes' names.
         valid_from_s: When the tenant's validity begins; None: valid at any time before `valid_until_s`.
         valid_until_s: When the tenant's validity ends; None: never.
-        stamp_us: When the entry was last changed, in microseconds since 1970; 0: the directory does not say.
+        stamp_us: When the entry was last changed, in microseconds since 1970; 0: the directory does not give
+            this time.
         present: Mapped attributes that had a value, in lower case.
     """
 
@@ -201,7 +203,7 @@
     def __init__(self, attributes: Attributes) -> None:
         self.problems: list[str] = []
         self._attributes = attributes
-        self._texts: dict[str, list[str]] = {}  # a cache, so that problems are added only once
+        self._texts: dict[str, list[str]] = {}  # cached, so that problems are added only once
 
     def add_problem(self, attribute: str, found: str, allowed: str) -> None:
         shown = found if len(found) <= SHOWN_CHARACTERS else found[:SHOWN_CHARACTERS] + "…"
@@ -223,6 +225,7 @@
         return found
 
     def single(self, attribute: str, what: str) -> str | None:
+        """Return the only value of an attribute, or None without a value. Several values are a problem."""
         found = self.texts(attribute)
         if len(found) > 1:
             self.add_problem(attribute, ", ".join(found), f"one {what}")
@@ -267,7 +270,7 @@
 
 
 def generalized_time(text: str) -> float | None:
-    """Return a GeneralizedTime (RFC 4517, 3.3.13) in seconds since 1970; None: the text is invalid."""
+    """Return a GeneralizedTime (RFC 4517, 3.3.13) in seconds since 1970, or None if it is invalid."""
     found = GENERALIZED_TIME.fullmatch(text)
     if found is None:
         return None
@@ -289,7 +292,7 @@
 
 
 def _zone_offset_s(zone: str) -> int | None:
-    """Return the offset of a zone ("Z", "+HH" or "+HHMM") from UTC, in seconds; None: it is invalid."""
+    """Return the offset of a zone ("Z", "+HH" or "+HHMM") from UTC in seconds, or None if it is invalid."""
     if zone == "Z":
         return 0
     hours, minutes = int(zone[1:3]), int(zone[3:5] or 0)
