--- a/lanelift/tenants/schedule.py
+++ b/lanelift/tenants/schedule.py
@@ -11,12 +11,17 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 10.0)  # by the number of consecutive rounds in which all directories failed
-PAGE_TIMEOUT_S = 10.0  # longest wait for a page of changes, for directories that send a byte now and then
+# Seconds to wait after a round in which all directories failed, by the number of such rounds directly before
+# that round.
+BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 10.0)
+# Longest wait for a page of changes. Without it, a server that sends single bytes could delay a page forever,
+# as no receive would exceed its timeout.
+PAGE_TIMEOUT_S = 10.0
 OVERLAP_S = 60.0  # a search for changes begins this long before the latest stamp: replication may be late
-LARGE_OVERLAP_ENTRIES = 2000  # an overlap with more entries, none of them new, is not read again
+# An overlap with more entries is not read again if its last reading changed no tenant.
+LARGE_OVERLAP_ENTRIES = 2000
 NO_CLOCK_US = 1 << 62  # a time of day that is later than any stamp
-MAX_INVALIDATIONS = 2  # consecutive reads of changes without an expected entry, before no more are made
+MAX_INVALID_READS = 2  # after so many consecutive invalid reads of changes, a directory is only read in full
 
 
 class ReadKind(StrEnum):
@@ -50,7 +55,7 @@
     """State of the readings of one kind.
 
     Attributes:
-        due_s: When the next reading begins; None: not before some event.
+        due_s: When the next reading begins; None if no reading is planned.
         source: The directory that the next reading uses.
         failed_sources: Number of directories that failed in this round.
         failed_rounds: Number of consecutive rounds in which all directories failed.
@@ -72,15 +77,16 @@
         directories: Number of directories.
         change_interval_s: Interval between two reads of changes.
         full_interval_s: Interval between two full reads.
-        full_timeout_s: A full read that takes longer is given up.
-        has_stamps: Whether the map names the attribute of the last change, which a search for changes needs.
+        full_timeout_s: Longest duration of a full read; a longer one is given up.
+        has_stamps: Whether the map names the attribute for the time of the last change, which a search for
+            changes needs.
         now_s: When the schedule begins.
         full: State of the full reads.
         changes: State of the reads of changes.
-        invalidations: By directory: consecutive reads of changes that lacked an expected entry.
+        invalid_reads: By directory: number of consecutive reads of changes that lacked an expected entry.
         mark_us: The latest stamp seen.
         marked_s: When `mark_us` was first seen.
-        reread_mark_us: The mark whose large overlap was read again without any change.
+        reread_mark_us: The mark of a large overlap that changed no tenant when the overlap was read again.
     """
 
     directories: int
@@ -91,7 +97,7 @@
     now_s: float = 0.0
     full: ReadState = field(init=False)
     changes: ReadState = field(init=False)
-    invalidations: dict[int, int] = field(default_factory=dict)
+    invalid_reads: dict[int, int] = field(default_factory=dict)
     mark_us: int = 0
     marked_s: float = 0.0
     reread_mark_us: int = 0
@@ -100,8 +106,8 @@
         self.full = ReadState(self.now_s)
         self.changes = ReadState(None)  # there is no mark to search from before the first full read
 
-    def orders(self, now_s: float, mark_us: int, clock_us: int = NO_CLOCK_US) -> list[ReadOrder]:
-        """Return the readings to begin now, and mark them as running.
+    def start_due(self, now_s: float, mark_us: int, clock_us: int = NO_CLOCK_US) -> list[ReadOrder]:
+        """Mark the readings that are due as running, and return their orders.
 
         Args:
             now_s: The time.
@@ -129,9 +135,9 @@
     def _since_us(self, now_s: float) -> int:
         """Return the earliest stamp to search for.
 
-        A second after the mark was seen, no more entries can be written with stamps up to the mark, and after
-        `OVERLAP_S` they have been replicated. From then on only later stamps are searched for; otherwise
-        50,000 entries that were loaded in one second would be read again each time.
+        A second after the mark was seen, no more entries can be written with stamps up to the mark. After
+        `OVERLAP_S` those entries have been replicated. From then on only later stamps are searched for;
+        otherwise 50,000 entries that were loaded in one second would be read again each time.
         """
         replicated = now_s - self.marked_s >= OVERLAP_S
         if replicated or self.reread_mark_us == self.mark_us > 0:
@@ -148,7 +154,7 @@
             self.changes.order = replace(running, until_s=now_s + self._page_timeout_s())
 
     def next_s(self) -> float | None:
-        """Return when the next reading is to begin or to be given up; None: not before some event."""
+        """Return the next time at which a reading begins or is given up; None if nothing is planned."""
         states = (self.full, self.changes)
         times = [state.order.until_s if state.order else state.due_s for state in states]
         return min((time_s for time_s in times if time_s is not None), default=None)
@@ -165,7 +171,7 @@
             order: The reading.
             now_s: The time.
             found: Number of entries that the reading returned.
-            any_new: Whether the reading changed any tenant.
+            any_new: For changes: whether the reading changed any tenant.
         """
         state = self._end(order)
         if state is None:
@@ -180,8 +186,8 @@
 
     def _full_read_done(self, order: ReadOrder, now_s: float) -> None:
         self.full.source, self.full.due_s = 0, now_s + self.full_interval_s
-        if not self.has_stamps or self.invalidations.get(order.source, 0) >= MAX_INVALIDATIONS:
-            # The directory can't be searched for changes: it is read in full, at the interval of changes.
+        if not self.has_stamps or self.invalid_reads.get(order.source, 0) >= MAX_INVALID_READS:
+            # The directory can't be searched for changes, so it is read in full at the interval of changes.
             self.full.due_s = now_s + self.change_interval_s
             self.changes.due_s = None
             return
@@ -190,7 +196,7 @@
             self.changes.due_s = now_s + self.change_interval_s
 
     def failed(self, order: ReadOrder, now_s: float) -> None:
-        """Record the failure of a reading: the next directory is due now, or all again after a backoff."""
+        """Record a reading's failure. The next directory is due now, or after a backoff if all failed."""
         state = self._end(order)
         if state is None:
             return
@@ -204,32 +210,32 @@
             if state is self.full:
                 state.source = 0
 
-    def invalidate(self, order: ReadOrder, now_s: float, any_found: bool) -> bool:
-        """Check a read of changes that must return an entry, as its directory is known to have a match.
+    def validate_changes(self, order: ReadOrder, now_s: float, any_found: bool) -> bool:
+        """Check a read of changes that must return an entry, as it covers a stamp seen in that directory.
 
         Args:
             order: The reading.
             now_s: The time.
-            any_found: Whether the reading returned an entry; otherwise it is invalid.
+            any_found: Whether the reading returned an entry; otherwise the reading is invalid.
 
         Returns:
-            Whether this invalid reading is the last one: the directory is no longer searched for changes.
+            Whether this reading was invalid, and from now on the directory is only read in full.
         """
         if any_found:
-            self.invalidations.pop(order.source, None)
+            self.invalid_reads.pop(order.source, None)
             return False
-        count = self.invalidations[order.source] = self.invalidations.get(order.source, 0) + 1
+        count = self.invalid_reads[order.source] = self.invalid_reads.get(order.source, 0) + 1
         if self.full.order is None:
             self.full.due_s = now_s  # the latest change may have been a removal: a full read shows it
-        if count >= MAX_INVALIDATIONS:
+        if count >= MAX_INVALID_READS:
             self.changes.due_s = None
-        return count == MAX_INVALIDATIONS
+        return count == MAX_INVALID_READS
 
     def _end(self, order: ReadOrder) -> ReadState | None:
         """Mark a reading as ended, and return the state of its kind.
 
-        Returns None if the reading is not the running one: it belongs to an earlier configuration, or was
-        given up and has ended late. Its result must not end the reading that is running now.
+        Returns None for a reading that belongs to an earlier configuration, or that was given up and has
+        ended late. The result of such a reading must not end the reading that is running now.
         """
         state = self.full if order.kind is ReadKind.FULL else self.changes
         if state.order is None or replace(state.order, until_s=order.until_s) != order:
--- a/lanelift/tenants/store.py
+++ b/lanelift/tenants/store.py
@@ -16,8 +16,8 @@
 from lanelift.tenants.tenant_state import Changes, TenantState, denial_reason
 from lanelift.tenants.validity import ValidityTimer
 
-MAX_TENANTS = 200_000  # stored entries, about 600 bytes each
-SETTINGS_SOURCE = -1  # the source of tenants that no directory has shown
+MAX_TENANTS = 200_000  # limits the entries in the store; each entry takes about 600 bytes
+SEED_SOURCE = -1  # the source of tenants that no directory has shown
 FORMER_SOURCE = -2  # the source of entries from directories of an earlier configuration
 
 
@@ -28,7 +28,7 @@
     Attributes:
         source: The directory's index in the order of preference.
         entries: The entries read.
-        complete: Whether these are all entries that the filter finds; otherwise a part of them, or changes.
+        complete: Whether `entries` has all entries that the filter finds, and not only a part or changes.
         began_revision: The store's revision when the reading began; entries seen since then are not missing.
     """
 
@@ -57,14 +57,14 @@
     """All known entries, and the states of tenants that follow from them.
 
     Attributes:
-        guard: Holds back removals if they are too many.
+        guard: Holds back removals if there are too many.
         notices: Logs messages without repetitions.
         entries: By id: at most `MAX_TENANTS` entries.
         claims: By tenant: ids of the entries with its name; the first one determines the tenant's state.
-        sent: By tenant: the state last returned in `Changes`; None: the tenant of the settings.
+        sent: By tenant: the state last returned in `Changes`; None for a seeded tenant without such a state.
         tombstones: Removed entries.
         marks_us: By directory: the latest stamp seen there, in microseconds since 1970.
-        validity: When a tenant's validity begins or ends next.
+        validity: Timer for the next beginning or end of each tenant's validity.
         revision: Number of merged readings.
         remapped: Whether the map has changed, so that an unchanged entry may be parsed differently.
     """
@@ -78,7 +78,8 @@
         """Create a store without tenants.
 
         Args:
-            removal_part: Part of all tenants, 0 to 1, that may be removed without confirmation.
+            removal_part: Part of all tenants, 0 to 1, that may be removed within the guard's window without
+                confirmation.
             confirmed: Ids of the removals that the operator has confirmed.
             notify: Logs a message; its arguments are the level and the text.
         """
@@ -94,13 +95,15 @@
         self.remapped = False
 
     def seed(self, tenants: Iterable[tuple[str, bool, float]]) -> None:
-        """Add tenants from another source, which stay unchanged until a directory shows them.
+        """Add the tenants that the balancer has already.
+
+        They stay unchanged until a directory shows them, or until a complete reading lacks them.
 
         Args:
             tenants: The folded name of each, whether it is suspended, and its share.
         """
         for name, suspended, share in tenants:
-            self._put(Record(f"seed:{name}", name, suspended, share), SETTINGS_SOURCE)
+            self._put(Record(f"seed:{name}", name, suspended, share), SEED_SOURCE)
             self.sent[name] = None
 
     def merge(self, reading: Reading, now_s: float) -> Changes:
@@ -115,8 +118,8 @@
         self.notices.begin_reading()
         self.revision += 1
         latest_us = self._update_mark(reading)
-        # Of several new entries for one name, the one that has been unchanged for longest comes first. Of an
-        # entry that is on two pages because it changed between them, the later state comes last.
+        # If several new entries have the same name, the one that has been unchanged for longest comes first.
+        # If an entry is on two pages because it changed between them, its later state comes last.
         for parsed in sorted(reading.entries, key=lambda entry: (entry.stamp_us, entry.id, entry.suspended)):
             seen.add(parsed.id)
             self._merge_entry(parsed, reading.source, touched)
@@ -133,11 +136,11 @@
         return self._changes(self.validity.pop_due(now_s), now_s)
 
     def next_s(self) -> float | None:
-        """Return the earliest time at which `tick` is due; None: not before the next reading."""
+        """Return the earliest time at which `tick` is due; None if nothing is due before the next reading."""
         return self.validity.next_s()
 
     def reconfigure(self) -> None:
-        """Prepare for other directories, another filter or another map.
+        """Prepare for a change of the directories, the filter or the map.
 
         An unchanged entry may be parsed differently from now on, and the marks and sources of entries no
         longer refer to the configured directories.
@@ -145,11 +148,11 @@
         self.remapped = True
         self.marks_us.clear()
         for stored in self.entries.values():
-            if stored.source != SETTINGS_SOURCE:
+            if stored.source != SEED_SOURCE:
                 stored.source = FORMER_SOURCE
 
     def latest_stamp_us(self) -> int:
-        """Return the latest stamp seen in the current directories, or else of any entry; 0: there is none."""
+        """Return the latest stamp seen in the current directories, or else of any entry; 0 if none exists."""
         mark_us = max(self.marks_us.values(), default=0)
         return mark_us or max((stored.record.stamp_us for stored in self.entries.values()), default=0)
 
@@ -187,7 +190,7 @@
         self._put(new, source)
 
     def _accepted(self, parsed: Parsed, stored: StoredEntry | None, source: int) -> Record | None:
-        """Return the new record of an entry; None: its record stays as it is."""
+        """Return the new record of an entry, or None if its record does not change."""
         if parsed.record is None:
             return _suspension_only(parsed, stored.record if stored else None)
         if stored is None:
@@ -196,17 +199,18 @@
             return parsed.record
         accepted = self._reconciled(stored, parsed.record, source, parsed.dn)
         if accepted == stored.record:
+            # An entry whose source is not a present directory belongs to this directory from now on.
             stored.source = source if stored.source < 0 else stored.source
             return None
         return accepted
 
     def _reconciled(self, stored: StoredEntry, new: Record, source: int, dn: str) -> Record | None:
-        """Return the new record of a known entry that a directory shows; None: its record stays as it is."""
+        """Return the new record of a known entry that a directory shows; None to keep the old record."""
         old = stored.record
         newly_suspended = new.suspended and not old.suspended
         if new.stamp_us < old.stamp_us:
-            # Either the replica is behind, and its entry is outdated. Or the stamp could not be read: then
-            # only a suspension is accepted, as suspensions are never delayed.
+            # The replica is behind and shows an outdated entry, or the stamp could not be read. In the second
+            # case only a suspension is accepted, as suspensions are never delayed.
             return replace(old, suspended=True) if newly_suspended and not new.stamp_us else None
         if new.stamp_us > old.stamp_us or self.remapped:
             return new
@@ -215,7 +219,7 @@
             self._report_lost_attributes(old, lost, dn)
             return replace(old, suspended=True) if newly_suspended else None
         if old.suspended and not new.suspended and source != stored.source:
-            return None  # two directories differ: only the one that showed the suspension can lift it
+            return None  # two directories differ: only the directory that showed the suspension can lift it
         return new
 
     def _report_lost_attributes(self, old: Record, lost: frozenset[str], dn: str) -> None:
@@ -229,8 +233,8 @@
         ids = self.claims.setdefault(record.name, [])
         if record.id in ids:
             return
-        # An entry of a directory replaces the one that was only known from the settings.
-        for other in [known for known in ids if self.entries[known].source == SETTINGS_SOURCE]:
+        # An entry of a directory replaces the seeded entry of its tenant.
+        for other in [known for known in ids if self.entries[known].source == SEED_SOURCE]:
             ids.remove(other)
             del self.entries[other]
         ids.append(record.id)
@@ -278,9 +282,9 @@
             self.notices.notify("info", f"{len(names)} tenants removed: {listed(names)}")
 
     def _may_remove(self, names: Sequence[str], now_s: float, empty: bool) -> bool:
-        recently = self.guard.recently_removed(now_s)
-        total = len(self.claims) + recently
-        if self.guard.allows(names, total, recently, empty):
+        removed_recently = self.guard.recently_removed(now_s)
+        total = len(self.claims) + removed_recently
+        if self.guard.allows(names, total, removed_recently, empty):
             return True
         limit = f"over {self.guard.removal_part:.0%} within {WINDOW_S / 60:.0f} min"
         why = "no entry is left" if empty else limit
@@ -335,7 +339,7 @@
 
 
 def _suspension_only(parsed: Parsed, old: Record | None) -> Record | None:
-    """Return the new record of an invalid entry, of which only a suspension counts; None: no change."""
+    """Return an invalid entry's new record, which adopts only a suspension; None if nothing changes."""
     if not parsed.suspended or not (old or parsed.name):
         return None
     if old is None:
--- a/lanelift/tenants/sync_config.py
+++ b/lanelift/tenants/sync_config.py
@@ -1,7 +1,8 @@
 """Configuration of the sync process: the directories, the search, the attribute map and the times.
 
-Pure and without the LDAP client, as the balancer's process imports this module, too. The configuration is
-sent to the sync process as JSON with the keys of the operator's file; only this module maps them to fields.
+This module is pure and does not import the LDAP client, as the balancer's process imports this module, too.
+The configuration is sent to the sync process as JSON with the keys of the operator's file; only this module
+maps them to fields.
 """
 
 from __future__ import annotations
@@ -71,7 +72,8 @@
         change_interval_s: Interval between two reads of changes, in seconds.
         full_interval_s: Interval between two full reads, in seconds.
         full_timeout_s: Longest duration of a full read, in seconds.
-        removal_part: Part of all tenants, 0 to 1, that may be removed without confirmation.
+        removal_part: Part of all tenants, 0 to 1, that may be removed within the guard's window without
+            confirmation (`removals.py`).
         confirmed: Ids of the removals that the operator has confirmed.
     """
 
@@ -118,12 +120,13 @@
 
 
 def changed_since(search: Search, attribute_map: AttributeMap, since_us: int) -> Search:
-    """Return the same search, restricted to entries that changed at a given time or later.
+    """Return this search, restricted to entries that changed at a given time or later.
 
     Args:
         search: The search for all entries.
         attribute_map: Names the attribute that holds the time of an entry's last change.
-        since_us: Microseconds since 1970, cut to whole seconds in the filter.
+        since_us: The time in microseconds since 1970; the filter contains the time rounded down to whole
+            seconds.
     """
     stamp = time.strftime("%Y%m%d%H%M%SZ", time.gmtime(since_us // 1_000_000))
     filter_since = f"(&{search.filter}({attribute_map.stamp}>={stamp}))"
--- a/lanelift/tenants/sync_process.py
+++ b/lanelift/tenants/sync_process.py
@@ -1,8 +1,8 @@
 """The balancer's side of tenants from directories.
 
-It keeps the sync process (`sync_worker.py`) running, and posts the changes that the process sends to the
-dispatcher as `TenantUpdate`. Nothing here blocks, whatever the directories do: only the sync process connects
-to them, and one of its lines is handled in each iteration of the event loop.
+`SyncProcess` keeps the sync process (`sync_worker.py`) running, and posts the changes that it receives from
+that process to the dispatcher, as `TenantUpdate`. Nothing here blocks, whatever the directories do: only the
+sync process connects to them, and each iteration of the event loop handles at most one line from it.
 """
 
 from __future__ import annotations
@@ -36,10 +36,11 @@
 
 log = logging.getLogger(__name__)
 
-# Wait before an ended process is started again, by the number of consecutive ends without an update. Normally
-# the process does not end.
+# Seconds to wait before the process is restarted, by the number of consecutive times that the process ended
+# without an update. Normally the process does not end.
 RESTART_BACKOFF_S = (0.2, 1.0, 5.0, 30.0)
-MAX_SHARED_SETS = 4096  # cached sets of classes, and of limits, as most tenants have one of a few
+# Limits the entries of the cache of class sets, and of the cache of limits; most tenants share a few of each.
+MAX_SHARED_SETS = 4096
 LOG_LEVELS = {"info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
@@ -50,14 +51,14 @@
     Attributes:
         config: The configuration of the sync process.
         unknown_tenants: How the requests of a tenant that no directory shows are treated.
-        wait_s: How long /ready waits for the first reading, in seconds; 0: not at all.
-        settings: The tenants of the settings, by name, which apply until a directory is read.
+        wait_s: How long /ready waits for the first reading, in seconds; 0: it does not wait.
+        configured_tenants: The tenants of the settings, by name, which apply until a directory is read.
     """
 
     config: SyncConfig
     unknown_tenants: UnknownTenants
     wait_s: float
-    settings: Mapping[str, Tenant] = field(default_factory=dict)
+    configured_tenants: Mapping[str, Tenant] = field(default_factory=dict)
 
     def attach(self, dispatcher: Dispatcher) -> SyncProcess:
         """Return a `SyncProcess`, not yet started, that reads these directories for a dispatcher."""
@@ -74,7 +75,7 @@
         task: Starts the process, and restarts it when it ends.
         first_read_complete: Whether a directory has been read completely.
         gc_frozen: Whether the objects of the first reading have been exempted from garbage collection.
-        updates: Number of messages with changes of tenants.
+        updates: Number of messages that led to a `TenantUpdate`.
     """
 
     def __init__(self, dispatcher: Dispatcher, source: TenantSource) -> None:
@@ -128,7 +129,7 @@
             except Exception:  # after any error tenants stay as they are, and the process is restarted
                 log.exception("the reader of directories failed")
             ends_in_a_row = 1 if self.updates > updates else ends_in_a_row + 1
-            log.error("the reader of directories has ended; tenants stay as they are until it is back")
+            log.error("the reader of directories has ended; tenants stay as they are until it runs again")
             await asyncio.sleep(RESTART_BACKOFF_S[min(ends_in_a_row, len(RESTART_BACKOFF_S)) - 1])
 
     async def _run(self) -> None:
@@ -148,7 +149,8 @@
         try:
             while line := await process.stdout.readline():
                 self._receive(decoded(line))
-                await asyncio.sleep(0)  # one line per iteration: requests must not wait for 50,000 tenants
+                # One line per iteration: requests must not wait for 50,000 tenants' lines.
+                await asyncio.sleep(0)
         except ValueError as error:
             log.error("the reader of directories sent an invalid line: %s", error)
         finally:
@@ -180,15 +182,15 @@
         log.info("tenants read from a directory: %d", count)
         self.dispatcher.post(TenantUpdate(unknown_tenants=self.source.unknown_tenants))
         if not self.gc_frozen:
-            # As at the balancer's start: the present objects are long-lived, and a collection that visits
-            # 50,000 tenants would block the event loop for 30 ms. This is done only once, because garbage
-            # that is present now is never collected.
+            # The present objects are long-lived, and a collection that visits 50,000 tenants would block the
+            # event loop for 30 ms. So they are frozen, as at the balancer's start; but only once, because
+            # garbage that exists at this time is never collected.
             self.gc_frozen = True
             gc.freeze()
 
 
 def policy_tenant(state: TenantState) -> Tenant:
-    """Return a tenant's state as a tenant of the policy; equal sets of classes or limits are one object."""
+    """Return a tenant's state as a tenant of the policy; equal sets of classes or limits share an object."""
     limits = _limits(state.quota_per_s, state.limits)
     return Tenant(state.name, state.share, 0.0, state.denial_reason, _classes(state.classes), limits)
 
--- a/lanelift/tenants/sync_worker.py
+++ b/lanelift/tenants/sync_worker.py
@@ -34,14 +34,15 @@
 )
 from lanelift.tenants.tenant_state import Changes
 
-MAX_LOG_CHARACTERS = 1000  # of a log message, as texts from directories may be of any length
-MAX_HUNG_THREADS = 4  # threads that could not be ended (in a DNS lookup), before the whole process exits
-INTERVAL_JITTER = 0.1  # random part of an interval, so that balancers do not search a directory in step
-JOIN_TIMEOUT_S = 0.2  # for a thread whose connection was closed
+MAX_LOG_CHARACTERS = 1000  # limits a log message, as texts from directories may have any length
+MAX_HUNG_THREADS = 4  # the process exits once this many threads hang (in a DNS lookup)
+# An interval is shortened by up to this random fraction, so that balancers do not all search at once.
+INTERVAL_JITTER = 0.1
+JOIN_TIMEOUT_S = 0.2  # longest wait for a thread to end after its connection was closed
 
 
 class SyncWorker:
-    """The main thread of the sync process; only this thread uses the store and the schedule, and sends.
+    """The main thread of the sync process, which alone uses the store and the schedule, and sends messages.
 
     Attributes:
         events: Functions to be run by the main thread, from the readers' threads and from standard input.
@@ -51,7 +52,7 @@
         readers: The thread for each kind of reading.
         began_revision: By kind: the store's revision when the running reading began.
         hung_threads: Number of abandoned threads.
-        awaiting_first_read: Whether no full read has been completed yet.
+        awaiting_first_read: Whether no full read that found entries has been completed yet.
         stopping: Whether the process is to exit.
         faults: By directory: why it can't be read.
         changes_found: Whether the running read of changes has changed a tenant.
@@ -136,7 +137,7 @@
             for order in self.schedule.overdue(now_s):
                 self._give_up(order)
             clock_us = round(self.wall_clock() * 1e6)
-            for order in self.schedule.orders(now_s, self.store.latest_stamp_us(), clock_us):
+            for order in self.schedule.start_due(now_s, self.store.latest_stamp_us(), clock_us):
                 self._begin(order)
         self._send_changes(self.store.tick(self.wall_clock()))
         try:
@@ -146,7 +147,7 @@
         event()
 
     def _wait_s(self) -> float | None:
-        """Return the seconds until something is due; None: nothing is due before the next event."""
+        """Return the seconds until something is due, or None if nothing is due before the next event."""
         waits = []
         if self.schedule is not None and (due_s := self.schedule.next_s()) is not None:
             waits.append(due_s - self.clock())
@@ -177,8 +178,8 @@
     def _is_current(self, reader: ReplicaReader, order: ReadOrder) -> bool:
         """Return whether a thread still performs the readings of its kind.
 
-        The readings of an abandoned thread are ignored: they belong to an earlier configuration, or have been
-        ordered from another thread.
+        The readings of an abandoned thread are ignored: they belong to an earlier configuration, or
+        another thread has been ordered to perform them.
         """
         return self.schedule is not None and reader is self.readers.get(order.kind)
 
@@ -193,7 +194,7 @@
         self._send_changes(changes)
 
     def _result_received(self, reader: ReplicaReader, order: ReadOrder, result: ReadResult) -> None:
-        """Merge a full read, and plan the next reading of this kind."""
+        """Handle the end of a reading: merge a full read, and plan the next reading of this kind."""
         if not self._is_current(reader, order):
             return
         assert self.schedule is not None
@@ -212,7 +213,8 @@
             self._read_succeeded(order, len(result.entries), now_s)
         self._send_changes(changes)
         if complete and self.awaiting_first_read and result.entries:
-            # From now on a tenant that was not sent is unknown; an empty reading must not make all unknown.
+            # From now on a tenant that was not sent is unknown. So an empty reading does not count, as it
+            # would make all tenants unknown.
             self.awaiting_first_read = False
             self.send(FirstReadComplete(len(self.store.sent)))
 
@@ -226,7 +228,7 @@
         if order.kind is ReadKind.FULL or order.since_us > self.store.marks_us.get(order.source, 0):
             return
         # The directory has an entry with a stamp in this range, so a read of changes must return one.
-        if self.schedule.invalidate(order, now_s, bool(found)):
+        if self.schedule.validate_changes(order, now_s, bool(found)):
             server = self.config.directories[order.source] if self.config else "?"
             self._log("warning", f"{server} does not find changes by their time: it is read in full")
 
--- a/lanelift/tenants/validity.py
+++ b/lanelift/tenants/validity.py
@@ -1,4 +1,4 @@
-"""Timer for the begin and end of tenants' validity. Pure: the caller passes the time."""
+"""Timer for the beginning and end of tenants' validity. Pure: the caller passes the time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 from lanelift.tenants.entries import Record
 
-MIN_HEAP_SLACK = 3  # number of outdated boundaries for which the heap is never rebuilt
+# The heap is rebuilt once its length exceeds twice the length of `due` by more than this number.
+MIN_HEAP_SLACK = 3
 
 
 @dataclass(slots=True)
@@ -15,18 +16,19 @@
     """The next boundary of each tenant's validity, in seconds since 1970.
 
     Attributes:
-        due: By tenant: when its validity begins or ends next.
-        boundaries: The same times as a heap. Outdated ones stay in the heap until it is twice as long as
-            `due`; then it is rebuilt, so that validities that change often do not fill it.
+        due: By tenant: when the tenant's validity next begins or ends.
+        boundaries: The same times as a heap. Outdated times stay in the heap until the heap is longer than
+            twice `due` plus `MIN_HEAP_SLACK`; then the heap is rebuilt, so that validities that change often
+            do not fill it.
     """
 
     due: dict[str, float] = field(default_factory=dict)
     boundaries: list[tuple[float, str]] = field(default_factory=list)
 
     def schedule(self, record: Record, now_s: float) -> None:
-        """Store when the validity of a record's tenant begins or ends next."""
-        limits = (record.valid_from_s, record.valid_until_s)
-        ahead = [limit_s for limit_s in limits if limit_s is not None and limit_s > now_s]
+        """Store when the validity of the record's tenant next begins or ends."""
+        bounds = (record.valid_from_s, record.valid_until_s)
+        ahead = [bound_s for bound_s in bounds if bound_s is not None and bound_s > now_s]
         if not ahead:
             self.clear(record.name)
             return
@@ -43,7 +45,7 @@
         self.due.pop(name, None)
 
     def pop_due(self, now_s: float) -> set[str]:
-        """Remove the boundaries that have passed, and return their tenants."""
+        """Remove the validity boundaries whose time has passed, and return their tenants."""
         passed = set()
         while self.boundaries and self.boundaries[0][0] <= now_s:
             due_s, name = heapq.heappop(self.boundaries)
@@ -52,5 +54,5 @@
         return passed
 
     def next_s(self) -> float | None:
-        """Return the earliest time at which a boundary may pass; None: there is none."""
+        """Return the earliest time at which a boundary may pass, or None if there is no boundary."""
         return self.boundaries[0][0] if self.boundaries else None
--- a/lanelift/wirehost.py
+++ b/lanelift/wirehost.py
@@ -78,7 +78,7 @@
 
 
 def _read_request(row: Json) -> Event:
-    tenant = row.get("user_group") or ""  # a site with no tenants may send 0
+    tenant = row.get("user_group") or ""  # a deployment without tenants may send 0
     return RequestArrived(
         require(row, "ticket", str),
         require(row, "kind", str),
@@ -182,10 +182,11 @@
     def run_batch(self, line: str | bytes) -> str:
         """Handle one batch.
 
-        The events of each balancer are collected and handled together, so that it sees the whole batch.
+        The events of each balancer are collected and handled together, so that each balancer sees the whole
+        batch.
 
         Returns:
-            The reply, as one line without its end.
+            The reply, as one line without the line break.
 
         Raises:
             SettingsError: The line is not a batch.
@@ -264,7 +265,7 @@
 
 
 def _fault(number: int, error: Exception) -> Json:
-    """Return the command that reports an exception of the decision code, with the place that raised it."""
+    """Return the command that reports a balancer's exception, with the function and line that raised it."""
     traceback = error.__traceback__
     while traceback is not None and traceback.tb_next is not None:
         traceback = traceback.tb_next
@@ -275,7 +276,7 @@
 def main() -> int:
     """Handle the batches on standard input, and return the exit status."""
     host = Host()
-    for count, line in enumerate(sys.stdin.buffer, 1):  # read as bytes: invalid UTF-8 is bad input, too
+    for count, line in enumerate(sys.stdin.buffer, 1):  # bytes: invalid UTF-8 is bad input, too
         try:
             reply = host.run_batch(line)
         except SettingsError as error:
--- a/tests/faults/test_datagram_proxy.py
+++ b/tests/faults/test_datagram_proxy.py
@@ -38,17 +38,19 @@
 
 
 def test_each_direction_has_its_own_faults() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         a, b = End(), End()
         await a.open()
         await b.open()
-        # the address of a is not known beforehand: datagrams for a go to the address that it sent from
+        # the address of end `a` is not known beforehand: datagrams for `a` go to the address from which `a`
+        # sent its last datagram
         proxy = DatagramProxy("a", "b", {"b": b.endpoint.address}, random.Random(1))
         await proxy.open()
         address_of_a, address_of_b = proxy.address_of("a"), proxy.address_of("b")
         a.endpoint.send(b"1", address_of_b)
         await b.until(1)
-        assert b.sources == {address_of_a}  # the proxy sends from the address that b knows as that of a
+        # the proxy sends from the address that end `b` knows as the address of end `a`
+        assert b.sources == {address_of_a}
         b.endpoint.send(b"2", address_of_a)
         await a.until(1)
         proxy.links["a", "b"].change(Step(0, "cut", "a", "b"))
@@ -68,7 +70,7 @@
             assert end.endpoint.transport is not None
             end.endpoint.transport.close()
 
-    run(story())
+    run(scenario())
 
 
 def test_heal_undoes_the_faults_of_its_link() -> None:
@@ -86,7 +88,7 @@
 def test_a_step_not_playable_among_processes_is_rejected_before_any_is_started(
     what: str, tmp_path: Path
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with ProcessCluster(tmp_path) as fleet:
             with pytest.raises(
                 ScheduleError, match=rf"steps\[1\].what: found '{what}'; allowed among processes: kill"
@@ -94,4 +96,4 @@
                 await fleet.play(Schedule(1, ("a",), (), 100, (Step(0, "kill", "a"), Step(1, what, "a"))))
             assert not fleet.records
 
-    run(story())
+    run(scenario())
--- a/tests/fleet/test_recovery.py
+++ b/tests/fleet/test_recovery.py
@@ -70,7 +70,7 @@
 def test_a_new_fleet_votes_once_all_voters_are_started(voters: str) -> None:
     """Up to five voters of a new fleet start one after the other: none votes before the last one has started.
 
-    No voter has any state, so each one's former state may have been lost, and a majority may have given a
+    No voter has any state, so each voter's former state may have been lost, and a majority may have given a
     lease. Only all voters together know that there was no lease.
     """
     fleet = Fleet()
@@ -92,14 +92,14 @@
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
     fleet.exchange_statuses()
-    fleet.start(configuration("abc"), "a")  # needs no status of other voters
+    fleet.start(configuration("abc"), "a")  # voter a needs no status of other voters
     recovery = fleet.recoveries["a"]
     assert recovery.may_vote and recovery.ready_ns == 1000 * MS
     assert recovery.ballot_floor == BALLOT_BLOCK and fleet.state_files["a"].ballot_ceiling == 2 * BALLOT_BLOCK
 
 
 def test_a_voter_that_lost_its_state_needs_one_of_each_majority() -> None:
-    """The disk of a is lost while c and d are down.
+    """The disk of voter a is lost while voters c and d are down.
 
     a, c and d may have been a majority whose promises b and e do not know, so the statuses of b and e do not
     suffice for a to vote again. With the status of c they do, and a promises only above the highest ceiling.
@@ -147,16 +147,16 @@
     assert fleet.voting() == "bc"  # the former configuration still has a majority, b and c
     fleet.start(new, "b")
     fleet.exchange_statuses()
-    assert fleet.voting() == "abc"  # c is alone under the former one; d and e have too few replies
+    assert fleet.voting() == "abc"  # c is alone under the former configuration; d and e have too few replies
     fleet.start(new, "c")
     fleet.exchange_statuses()
     assert fleet.voting() == "abcde"
 
 
 def test_a_voter_that_returns_to_a_former_configuration_waits_for_a_majority() -> None:
-    """b joins the new configuration, which a relies on; then b is restarted under the former one.
+    """b joins the new configuration, and a relies on that join; then b is restarted under the former one.
 
-    b and c would be a majority of the former configuration again, beside a and d under the new one. b may
+    b and c would be a majority of the former configuration again, while a and d run under the new one. b may
     vote only once a majority of the new configuration has returned as well.
     """
     fleet = Fleet()
@@ -165,11 +165,11 @@
     new = configuration("abd")
     fleet.start(new, *"abd")
     fleet.exchange_statuses()
-    assert set(fleet.voting()) == set("abcd")  # c alone is no longer a majority
+    assert set(fleet.voting()) == set("abcd")  # voter c alone is no longer a majority
     fleet.start(configuration("abc"), "b")
     fleet.exchange_statuses()
     assert not fleet.recoveries["b"].may_vote
-    fleet.start(configuration("abc"), "a")  # now a majority of the new configuration has returned
+    fleet.start(configuration("abc"), "a")  # a majority of the new configuration has returned
     fleet.exchange_statuses()
     assert fleet.recoveries["a"].may_vote and fleet.recoveries["b"].may_vote
 
@@ -190,8 +190,8 @@
 def test_a_shortened_lease_starts_after_the_quiet_period_of_the_longer_one() -> None:
     """The lease is shortened from 5 s to 1 s, and the voters are restarted.
 
-    Votes for 5 s may still bind the voters, so they are quiet for that long, also after another restart. Once
-    a state with the shorter quiet period is persisted, that period applies.
+    Votes for 5 s may still bind the voters, so they are quiet for 5 s, also after another restart. Once a
+    state with the shorter quiet period is persisted, the shorter period applies.
     """
     fleet = Fleet()
     fleet.start(configuration("abc", 5000), *"abc")
@@ -199,7 +199,7 @@
     fleet.start(configuration("abc", 1000), *"abc")
     fleet.exchange_statuses()
     assert {recovery.ready_ns for recovery in fleet.recoveries.values()} == {5000 * MS}
-    fleet.start(configuration("abc", 1000), "a")  # also after another restart in between
+    fleet.start(configuration("abc", 1000), "a")  # the longer quiet period also applies after another restart
     assert fleet.recoveries["a"].ready_ns == 5000 * MS
     fleet.recoveries["a"].extend_ceiling(BALLOT_BLOCK)
     fleet.write("a")
@@ -210,7 +210,7 @@
 def test_too_many_changes_in_a_row_are_rejected() -> None:
     """The operator's file is changed repeatedly, and the voter never votes in between.
 
-    The number of former voter sets is bounded: the voter fails with an error that names the bound.
+    The number of former voter sets is bounded: the voter's start fails with an error that names the bound.
     """
     state = PersistentState("00", ("a",), 1, 1, tuple((f"v{i}",) for i in range(MAX_FORMER_VOTER_SETS)))
     with pytest.raises(VoterStateError, match=f"allowed: {MAX_FORMER_VOTER_SETS}"):
@@ -220,8 +220,8 @@
 def test_a_voter_that_joined_a_new_fleet_does_not_start_another_one() -> None:
     """a and b vote because c, which had no state, had started; then c is started with another configuration.
 
-    c has not voted yet and knows no ballot. Still it may not start a second new fleet with two other voters,
-    as its state records that it joined the first one.
+    c has not voted yet and knows no ballot. Even so c may not start a second new fleet with two other voters,
+    as its state records that it joined the first fleet.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
@@ -244,24 +244,25 @@
 def test_former_configurations_of_the_other_voters_must_end_as_well() -> None:
     """b returns from the second configuration to the first one, and relies on c.
 
-    In the meantime c was under a third configuration, which still has a majority. The status of c lists it,
-    and b also waits until that majority has ended.
+    In the meantime c was under a third configuration, which still has a majority. The status of c lists that
+    configuration, and b waits until its majority has ended as well.
     """
     fleet = Fleet()
     for voters, who in (("abc", "abc"), ("bcd", "bcd"), ("cde", "cde"), ("abc", "bc")):
         fleet.start(configuration(voters), *who)
         fleet.exchange_statuses()
     assert not fleet.recoveries["b"].may_vote and not fleet.recoveries["c"].may_vote
-    fleet.start(configuration("bcde"), *"bcde")  # contains a majority of each former configuration
+    # these voters contain a majority of each former configuration
+    fleet.start(configuration("bcde"), *"bcde")
     fleet.exchange_statuses()
     assert set(fleet.voting()) >= set("bcde")
 
 
 def test_a_voter_promises_above_the_ceilings_of_the_voters_it_relies_on() -> None:
-    """c promised higher ballots under the second configuration than b, and both return to the first one.
+    """Under the second configuration c promised higher ballots than b; then both return to the first one.
 
-    a and b are a majority there, and must not give a token below one that c voted for: b promises only above
-    the ceiling of c.
+    a and b are a majority of the first configuration, and must not give a token below one that c voted for:
+    b promises only ballots above the ceiling of c.
     """
     fleet = Fleet()
     fleet.start(configuration("abc"), *"abc")
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -67,8 +67,9 @@
         (answer(503), R.ERROR),
         (None, R.RESET),
         (answer(200, b"whole")[:-2], R.TIMEOUT),  # an incomplete response
-        (b"not HTTP at all\r\n\r\n", R.ERROR),  # the request has run, and the connection did not break
-        (OK + b"\r\nbody", R.ERROR),  # without a length it can't be known to be complete
+        # the request has run, and the upstream's connection did not break
+        (b"not HTTP at all\r\n\r\n", R.ERROR),
+        (OK + b"\r\nbody", R.ERROR),  # a response without a length can't be known to be complete
         (OK + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody", R.ERROR),
         (OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", R.ERROR),
         (OK + b"Content-Length: 3000000000\r\n\r\nbody", R.ERROR),
@@ -84,8 +85,8 @@
     recorded: EventRecorder, reply: Any, result: AttemptResult, kind: str
 ) -> None:
     """An upstream answers with an error, breaks the connection, sends an invalid response, or does not
-    answer. Each attempt has exactly one outcome, and the client gets a rejection if the request can't have
-    run, else a failure.
+    answer. Each attempt has exactly one outcome. The client gets a rejection if the request is idempotent or
+    can't have run, else a failure.
     """
 
     async def test() -> None:
@@ -153,7 +154,8 @@
     recorded = EventRecorder()
 
     def acts(event: Event, upstream: int) -> list[Action]:
-        if isinstance(event, RequestArrived):  # a parallel copy and an unlisted upstream are not allowed
+        # neither a second attempt in parallel nor an attempt at an unlisted upstream is allowed
+        if isinstance(event, RequestArrived):
             return [StartAttempt("r1", upstream), StartAttempt("r1", upstream), StartAttempt("r1", 99)]
         return []
 
@@ -193,14 +195,14 @@
             gate.open.set()
             assert (await lb.request("r2")).status == 200
             assert request_ids(lb.upstreams[0]) == ["r2"]
-            assert recorded.results() == [R.NOT_SENT, R.OK]  # not the upstream's fault
+            assert recorded.results() == [R.NOT_SENT, R.OK]  # the disconnection is not the upstream's fault
 
     run(test())
 
 
 @pytest.mark.usefixtures("settled")
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid_response",
     [
         b"\x00noise",
         b"HTTP/1.1 500 X\r\nContent-Length: 900000\r\n\r\n",
@@ -208,10 +210,10 @@
     ],
 )
 def test_an_attempts_connection_is_closed_before_the_next_attempt_is_sent(
-    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, spoilt: bytes
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, invalid_response: bytes
 ) -> None:
     """An upstream's response is invalid, and the request is retried at another upstream. The failed attempt
-    may run for as long as its connection is open, so that two would run at the same time. So its
+    may run for as long as its connection is open, and then two attempts would run at the same time. So its
     connection is closed before the next attempt is sent.
     """
     retry_on_second_upstream(monkeypatch, recorded)
@@ -221,8 +223,9 @@
     async def test() -> None:
         async with in_process_balancer(2, settings=NO_CANCEL) as lb:
             first, second = lb.upstreams
-            first.script = [b"\x00", spoilt]
-            assert (await lb.request("r1")).body == second.name.encode()  # its connection is open from now on
+            first.script = [b"\x00", invalid_response]
+            # the upstream `second` has a connection now
+            assert (await lb.request("r1")).body == second.name.encode()
 
             def watched(connection: UpstreamConnection, exchange: Exchange) -> None:
                 if b"X-Request-Id: r2" in exchange.request or b"x-request-id: r2" in exchange.request:
@@ -233,6 +236,7 @@
 
             monkeypatch.setattr(UpstreamConnection, "start", watched)
             assert (await lb.request("r2")).body == second.name.encode()
-            assert ended == [False, True]  # at the first attempt, and at the second
+            # before each attempt of r2: whether the connection to `first` had ended
+            assert ended == [False, True]
 
     run(test())
--- a/tests/net/test_client_responses.py
+++ b/tests/net/test_client_responses.py
@@ -23,32 +23,32 @@
 def test_bytes_that_come_as_a_connection_is_closed_do_not_lose_its_last_answer(
     monkeypatch: pytest.MonkeyPatch, when: str
 ) -> None:
-    """A client's bytes come while its connection is being closed. Closing a socket with unread bytes resets
-    the connection, and the last response is lost. So only the sending side is closed, and the client
-    reads its response whether the bytes come before or after that.
+    """Bytes from a client arrive while the balancer closes the client's connection. Closing a socket with
+    unread bytes resets the connection, and the last response is lost. So only the sending side is closed, and
+    the client reads its response whether the bytes come before or after the sending side is closed.
     """
-    leave = ClientConnection._close_after_response
+    close_after_response = ClientConnection._close_after_response
     peers: list[socket.socket] = []
 
-    def crossed(client: ClientConnection) -> None:
+    def send_while_closing(client: ClientConnection) -> None:
         if when == "before":
             peers[0].send(b"GET /quote HTTP/1.1\r\n")
-        leave(client)
+        close_after_response(client)
         if when == "behind":
             peers[0].send(b"GET /quote HTTP/1.1\r\n")
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with in_process_balancer() as lb:
-            monkeypatch.setattr(ClientConnection, "_close_after_response", crossed)
+            monkeypatch.setattr(ClientConnection, "_close_after_response", send_while_closing)
             with socket.create_connection(lb.address) as sock:
                 peers.append(sock)
                 sock.setblocking(False)
                 await loop.sock_sendall(sock, b"GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
-                came = b""
+                received = b""
                 while data := await loop.sock_recv(sock, 65536):
-                    came += data
-                assert came.startswith(b"HTTP/1.1 200 ") and came.endswith(b"ready\n")
+                    received += data
+                assert received.startswith(b"HTTP/1.1 200 ") and received.endswith(b"ready\n")
 
     run(test())
 
@@ -57,7 +57,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A client keeps its connection open after its last response, and continues to send. A half-closed
-    connection would accept that for ever, so it is closed after a time-out.
+    connection would accept the bytes for ever, so the connection is closed after a time-out.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.CLOSING, 0.0)
 
@@ -68,18 +68,18 @@
             assert (await client.answer()).status == 200
             await client.ended()
             with pytest.raises(ConnectionError):
-                while True:  # a half-closed connection would accept this for ever
+                while True:  # a half-closed connection would accept these bytes for ever
                     client.writer.write(b"x" * 65536)
                     await client.writer.drain()
 
     run(test())
 
 
-def test_no_answers_pile_up_for_a_client_that_does_not_read(
+def test_answers_do_not_accumulate_for_a_client_that_does_not_read(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """A client sends request after request and reads no responses, which would pile up in memory. Its
-    further requests are not begun, and its connection is closed.
+    """A client sends request after request and reads no responses, which would accumulate in memory.
+    The client's further requests are not begun, and the client's connection is closed.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.IDLE, 0.5)
 
@@ -105,7 +105,7 @@
     run(test())
 
 
-def test_a_last_answer_can_be_read_to_its_end_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_may_read_its_last_answer_slowly_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client reads its last response slowly. The connection is closed after the response, but the part
     that is still in the buffers is not discarded, however long the client takes.
     """
@@ -130,8 +130,8 @@
 
 
 def test_a_client_that_stops_reading_its_response_is_reset(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client stops reading a long response. Its connection would stay open for ever, so it is reset,
-    which shows that the response is incomplete.
+    """A client stops reading a long response. The client's connection would stay open for ever, so the
+    balancer resets it, and the reset shows that the response is incomplete.
     """
     monkeypatch.setitem(connection_phases.PHASE_TIMEOUT_S, Phase.FLUSHING, 0.1)
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 0.05)
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -23,10 +23,10 @@
     row = {"id": "s-5be2a07c", "addr": "127.0.0.9:8000", "state": "Ready", "started_ms": now_ms - 5000}
     first, again = read_endpoint(row), read_endpoint(row)
     assert first == again and (first.host, first.port) == ("127.0.0.9", 8000)
-    # The balancer's clock is monotonic: the start is five seconds ago by that clock, too.
+    # The balancer's clock is monotonic: the upstream's start is five seconds ago by that clock, too.
     assert abs(time.monotonic_ns() - first.entry.started_ns - 5 * SECOND) < SECOND
     assert read_endpoint({**row, "started_ms": 0}).entry.started_ns == 0
-    # Balancers must compute the same number, now and in any later version.
+    # All balancers must compute the same number from an id, in this and in any later version.
     assert upstream_number("s-5be2a07c") == first.entry.id == 9587356208999800076
     odd = [{**row, key: value} for key in ("started_ms", "weight") for value in (float("inf"), float("nan"))]
     addresses = [{**row, "addr": text} for text in ("nowhere", "a.host:80", "127.0.0.1:99999")]
@@ -56,11 +56,14 @@
             await lb.until_watching()
             caplog.clear()
             bad = [{**good, "id": f"b-{number}", "addr": "nowhere"} for number in range(1000)]
-            told = {"version": 9, "full": True, "servers": [*bad, good, good, 7, {}]}
+            full_list = {"version": 9, "full": True, "servers": [*bad, good, good, 7, {}]}
             lb.discovery.version = 9
-            lb.discovery.reply = _only(answer(200, json.dumps(told, indent=4).encode()), lb.discovery.reply)
+            lb.discovery.reply = _only(
+                answer(200, json.dumps(full_list, indent=4).encode()), lb.discovery.reply
+            )
             lb.discovery.close_links()
-            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) == 3)  # cached, first, this one
+            # the cached list, the first list and this list
+            await recorded.until(lambda: len(recorded.of(EndpointUpdate)) == 3)
             assert {u.id for u in recorded.of(EndpointUpdate)[2].endpoints} == {upstream_number("s-0")}
             lines = [r.getMessage() for r in caplog.records if "skipped" in r.getMessage()]
             assert lines == ["discovery: entries skipped: 1002; the first: 'nowhere' is not HOST:PORT"]
--- a/tests/net/test_response_progress.py
+++ b/tests/net/test_response_progress.py
@@ -56,8 +56,8 @@
 
 
 def test_the_deadline_does_not_abort_a_response_that_has_begun(recorded: EventRecorder) -> None:
-    """A streamed response continues past its client's deadline. The deadline applies to its beginning, so
-    it is not aborted.
+    """A streamed response continues past its client's deadline. The deadline applies only to the beginning of
+    the response, so the response is not aborted.
     """
 
     async def test() -> None:
@@ -67,7 +67,7 @@
             client.send("r1", X_Deadline_Ms=250)
             await steps.write(OK + b"Content-Length: 200000\r\n\r\n" + LONG_BODY[:100_000])
             await recorded.until(lambda: recorded.of(ResponseStarted))
-            await asyncio.sleep(0.4)  # past the deadline and OVERDUE_S
+            await asyncio.sleep(0.4)  # longer than the deadline plus OVERDUE_S
             await steps.write(LONG_BODY[100_000:200_000])
             assert (await read_response(client))[1] == LONG_BODY[:200_000]
             assert recorded.results() == [R.OK]
@@ -78,15 +78,16 @@
 def test_a_response_beyond_the_streaming_limit_is_aborted(
     monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder
 ) -> None:
-    """A response is longer than the limit of streamed bodies. It is an error if its length is stated; else
-    it is aborted at the limit, and the client can tell.
+    """A response is longer than the limit of streamed bodies. If its length is stated, the attempt is an
+    error and the client gets a 503; otherwise the response is aborted at the limit, and the client can tell
+    that it is incomplete.
     """
     monkeypatch.setattr("lanelift.net.message_parser.MAX_STREAMED_BODY_BYTES", 300_000)
 
     async def test() -> None:
         async with in_process_balancer() as lb:
             lb.upstreams[0].script = [response_with_length(LONG_BODY), chunked_response(LONG_BODY)]
-            assert (await lb.request("r1")).status == 503  # its length is stated
+            assert (await lb.request("r1")).status == 503  # the response states its length
             client = await lb.client()
             client.send("r2")
             with suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -103,22 +104,22 @@
 
 
 @pytest.mark.parametrize(
-    "begins", [CHUNKED + b"3\r\none\r\n", CHUNKED, CLOSES + b"one", CHUNKED + b"7d0\r\n" + b"x" * 2000]
+    "beginning", [CHUNKED + b"3\r\none\r\n", CHUNKED, CLOSES + b"one", CHUNKED + b"7d0\r\n" + b"x" * 2000]
 )
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_a_response_that_never_ends_is_aborted_after_its_timeout(
-    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, begins: bytes, may_cancel: bool
+    monkeypatch: pytest.MonkeyPatch, recorded: EventRecorder, beginning: bytes, may_cancel: bool
 ) -> None:
-    """A response without a stated length begins and never ends. It is streamed as a long one would be, and
-    its client would wait for ever. It is aborted when it makes no progress after its time-out.
+    """A response without a stated length begins and never ends. It is streamed like a long response, and its
+    client would wait for ever. It is aborted when it makes no progress after the attempt's time-out.
     """
     monkeypatch.setattr(exchange, "UPSTREAM_SILENCE_TIMEOUT_S", 2 * TEST_S)
-    assert 2 * exchange.MIN_PROGRESS_INTERVAL_S < 0.5  # within which a late answer still counts as an answer
+    assert 2 * exchange.MIN_PROGRESS_INTERVAL_S < 0.5  # an answer counts if it is less than 0.5 s late
 
     async def test() -> None:
         settings = replace(SETTINGS, limits=replace(SETTINGS.limits, may_cancel=may_cancel))
         async with in_process_balancer(settings=settings) as lb:
-            lb.upstreams[0].script = [begins]
+            lb.upstreams[0].script = [beginning]
             client = await lb.client()
             client.send("r1", X_Deadline_Ms=150)
             with suppress(ConnectionError):
@@ -144,26 +145,26 @@
 
     async def test() -> None:
         async with in_process_balancer() as lb:
-            box = lb.upstreams[0]
-            box.script = [CHUNKED, CHUNKED]
+            upstream = lb.upstreams[0]
+            upstream.script = [CHUNKED, CHUNKED]
             slow, steady = await lb.client(), await lb.client()
             steady.send("r1", X_Deadline_Ms=400)
-            await box.until(lambda: len(box.seen) == 1)
+            await upstream.until(lambda: len(upstream.seen) == 1)
             slow.send("r2", X_Deadline_Ms=400)
             await recorded.until(lambda: len(recorded.of(ResponseStarted)) == 2)
 
-            async def bring(link: int, size: int) -> None:
-                while not box.links[link].closed:
-                    box.links[link].write(b"%x\r\n%b\r\n" % (size, b"y" * size))
+            async def send_chunks(link: int, size: int) -> None:
+                while not upstream.links[link].closed:
+                    upstream.links[link].write(b"%x\r\n%b\r\n" % (size, b"y" * size))
                     await asyncio.sleep(0.01)
 
-            brings = [asyncio.create_task(bring(0, 1000)), asyncio.create_task(bring(1, 1))]
+            senders = [asyncio.create_task(send_chunks(0, 1000)), asyncio.create_task(send_chunks(1, 1))]
             await recorded.until(lambda: recorded.results() == [R.TIMEOUT])
-            brings[0].cancel()
-            box.links[0].write(b"0\r\n\r\n")
+            senders[0].cancel()
+            upstream.links[0].write(b"0\r\n\r\n")
             await recorded.until(lambda: recorded.results() == [R.TIMEOUT, R.OK])
             assert recorded.of(AttemptFinished)[0].request == "r2"
-            await brings[1]
+            await senders[1]
 
     run(test())
 
@@ -192,19 +193,19 @@
 
 def test_a_response_that_was_paused_beyond_its_timeout_is_not_aborted_for_lack_of_progress() -> None:
     """A client does not read its response, so reading from the upstream is paused beyond the response's
-    time-out. The response could make no progress meanwhile, and received bytes are still unread: it is not
-    aborted when reading resumes.
+    time-out. The response could make no progress meanwhile, and received bytes are still unread. The response
+    is not aborted when reading resumes.
     """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         ended: list[AttemptResult] = []
-        held = asyncio.Event()
+        paused = asyncio.Event()
 
-        class Held:
+        class PausingSink:
             def start_response(self, head: object) -> None:
-                attempt.pause()
-                held.set()
+                exchange_.pause()
+                paused.set()
 
             def forward(self, data: bytes) -> None:
                 pass
@@ -214,15 +215,17 @@
             await loop.create_connection(lambda: connection, *listener.getsockname())
             server, _ = listener.accept()
             with server:
-                attempt = Exchange(b"GET / HTTP/1.1\r\n\r\n", lambda r, _: ended.append(r), sink=Held())
-                connection.start(attempt)
-                attempt.expire_in(0.1)
+                exchange_ = Exchange(
+                    b"GET / HTTP/1.1\r\n\r\n", lambda r, _: ended.append(r), sink=PausingSink()
+                )
+                connection.start(exchange_)
+                exchange_.expire_in(0.1)
                 server.sendall(CHUNKED + b"3\r\none\r\n")
-                await held.wait()
-                while loop.time() < attempt.progress_due_s:
+                await paused.wait()
+                while loop.time() < exchange_.progress_due_s:
                     await asyncio.sleep(0.01)
-                attempt.resume()
-                assert attempt.on_finished is not None and not ended
+                exchange_.resume()
+                assert exchange_.on_finished is not None and not ended
                 connection.abort()
 
     run(test())
@@ -232,7 +235,7 @@
     recorded: EventRecorder,
 ) -> None:
     """A client disconnects during a response that never ends, where attempts may not be cancelled. The
-    upstream's connection is of no more use, and is closed.
+    upstream's connection has no further use, and is closed.
     """
 
     async def test() -> None:
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "ending"),  # noise can be detected only between chunks
+    ("how", "ending"),  # noise, that is, invalid bytes, can be detected only between chunks
     [(how, ending) for how in ("told", "chunked", "1.0") for ending in ("reset", "end")]
     + [("chunked", "noise")],
 )
@@ -127,13 +127,14 @@
                 await steps.end()
             else:
                 await steps.write(b"zz\r\n")
-            with pytest.raises(ConnectionError):  # a reset, not the regular end of the connection
+            # the client sees a reset, not the regular end of the connection
+            with pytest.raises(ConnectionError):
                 while await client.reader.read(65536):
                     pass
                 raise AssertionError("the response ended as if it were complete")
             await recorded.until(lambda: recorded.of(AttemptFinished))
             assert recorded.results() == [R.ERROR if ending == "noise" else R.RESET]
-            assert recorded.of(AttemptFinished)[0].request_complete  # no retry
+            assert recorded.of(AttemptFinished)[0].request_complete  # the request was not retried
             assert (await lb.request("r2")).body == b"s-0"
 
     run(test())
@@ -142,8 +143,8 @@
 def test_a_client_that_does_not_read_pauses_its_upstream_and_uses_little_memory(
     recorded: EventRecorder,
 ) -> None:
-    """A client does not read a long response. Of its 32 MB the upstream can send no more than the buffers
-    on the way hold. The rest is sent once the client reads.
+    """A client does not read a long response. The upstream can send no more of the response's 32 MB than the
+    buffers on the way hold. The rest is sent once the client reads.
     """
     size = 32_000_000
 
@@ -168,7 +169,7 @@
                 while room():
                     transport.write(piece)
                     sent += len(piece)
-                    for _ in range(50):  # loop iterations in which all data that can be forwarded is
+                    for _ in range(50):  # enough loop iterations to forward all data that can be forwarded
                         await asyncio.sleep(0)
                     await asyncio.sleep(0.001)
                 left = sent - transport.get_write_buffer_size()
@@ -176,7 +177,8 @@
                 # are both buffers of two connections (doubled by the kernel), one read and the write limit.
                 assert left < 4_194_304 + 2 * 2 * 2 * KERNEL_BUFFER_BYTES + 2 * len(READ_BUFFER)
                 got = b""
-                while got.count(piece) < sent // len(piece):  # all written data arrives once the client reads
+                # all data that was written arrives once the client reads
+                while got.count(piece) < sent // len(piece):
                     got += await loop.sock_recv(slow, 1 << 20)
             await recorded.until(lambda: recorded.of(ClientDisconnected))
             await recorded.until(lambda: recorded.of(AttemptFinished))
@@ -217,7 +219,8 @@
             lb.upstreams[0].script = [
                 b"HTTP/1.1 %d X\r\nContent-Length: 9000000\r\n\r\n" % status + LONG_BODY
             ]
-            assert (await lb.request("r1")).status == 503  # one attempt is all that is allowed
+            # the settings allow only one attempt for each request
+            assert (await lb.request("r1")).status == 503
             assert recorded.results() == [R.ERROR]
             await lb.upstreams[0].until(lambda: lb.upstreams[0].ended == 1)
 
--- a/tests/net/test_upload.py
+++ b/tests/net/test_upload.py
@@ -18,8 +18,8 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_that_is_too_large_is_rejected(chunked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A body is longer than the limit, by its stated length or in a chunk. It is answered with 413, and no
-    upstream gets a complete request.
+    """A body is longer than the limit, by its stated length or in a chunk. The request is answered with 413,
+    and no upstream gets a complete request.
     """
     monkeypatch.setattr("lanelift.net.message_parser.MAX_STREAMED_BODY_BYTES", 69_000)
 
@@ -33,7 +33,7 @@
                 client.send("r1", "pay", "POST", b"x" * 70_000)
             assert (await read_message(client.reader)).status == 413
             await client.ended()
-            assert not lb.upstreams[0].seen  # no complete request
+            assert not lb.upstreams[0].seen  # no upstream gets a complete request
 
     run(test())
 
@@ -59,8 +59,8 @@
 
 
 def test_the_deadline_counts_from_the_last_byte_of_the_body(recorded: EventRecorder) -> None:
-    """A client sends a long body slowly, for longer than it waits for an answer. Its deadline counts from
-    the last byte, and the time is not counted as the upstream's.
+    """A client sends a long body slowly, for longer than it waits for an answer. Its deadline counts from the
+    last byte, and the time before that is not counted as the upstream's response time.
     """
 
     async def test() -> None:
@@ -73,14 +73,15 @@
             client.writer.write(LONG_BODY[100_000:])
             assert (await read_message(client.reader)).status == 200
             (outcome,) = recorded.of(AttemptFinished)
-            assert outcome.duration_ns < 200_000_000  # without the time that the client took
+            # the duration does not include the time that the client took to send the body
+            assert outcome.duration_ns < 200_000_000
 
     run(test())
 
 
 def test_the_deadline_applies_once_the_body_is_complete(recorded: EventRecorder) -> None:
-    """A long body is complete, and its upstream never answers. The deadline applies from then on, and the
-    client gets a 504, as the request may have run.
+    """A long body is complete, and its upstream never answers. The deadline applies from then on. The client
+    gets a 504, as the request may have run.
     """
 
     async def test() -> None:
@@ -89,7 +90,8 @@
             client = await lb.client()
             rows = (f"Content-Length: {len(LONG_BODY)}", "X-Deadline-Ms: 200")
             client.writer.write(request_head("r1", "pay", *rows) + LONG_BODY)
-            assert (await read_message(client.reader)).status == 504  # not rejected, as it may have run
+            # the request is not rejected, as it may have run
+            assert (await read_message(client.reader)).status == 504
             assert recorded.results() == [R.TIMEOUT]
 
     run(test())
@@ -146,15 +148,15 @@
             data = request_with_length("r1", LONG_BODY[:150_000])
             for start in range(0, len(data), 25_000):
                 client.writer.write(data[start : start + 25_000])
-                await asyncio.sleep(0.1)  # in total several times the time-out
+                await asyncio.sleep(0.1)  # the pieces take several times the time-out in total
             assert (await read_message(client.reader)).status == 200
 
     run(test())
 
 
 def test_without_an_upstream_a_request_is_rejected_before_its_body_has_come(recorded: EventRecorder) -> None:
-    """No upstream is available for a request with a long body. It is rejected immediately, before its body
-    has come.
+    """No upstream is available for a request with a long body. The request is rejected immediately, before
+    its body is received.
     """
 
     async def test() -> None:
@@ -179,6 +181,6 @@
             ):
                 client.writer.write(request_with_length(f"r{number}", LONG_BODY[:size]))
                 assert (await read_message(client.reader)).status == 200
-            assert len(lb.upstreams[0].links) == 1  # one connection serves them all
+            assert len(lb.upstreams[0].links) == 1  # one connection serves all requests
 
     run(test())
--- a/tests/pinned/test_outside_names.py
+++ b/tests/pinned/test_outside_names.py
@@ -29,7 +29,7 @@
 
 
 def written_names(tree: ast.AST) -> Iterator[str]:
-    """Yields the names of class fields and keyword arguments, which may be written out under these names."""
+    """Yields the names of class fields and keyword arguments, as output may contain these names."""
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef):
             for statement in node.body:
@@ -40,7 +40,7 @@
 
 
 def runs_of_words(text: str) -> Iterator[str]:
-    """Yields a text, its words, and its flags, paths and compound words."""
+    """Yields a text itself, and the words, flags, paths and compound words in it."""
     yield text
     yield from WORD.findall(text)
     yield from re.findall(r"(?:--|/)?[A-Za-z0-9_]+(?:[-/.][A-Za-z0-9_]+)*", text)
--- a/tests/policy/checked_balancer.py
+++ b/tests/policy/checked_balancer.py
@@ -85,7 +85,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    """Return settings with the classes above, two tenants, hedging and slow start, and these changes."""
+    """Return settings with the classes above, two tenants, hedging and slow start, changed by `changes`."""
     base: dict[str, object] = {
         "classes": {
             c.name: c for c in (READ, PAY, KEYED_IN_CELL, KEYED_ANYWHERE, ORDERED, WEST_ONLY, BIG_ONLY)
@@ -127,7 +127,7 @@
 def check_slow_start_budget(sends: list[int], started_ns: int, rules: Rules, warm_per_s: float) -> None:
     """Check rule 4 over all replicas, with a tolerance of two attempts.
 
-    In no window may an upstream that is warming up get more attempts than its share of capacity allows.
+    An upstream that is warming up may get no more attempts in any window than its share of capacity allows.
     """
     for i, last in enumerate(sends):
         age = last - started_ns
@@ -153,7 +153,7 @@
         balancer: The balancer under test.
         classes: The request class of each request.
         deadline: When the client of each request gives up.
-        answer: The final answer of each request, or that it ended without one.
+        answer: The final answer of each request; "broken" or "disconnected" if it ended without one.
         notified_complete: Requests that were reported to the balancer as complete.
         body_pending: Requests whose body is still being received, so that their time is not counted.
         body_consumed: Requests that can't be sent again, as part of their body was consumed.
@@ -235,7 +235,7 @@
         return request in self.body_pending and any(r == request for r, _ in self.attempts_in_flight())
 
     def result(self, request: str, number: int, result: AttemptResult) -> AttemptFinished:
-        """Return the event that an attempt ends now with this result."""
+        """Return the event that reports the end of an attempt, now and with this result."""
         upstream, sent = self.attempts[request][number]
         over = request in self.answer or request in self.notified_complete
         if request in self.response_started:
@@ -333,7 +333,7 @@
             self.timers.append((self.now + action.delay_ns, action.name))
 
     def _check_key_order(self, request: str) -> None:
-        """Check rule 5: requests of one key run one at a time, in order, and wait for its cooldown."""
+        """Check rule 5: requests of one key run one at a time, in order, and not in the key's cooldown."""
         for order in self.key_order.values():
             for earlier in order[: order.index(request)] if request in order else ():
                 over = earlier in self.answer or earlier in self.notified_complete
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -53,14 +53,15 @@
         lost_share: The share of peer messages that is lost.
         messages: The number of peer messages that were sent.
         emulators: Emulators by upstream number.
-        unresponsive: Upstreams that are cut off: attempts at them, and their responses, are lost.
+        unresponsive: Upstreams that are cut off: attempts sent to these upstreams, and their responses, are
+            lost.
         killed: Replicas that were killed: they handle no further events.
         due: Scheduled events: time, sequence number, name of the method, details.
         tenant: The tenant of each request.
         deadline: When the client of each request gives up.
         attempts: The number of attempts of each request.
-        sent: The attempts in flight: the upstream, and when each was sent.
-        counts: The number of requests by tenant and answer, and of all requests as "requested".
+        sent: The upstream and the time of sending of each attempt in flight.
+        counts: The number of requests by tenant and answer; "requested" counts all requests of a tenant.
         answered: Requests that have their final answer.
         attempt_log: All attempts: time, replica, upstream.
     """
@@ -130,7 +131,7 @@
                 getattr(self, f"_{what}")(details)
 
     def _arrive(self, details: tuple[str, int, str, int, int]) -> None:
-        """A request arrives at its replica."""
+        """Deliver a request to its replica."""
         tenant, work_ns, class_name, wait_ns, replica = details
         name = f"r{len(self.tenant)}/{work_ns}"
         self.tenant[name], self.deadline[name] = tenant, self.now + wait_ns
@@ -141,41 +142,41 @@
         )
 
     def _tenant_update(self, event: Event) -> None:
-        """The first replica receives an update from a directory."""
+        """Deliver an update from a directory to the first replica."""
         self._handle([event], 0)
 
     def _update(self, details: tuple[int, Event]) -> None:
-        """An event reaches a replica."""
+        """Deliver an event to a replica."""
         self._handle([details[1]], details[0])
 
     def _timer(self, details: tuple[int, str]) -> None:
-        """A timer of a replica fires."""
+        """Fire a timer of a replica."""
         self._handle([TimerFired(details[1])], details[0])
 
     def _reach(self, details: tuple[str, int, int]) -> None:
-        """An attempt reaches its upstream, which may reject it."""
+        """Deliver an attempt to its upstream, which may reject it."""
         name, attempt, number = details
         if number in self.unresponsive:
-            return  # the attempt will time out
+            return  # the attempt is lost, and will time out
         if not self.emulators[number].offer(f"{name}#{attempt}", int(name.partition("/")[2]), self.now):
             self._ended(name, attempt, AttemptResult.REJECTED)
 
     def _answered(self, details: tuple[str, int]) -> None:
-        """A response reaches its replica."""
+        """Deliver a response to its replica."""
         name, _, attempt = details[0].partition("#")
         if details[1] in self.unresponsive:
             return
         self._ended(name, int(attempt), AttemptResult.OK)
 
     def _expire(self, details: tuple[str, int]) -> None:
-        """An attempt times out, unless it has ended."""
+        """Time out an attempt, unless it has ended."""
         name, attempt = details
         if details in self.sent:
             self.emulators[self.sent[details][0]].drop(f"{name}#{attempt}", self.now)
             self._ended(name, attempt, AttemptResult.TIMEOUT)
 
     def _probe(self, details: tuple[int, int]) -> None:
-        """A load probe reaches its upstream, which sends a load report."""
+        """Deliver a load probe to its upstream, which sends a load report."""
         replica, number = details
         if number in self.unresponsive:
             return
@@ -184,7 +185,7 @@
         self.schedule(self.now + ONE_WAY_NS, "update", (replica, result))
 
     def _cancel(self, details: tuple[str, int]) -> None:
-        """An attempt is cancelled, unless it has ended."""
+        """Cancel an attempt, unless it has ended."""
         name, attempt = details
         if details in self.sent:
             self.emulators[self.sent[details][0]].drop(f"{name}#{attempt}", self.now)
--- a/tests/policy/test_churn.py
+++ b/tests/policy/test_churn.py
@@ -1,6 +1,4 @@
-"""What a balancer keeps in memory over days in which upstreams, peers, clients, tenants and keys all
-change.
-"""
+"""Memory use of a balancer over days of changing upstreams, peers, clients, tenants and keys."""
 
 from __future__ import annotations
 
@@ -38,7 +36,7 @@
 
 
 def reachable_objects(root: object) -> Counter[str]:
-    """Return the number of objects that can be reached from this one, by the name of their type."""
+    """Return the number of objects that can be reached from `root`, by the name of their type."""
     seen, todo, found = {id(root)}, [root], Counter[str]()
     while todo:
         one = todo.pop()
@@ -147,7 +145,9 @@
 
 
 def simulate_days(count: int, per_day: int) -> list[Counter[str]]:
-    """Return the objects at the end of each day, which has `per_day` minutes of churn and a pause."""
+    """Simulate days of `per_day` minutes of churn and a pause. Return the number of objects of each type at
+    the end of each day.
+    """
     churn, found = Churn(5), []
     for _ in range(count):
         for _ in range(per_day):
@@ -160,7 +160,7 @@
 
 
 def growing_types(found: list[Counter[str]]) -> dict[str, list[int]]:
-    """Return the types that have clearly more objects after every later day than after the first."""
+    """Return the types that have clearly more objects after every later day than after the first day."""
     return {
         kind: [day[kind] for day in found]
         for kind in found[0] | found[-1]
@@ -168,7 +168,7 @@
     }
 
 
-def test_days_of_churn_leave_nothing_behind() -> None:
+def test_no_type_of_object_grows_in_number_over_days_of_churn() -> None:
     """In three days of churn, no type of object may grow in number from day to day."""
     assert not growing_types(simulate_days(3, 240))
 
@@ -181,7 +181,8 @@
     from lanelift.policy.registry import UpstreamRegistry
     from lanelift.policy.requests import PendingRequest
 
-    if what == "upstreams":  # kept by a list outside the registry's table
+    # A list keeps all upstreams, also those that the registry has forgotten.
+    if what == "upstreams":
         leaked: list[object] = []
         update = UpstreamRegistry.update
 
--- a/tests/policy/test_full_size.py
+++ b/tests/policy/test_full_size.py
@@ -1,4 +1,4 @@
-"""Behaviour that shows only with two hundred replicas.
+"""Behaviour that shows only with many replicas, up to a thousand.
 
 All replicas start at the same time, most of them are killed, a zone is cut off, endpoint lists change all the
 time, and replicas with little traffic run beside busy ones.
@@ -53,7 +53,7 @@
     weights: list[float] | None = None,
     seed: int = 3,
 ) -> None:
-    """Schedule requests from `since` to `until` (seconds), spread by weight; 30 ms of work each."""
+    """Schedule requests with 30 ms of work each, from `since` to `until` (seconds), to replicas by weight."""
     rng, now = random.Random(seed), since
     replicas = range(len(simulation.balancers))
     while True:
@@ -74,7 +74,7 @@
 
 
 def discovery_call_times(replicas: int, failing: bool) -> list[int]:
-    """Return when replicas that start at the same time call discovery, which answers or fails."""
+    """Return the times at which replicas that start together call discovery, which answers or fails."""
     at: list[int] = []
     for replica in range(replicas):
         now = START
@@ -104,7 +104,8 @@
     first = [t for t in at if t <= START + within // 4]
     tenths = Counter((t - START) * 10 // (within // 4) for t in first)
     assert len(tenths) >= 10 and max(tenths.values()) <= 3 * len(first) / 10
-    # Nor do later calls, however often they fail: no tenth of a second has more than a tenth of all replicas.
+    # Later calls are also spread, however often calls fail: at most a tenth of all replicas call in any tenth
+    # of a second.
     assert max(Counter((t - START) // (SECOND // 10) for t in at).values()) <= 20
 
 
@@ -146,7 +147,7 @@
 # ---- killed replicas and cut-off zones --------------------------------------------------------------------
 
 
-def test_after_seven_in_ten_are_killed_the_others_serve_within_every_budget() -> None:
+def test_after_seven_in_ten_replicas_are_killed_the_others_reach_nearly_all_upstreams() -> None:
     """Forty-two of sixty replicas are killed: the others reach nearly all upstreams, with no burst of
     peer messages.
     """
@@ -193,7 +194,8 @@
         assert not [t for t in to if t > 6 * SECOND]
     tried = [t for t in to if t > 5 * SECOND]
     sent = [t for t, _, _ in simulation.attempt_log if t > 5 * SECOND]
-    assert len(tried) <= 0.15 * len(sent)  # a quarter of all upstreams; most attempts avoid them
+    # A quarter of all upstreams is cut off, and most attempts avoid them.
+    assert len(tried) <= 0.15 * len(sent)
     cut = set(simulation.unresponsive)
     simulation.unresponsive = set()
     if list_is_updated:
@@ -216,8 +218,8 @@
 
 
 def test_replicas_with_little_traffic_serve_beside_busy_ones() -> None:
-    """One replica gets a fiftieth of the traffic of the others, another five times as much: both serve
-    nearly all of it.
+    """One replica gets a fiftieth of the traffic of the others, another gets five times as much: both
+    serve nearly all of their traffic.
     """
     weights = [0.02, *[1.0] * 18, 5.0]
     simulation = Simulation(config(20), 20, seed=8)
@@ -230,11 +232,11 @@
         )
 
 
-# ---- causes of losses in the standing test ----------------------------------------------------------------
+# ---- faults that lost requests when a zone was cut off -----------------------------------------------------
 
 
 def finish_attempts(checked: CheckedBalancer, result: AttemptResult, seconds: int) -> None:
-    """For this time, let attempts within the subset end with this result, and serve all others."""
+    """For `seconds`, let attempts within the subset end with `result`, and serve all other attempts."""
     pool = checked.balancer.registry.unrestricted_pool
     own_subset = {s.id for s in pool.subset.order[: pool.subset.size]}
     for i in range(20 * seconds):
@@ -252,7 +254,8 @@
 def test_unreachable_upstreams_are_replaced_in_the_subset(result: AttemptResult, replaced: bool) -> None:
     """A whole subset was in a zone that was cut off, and its replica served nothing for 5 s.
 
-    Upstreams that fail or are congested are not replaced, as nothing is known of the load outside the subset.
+    Upstreams that fail or are congested are not replaced, as a replica knows nothing of the load outside its
+    subset.
     """
     checked = CheckedBalancer(config(40, classes={"read": READ}), upstream_count=40)
     pool = checked.balancer.registry.unrestricted_pool
@@ -264,7 +267,7 @@
     served_share = sum(checked.answer.get(name) == "served" for name in late) / len(late)
     assert served_share > 0.9 or not replaced
     finish_attempts(checked, AttemptResult.OK, 8)
-    assert pool.subset.width == pool.subset.size  # and the subset narrows again
+    assert pool.subset.width == pool.subset.size  # the subset has narrowed again
 
 
 @pytest.mark.parametrize("count_unplaceable", [True, False])
@@ -279,7 +282,7 @@
 
 
 def test_the_rate_recovers_faster_the_further_from_congestion() -> None:
-    """After a deep cut, R grows faster the more of their objective responses leave unused."""
+    """After a deep cut, R grows faster the further the latency ratio is below the congestion threshold."""
     values = []
     for excess in (-0.05, -0.3):
         checked = CheckedBalancer(config(40, classes={"read": READ}))
--- a/tests/policy/test_module.py
+++ b/tests/policy/test_module.py
@@ -24,7 +24,7 @@
     return sum(bool(line.strip()) for line in lines)
 
 
-def test_length() -> None:
+def test_modules_and_lines_are_short() -> None:
     assert max(map(nonblank_lines, MODULES.values())) <= LONGEST_MODULE
     assert max(map(len, LINES)) <= 110
 
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("name", sorted(MODULES))
 def test_no_function_is_long(name: str) -> None:
-    """A function that needs more lines does more than one thing."""
+    """A function with more lines than the limit does more than one thing."""
     long = [
         node.name for node in functions(name) if (node.end_lineno or 0) - node.lineno + 1 > LONGEST_FUNCTION
     ]
@@ -68,13 +68,13 @@
 
 
 def test_the_package_names_every_module_in_its_table() -> None:
-    """An engineer on call starts from the table, and would not find a rule that it does not name."""
+    """An engineer on call starts from the table, and would not find a rule that is missing there."""
     head = " ".join(MODULES["__init__.py"])
     assert not [name for name in MODULES if name != "__init__.py" and name not in head]
 
 
 def test_the_table_names_constants_that_its_modules_use() -> None:
-    """If a constant is renamed or moved, the table must follow, or it misleads the engineer on call."""
+    """If a constant is renamed or moved, the table must be updated, or it misleads the engineer on call."""
     named: list[tuple[str, str]] = []
     module = ""
     for row in MODULES["__init__.py"]:
--- a/tests/policy/test_ordering.py
+++ b/tests/policy/test_ordering.py
@@ -20,7 +20,7 @@
 
 
 def test_requests_of_one_key_run_one_at_a_time_and_other_keys_do_not_wait() -> None:
-    """Two requests of one key, one of another and one without: only the second of the key waits."""
+    """Two requests share a key, a third has another key, a fourth has none: only the second waits."""
     checked = CheckedBalancer()
     checked.handle(
         arrival(1, checked.now, ORDERED, key="k"),
@@ -81,8 +81,8 @@
 
 
 def test_a_request_that_waits_for_its_key_takes_no_token_and_is_answered() -> None:
-    """Nineteen requests wait for an earlier one of their key that is never served: none takes a token, and
-    each is answered.
+    """Nineteen requests wait for an earlier request with the same key, which is never served. None of
+    them takes a token, and each gets an answer.
     """
     checked = CheckedBalancer()
     checked.handle(arrival(0, checked.now, ORDERED, key="k"))
--- a/tests/policy/test_peer_load.py
+++ b/tests/policy/test_peer_load.py
@@ -50,7 +50,7 @@
     return simulation
 
 
-def test_an_attempt_is_announced_to_the_replicas_that_share_its_upstream_only() -> None:
+def test_an_attempt_is_announced_only_to_the_replicas_that_share_its_upstream() -> None:
     """One attempt: a message goes to each replica that has its upstream in its subset, and to no other."""
     checked = sharing_balancer()
     actions = checked.handle(arrival(1, checked.now))
@@ -81,7 +81,7 @@
     ],
 )
 def test_nothing_is_announced_if_that_is_not_allowed_or_too_expensive(changes: dict[str, Any]) -> None:
-    """Peer messages are forbidden, cost too much, or would go to too many or to none: none is sent."""
+    """Peer messages are forbidden, cost too much, or would go to too many or no replicas: none is sent."""
     checked = sharing_balancer(**changes)
     assert not peer_messages(checked.handle(arrival(1, checked.now)))
 
@@ -100,7 +100,7 @@
 
 
 def test_own_attempts_count_as_queued_work() -> None:
-    """Three requests in one instant go to three upstreams, and each has its work queued."""
+    """Three requests arrive at one instant: they go to three upstreams, and each upstream has work queued."""
     checked = sharing_balancer()
     checked.handle(*(arrival(i, checked.now)._replace(cost_hint_ns=40 * MS) for i in range(3)))
     assert len({checked.attempts[f"r{i}"][0][0].id for i in range(3)}) == 3
@@ -139,19 +139,21 @@
 
 
 def test_a_flood_of_messages_needs_bounded_memory() -> None:
-    """A replica announces a thousand attempts at one upstream: what is remembered and counted is bounded."""
+    """A replica announces a thousand attempts at one upstream. The number of reservations kept for these
+    attempts, and the queued work estimated from them, are bounded.
+    """
     checked = sharing_balancer()
     upstream = checked.balancer.registry.unrestricted_pool.subset.order[0]
     checked.handle(
         *(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, upstream.id, 0xFFFF)) for _ in range(1000))
     )
     assert len(upstream.reservations) <= 64
-    assert upstream.queued_work_ns(checked.now, 0) <= SECOND  # and it is not left idle for hours
+    assert upstream.queued_work_ns(checked.now, 0) <= SECOND  # so the upstream is not left idle for hours
 
 
 def test_no_request_is_rejected_by_its_hint_before_responses_confirm_hints() -> None:
-    """A client hints at two seconds before there are any responses, so nothing shows yet that hints are
-    right.
+    """A client hints at two seconds before there are any responses, so no response has confirmed yet that
+    cost hints are accurate.
     """
     checked = sharing_balancer()
     checked.handle(arrival(1, checked.now)._replace(cost_hint_ns=2 * SECOND))
@@ -176,7 +178,7 @@
     "result", [AttemptResult.REJECTED, AttemptResult.ERROR, AttemptResult.CONNECT_FAILED]
 )
 def test_a_rejected_attempt_is_not_queued_work(result: AttemptResult) -> None:
-    """The upstream did not execute the request: its work is not queued there."""
+    """The upstream did not execute the request, so the request's work is not queued at the upstream."""
     checked = sharing_balancer()
     checked.handle(arrival(1, checked.now))
     upstream = checked.balancer.registry.upstreams[checked.attempts["r1"][0][0].id]
@@ -185,7 +187,7 @@
 
 
 def test_a_request_that_takes_longer_than_its_client_waits_is_rejected_immediately() -> None:
-    """Hints have proved right, and one request would take longer than its client waits."""
+    """Cost hints have proved accurate, and one request would take longer than its client waits."""
     checked = sharing_balancer()
     for i in range(1, 200):
         checked.balancer.state.service_times.by_hint.observe(i * MS, i * MS)
@@ -196,7 +198,7 @@
 
 @pytest.mark.parametrize(("ahead_ms", "answer"), [(0, None), (100, None), (260, "rejected")])
 def test_a_request_that_queued_work_would_make_late_is_rejected(ahead_ms: int, answer: str | None) -> None:
-    """All upstreams had a backlog: all responses were late, and each client repeated its request."""
+    """All upstreams had work queued: all responses were late, and each client sent its request again."""
     checked = sharing_balancer()
     for s in checked.balancer.registry.upstreams.values():
         checked.handle(PeerMessageReceived(3, ATTEMPT_STARTED.pack(1, s.id, max(1, 10 * ahead_ms))))
@@ -207,8 +209,8 @@
 
 @pytest.mark.parametrize("power", [0.3, 1.0, 0.0])
 def test_the_relation_of_hints_and_durations_is_learned(power: float) -> None:
-    """Requests with hints of 6 ms took 30 ms and those of 200 ms took 80 ms, so the sum of raw hints was
-    misleading.
+    """Requests with hints of 6 ms took 30 ms and requests with hints of 200 ms took 80 ms, so the sum of raw
+    hints was misleading.
     """
     regression, rng = HintRegression(), random.Random(3)
     assert regression.estimate_ns(20 * MS) == 20 * MS
@@ -222,7 +224,7 @@
 
 
 def test_one_response_does_not_determine_the_estimate() -> None:
-    """After one sample, the estimate lies between the sample and the hint."""
+    """After one sample, the estimate lies between the sample's time and a time proportional to the hint."""
     regression = HintRegression()
     regression.observe(10 * MS, 90 * MS)
     assert regression.estimate_ns(10 * MS) == pytest.approx(90 * MS)
@@ -231,7 +233,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_announcements_raise_the_served_share_and_lost_messages_cost_little(seed: int) -> None:
-    """Two draws by own counts alone say nearly nothing if each replica has one request in flight."""
+    """The counts of a replica with one request in flight say nearly nothing about two drawn upstreams."""
     without_messages, announcing, with_losses = (
         simulate_busy_replicas(seed, False),
         simulate_busy_replicas(seed, True),
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -48,15 +48,15 @@
 
 
 def test_replicas_notified_together_do_not_overload_a_started_upstream() -> None:
-    """Incident i604f4b: each replica kept the pacing interval, but all sent their first request as they were
-    notified.
+    """Incident i604f4b: each replica kept the pacing interval, but all of them sent their first request as
+    soon as they were notified.
     """
     checked_balancers = [
         CheckedBalancer(settings(replica=replica, replica_count=40), seed=replica, upstream_count=4)
         for replica in range(40)
     ]
     for checked in checked_balancers:
-        for i in range(40):  # first show what a warm upstream sustains: 50 ms per request
+        for i in range(40):  # the replica first observes what a warm upstream sustains: 50 ms per request
             checked.handle(arrival(f"w{i}", checked.now))
             checked.advance(50 * MS)
             for request, number in checked.attempts_in_flight():
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -45,7 +45,7 @@
     request_ = make_request("b.a.example", "/q/r", "ash", x="1", y="2")
     rules = [stronger, weaker]
     assert found(request_, *rules) == stronger.name
-    if stronger.name != "first":  # the order in the file is the last criterion
+    if stronger.name != "first":  # the order of rules in the file is the last criterion
         assert found(request_, *reversed(rules)) == stronger.name
 
 
@@ -131,7 +131,8 @@
 def test_the_index_agrees_with_the_definition(rule_list: list[Rule], seed: int) -> None:
     table = None
     kept: list[Rule] = []
-    for i, rule in enumerate(rule_list):  # without rules that have the conditions of another one
+    # Leaves out each rule whose conditions equal those of an earlier rule.
+    for i, rule in enumerate(rule_list):
         try:
             table = Table([*kept, dataclasses.replace(rule, name=f"r{i}")])
         except RouteValidationError:
@@ -139,13 +140,13 @@
         kept.append(dataclasses.replace(rule, name=f"r{i}"))
     if table is None:
         return
-    table, draw = Table(kept), random.Random(seed)
+    table, rng = Table(kept), random.Random(seed)
     for _ in range(40):
         request_ = make_request(
-            draw.choice(["a.example", "b.a.example", "d.b.a.example", "x.example", "other"]),
-            draw.choice(["/", "/q", "/q/", "/q/r", "/q/r/", "/q/r/s", "/q/r/s/u", "/t/x"]),
-            draw.choice(["", "ash", "birch", "cedar"]),
-            draw.choice(["GET", "POST", "PUT"]),
-            **{name: draw.choice("123") for name in "xyz" if draw.random() < 0.5},
+            rng.choice(["a.example", "b.a.example", "d.b.a.example", "x.example", "other"]),
+            rng.choice(["/", "/q", "/q/", "/q/r", "/q/r/", "/q/r/s", "/q/r/s/u", "/t/x"]),
+            rng.choice(["", "ash", "birch", "cedar"]),
+            rng.choice(["GET", "POST", "PUT"]),
+            **{name: rng.choice("123") for name in "xyz" if rng.random() < 0.5},
         )
         assert table.find(request_) == table.first_match(request_)
--- a/tests/standins/test_box.py
+++ b/tests/standins/test_box.py
@@ -18,7 +18,7 @@
 
 
 def play(box: Box, jobs: list[tuple[int, int]]) -> dict[str, int]:
-    """Offers jobs given as (arrival, work). Returns the time in system of each job that was accepted."""
+    """Offers jobs, given as (arrival, work). Returns how long each accepted job was in the system."""
     arrived: dict[str, int] = {}
     time_in_system: dict[str, int] = {}
     for i, (at, work) in enumerate(jobs):
@@ -32,7 +32,7 @@
 
 
 def mean_wait(load: float, cv2: float, count: int, seed: int) -> float:
-    """Returns the mean wait over the mean work: one server, first come first served, Poisson arrivals."""
+    """Returns mean wait divided by mean work, for one server, first come first served, Poisson arrivals."""
     rng = random.Random(seed)
     box = Box(BoxSpec(queue=10_000_000), 0)
     now, jobs = 0.0, []
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("cv2", [0.0, 1.0, 0.4])
 def test_mean_waits_follow_pollaczek_khinchine(load: float, count: int, cv2: float, long_runs: bool) -> None:
     """The mean wait is W = rho (1 + cv^2) / (2 (1 - rho)) times the mean work (M/M/1 if cv = 1). The long run
-    has to agree within 3%; the short run, with a tenth of the jobs, within three times that."""
+    has to agree within 3%, and the short run, which has a tenth of the jobs, within 9%."""
     count, within = (count, 0.03) if long_runs else (count // 10, 0.09)
     expected = load * (1 + cv2) / (2 * (1 - load))
     waits = [mean_wait(load, cv2, count, seed) for seed in (1, 2)]
@@ -61,7 +61,8 @@
     spec = BoxSpec(cores=2, slots=4, queue=0)
     assert play(Box(spec, 0), [(0, 10 * MS)]) == {"0": 10 * MS}
     assert play(Box(spec, 0), [(0, 10 * MS)] * 4) == {str(i): 20 * MS for i in range(4)}
-    assert set(play(Box(spec, 0), [(0, 10 * MS)] * 5)) == set("0123")  # no slot, no queue: rejected
+    # The fifth job is rejected, as all slots are taken and the queue has no places.
+    assert set(play(Box(spec, 0), [(0, 10 * MS)] * 5)) == set("0123")
 
 
 def test_holding_many_jobs_lowers_the_capacity() -> None:
@@ -81,7 +82,7 @@
     if held_when == "before":
         assert box.offer("a", 10 * MS, 0)
         box.freeze(104 * MS, 4 * MS)
-        box.freeze(50 * MS, 8 * MS)  # within the first freeze: no further delay
+        box.freeze(50 * MS, 8 * MS)  # this freeze lies within the first one and adds no delay
         assert box.advance(50 * MS) == [] and box.frozen
     else:
         box.freeze(104 * MS, 0)
@@ -100,7 +101,7 @@
 
 def test_probes_delay_the_running_jobs() -> None:
     box = Box(BoxSpec(cores=2, slots=2), 0)
-    box.charge(5 * MS, 0)  # idle: no job is delayed
+    box.charge(5 * MS, 0)  # the box is idle, so that the charged work delays no job
     box.offer("a", 10 * MS, 0)
     box.offer("b", 20 * MS, 0)
     box.charge(4 * MS, MS)
@@ -112,7 +113,7 @@
         box = Box(BoxSpec(drops_queued=drops), 0)
         for job in "abc":
             box.offer(job, 10 * MS, 0)
-        assert box.drop("a", MS) is False  # running: it continues
+        assert box.drop("a", MS) is False  # a running job continues
         assert box.drop("b", MS) is drops
         assert [d.job for d in box.advance(ENDLESS)] == (["a", "c"] if drops else ["a", "b", "c"])
 
@@ -120,7 +121,7 @@
 @pytest.mark.parametrize("busy", [False, True])
 @pytest.mark.parametrize("by_work", [False, True])
 def test_a_cold_box_warms_up_along_the_specified_curve(busy: bool, by_work: bool) -> None:
-    """Warming by time is a linear ramp; warming by work is the same when idle and never slower."""
+    """Warming by time is a linear ramp. Warming by work is never slower, and the same in an idle box."""
     spec = BoxSpec(
         queue=100_000, cold_from=0.4, cold_ns=8 * SECOND, warm_by_work=by_work, overload_multiple=1e9
     )
@@ -144,8 +145,8 @@
         assert 0.7 * 8 + 2 < done * 0.01 < 10
 
 
-@pytest.mark.parametrize(("multiple", "falls"), [(2.4, False), (2.7, True)])
-def test_a_cold_box_fails_when_overloaded(multiple: float, falls: bool) -> None:
+@pytest.mark.parametrize(("multiple", "fails"), [(2.4, False), (2.7, True)])
+def test_a_cold_box_fails_when_overloaded(multiple: float, fails: bool) -> None:
     """The offered load is a steady multiple of the present capacity, for longer than the specified window."""
     spec = BoxSpec(cold_from=0.3, cold_ns=60 * SECOND, overload_multiple=2.5, overload_window_ns=1500 * MS)
     box = Box(spec, 0, cold=True)
@@ -154,8 +155,8 @@
         box.advance(now)
         box.offer(str(now), 10 * MS, now)
         now += int(10 * MS / (multiple * box.warmth))
-    assert bool(box.overloaded_ns) is falls
-    if falls:
+    assert bool(box.overloaded_ns) is fails
+    if fails:
         assert 1000 * MS < box.overloaded_ns < 1800 * MS
         assert box.offer("late", MS, now + 60 * SECOND) is False and box.next_ns() is None
 
@@ -180,8 +181,8 @@
     drops_queued=st.booleans(),
 )
 KINDS = st.sampled_from(["offer", "drop", "freeze", "share", "look"])
-GAPS, FIGURES = st.integers(0, 20 * MS), st.integers(1, 30 * MS)
-EVENTS = st.lists(st.tuples(KINDS, GAPS, FIGURES), max_size=30)
+GAPS, VALUES = st.integers(0, 20 * MS), st.integers(1, 30 * MS)
+EVENTS = st.lists(st.tuples(KINDS, GAPS, VALUES), max_size=30)
 
 
 @settings(max_examples=200, deadline=None)
@@ -200,19 +201,19 @@
             assert done.job not in ended and arrived[done.job][0] <= done.at_ns <= now
             ended[done.job] = done.at_ns
 
-    for i, (what, later, figure) in enumerate(events):
-        now += later
+    for i, (kind, gap, value) in enumerate(events):
+        now += gap
         collect()
-        if what == "offer" and box.offer(str(i), figure, now):
-            arrived[str(i)] = (now, figure)
-        elif what == "drop" and arrived:
-            job = list(arrived)[figure % len(arrived)]
+        if kind == "offer" and box.offer(str(i), value, now):
+            arrived[str(i)] = (now, value)
+        elif kind == "drop" and arrived:
+            job = list(arrived)[value % len(arrived)]
             if job not in ended and box.drop(job, now):
                 dropped.add(job)
-        elif what == "freeze":
-            box.freeze(now + figure, now)
-        elif what == "share":
-            box.set_stolen_share(figure / (60 * MS), now)
+        elif kind == "freeze":
+            box.freeze(now + value, now)
+        elif kind == "share":
+            box.set_stolen_share(value / (60 * MS), now)
         assert len(box.running) <= spec.slots and len(box.waiting) <= spec.queue
         assert box.held == len(arrived) - len(ended) - len(dropped)
     now += 100 * SECOND
@@ -226,7 +227,7 @@
         assert sum(arrived[job][1] for job in ended) <= spec.cores * spec.speed * span + 10 * len(ended)
 
 
-@given(SPECS, st.lists(st.tuples(GAPS, FIGURES), max_size=20), st.integers(1, 7))
+@given(SPECS, st.lists(st.tuples(GAPS, VALUES), max_size=20), st.integers(1, 7))
 @settings(max_examples=100, deadline=None)
 def test_calling_advance_more_often_changes_nothing(
     spec: BoxSpec, gaps: list[tuple[int, int]], parts: int
@@ -249,7 +250,7 @@
     plain = play(Box(spec, 0, cold=True), jobs)
     assert time_in_system.keys() == plain.keys()
     for job, time in plain.items():
-        assert abs(time_in_system[job] - time) <= 64 * 30  # rounding to whole ns at each call
+        assert abs(time_in_system[job] - time) <= 64 * 30  # each call rounds to whole ns
 
 
 def test_random_values_depend_only_on_seed_and_name() -> None:
--- a/tests/tenants/test_client.py
+++ b/tests/tenants/test_client.py
@@ -1,4 +1,4 @@
-"""The LDAP client with a directory that fails in many ways, and whose answers are cut after each byte."""
+"""The LDAP client, with an emulated directory that fails in many ways, or is cut off after any byte."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_a_directory_that_ignores_paging() -> None:
-    """A directory ignores the paging control. All its entries are read as one page."""
+    """A directory ignores the paging control. The client reads all entries as one page."""
 
     async def test() -> None:
         directory = Directory(town("ash", "elm"), server_faults=ServerFaults(pages=False))
@@ -64,8 +64,8 @@
 
 @pytest.mark.parametrize(("tls", "context"), [("ldaps", True), ("starttls", True), ("starttls", False)])
 def test_tls_is_verified(tls: str, context: bool, tmp_path: Path) -> None:
-    """A directory has a certificate for another host, no certificate, or one of an unknown CA. It is not
-    read.
+    """A directory has a certificate for another host, no certificate, or one of an unknown CA. The client
+    does not read the directory.
     """
 
     async def test() -> None:
@@ -82,7 +82,7 @@
     run(test())
 
 
-def test_a_certificate_is_not_verified_where_configured_so(tmp_path: Path) -> None:
+def test_the_verification_of_certificates_can_be_disabled(tmp_path: Path) -> None:
     async def test() -> None:
         with certificates(tmp_path, "elsewhere.example") as (server, _):
             directory = Directory(town("ash"), tls=server, ldaps=True)
@@ -114,7 +114,7 @@
 )
 def test_an_incomplete_read_reports_the_reason(manners: ServerFaults, count: int, words: str) -> None:
     """A directory refuses a search, stops at a limit or refers to another directory. The entries received
-    are returned, and so is the reason of the failure.
+    are returned, and so is the reason for the failure.
     """
 
     async def test() -> None:
@@ -151,11 +151,11 @@
         directory = Directory(town("ash"))
         await directory.start()
         bad = b"\x30\x84\xff\xff\xff\xff" + b"x" * 40
-        troubles = [NetworkFaults(silent=True), NetworkFaults(cut_after=0), NetworkFaults(garbage=bad)]
-        for trouble in [*troubles, NetworkFaults(garbage=b"HTTP/1.1 400 Bad Request\r\n\r\n")]:
-            directory.network_faults = trouble
+        faults = [NetworkFaults(silent=True), NetworkFaults(cut_after=0), NetworkFaults(garbage=bad)]
+        for fault in [*faults, NetworkFaults(garbage=b"HTTP/1.1 400 Bad Request\r\n\r\n")]:
+            directory.network_faults = fault
             found, failure = await read(directory_config(directory, timeout_s=0.2))
-            assert not found and failure, trouble
+            assert not found and failure, fault
         directory.network_faults = NetworkFaults()
         directory.stop()
         found, failure = await read(directory_config(directory))
@@ -168,7 +168,8 @@
     """The connection is cut after each byte of the answers of two pages. Entries of whole pages are returned,
     and the read is incomplete.
     """
-    # ldap3 numbers the messages of all connections of a process: from 1000 on each number has two bytes.
+    # ldap3 counts the messages of all connections of a process. From 1000 on, each message number has two
+    # bytes.
     monkeypatch.setattr(ldap3.Server, "_message_counter", 1000)
 
     async def test() -> None:
@@ -187,7 +188,7 @@
             assert failure
             counts.append(len(found))
         assert counts == sorted(counts) and set(counts) == {0, 2} and size > 400
-        # A cut directly after the last byte is not tested: the client may notice it before it returns or not.
+        # A cut directly after the last byte is not tested: the client may return before it notices the cut.
         directory.network_faults = NetworkFaults(cut_after=size + 1)
         found, failure = await read(directory_config(directory), search(2))
         assert failure == "" and len(found) == 3
@@ -206,7 +207,7 @@
         await directory.start()
         session = Session(directory_config(directory))
 
-        def go() -> str:
+        def read_all_pages() -> str:
             try:
                 session.open()
                 list(session.pages(search()))
@@ -214,7 +215,7 @@
                 return str(error)
             return "read"
 
-        failed = asyncio.ensure_future(asyncio.to_thread(go))
+        failed = asyncio.ensure_future(asyncio.to_thread(read_all_pages))
         while not directory.clients or not directory.accepted:
             await asyncio.sleep(0)
         began = time.monotonic()
@@ -238,8 +239,8 @@
 
 @pytest.mark.parametrize("content", [b"", b"a\nb\n", b"\xff\xfe", b"x" * 5000, None])
 def test_password_files(content: bytes | None, tmp_path: Path) -> None:
-    """A password file is empty, has two lines, is not UTF-8, is too long or is missing. It is refused. A file
-    of one line is read.
+    """A password file is empty, has two lines, is not UTF-8, is too long or is missing. The client refuses
+    such a file, and reads a file of one line.
     """
     path = tmp_path / "secret"
     if content is not None:
--- a/tests/tenants/test_removals.py
+++ b/tests/tenants/test_removals.py
@@ -18,8 +18,8 @@
 
 @pytest.mark.parametrize("left", [0, 1, 44])
 def test_too_many_removals_wait_for_confirmation(left: int) -> None:
-    """Most tenants are missing from a full read, as with a wrong base. They stay, which is logged only once,
-    and they are removed when the operator confirms the removal.
+    """Most tenants are missing from a full read, as with a wrong base. The missing tenants stay, which is
+    logged only once, and they are removed when the operator confirms the removal.
     """
     scenario = Scenario()
     scenario.full(*numbered_entries(50))
@@ -33,8 +33,8 @@
 
 
 def test_a_confirmation_is_for_one_removal_only() -> None:
-    """The operator confirms a removal, and one more tenant is missing in the next reading. This is another
-    removal, which needs its own confirmation.
+    """The operator confirms a removal, and one more tenant is missing in the next reading. The second, larger
+    removal needs its own confirmation.
     """
     scenario = Scenario()
     scenario.full(*numbered_entries(50))
@@ -67,7 +67,7 @@
         removed_count += len(changes.removed)
         if not changes:
             break
-    assert removed_count == 9 and len(scenario.tenants) == 91  # at most a tenth of all within the window
+    assert removed_count == 9 and len(scenario.tenants) == 91  # at most a tenth is removed in the window
     scenario.now_s += WINDOW_S
     assert len(scenario.full(*numbered_entries(89)).removed) == 2
 
@@ -139,8 +139,8 @@
 
 
 def test_tables_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A directory has more entries than can be stored, and then lacks more than there can be tombstones. Both
-    tables keep their bounds, and the first excess is logged.
+    """A directory has more entries than can be stored, and then lacks more than there can be tombstones.
+    Neither table exceeds its bound, and the first excess of entries is logged.
     """
     monkeypatch.setattr("lanelift.tenants.store.MAX_TENANTS", 5)
     monkeypatch.setattr("lanelift.tenants.removals.MAX_TOMBSTONES", 2)
